--- a/Makefile
+++ b/Makefile
@@ -26,4 +26,4 @@
 	target/dev/bin/ruff check .
 	target/dev/bin/ruff format --check .
 	target/dev/bin/mypy
-	PYTHONHASHSEED=0 target/dev/bin/python -m pytest
+	PYTHONHASHSEED=0 target/dev/bin/python -m pytest -n auto --dist worksteal
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -9,11 +9,14 @@
 from collections.abc import Generator
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 NAME = "KNOWN-RED.txt"
 MOST = 3
+#: Under this key a worker process of xdist hands its usage error to the process that reports.
+WORKER_ERROR_KEY = "known_red_error"
 
 
 @dataclass(frozen=True)
@@ -67,6 +70,7 @@
 
     def __init__(self, entries: list[Entry]) -> None:
         self.entries = {entry.node_id: entry for entry in entries}
+        self.worker_error: str | None = None
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(
@@ -89,9 +93,22 @@
                 continue
             file = config.rootpath / entry.node_id.partition("::")[0]
             if not ignores or file in files:
-                raise pytest.UsageError(
-                    f"{NAME}, line {entry.line}: no test has the node id {entry.node_id}"
-                )
+                message = f"{NAME}, line {entry.line}: no test has the node id {entry.node_id}"
+                if hasattr(config, "workeroutput"):
+                    # A usage error in a worker process of xdist would read as a crash of it.
+                    config.workeroutput[WORKER_ERROR_KEY] = message
+                    return
+                raise pytest.UsageError(message)
+
+    @pytest.hookimpl(optionalhook=True)
+    def pytest_testnodedown(self, node: Any, error: object | None) -> None:
+        """Keep the usage error of a worker process of xdist that has ended."""
+        message = getattr(node, "workeroutput", {}).get(WORKER_ERROR_KEY)
+        self.worker_error = self.worker_error or message
+
+    def pytest_sessionfinish(self) -> None:
+        if self.worker_error:
+            pytest.exit(self.worker_error, returncode=pytest.ExitCode.USAGE_ERROR)
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)
     def pytest_runtest_makereport(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,9 +1,13 @@
 """KNOWN-RED.txt: its tests are run, may fail in their call, and in no other way."""
 
+from collections.abc import Callable
+
 import pytest
 
 from tests.known_red import NAME
 
+RunTests = Callable[..., pytest.RunResult]
+
 PLUGIN = "tests.known_red"
 TESTS = """
     import pytest
@@ -51,20 +55,34 @@
     (site.path / NAME).write_text("\n".join(lines), encoding="utf-8")
 
 
-def run(site: pytest.Pytester, *args: str) -> pytest.RunResult:
-    return site.runpytest("-p", PLUGIN, "-p", "no:cacheprovider", *args)
+@pytest.fixture(params=[(), ("-n", "2")], ids=["one-process", "two-processes"])
+def workers(request: pytest.FixtureRequest) -> tuple[str, ...]:
+    """The options that say in how many processes the inner run plays its tests."""
+    options: tuple[str, ...] = request.param
+    return options
+
+
+@pytest.fixture
+def run(site: pytest.Pytester, workers: tuple[str, ...]) -> RunTests:
+    def run_tests(*args: str) -> pytest.RunResult:
+        return site.runpytest("-p", PLUGIN, "-p", "no:cacheprovider", *workers, *args)
+
+    return run_tests
 
 
-def test_without_the_file_nothing_changes(site: pytest.Pytester) -> None:
-    result = run(site, RED, "test_b.py")
+def test_without_the_file_nothing_changes(site: pytest.Pytester, run: RunTests) -> None:
+    result = run(RED, "test_b.py")
     result.assert_outcomes(failed=1, passed=1)
     result.stdout.no_fnmatch_line(f"*{NAME}*")
 
 
-def test_what_is_listed_is_run_and_may_fail_and_is_printed(site: pytest.Pytester) -> None:
+def test_what_is_listed_is_run_and_may_fail_and_is_printed(
+    site: pytest.Pytester, workers: tuple[str, ...], run: RunTests
+) -> None:
     lists(site, "# a comment", "", f"{RED}; the sum is wrong; #7")
-    result = run(site, "-k", "red or green or test_b")
-    result.assert_outcomes(xfailed=1, passed=3, deselected=4)
+    result = run("-k", "red or green or test_b")
+    # The summary of several processes does not count what was deselected.
+    result.assert_outcomes(xfailed=1, passed=3, deselected=0 if workers else 4)
     assert result.ret == pytest.ExitCode.OK
     result.stdout.fnmatch_lines_random(
         [f"=*{NAME}*=", "test_a.py::test_red[[]1[]]: xfailed: the sum is wrong (#7)"]
@@ -84,10 +102,13 @@
     ],
 )
 def test_what_passes_is_skipped_or_breaks_elsewhere_fails_the_run(
-    site: pytest.Pytester, listed: str, outcomes: dict[str, int]
+    site: pytest.Pytester,
+    run: RunTests,
+    listed: str,
+    outcomes: dict[str, int],
 ) -> None:
     lists(site, f"test_a.py::{listed}; a cause; #7")
-    result = run(site, f"test_a.py::{listed}")
+    result = run(f"test_a.py::{listed}")
     result.assert_outcomes(**outcomes)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     kind = "failed" if "failed" in outcomes else "error"
@@ -107,10 +128,10 @@
     ],
 )
 def test_malformed_lines_and_a_fourth_one_fail_the_run(
-    site: pytest.Pytester, lines: list[str], what: str
+    site: pytest.Pytester, run: RunTests, lines: list[str], what: str
 ) -> None:
     lists(site, *lines)
-    result = run(site, "test_b.py")
+    result = run("test_b.py")
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines([f"*{NAME}, {what}*"])
 
@@ -136,10 +157,14 @@
     ],
 )
 def test_a_name_that_no_test_has_fails_the_run_that_could_collect_it(
-    site: pytest.Pytester, listed: str, args: list[str], judged: bool
+    site: pytest.Pytester,
+    run: RunTests,
+    listed: str,
+    args: list[str],
+    judged: bool,
 ) -> None:
     lists(site, f"{listed}; a cause; #7")
-    result = run(site, *args)
+    result = run(*args)
     if judged:
         assert result.ret == pytest.ExitCode.USAGE_ERROR
         result.stderr.fnmatch_lines([f"*{NAME}, line 1: no test has the node id*"])
@@ -148,9 +173,13 @@
         assert result.ret == pytest.ExitCode.OK
 
 
-def test_a_file_that_cannot_be_imported_says_so_itself(site: pytest.Pytester) -> None:
+def test_a_file_that_cannot_be_imported_says_so_itself(
+    site: pytest.Pytester, workers: tuple[str, ...], run: RunTests
+) -> None:
     site.makepyfile(test_c="import nothing_of_this_name")
     lists(site, "test_c.py::test_red; a cause; #7")
-    result = run(site)
-    assert result.ret == pytest.ExitCode.INTERRUPTED
+    result = run()
+    # Processes go on with the files that can be imported.
+    expected = pytest.ExitCode.TESTS_FAILED if workers else pytest.ExitCode.INTERRUPTED
+    assert result.ret == expected
     result.stdout.fnmatch_lines(["*nothing_of_this_name*"])
