--- /dev/null
+++ b/tests/protocol/test_golden_bytes.py
@@ -0,0 +1,168 @@
+"""Every stored record and every message, byte for byte as format 5 first wrote them.
+
+``golden_bytes.json`` holds one literal of each kind with every field set: JSON as it stands in
+the store, in files and on HTTP; frames between controllers as hexadecimal digits. A field that
+is renamed in the code and not mapped back to its name on the wire fails here.
+"""
+
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from weldhead.bookkeeping import records, taken
+from weldhead.calendars import binding as calendars
+from weldhead.calendars import document as calendar_document
+from weldhead.calendars import state as calendar_state
+from weldhead.client import answers, decisions, policy
+from weldhead.coordination.documents import gates, history, lateness
+from weldhead.coordination.placement import lending
+from weldhead.documents import records as document_records
+from weldhead.documents import source
+from weldhead.gates import document as gate_document
+from weldhead.gates import state as gate_state
+from weldhead.protocol import peer, settings, wire
+from weldhead.site import front, pool, worker
+from weldhead.site.store import model as store
+
+GOLDEN: dict[str, str] = json.loads(
+    Path(__file__).with_name("golden_bytes.json").read_text(encoding="utf-8")
+)
+TYPES: dict[str, Any] = {
+    "record: LeaderRecord": records.LeaderRecord,
+    "record: UnsettledRecord": records.UnsettledRecord,
+    "record: JobRecord": records.JobRecord,
+    "record: FinalRecord": records.FinalRecord,
+    "record: HireRecord": records.HireRecord,
+    "document: Calendar": calendar_document.Calendar,
+    "record: CalendarState": calendar_state.CalendarState,
+    "client: Answer": answers.Answer,
+    "client: Run": decisions.Run,
+    "client: Policy": policy.Policy,
+    "record: TakenRecord": lending.TakenRecord,
+    "record: HeadRecord": document_records.HeadRecord,
+    "record: Offer": document_records.Offer,
+    "documents file: Source": source.Source,
+    "document: Gate": gate_document.Gate,
+    "record: GateState": gate_state.GateState,
+    "peer: Hello": peer.Hello,
+    "peer: Ping": peer.Ping,
+    "peer: Pong": peer.Pong,
+    "peer: Ask": peer.Ask,
+    "peer: Answer": peer.Answer,
+    "peer: Hold": peer.Hold,
+    "peer: Held": peer.Held,
+    "peer: Look": peer.Look,
+    "peer: Seen": peer.Seen,
+    "peer: Resigned": peer.Resigned,
+    "settings: Settings": settings.Settings,
+    "wire: JobSpec": wire.JobSpec,
+    "wire: JobStatus": wire.JobStatus,
+    "wire: ErrorBody": wire.ErrorBody,
+    "wire: TaskReport": wire.TaskReport,
+    "wire: Report": wire.Report,
+    "wire: Command": wire.Command,
+    "wire: ReportAnswer": wire.ReportAnswer,
+    "wire: DirectCommands": wire.DirectCommands,
+    "wire: Redirect": wire.Redirect,
+    "wire: MachineType": wire.MachineType,
+    "wire: Catalog": wire.Catalog,
+    "wire: RentalRequest": wire.RentalRequest,
+    "wire: MachineNames": wire.MachineNames,
+    "wire: ListedMachine": wire.ListedMachine,
+    "wire: MachineList": wire.MachineList,
+    "wire: Entry": wire.Entry,
+    "wire: Page": wire.Page,
+    "wire: Condition": wire.Condition,
+    "wire: Put": wire.Put,
+    "wire: Delete": wire.Delete,
+    "wire: Committed": wire.Committed,
+    "wire: Grant": wire.Grant,
+    "wire: GrantRequest": wire.GrantRequest,
+    "wire: Event": wire.Event,
+    "wire: Changes": wire.Changes,
+    "site: AttemptRecord": front.AttemptRecord,
+    "site: TaskFailure": front.TaskFailure,
+    "site: JobOutcome": front.JobOutcome,
+    "site pool: Rented": pool.Rented,
+    "site pool: Launched": pool.Launched,
+    "site pool: Gone": pool.Gone,
+    "site store log: Put": store.Put,
+    "site store log: Removal": store.Removal,
+    "site store log: Commit": store.Commit,
+    "site store log: Granted": store.Granted,
+    "site store log: Ended": store.Ended,
+    "site store log: Kept": store.Kept,
+    "site store log: Base": store.Base,
+    "site: Work": worker.Work,
+    "record: late jobs": lateness.Chunk,
+    "record: class history": history.Record,
+    "record: progress": str,
+}
+#: Written only: nobody reads one back.
+WRITTEN_ONLY = {
+    "wire: Transaction": wire.Transaction(
+        [wire.Condition("leader", 41)],
+        [wire.Put("j/run-1", {"a": 1}, 7), wire.Delete("p/run-1/0")],
+    )
+}
+
+
+def test_every_literal_has_a_type() -> None:
+    assert GOLDEN.keys() == TYPES.keys() | WRITTEN_ONLY.keys()
+
+
+@pytest.mark.parametrize("kind", [k for k in TYPES if not k.startswith("peer: ")])
+def test_json_is_read_and_written_as_before(kind: str) -> None:
+    literal = GOLDEN[kind].encode()
+    value = msgspec.json.decode(literal, type=TYPES[kind])
+    assert msgspec.json.encode(value) == literal
+
+
+@pytest.mark.parametrize("kind", [k for k in TYPES if k.startswith("peer: ")])
+def test_frames_are_read_and_written_as_before(kind: str) -> None:
+    frame = bytes.fromhex(GOLDEN[kind])
+    assert peer.frame_length(frame[:4]) == len(frame) - 4
+    message = peer.decode_message(frame[4:])
+    assert type(message) is TYPES[kind]
+    assert peer.encode_frame(message) == frame
+
+
+@pytest.mark.parametrize("kind", WRITTEN_ONLY)
+def test_requests_are_written_as_before(kind: str) -> None:
+    assert msgspec.json.encode(WRITTEN_ONLY[kind]).decode() == GOLDEN[kind]
+
+
+def test_keys_of_the_store_are_as_before() -> None:
+    keys = [
+        records.LEADER_KEY,
+        records.UNSETTLED_KEY,
+        records.job_key("run-1"),
+        records.progress_key("run-1", 2),
+        records.final_key("run-1"),
+        records.HIRES + "n-0-41-1",
+        taken.taken_key(taken.shard_of("run-1")),
+        document_records.HEAD_KEY,
+        document_records.document_key(7, "gate/g"),
+        document_records.state_key(calendars.KIND, "c"),
+        document_records.state_key(gates.KIND, "g"),
+        document_records.state_key(lateness.KIND, "0"),
+        history.KEY,
+    ]
+    assert keys == [
+        "leader",
+        "unsettled",
+        "j/run-1",
+        "p/run-1/2",
+        "f/run-1",
+        "h/n-0-41-1",
+        "t/3",
+        "d/head",
+        "d/doc/7/gate/g",
+        "d/state/calendar/c",
+        "d/state/gate/g",
+        "d/state/late/0",
+        "d/state/history/classes",
+    ]
