--- a/tests/builders.py
+++ b/tests/builders.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.machines import Machine
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.machines import Machine
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import JobSpec, MachineType, Report, TaskReport
 
--- a/tests/held_network.py
+++ b/tests/held_network.py
@@ -14,14 +14,14 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, leader_of, put_job, put_machine
-from weldhead.bookkeeping.jobs import Stop, TaskState
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.records import decode_progress, progress_key
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.cluster_state.jobs import Stop, TaskState
+from weldhead.cluster_state.records import decode_progress, progress_key
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, DirectCommands, Report, split_task
 from weldhead.site.worker import Action, Fetch, Phase, Place, Signal, Start, Work, Worker
-from weldhead.transport.http import CallFailed, HttpClient, NotConnected
+from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
 
 S = 1_000_000
 JOB = "run-000001"
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -9,18 +9,18 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
-from weldhead.account.amounts import Resource
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Stop
-from weldhead.bookkeeping.machines import EPSILON, how_many
-from weldhead.bookkeeping.reclaim import Reclaim, ReclaimLists
-from weldhead.bookkeeping.rooms import FreeRooms
 from weldhead.clock import seconds_us
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Coming, FleetSettings, _Queue, usual_boots
-from weldhead.planning.goals import Goals, Press
-from weldhead.planning.placement import Plan, Room, Rooms, _place, usable
-from weldhead.planning.preemptor import Pass, PreemptorSettings
+from weldhead.cluster_state.capacity_index import FreeRooms
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job, Stop
+from weldhead.cluster_state.machines import EPSILON, how_many
+from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
+from weldhead.quota.amounts import Resource
+from weldhead.scheduling.autoscaling.fleet import Coming, FleetSettings, _Queue, usual_boots
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals, Press
+from weldhead.scheduling.placement.placement import Plan, Room, Rooms, _place, usable
+from weldhead.scheduling.preemption.preemptor import Pass, PreemptorSettings
 
 
 class PlainPlan(Plan):
--- a/tests/protocol/test_golden_bytes.py
+++ b/tests/protocol/test_golden_bytes.py
@@ -12,17 +12,15 @@
 import msgspec
 import pytest
 
-from weldhead.bookkeeping import records, taken
 from weldhead.calendars import binding as calendars
-from weldhead.calendars import document as calendar_document
-from weldhead.calendars import state as calendar_state
+from weldhead.calendars import calendar_document, calendar_state
 from weldhead.client import answers, decisions, policy
-from weldhead.coordination.documents import gates, history, lateness
-from weldhead.coordination.placement import lending
+from weldhead.cluster_state import preemption_history, records
+from weldhead.controller.configuration import gates, late_notifications, run_time_history
+from weldhead.controller.scheduling_loop import preemption_recorder as lending
 from weldhead.documents import records as document_records
 from weldhead.documents import source
-from weldhead.gates import document as gate_document
-from weldhead.gates import state as gate_state
+from weldhead.gates import gate_document, gate_state
 from weldhead.protocol import peer, settings, wire
 from weldhead.site import front, pool, worker
 from weldhead.site.store import model as store
@@ -97,8 +95,8 @@
     "site store log: Kept": store.Kept,
     "site store log: Base": store.Base,
     "site: Work": worker.Work,
-    "record: late jobs": lateness.Chunk,
-    "record: class history": history.Record,
+    "record: late jobs": late_notifications.Chunk,
+    "record: class history": run_time_history.Record,
     "record: progress": str,
 }
 #: Written only: nobody reads one back.
@@ -143,13 +141,13 @@
         records.progress_key("run-1", 2),
         records.final_key("run-1"),
         records.HIRES + "n-0-41-1",
-        taken.taken_key(taken.shard_of("run-1")),
+        preemption_history.taken_key(preemption_history.shard_of("run-1")),
         document_records.HEAD_KEY,
         document_records.document_key(7, "gate/g"),
         document_records.state_key(calendars.KIND, "c"),
         document_records.state_key(gates.KIND, "g"),
-        document_records.state_key(lateness.KIND, "0"),
-        history.KEY,
+        document_records.state_key(late_notifications.KIND, "0"),
+        run_time_history.KEY,
     ]
     assert keys == [
         "leader",
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -24,9 +24,9 @@
     TaskReport,
 )
 from weldhead.site.store.model import Batch, Failed, Store, StoreError, Write
-from weldhead.transport.budget import Budget
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Conflict, Refused, Rejected
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Conflict, Refused, Rejected
+from weldhead.transport.token_bucket import Budget
 
 
 @dataclass
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -9,12 +9,9 @@
 from hypothesis import strategies as st
 
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
-from weldhead.account.amounts import UNBOUNDED, UNITS, Resource, bound, need, needs
-from weldhead.account.teams import Account, bounds_of
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase, Stop
-from weldhead.bookkeeping.reclaim import Reclaim, ReclaimLists
-from weldhead.bookkeeping.taken import (
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.preemption_history import (
     LEAST_HOLD_US,
     MOST_AN_HOUR,
     SHARDS,
@@ -23,15 +20,18 @@
     shard_of,
     take_up,
 )
-from weldhead.coordination.workers.reports import apply_report, request_stop
-from weldhead.planning.cards import fetch_us
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Market, plan_hires, plan_returns
-from weldhead.planning.goals import Goals
-from weldhead.planning.placement import Plan, Room, fetch_delay_us, plan_starts
-from weldhead.planning.preemptor import plan_reclaims
+from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
+from weldhead.controller.workers.heartbeat_reconciler import apply_report, request_stop
 from weldhead.protocol.settings import Objective, Team
 from weldhead.protocol.wire import TaskReport
+from weldhead.quota.amounts import UNBOUNDED, UNITS, Resource, bound, need, needs
+from weldhead.quota.teams import Account, bounds_of
+from weldhead.scheduling.autoscaling.fleet import Market, plan_hires, plan_returns
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement.placement import Plan, Room, fetch_delay_us, plan_starts
+from weldhead.scheduling.preemption.gpu_claims import fetch_us
+from weldhead.scheduling.preemption.preemptor import plan_reclaims
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,11 +7,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhead.admission.shares import ACTIVE_US, LEAST_WAIT_S, MOST_WAIT_S, Shares, in_turns
-from weldhead.admission.turns import GIVEN_UP_US, Turns
+from weldhead.admission.fair_rate_limiter import GIVEN_UP_US, Turns
+from weldhead.admission.team_rate_limiter import (
+    ACTIVE_US,
+    LEAST_WAIT_S,
+    MOST_WAIT_S,
+    Shares,
+    in_turns,
+)
 from weldhead.clock import MILLISECOND_US
 from weldhead.clock import SECOND_US as S
-from weldhead.transport.budget import Budget
+from weldhead.transport.token_bucket import Budget
 
 RATE, BURST = 10.0, 8.0
 ARRIVALS = st.lists(st.tuples(st.integers(0, 400_000), st.sampled_from("abc")), max_size=200)
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -9,13 +9,18 @@
 from tests.builders import add_job, add_machine, cluster, job_spec
 from tests.test_decisions import run_on
 from tests.test_decisions import starts as starts_of
-from weldhead.attribution.failures import MOST_PAUSE_US, RENT_PAUSE_US, REVIEW_US, Failures
-from weldhead.attribution.verdict import FailureEvidence, Standing, is_faulty, standing_of
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import SECOND_US as S
-from weldhead.planning.placement import Plan
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.machines import Machine
+from weldhead.failure_attribution.failure_tracker import (
+    MOST_PAUSE_US,
+    RENT_PAUSE_US,
+    REVIEW_US,
+    Failures,
+)
+from weldhead.failure_attribution.judgement import FailureEvidence, Standing, is_faulty, standing_of
+from weldhead.scheduling.placement.placement import Plan
 
 EVIDENCE = st.lists(st.builds(FailureEvidence, st.integers(1, 9), st.booleans(), st.booleans()))
 
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -4,10 +4,10 @@
 from hypothesis import strategies as st
 
 from tests.builders import cluster, machine_type
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.machines import Machine
-from weldhead.boots.expect import LEAST, Boots, Expectations, Expected, expected_of
 from weldhead.clock import SECOND_US as S
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.machines import Machine
+from weldhead.provisioning.boot_times import LEAST, Boots, Expectations, Expected, expected_of
 
 USUAL = Expected(1.0, 2.0, 4.0)
 BOOT_S = 30
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -19,28 +19,28 @@
 from tests.test_recovery import Clock, clock, fixed_clock, new_leader  # noqa: F401
 from tests.test_users import StandInNode, desk, run
 from tests.test_validation import GOOD
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.jobs import Job, Opening
-from weldhead.bookkeeping.records import Bound, JobRecord, job_key
 from weldhead.calendars.binding import KIND, NotComputed, bind, moved
-from weldhead.calendars.document import Calendar
+from weldhead.calendars.calendar_document import Calendar
+from weldhead.calendars.calendar_state import CalendarState, Move, digest_of, fitting, replaced
+from weldhead.calendars.deadline_table import DueTable
 from weldhead.calendars.lateness import Standing, standing
 from weldhead.calendars.recurrence import Unusable, check, compute, hour_us, instants
-from weldhead.calendars.state import CalendarState, Move, digest_of, fitting, replaced
-from weldhead.calendars.table import DueTable
-from weldhead.coordination.documents.calendars import CalendarBinder, Calendars
-from weldhead.coordination.documents.history import KEY, History
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import Job, Opening
+from weldhead.cluster_state.records import Bound, JobRecord, job_key
+from weldhead.controller.configuration.calendars import CalendarBinder, Calendars
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.configuration.run_time_history import KEY, History
+from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import steps
 from weldhead.documents.records import HEAD_KEY, Offer, state_key
 from weldhead.documents.source import parse_source
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import Goals
-from weldhead.planning.outlook import FAR_US, Outlook
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import StateClient
+from weldhead.scheduling.forecast.job_forecasts import FAR_US, Outlook
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import StateClient
 
 S = 1_000_000
 H = 3600 * S
@@ -550,7 +550,7 @@
 def test_whoever_leads_and_ends_whenever_each_is_told_once(events: list[str]) -> None:
     """``found only``: the leader ends before its note is committed; ``overlap``: it is replaced."""
     lines = Lines()
-    logging.getLogger("weldhead.coordination.documents.lateness").addHandler(lines)
+    logging.getLogger("weldhead.controller.configuration.late_notifications").addHandler(lines)
     with fixed_clock() as at:
         at.us = us("2026-03-02 01:00")
         terms = Terms(at)
@@ -577,7 +577,7 @@
                 case "time":
                     at.us += 10 * S
             assert len(lines.told) == len(set(lines.told))
-    logging.getLogger("weldhead.coordination.documents.lateness").removeHandler(lines)
+    logging.getLogger("weldhead.controller.configuration.late_notifications").removeHandler(lines)
     assert len(lines.told) == count
 
 
@@ -621,7 +621,7 @@
 
 def test_a_late_jobs_reason_is_the_true_one(terms: Terms) -> None:
     from weldhead.calendars.lateness import reason
-    from weldhead.planning.forecast import Boots
+    from weldhead.scheduling.forecast.completion_times import Boots
 
     into = cluster()
     job = add_job(into, job_spec(1, job_class="balance"))
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -16,17 +16,22 @@
 from tests.stand_ins import StandInState, StandInTask, StandInWorker
 from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine, report
 from tests.test_wire import SETTINGS
-from weldhead.admission.shares import in_turns
-from weldhead.bookkeeping.jobs import Job, Stop
-from weldhead.bookkeeping.records import LEADER_KEY, UNSETTLED_KEY, JobRecord, final_key, job_key
+from weldhead.admission.team_rate_limiter import in_turns
 from weldhead.clock import now_us
-from weldhead.coordination.leadership.authority import Candidacy
-from weldhead.coordination.leadership.leader import Leader, NotReady
-from weldhead.coordination.node import Node
+from weldhead.cluster_state.jobs import Job, Stop
+from weldhead.cluster_state.records import LEADER_KEY, UNSETTLED_KEY, JobRecord, final_key, job_key
+from weldhead.controller.leadership.leader import Leader, NotReady
+from weldhead.controller.leadership.leader_lease import Candidacy
+from weldhead.controller.process import Node
 from weldhead.protocol.settings import parse_settings
-from weldhead.recovery.answering import answers_until_us, earliest_missed, shortfall, span_us
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import StateClient
+from weldhead.reconciliation.answer_window import (
+    answers_until_us,
+    earliest_missed,
+    shortfall,
+    span_us,
+)
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
@@ -210,7 +215,7 @@
     clock: Clock, monkeypatch: pytest.MonkeyPatch, applied: bool
 ) -> None:
     """Applied and unanswered, the store said withdrawn while the tasks ran on for the outage."""
-    monkeypatch.setattr("weldhead.coordination.leadership.leader.CANCEL_WAIT_US", 0)
+    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCEL_WAIT_US", 0)
     state = StandInState()
     put_job(state, job_spec(1))
     put_machine(state, "vm-000001")
@@ -260,7 +265,7 @@
         met.append(asyncio.get_running_loop().create_task(leader.completions._commit_cancel(job)))
         return in_turns(jobs, part)
 
-    monkeypatch.setattr("weldhead.coordination.requests.completions.in_turns", meet)
+    monkeypatch.setattr("weldhead.controller.requests.completions.in_turns", meet)
 
     async def scenario() -> None:
         ledger = asyncio.create_task(leader.ledger.run())
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -20,11 +20,11 @@
 from tests.test_recovery import START, Clock, clock, fixed_clock, new_leader  # noqa: F401
 from tests.test_users import StandInNode, desk
 from tests.test_versions import OldFinal, OldJob
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.reclaim import ReclaimLists
-from weldhead.bookkeeping.records import (
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.reclaim import ReclaimLists
+from weldhead.cluster_state.records import (
     CHUNK_TASKS,
     FinalRecord,
     JobRecord,
@@ -33,18 +33,18 @@
     job_key,
     progress_key,
 )
-from weldhead.coordination.leadership.leader import NotReady
-from weldhead.planning import urgency
-from weldhead.planning.backlog import entry_of
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Market, Upcoming, plan_closings, plan_hires
-from weldhead.planning.forecast import forecast_chains
-from weldhead.planning.goals import Goals, Press
-from weldhead.planning.placement import Plan, plan_starts
-from weldhead.planning.preemptor import plan_reclaims
+from weldhead.controller.leadership.leader import NotReady
 from weldhead.protocol.settings import Objective, Team
 from weldhead.protocol.wire import Delete, JobSpec
-from weldhead.transport.http import CallFailed
+from weldhead.scheduling import inherited_priority as urgency
+from weldhead.scheduling.autoscaling.fleet import Market, Upcoming, plan_closings, plan_hires
+from weldhead.scheduling.forecast.completion_times import forecast_chains
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals, Press
+from weldhead.scheduling.placement.backlog import entry_of
+from weldhead.scheduling.placement.placement import Plan, plan_starts
+from weldhead.scheduling.preemption.preemptor import plan_reclaims
+from weldhead.transport.http_client import CallFailed
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
@@ -389,7 +389,7 @@
 def test_nothing_is_withdrawn_before_the_users_own_cancellation_is_committed(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("weldhead.coordination.leadership.leader.CANCEL_WAIT_US", 0)
+    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCEL_WAIT_US", 0)
     world.submit(job_spec(1))
     world.submit(job_spec(2, needs=(name(1),)))
     world.state.fates = ["lost"] * 50
@@ -515,7 +515,7 @@
         calls.append(job.id)
         return entry_of(job, *rest)
 
-    monkeypatch.setattr("weldhead.planning.backlog.entry_of", placed)
+    monkeypatch.setattr("weldhead.scheduling.placement.backlog.entry_of", placed)
     plan_starts(into, Estimates(), Goals([]), S, 10 * S, 45 * S)
     assert sorted(calls) == [name(1), name(2)]
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,9 +1,13 @@
 """Each `run` is sent so that it cannot be executed a second time."""
 
 from tests.builders import add_job, add_machine, cluster, job_spec, report
-from weldhead.bookkeeping.jobs import Phase, Stop
-from weldhead.bookkeeping.machines import Machine
-from weldhead.coordination.workers.reports import apply_report, pending_commands, request_stop
+from weldhead.cluster_state.jobs import Phase, Stop
+from weldhead.cluster_state.machines import Machine
+from weldhead.controller.workers.heartbeat_reconciler import (
+    apply_report,
+    pending_commands,
+    request_stop,
+)
 from weldhead.protocol.wire import Command, TaskReport
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,15 +10,14 @@
 
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
 from tests.stand_ins import StandInTask, StandInWorker
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase, Stop
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.reclaim import Reclaim, ReclaimLists
-from weldhead.coordination.workers.reports import apply_report
-from weldhead.planning.backlog import Unplaced
-from weldhead.planning.demand import Demand
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import (
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
+from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.protocol.settings import Objective, Team
+from weldhead.scheduling.autoscaling.arrival_rates import Demand
+from weldhead.scheduling.autoscaling.fleet import (
     Market,
     Move,
     Offer,
@@ -27,11 +26,12 @@
     plan_moves,
     plan_returns,
 )
-from weldhead.planning.forecast import Boots, forecast_us
-from weldhead.planning.goals import Goals, Press
-from weldhead.planning.placement import Plan, plan_starts
-from weldhead.planning.preemptor import overdue, plan_reclaims, stop_for
-from weldhead.protocol.settings import Objective, Team
+from weldhead.scheduling.forecast.completion_times import Boots, forecast_us
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals, Press
+from weldhead.scheduling.placement.backlog import Unplaced
+from weldhead.scheduling.placement.placement import Plan, plan_starts
+from weldhead.scheduling.preemption.preemptor import overdue, plan_reclaims, stop_for
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -11,16 +11,16 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState
 from tests.test_recovery import START, put_job
-from weldhead.bookkeeping.ledger import Ledger
-from weldhead.bookkeeping.records import Binding, Bound, JobRecord, job_key
-from weldhead.coordination.documents.publisher import Documents, Publisher
+from weldhead.cluster_state.records import Binding, Bound, JobRecord, job_key
+from weldhead.cluster_state.state_writer import Ledger
+from weldhead.controller.configuration.publisher import Documents, Publisher
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import Verdict, judge, leftovers, steps
 from weldhead.documents.records import HEAD_KEY, HeadRecord, Offer, document_key, edition_of
 from weldhead.documents.source import parse_source
 from weldhead.protocol.wire import Condition
 from weldhead.tomlfiles import FileProblem
-from weldhead.transport.state import StateClient
+from weldhead.transport.state_client import StateClient
 
 SOURCE = """
 edition = 3
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.builders import job_spec, machine_type
-from weldhead.bookkeeping.cluster import Cluster
 from weldhead.clock import SECOND_US
+from weldhead.cluster_state.cluster import Cluster
 from weldhead.emulator.cards import Holding
 from weldhead.emulator.checker import Checker, Site
 from weldhead.emulator.experiment import play
@@ -20,7 +20,7 @@
 from weldhead.emulator.waiting import Healthy, WaitingRules
 from weldhead.emulator.watched import play_watched
 from weldhead.protocol.settings import StateLimits, Team
-from weldhead.recovery.squaring import Verdict
+from weldhead.reconciliation.attempt_verdicts import Verdict
 from weldhead.site.store.model import Store
 from weldhead.tomlfiles import FileProblem
 
--- a/tests/test_equivalence.py
+++ b/tests/test_equivalence.py
@@ -8,20 +8,20 @@
 
 from tests.builders import TOKEN, add_job, job_spec, machine_type
 from tests.plain import PlainPlan, PlainQueue, plain_reclaims, plain_starts
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Phase, Stop
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.reclaim import ReclaimLists
-from weldhead.coordination.workers.reports import request_stop
-from weldhead.planning.backlog import Unplaced
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Coming, _Queue, forecast_missing, usual_boots
-from weldhead.planning.forecast import boots_of, forecast_us
-from weldhead.planning.goals import Goals
-from weldhead.planning.outlook import BootWatch
-from weldhead.planning.placement import Plan, Scene, plan_pass, plan_starts
-from weldhead.planning.preemptor import plan_reclaims
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Phase, Stop
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.reclaim import ReclaimLists
+from weldhead.controller.workers.heartbeat_reconciler import request_stop
 from weldhead.protocol.settings import Objective, Team
+from weldhead.scheduling.autoscaling.fleet import Coming, _Queue, forecast_missing, usual_boots
+from weldhead.scheduling.forecast.completion_times import boots_of, forecast_us
+from weldhead.scheduling.forecast.job_forecasts import BootWatch
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement.backlog import Unplaced
+from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass, plan_starts
+from weldhead.scheduling.preemption.preemptor import plan_reclaims
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
--- a/tests/test_fair_polls.py
+++ b/tests/test_fair_polls.py
@@ -9,7 +9,7 @@
 import random
 from unittest.mock import patch
 
-from weldhead.coordination.leadership.recovery import Recovery
+from weldhead.controller.leadership.term_recovery import Recovery
 from weldhead.emulator.checker import FORGOTTEN_IN_CALM_US
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import BEGIN_S, simulated
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -26,16 +26,15 @@
     report,
 )
 from tests.test_size import StandInCloud, count_calls, full_fleet, settle
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.records import HireRecord
-from weldhead.coordination.leadership.recovery import Recovery
-from weldhead.coordination.pacing import MOST_PUT_OFF_US, SHARES, Pacer, Rank
-from weldhead.coordination.term import LOADED_AT_ONCE
-from weldhead.planning import backlog, outlook, placement
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import (
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.records import HireRecord
+from weldhead.controller.leadership.term_recovery import Recovery
+from weldhead.controller.loop_budget import MOST_PUT_OFF_US, SHARES, Pacer, Rank
+from weldhead.controller.term import LOADED_AT_ONCE
+from weldhead.protocol.settings import StateLimits
+from weldhead.scheduling.autoscaling.fleet import (
     Market,
     Offer,
     Upcoming,
@@ -46,12 +45,14 @@
     replacements,
     usual_boots,
 )
-from weldhead.planning.goals import Goals
-from weldhead.planning.outlook import Outlook
-from weldhead.planning.placement import Plan, Scene, plan_pass
-from weldhead.protocol.settings import StateLimits
-from weldhead.transport.http import CallFailed, HttpClient
-from weldhead.transport.state import Refused, StateClient
+from weldhead.scheduling.forecast import job_forecasts
+from weldhead.scheduling.forecast.job_forecasts import Outlook
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement import backlog, placement
+from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.state_client import Refused, StateClient
 from weldhead.tunables.defaults import FleetTunables, Tunables
 
 S = 1_000_000
@@ -125,8 +126,8 @@
     watch = Outlook(into, Chains(into.jobs), Estimates(), lambda job: S, S, 4 * S, 50_000)
     assert len(watch.look(S)) == jobs + 2
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, outlook, "forecast_us", counts)
-    count_calls(monkeypatch, outlook.BootWatch, "_enter", counts)
+    count_calls(monkeypatch, job_forecasts, "forecast_us", counts)
+    count_calls(monkeypatch, job_forecasts.BootWatch, "_enter", counts)
     assert watch.look(2 * S) == []
     assert counts == {}
     into.jobs["run-000003"].touch()
@@ -528,7 +529,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A reader that began anew at each failure came to no end while the store was slow."""
-    monkeypatch.setattr("weldhead.transport.state.PAGE_PAUSE_S", 0)
+    monkeypatch.setattr("weldhead.transport.state_client.PAGE_PAUSE_S", 0)
     item = b'{"key":"j/%d","value":%d,"mark":%d}'
     pages = [
         b'{"items":[%s],"has_next":true,"ledger":7}' % (item % (1, 1, 5)),
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -14,8 +14,8 @@
 from tests.stand_ins import StandInState
 from tests.test_recovery import START, Clock, clock, fixed_clock, leader_of  # noqa: F401
 from tests.test_users import StandInNode, desk
-from weldhead.bookkeeping.jobs import Job, Phase, Stop
-from weldhead.bookkeeping.records import (
+from weldhead.cluster_state.jobs import Job, Phase, Stop
+from weldhead.cluster_state.records import (
     Binding,
     Deed,
     FinalRecord,
@@ -26,13 +26,13 @@
     final_key,
     job_key,
 )
-from weldhead.coordination.documents.gates import GateBinder, Gates
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.controller.configuration.gates import GateBinder, Gates
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.records import HEAD_KEY, HeadRecord, Offer, document_key, state_key
 from weldhead.documents.source import parse_source
-from weldhead.gates.document import Act, Gate
-from weldhead.gates.state import (
+from weldhead.gates.gate_document import Act, Gate
+from weldhead.gates.gate_state import (
     KEPT,
     MOST_PENDING,
     Entered,
@@ -44,7 +44,7 @@
     waits_for,
 )
 from weldhead.tomlfiles import FileProblem
-from weldhead.transport.state import StateClient
+from weldhead.transport.state_client import StateClient
 
 S = 1_000_000
 T = TypeVar("T")
--- a/tests/test_handing_back.py
+++ b/tests/test_handing_back.py
@@ -16,7 +16,7 @@
 
 from tests.builders import machine_type
 from weldhead.clock import now_us
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.controller.leadership.leader import Leader
 from weldhead.emulator.controller import Controller
 from weldhead.emulator.loop import VirtualLoop, simulated
 from weldhead.emulator.network import Network
@@ -37,7 +37,7 @@
     Team,
     WorkerLimits,
 )
-from weldhead.transport.server import Response
+from weldhead.transport.http_server import Response
 from weldhead.tunables.defaults import Tunables
 
 LIMITS = StateLimits(1e4, 1e4, 8.0, 12)
--- a/tests/test_held_commands.py
+++ b/tests/test_held_commands.py
@@ -12,10 +12,10 @@
 from tests.loopback import eventually, served
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, clock, fixed_clock, new_leader, put_job, put_machine
-from weldhead.bookkeeping.jobs import Stop
+from weldhead.cluster_state.jobs import Stop
 from weldhead.site.http import Reply
-from weldhead.transport import workers
-from weldhead.transport.http import CallFailed, HttpClient, NotConnected
+from weldhead.transport import worker_commands as workers
+from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
 
 S = 1_000_000
 __all__ = ["clock"]
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -7,17 +7,17 @@
 
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
 from tests.test_equivalence import FLEET, GOALS, PATIENCE, PREEMPTOR, SILENCE, Town
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job, Phase
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.reclaim import ReclaimLists
-from weldhead.planning.backlog import Unplaced
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Market, plan_hires
-from weldhead.planning.holding import Ahead, Holding, HoldingSettings, Holds
-from weldhead.planning.placement import Plan, Scene, plan_pass, usable
-from weldhead.planning.preemptor import plan_reclaims
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Job, Phase
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.reclaim import ReclaimLists
 from weldhead.protocol.settings import Team
+from weldhead.scheduling.autoscaling.fleet import Market, plan_hires
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.placement.backlog import Unplaced
+from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass, usable
+from weldhead.scheduling.preemption.preemptor import plan_reclaims
+from weldhead.scheduling.reservations.holding import Ahead, Holding, HoldingSettings, Holds
 
 S = 1_000_000
 SETTINGS = HoldingSettings(15 * S, 60 * S, 0.5, 0.25)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -20,8 +20,8 @@
 from tests.test_recovery import new_leader, put_job
 from tests.test_size import StandInCloud, settle
 from tests.test_users import GOOD_BODY, JOB, StandInNode, desk
-from weldhead.bookkeeping.ledger import Deposed, Ledger
-from weldhead.bookkeeping.records import (
+from weldhead.clock import now_us
+from weldhead.cluster_state.records import (
     HIRES,
     LEADER_KEY,
     PROGRESS,
@@ -30,13 +30,13 @@
     final_key,
     job_key,
 )
-from weldhead.clock import now_us
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.planning.fleet import Offer
+from weldhead.cluster_state.state_writer import Deposed, Ledger
+from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import StateLimits
+from weldhead.scheduling.autoscaling.fleet import Offer
 from weldhead.site.store.server import StateService
-from weldhead.transport.http import CallFailed, HttpClient
-from weldhead.transport.state import StateClient
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.state_client import StateClient
 
 LIMITS = StateLimits(1e6, 1e6, 8.0, 12)
 FATES = ["ok", "refused", "lost", "unanswered", "late"]
@@ -217,7 +217,7 @@
     What had been refused was rented then, though nobody wanted it; of what had been had and
     returned the successor was told the names of machines that were gone.
     """
-    monkeypatch.setattr("weldhead.coordination.rentals.rentals.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
     state, cloud = StandInState(), StandInCloud()
     cloud.capacity = capacity
     first = term(state, cloud)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -14,24 +14,24 @@
 from tests.builders import machine_type
 from tests.stand_ins import StandInState
 from tests.test_wire import SETTINGS
-from weldhead.bookkeeping.records import LEADER_KEY, UNSETTLED_KEY, LeaderRecord
 from weldhead.clock import now_us
-from weldhead.coordination.leadership import campaign as campaigning
-from weldhead.coordination.leadership.authority import (
+from weldhead.cluster_state.records import LEADER_KEY, UNSETTLED_KEY, LeaderRecord
+from weldhead.controller.leadership import leader_election as campaigning
+from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.leader_lease import (
     Authority,
     Candidacy,
     default_timing,
     handicap_us,
     predecessor_over_us,
 )
-from weldhead.coordination.leadership.campaign import Campaign
-from weldhead.coordination.node import Node
+from weldhead.controller.process import Node
 from weldhead.protocol.peer import Pong
 from weldhead.protocol.settings import Node as PeerNode
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import Put
-from weldhead.transport.peers import PeerLink
-from weldhead.transport.state import StateClient
+from weldhead.transport.peer_links import PeerLink
+from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
@@ -376,7 +376,7 @@
         assert record is not None
         await node.take_over(record, node.known_token)
 
-    monkeypatch.setattr("weldhead.coordination.leadership.campaign.asyncio.sleep", no_pause)
+    monkeypatch.setattr("weldhead.controller.leadership.leader_election.asyncio.sleep", no_pause)
     # Its only peer is the leader that looks dead: there is nobody to wait for.
     taken = False
     asyncio.run(take_over())
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -15,27 +15,29 @@
 
 #: What `serve` loads, without the tunables' language; the packages of weldhead it may use.
 ALLOWED = {
-    "account",
     "admission",
-    "attribution",
-    "bookkeeping",
-    "boots",
     "bytecode",
     "calendars",
     "clock",
-    "coordination",
+    "cluster_state",
+    "controller",
     "documents",
-    "reachability",
+    "failure_attribution",
     "membership",
-    "planning",
     "protocol",
-    "recovery",
+    "provisioning",
+    "quota",
+    "reachability",
+    "reconciliation",
+    "scheduling",
     "serving",
     "transport",
 }
 LIBRARIES = {"aiohttp", "msgspec", "uvloop"}
-#: As many modules as it loads without what an environment's own start adds, and not one more.
-MOST_MODULES = 447
+#: As many modules as it loads without what an environment's own start adds, and not one more:
+#: of the interpreter's and of libraries, and of weldhead's own.
+MOST_FOREIGN_MODULES = 326
+MOST_OWN_MODULES = 126
 FOREIGN = {
     "sqlite3",
     "sortedcontainers",
@@ -73,7 +75,7 @@
     program = """
 import sys
 sys.path[:0] = [{root!r}, {deps!r}]
-import weldhead.coordination.documents.calendars, weldhead.coordination.documents.gates
+import weldhead.controller.configuration.calendars, weldhead.controller.configuration.gates
 import weldhead.documents.source
 print(sorted({{"dateutil", "zoneinfo"}} & set(sys.modules)))
 """.format(root=str(ROOT), deps=str(ROOT / "target/deps"))
@@ -93,7 +95,7 @@
         check=True,
     )
     modules = json.loads(done.stdout)
-    assert "weldhead.coordination.node" in modules
+    assert "weldhead.controller.process" in modules
     own = {name.split(".")[1] for name in modules if name.startswith("weldhead.")}
     assert own == ALLOWED | {"tunables"}
     assert "weldhead.tunables.language" not in modules
@@ -101,7 +103,9 @@
     assert not tops & FOREIGN
     assert tops >= LIBRARIES
     assert not set(modules) & UNUSED
-    assert len(modules) <= MOST_MODULES, len(modules)
+    count_own = sum(name.split(".")[0] == "weldhead" for name in modules)
+    assert len(modules) - count_own <= MOST_FOREIGN_MODULES, len(modules) - count_own
+    assert count_own <= MOST_OWN_MODULES, count_own
 
 
 def test_a_controller_reads_no_certificates_and_leaves_the_environment_as_it_was(
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from tests.stand_ins import StandInState
-from weldhead.bookkeeping.ledger import Deposed, Ledger
-from weldhead.bookkeeping.records import LEADER_KEY
 from weldhead.clock import now_us
-from weldhead.transport.budget import Budget
-from weldhead.transport.state import Rejected, StateClient
+from weldhead.cluster_state.records import LEADER_KEY
+from weldhead.cluster_state.state_writer import Deposed, Ledger
+from weldhead.transport.state_client import Rejected, StateClient
+from weldhead.transport.token_bucket import Budget
 
 FATES = st.lists(st.sampled_from(["ok", "refused", "lost", "unanswered", "late"]), max_size=12)
 
@@ -23,7 +23,7 @@
 
     original = asyncio.sleep
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("weldhead.bookkeeping.ledger.asyncio.sleep", no_pause)
+        patch.setattr("weldhead.cluster_state.state_writer.asyncio.sleep", no_pause)
         asyncio.run(scenario)
 
 
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -13,21 +13,21 @@
 from tests.builders import TOKEN, add_job, job_spec, machine_type
 from tests.plain import plain_starts
 from tests.stand_ins import StandInWorker
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Phase, Stop, TaskState
-from weldhead.bookkeeping.machines import Machine
-from weldhead.coordination.workers.reports import (
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Phase, Stop, TaskState
+from weldhead.cluster_state.machines import Machine
+from weldhead.controller.workers.heartbeat_reconciler import (
     apply_report,
     is_newer,
     pending_commands,
     request_stop,
 )
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import Goals
-from weldhead.planning.placement import Scene, plan_pass
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, Report, split_task
-from weldhead.recovery.outbox import Errand, _rank_of, rank
+from weldhead.reconciliation.command_queue import Errand, _rank_of, rank
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement.placement import Scene, plan_pass
 
 NAMES = ["vm-000001", "vm-000002", "vm-000003"]
 LIMIT = 10.0
--- a/tests/test_lone_leader.py
+++ b/tests/test_lone_leader.py
@@ -15,12 +15,12 @@
 from tests.stand_ins import StandInState
 from tests.test_recovery import new_leader, put_job, put_machine, report
 from tests.test_users import StandInNode, desk
-from weldhead.bookkeeping.records import LEADER_KEY, FinalRecord, final_key, job_key
 from weldhead.clock import now_us
-from weldhead.coordination.requests.chains import DOUBT_US
-from weldhead.coordination.requests.frontdesk import FrontDesk
+from weldhead.cluster_state.records import LEADER_KEY, FinalRecord, final_key, job_key
+from weldhead.controller.requests.job_dependencies import DOUBT_US
+from weldhead.controller.requests.request_handler import FrontDesk
 from weldhead.protocol.wire import Entry
-from weldhead.transport.http import CallFailed
+from weldhead.transport.http_client import CallFailed
 
 JOB, FOLLOWER = "run-000001", "run-000002"
 
@@ -188,7 +188,7 @@
         sent.append(args)
         raise CallFailed("no answer")
 
-    monkeypatch.setattr("weldhead.transport.workers.command", command)
+    monkeypatch.setattr("weldhead.transport.worker_commands.command", command)
     for _ in range(2):
         assert report(leader, worker, now_us())
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -24,9 +24,8 @@
 from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine  # noqa: F401
 from tests.test_size import StandInCloud
 from tests.test_users import GOOD_BODY, JOB, StandInNode, desk
-from weldhead.bookkeeping.jobs import Stop
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.records import (
+from weldhead.cluster_state.jobs import Stop
+from weldhead.cluster_state.records import (
     HIRES,
     LEADER_KEY,
     UNSETTLED_KEY,
@@ -38,19 +37,20 @@
     UnsettledRecord,
     job_key,
 )
-from weldhead.coordination.documents.gates import GateBinder
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.coordination.leadership.predecessors import missed_from_us
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.configuration.gates import GateBinder
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.leadership.previous_leaders import missed_from_us
 from weldhead.documents.records import HEAD_KEY, HeadRecord, Offer, document_key
 from weldhead.emulator.controller import Controller
 from weldhead.emulator.experiment import play_observed
 from weldhead.emulator.lost_answers import LostAnswerObserver
 from weldhead.emulator.scenario import read_scenario
-from weldhead.gates.state import GateState, ended, enter
-from weldhead.planning.fleet import Offer as MachineOffer
+from weldhead.gates.gate_state import GateState, ended, enter
 from weldhead.protocol.wire import Command
-from weldhead.transport.state import StateClient
+from weldhead.scheduling.autoscaling.fleet import Offer as MachineOffer
+from weldhead.transport.state_client import StateClient
 
 ONE, TWO = "run-000001", "run-000002"
 
--- a/tests/test_meet_limits.py
+++ b/tests/test_meet_limits.py
@@ -11,14 +11,14 @@
 from tests.stand_ins import StandInState, StandInTask
 from tests.test_old_reports import meet
 from tests.test_recovery import Clock, clock, new_leader, put_job, put_machine
-from weldhead.bookkeeping.cluster import Cluster
+from weldhead.cluster_state.cluster import Cluster
 from weldhead.emulator.hand_overs import STEPS, HandOverObserver, observe_hand_overs
 from weldhead.emulator.scenario import Scenario, read_scenario
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Coming, Market, Offer, plan_hires
-from weldhead.planning.goals import Goals
-from weldhead.planning.placement import plan_starts
 from weldhead.protocol.settings import Team
+from weldhead.scheduling.autoscaling.fleet import Coming, Market, Offer, plan_hires
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement.placement import plan_starts
 from weldhead.tunables.defaults import Tunables
 
 __all__ = ["clock"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 from weldhead.emulator.network import Weather
 from weldhead.emulator.scenario import Fault, read_scenario
 from weldhead.membership.isolation import Contact, IsolationDetector
-from weldhead.membership.verdict import Observation, Observed, State, Verdict, View, judge
+from weldhead.membership.peer_verdict import Observation, Observed, State, Verdict, View, judge
 
 S = 1_000_000
 ROOT = Path(__file__).parents[1]
@@ -140,7 +140,9 @@
 
 
 def test_the_decisions_import_nothing_that_waits_or_sends() -> None:
-    program = "import sys; sys.path[:0] = ['target/deps', '.']; import weldhead.membership.verdict"
+    program = (
+        "import sys; sys.path[:0] = ['target/deps', '.']; import weldhead.membership.peer_verdict"
+    )
     program += "; print({'asyncio', 'aiohttp', 'weldhead.transport'} & set(sys.modules))"
     ran = subprocess.run([sys.executable, "-S", "-c", program], cwd=ROOT, capture_output=True)
     assert ran.stdout.decode().strip() == "set()", ran.stderr.decode()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,7 +13,7 @@
 from tests.stand_ins import StandInState
 from tests.test_users import GOOD_BODY, JOB, OTHER_BODY, StandInNode, run
 from tests.test_wire import SETTINGS
-from weldhead.admission.memory import (
+from weldhead.admission.memory_gate import (
     ACCEPT_SHARE,
     COME_BACK_S,
     LEADER_WORD_US,
@@ -24,13 +24,13 @@
     MemoryGate,
 )
 from weldhead.clock import now_us
-from weldhead.coordination.memory import MIB, READING_US, MemoryWatch
-from weldhead.coordination.node import Node
-from weldhead.coordination.requests import frontdesk
-from weldhead.coordination.requests.frontdesk import FrontDesk
+from weldhead.controller.memory_monitor import MIB, READING_US, MemoryWatch
+from weldhead.controller.process import Node
+from weldhead.controller.requests import request_handler as frontdesk
+from weldhead.controller.requests.request_handler import FrontDesk
 from weldhead.protocol import peer
 from weldhead.protocol.settings import SettingsError, Team, parse_settings
-from weldhead.transport.memory import own_bytes
+from weldhead.transport.process_memory import own_bytes
 from weldhead.tunables.defaults import Tunables
 
 LIMIT = 100 * MIB
@@ -96,7 +96,7 @@
     memory = MemoryWatch(100.0, lambda: used[0])
     state = cast(Any, StandInState())
     desk = FrontDesk(StandInNode(), state, [Team("red", 8, 16)], memory=memory)
-    caplog.set_level(logging.INFO, "weldhead.coordination.memory")
+    caplog.set_level(logging.INFO, "weldhead.controller.memory_monitor")
     assert run(desk.submit(GOOD_BODY))[0] == 201
     used[0] = 97 * MIB
     for _ in range(3):
--- a/tests/test_old_reports.py
+++ b/tests/test_old_reports.py
@@ -10,8 +10,8 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState, StandInTask, StandInWorker
 from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine
-from weldhead.bookkeeping.jobs import TaskState
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.cluster_state.jobs import TaskState
+from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.wire import Report, ReportAnswer
 
 S = 1_000_000
--- a/tests/test_peer_directory.py
+++ b/tests/test_peer_directory.py
@@ -7,14 +7,14 @@
 import pytest
 
 from tests.builders import machine_type
-from weldhead.bookkeeping.records import LeaderRecord
 from weldhead.clock import now_us
-from weldhead.coordination.leadership import peer_directory
-from weldhead.coordination.leadership.campaign import Campaign
-from weldhead.coordination.leadership.peer_directory import PeerDirectory
+from weldhead.cluster_state.records import LeaderRecord
+from weldhead.controller.leadership import peer_directory
+from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.peer_directory import PeerDirectory
 from weldhead.protocol.peer import Answer, Ask
-from weldhead.transport.peers import PeerLink
-from weldhead.transport.state import StateClient
+from weldhead.transport.peer_links import PeerLink
+from weldhead.transport.state_client import StateClient
 
 S = 1_000_000
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -14,15 +14,15 @@
 from tests.test_handing_back import Site, play
 from tests.test_slow_store import SlowStore
 from tests.test_wire import SETTINGS
-from weldhead.coordination.leadership.promises import began_by_us
-from weldhead.coordination.node import Node
+from weldhead.controller.leadership.promises import began_by_us
+from weldhead.controller.process import Node
 from weldhead.emulator.controller import Controller
 from weldhead.protocol.peer import Held, Hold, Pong, decode_message, encode_frame
 from weldhead.protocol.settings import Node as Peer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import Report
-from weldhead.transport.http import CallFailed
-from weldhead.transport.peers import PeerLink
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.peer_links import PeerLink
 from weldhead.tunables.defaults import Tunables
 
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -11,15 +11,15 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState, StandInWorker
 from tests.test_recovery import START, Clock, clock, fixed_clock, new_leader, put_job, put_machine
-from weldhead.bookkeeping.jobs import Phase
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import surely_valid_us
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.planning.placement import usable
+from weldhead.cluster_state.jobs import Phase
+from weldhead.cluster_state.machines import Machine
+from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.wire import Report, ReportAnswer, TaskReport
 from weldhead.reachability.evidence import DeliveryEvidence, Sign, Told, sign_of
 from weldhead.reachability.freshness import MOST_UNSHOWN, RELAYED_MORE
 from weldhead.reachability.replacement import to_return
+from weldhead.scheduling.placement.placement import usable
 
 S = 1_000_000
 LEASE = 12 * S
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -16,9 +16,10 @@
 from tests.builders import job_spec, machine_type
 from tests.stand_ins import StandInState, StandInTask, StandInWorker
 from tests.test_wire import SETTINGS
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Phase
-from weldhead.bookkeeping.records import (
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Phase
+from weldhead.cluster_state.preemption_history import LEAST_HOLD_US
+from weldhead.cluster_state.records import (
     LEADER_KEY,
     HireRecord,
     JobRecord,
@@ -26,16 +27,15 @@
     job_key,
     progress_key,
 )
-from weldhead.bookkeeping.taken import LEAST_HOLD_US
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.authority import Authority, default_timing
-from weldhead.coordination.leadership.leader import Leader, NotReady
-from weldhead.coordination.term import Term
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.leadership.leader import Leader, NotReady
+from weldhead.controller.leadership.leader_lease import Authority, default_timing
+from weldhead.controller.term import Term
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import JobSpec
-from weldhead.transport.cloud import CloudClient
-from weldhead.transport.http import HttpClient
-from weldhead.transport.state import StateClient
+from weldhead.transport.cloud_client import CloudClient
+from weldhead.transport.http_client import HttpClient
+from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
@@ -43,22 +43,22 @@
 
 #: The modules of a term that read the clock.
 CLOCKED = (
-    "documents.calendars",
+    "configuration.calendars",
     "requests.completions",
-    "placement.deciding",
-    "workers.dispatch",
-    "requests.frontdesk",
-    "documents.gates",
+    "scheduling_loop.scheduling_loop",
+    "workers.command_dispatcher",
+    "requests.request_handler",
+    "configuration.gates",
     "leadership.leader",
-    "placement.lending",
-    "requests.chains",
-    "placement.lookahead",
-    "workers.reachability",
-    "leadership.recovery",
-    "rentals.rentals",
-    "rentals.sizing",
+    "scheduling_loop.preemption_recorder",
+    "requests.job_dependencies",
+    "scheduling_loop.completion_forecaster",
+    "workers.reachability_monitor",
+    "leadership.term_recovery",
+    "fleet.rental_manager",
+    "fleet.autoscaler",
     "term",
-    "workers.watching",
+    "workers.machine_monitor",
 )
 
 
@@ -86,8 +86,8 @@
         clock = Clock()
         for module in CLOCKED:
             for name in ("now_us", "wall_us"):
-                self.patch.setattr(f"weldhead.coordination.{module}.{name}", clock, raising=False)
-        self.patch.setattr("weldhead.bookkeeping.ledger.now_us", clock)
+                self.patch.setattr(f"weldhead.controller.{module}.{name}", clock, raising=False)
+        self.patch.setattr("weldhead.cluster_state.state_writer.now_us", clock)
         return clock
 
     def __exit__(self, *_: object) -> None:
@@ -346,7 +346,7 @@
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In an outage the user was kept waiting until the store was back."""
-    monkeypatch.setattr("weldhead.coordination.leadership.leader.CANCEL_WAIT_US", 0)
+    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCEL_WAIT_US", 0)
     state = StandInState()
     put_job(state, job_spec(1))
     leader = new_leader(state, clock())
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -1,6 +1,6 @@
 """Which reports a follower relays."""
 
-from weldhead.coordination.workers.relays import RELAY_US, Relays
+from weldhead.controller.workers.heartbeat_forwarding import RELAY_US, Relays
 
 S = 1_000_000
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from weldhead.transport.server import HttpServer, Response
+from weldhead.transport.http_server import HttpServer, Response
 
 
 async def answers(raw: bytes) -> bytes:
--- a/tests/test_short_jobs.py
+++ b/tests/test_short_jobs.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from weldhead.bookkeeping.records import FINAL, JOBS
-from weldhead.coordination.node import Node
-from weldhead.coordination.requests.completions import FINALS_KEPT
-from weldhead.coordination.requests.frontdesk import KEPT
-from weldhead.coordination.workers.relays import CAME_BACK_US, MOST_REMEMBERED, Relays
+from weldhead.cluster_state.records import FINAL, JOBS
+from weldhead.controller.process import Node
+from weldhead.controller.requests.completions import FINALS_KEPT
+from weldhead.controller.requests.request_handler import KEPT
+from weldhead.controller.workers.heartbeat_forwarding import CAME_BACK_US, MOST_REMEMBERED, Relays
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import simulated
 from weldhead.emulator.scenario import read_scenario
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,24 +14,25 @@
 from tests.builders import add_job, cluster, job_spec, machine_type
 from tests.stand_ins import StandInState
 from tests.test_recovery import new_leader
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Phase
-from weldhead.bookkeeping.ledger import Ledger
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.reclaim import ReclaimLists
-from weldhead.bookkeeping.records import HIRES, LEADER_KEY, HireRecord, divide_machines
 from weldhead.clock import now_us
-from weldhead.planning import placement, preemptor
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Coming, Market, Offer, plan_hires
-from weldhead.planning.goals import Goals
-from weldhead.planning.placement import plan_starts
-from weldhead.planning.preemptor import plan_reclaims
-from weldhead.planning.silence import look_gone
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Phase
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.reclaim import ReclaimLists
+from weldhead.cluster_state.records import HIRES, LEADER_KEY, HireRecord, divide_machines
+from weldhead.cluster_state.state_writer import Ledger
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import RentalRequest
-from weldhead.transport.cloud import NoCapacity, NotAsked
-from weldhead.transport.state import StateClient
+from weldhead.reachability.silence import look_gone
+from weldhead.scheduling.autoscaling.fleet import Coming, Market, Offer, plan_hires
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement import placement
+from weldhead.scheduling.placement.placement import plan_starts
+from weldhead.scheduling.preemption import preemptor
+from weldhead.scheduling.preemption.preemptor import plan_reclaims
+from weldhead.transport.cloud_client import NoCapacity, NotAsked
+from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
@@ -219,7 +220,7 @@
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
-    monkeypatch.setattr("weldhead.coordination.rentals.rentals.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
     rentals = leader.rentals
 
     async def scenario() -> None:
@@ -292,7 +293,7 @@
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     cloud.capacity = 50
-    monkeypatch.setattr("weldhead.coordination.rentals.rentals.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
     rentals, market = leader.rentals, leader.term.market
 
     async def scenario() -> None:
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -18,17 +18,17 @@
 from tests.test_wire import SETTINGS
 from weldhead.clock import SECOND_US as S
 from weldhead.clock import now_us
-from weldhead.coordination.leadership.authority import Candidacy, default_timing
-from weldhead.coordination.leadership.campaign import Campaign
-from weldhead.coordination.node import Node
-from weldhead.coordination.requests import frontdesk
-from weldhead.coordination.requests.frontdesk import FrontDesk
+from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.leader_lease import Candidacy, default_timing
+from weldhead.controller.process import Node
+from weldhead.controller.requests import request_handler as frontdesk
+from weldhead.controller.requests.request_handler import FrontDesk
 from weldhead.protocol.peer import Hold
 from weldhead.protocol.settings import StateLimits, Team, parse_settings
 from weldhead.protocol.wire import Entry
-from weldhead.transport.http import CallFailed
-from weldhead.transport.server import Response
-from weldhead.transport.state import Busy, LeaseGone
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_server import Response
+from weldhead.transport.state_client import Busy, LeaseGone
 from weldhead.tunables.defaults import Tunables
 
 RPS, JOBS = 15.0, 200
--- a/tests/test_small_controller.py
+++ b/tests/test_small_controller.py
@@ -13,12 +13,12 @@
 from tests.stand_ins import StandInState
 from tests.test_users import JOB, StandInNode, desk
 from weldhead.clock import SECOND_US, now_us
-from weldhead.coordination.requests import frontdesk
+from weldhead.controller.requests import request_handler as frontdesk
 from weldhead.emulator.experiment import Result, play
 from weldhead.emulator.loop import BEGIN_S, CALLBACK_US, Life, simulated
 from weldhead.emulator.scenario import parse_scenario, read_scenario
 from weldhead.tomlfiles import FileProblem
-from weldhead.transport.server import Response
+from weldhead.transport.http_server import Response
 
 SCENARIO = Path(__file__).parents[1] / "deploy" / "scenarios" / "small-controller.toml"
 SEED = 4
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -13,22 +13,22 @@
 from tests.test_size import StandInCloud, settle
 from tests.test_users import GOOD_BODY, JOB, StandInNode, desk, run
 from tests.test_wire import SETTINGS
-from weldhead.bookkeeping.records import LeaderRecord
 from weldhead.clock import SECOND_US as S
 from weldhead.clock import now_us
-from weldhead.coordination import node
-from weldhead.coordination.leadership import peer_directory
-from weldhead.coordination.leadership.authority import default_timing
-from weldhead.coordination.leadership.peer_directory import FORWARD_US
-from weldhead.coordination.node import PONG_US, Node
-from weldhead.coordination.requests import frontdesk
-from weldhead.planning.fleet import Offer
+from weldhead.cluster_state.records import LeaderRecord
+from weldhead.controller import process as node
+from weldhead.controller.leadership import peer_directory
+from weldhead.controller.leadership.leader_lease import default_timing
+from weldhead.controller.leadership.peer_directory import FORWARD_US
+from weldhead.controller.process import PONG_US, Node
+from weldhead.controller.requests import request_handler as frontdesk
 from weldhead.protocol.peer import Answer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import Entry
-from weldhead.transport.http import CallFailed
-from weldhead.transport.peers import PeerLink
-from weldhead.transport.state import Refused
+from weldhead.scheduling.autoscaling.fleet import Offer
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.peer_links import PeerLink
+from weldhead.transport.state_client import Refused
 from weldhead.tunables.defaults import Tunables
 
 
@@ -39,7 +39,7 @@
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
-    monkeypatch.setattr("weldhead.coordination.rentals.rentals.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
     rentals, authority = leader.rentals, leader.term._authority
 
     async def scenario() -> None:
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -15,22 +15,22 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
 from tests.stand_ins import StandInState, StandInTask
 from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine
-from weldhead.bookkeeping.jobs import Stop
-from weldhead.bookkeeping.machines import Machine
-from weldhead.coordination.workers.reports import apply_report, pending_commands
+from weldhead.cluster_state.jobs import Stop
+from weldhead.cluster_state.machines import Machine
+from weldhead.controller.workers.heartbeat_reconciler import apply_report, pending_commands
 from weldhead.emulator.experiment import play
 from weldhead.emulator.scenario import Fault, Scenario, read_scenario
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import Goals
-from weldhead.planning.placement import Scene, plan_pass
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Report, TaskReport
-from weldhead.recovery.asking import Asking, AskSettings
-from weldhead.recovery.early import EarlyReports
-from weldhead.recovery.outbox import Errand, Outbox, rank
-from weldhead.recovery.pace import PaceSettings, StopPace
-from weldhead.recovery.readiness import doubts, partial_of
-from weldhead.recovery.squaring import Standing, Tally, Verdict, judge, standing
+from weldhead.reconciliation.attempt_verdicts import Standing, Tally, Verdict, judge, standing
+from weldhead.reconciliation.buffered_heartbeats import EarlyReports
+from weldhead.reconciliation.command_queue import Errand, Outbox, rank
+from weldhead.reconciliation.partial_view import doubts, partial_of
+from weldhead.reconciliation.preemption_rate_limit import PaceSettings, StopPace
+from weldhead.reconciliation.status_probes import Asking, AskSettings
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement.placement import Scene, plan_pass
 
 S = 1_000_000
 MS = 1_000
@@ -41,16 +41,16 @@
 @pytest.mark.parametrize(
     ("package", "least"),
     [
-        ("recovery", 6),
-        ("attribution", 2),
-        ("boots", 1),
+        ("reconciliation", 6),
+        ("failure_attribution", 2),
+        ("provisioning", 1),
         ("admission", 2),
         ("membership", 2),
-        ("planning", 11),
+        ("scheduling", 11),
         ("admission", 1),
-        ("planning", 12),
-        ("account", 2),
-        ("planning", 11),
+        ("scheduling", 12),
+        ("quota", 2),
+        ("scheduling", 11),
         ("documents", 4),
         ("calendars", 8),
         ("gates", 3),
@@ -62,11 +62,11 @@
 import sys
 sys.path[:0] = ["target/deps", "."]
 import pkgutil, weldhead.{package} as package
-names = [m.name for m in pkgutil.iter_modules(package.__path__, package.__name__ + ".")]
+names = [m.name for m in pkgutil.walk_packages(package.__path__, package.__name__ + ".")]
 for name in names:
     __import__(name)
 bad = {{"asyncio", "aiohttp", "socket", "selectors", "threading", "weldhead.transport"}}
-bad |= {{"weldhead.coordination"}}
+bad |= {{"weldhead.controller"}}
 print(len(names), sorted(bad & set(sys.modules)))
 """
     ran = subprocess.run([sys.executable, "-S", "-c", program], cwd=ROOT, capture_output=True)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -29,9 +29,16 @@
     Write,
 )
 from weldhead.site.store.server import StateService
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, HttpClient
-from weldhead.transport.state import Compacted, Conflict, LeaseGone, Refused, Rejected, StateClient
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.state_client import (
+    Compacted,
+    Conflict,
+    LeaseGone,
+    Refused,
+    Rejected,
+    StateClient,
+)
 
 LIMITS = StateLimits(1000.0, 1000.0, 1.0, 4)
 KEYS = ["a", "a/b", "a/c", "b", "c/é"]
--- a/tests/test_uneven_ends.py
+++ b/tests/test_uneven_ends.py
@@ -15,8 +15,8 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState, StandInWorker
 from tests.test_recovery import S, fixed_clock, leader_of, put_job, put_machine
-from weldhead.bookkeeping.records import FINAL, decode_progress, final_key, job_key, progress_key
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.cluster_state.records import FINAL, decode_progress, final_key, job_key, progress_key
+from weldhead.controller.leadership.leader import Leader
 
 TASKS = 3
 JOB, FOLLOWER = "run-000001", "run-000002"
@@ -180,7 +180,7 @@
 
     original = asyncio.sleep
     with fixed_clock() as clock, pytest.MonkeyPatch.context() as patch:
-        patch.setattr("weldhead.bookkeeping.ledger.asyncio.sleep", no_pause)
+        patch.setattr("weldhead.cluster_state.state_writer.asyncio.sleep", no_pause)
         asyncio.run(asyncio.wait_for(History(clock).play(events), 30))
 
 
--- a/tests/test_unheard_machines.py
+++ b/tests/test_unheard_machines.py
@@ -11,8 +11,8 @@
 from tests.test_old_reports import meet
 from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine
 from weldhead.clock import surely_valid_us
-from weldhead.recovery.squaring import Verdict
-from weldhead.transport.http import HttpClient
+from weldhead.reconciliation.attempt_verdicts import Verdict
+from weldhead.transport.http_client import HttpClient
 
 S = 1_000_000
 __all__ = ["clock"]
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -12,15 +12,15 @@
 from tests.builders import machine_type
 from tests.stand_ins import StandInState
 from tests.test_validation import GOOD
-from weldhead.bookkeeping.records import FinalRecord, final_key, job_key
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.coordination.requests.frontdesk import FrontDesk
+from weldhead.cluster_state.records import FinalRecord, final_key, job_key
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.requests.request_handler import FrontDesk
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import MachineType
-from weldhead.transport.http import CallFailed
-from weldhead.transport.server import HttpServer, Response
-from weldhead.transport.state import StateClient
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_server import HttpServer, Response
+from weldhead.transport.state_client import StateClient
 
 JOB = "run-000412"
 GOOD_BODY = msgspec.json.encode(GOOD)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -18,8 +18,9 @@
 from tests.stand_ins import StandInState
 from tests.test_recovery import START, Clock, clock, new_leader  # noqa: F401
 from tests.test_wire import SETTINGS
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.records import (
+from weldhead.clock import now_us
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.records import (
     Binding,
     Deed,
     FinalRecord,
@@ -32,8 +33,7 @@
     decode_progress,
     without_gate,
 )
-from weldhead.clock import now_us
-from weldhead.coordination.node import Node
+from weldhead.controller.process import Node
 from weldhead.protocol import peer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.validation import is_job_id
@@ -348,7 +348,9 @@
         async def open_connection(*_: Any) -> Any:
             return reader, Writer()
 
-        monkeypatch.setattr("weldhead.transport.peers.asyncio.open_connection", open_connection)
+        monkeypatch.setattr(
+            "weldhead.transport.peer_links.asyncio.open_connection", open_connection
+        )
         await node._links["n-1"]._connect()
 
     with caplog.at_level(logging.INFO):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from tests.builders import job_spec, machine_type
-from weldhead.bookkeeping.records import decode_progress, encode_progress
+from weldhead.cluster_state.records import decode_progress, encode_progress
 from weldhead.protocol import peer
 from weldhead.protocol.settings import SettingsError, StateLimits, parse_settings
 from weldhead.protocol.validation import check_feasible
@@ -25,8 +25,8 @@
     split_task,
     task_name,
 )
-from weldhead.transport.http import HttpClient
-from weldhead.transport.state import StateClient
+from weldhead.transport.http_client import HttpClient
+from weldhead.transport.state_client import StateClient
 
 REPORT = b"""{"welder":"vm-000231","endpoint":"10.1.0.232:9000","frame":"g8","yard":"a",
  "loaners":true,"shift":1,"stamp":88,"torch":41,"recall_s":null,"novel":{"x":[1]},
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -32,15 +32,15 @@
 )
 from tests.test_recovery import fixed_clock, new_leader  # noqa: E402
 from tests.test_users import StandInNode, desk  # noqa: E402
-from weldhead.bookkeeping.chains import Chains  # noqa: E402
-from weldhead.bookkeeping.cluster import Cluster  # noqa: E402
-from weldhead.bookkeeping.jobs import Job  # noqa: E402
-from weldhead.bookkeeping.records import Bound, JobRecord, job_key  # noqa: E402
-from weldhead.calendars.state import CalendarState, digest_of  # noqa: E402
-from weldhead.calendars.table import DueTable  # noqa: E402
+from weldhead.calendars.calendar_state import CalendarState, digest_of  # noqa: E402
+from weldhead.calendars.deadline_table import DueTable  # noqa: E402
+from weldhead.cluster_state.cluster import Cluster  # noqa: E402
+from weldhead.cluster_state.dependency_graph import Chains  # noqa: E402
+from weldhead.cluster_state.jobs import Job  # noqa: E402
+from weldhead.cluster_state.records import Bound, JobRecord, job_key  # noqa: E402
 from weldhead.documents.records import state_key  # noqa: E402
-from weldhead.planning.estimates import Estimates  # noqa: E402
-from weldhead.planning.outlook import Outlook  # noqa: E402
+from weldhead.scheduling.forecast.job_forecasts import Outlook  # noqa: E402
+from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
 
 
 class CountingState(StandInState):
--- a/tools/measure_cards.py
+++ b/tools/measure_cards.py
@@ -16,13 +16,13 @@
 import click  # noqa: E402
 
 from tests.builders import add_job, add_machine, cluster, job_spec  # noqa: E402
-from weldhead.bookkeeping.jobs import Phase  # noqa: E402
-from weldhead.bookkeeping.reclaim import ReclaimLists  # noqa: E402
-from weldhead.planning.estimates import Estimates  # noqa: E402
-from weldhead.planning.goals import Goals  # noqa: E402
-from weldhead.planning.placement import plan_starts  # noqa: E402
-from weldhead.planning.preemptor import plan_reclaims  # noqa: E402
+from weldhead.cluster_state.jobs import Phase  # noqa: E402
+from weldhead.cluster_state.reclaim import ReclaimLists  # noqa: E402
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
+from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
+from weldhead.scheduling.objectives import Goals  # noqa: E402
+from weldhead.scheduling.placement.placement import plan_starts  # noqa: E402
+from weldhead.scheduling.preemption.preemptor import plan_reclaims  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
 
 S = 1_000_000
--- a/tools/measure_memory.py
+++ b/tools/measure_memory.py
@@ -377,8 +377,8 @@
 
 def _teams(count: int) -> Kept:
     """Return what that many teams take: their limits, their use and their share of admission."""
-    from weldhead.admission.shares import Shares
-    from weldhead.bookkeeping.cluster import Cluster
+    from weldhead.admission.team_rate_limiter import Shares
+    from weldhead.cluster_state.cluster import Cluster
     from weldhead.protocol.settings import Team
 
     def build() -> object:
@@ -423,7 +423,7 @@
 
 
 async def _ready(*_: object) -> Any:
-    from weldhead.transport.server import Response
+    from weldhead.transport.http_server import Response
 
     return Response(200, b"{}")
 
@@ -439,7 +439,7 @@
     """Let ``talk`` open connections to a server of ours, and see what both ends take."""
     import uvloop
 
-    from weldhead.transport.server import HttpServer
+    from weldhead.transport.http_server import HttpServer
 
     async def run() -> Kept:
         server, port = HttpServer(_ready), _free_ports(1)[0]
@@ -479,7 +479,7 @@
 
 def _both_ends(count: int) -> Kept:
     """Call that many hosts and keep the connections; what an incoming one costs is in it."""
-    from weldhead.transport.http import HttpClient
+    from weldhead.transport.http_client import HttpClient
 
     async def talk(port: int) -> Closing:
         client = HttpClient(8)
@@ -560,7 +560,7 @@
 @click.argument("tasks", type=int)
 def one_term(machines: int, jobs: int, tasks: int) -> None:
     """Print the resident memory at each stage of a term."""
-    import weldhead.coordination.node  # noqa: F401
+    import weldhead.controller.process  # noqa: F401
     from tests.builders import job_spec
     from tests.stand_ins import StandInState
     from tests.test_recovery import leader_of, put_job, put_machine
--- a/tools/measure_ops.py
+++ b/tools/measure_ops.py
@@ -21,10 +21,10 @@
 from tools.measure_size import cost  # noqa: E402
 from weldhead.emulator.experiment import Result, play  # noqa: E402
 from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
-from weldhead.planning.estimates import Estimates  # noqa: E402
-from weldhead.planning.goals import Goals  # noqa: E402
-from weldhead.planning.placement import Scene, plan_pass  # noqa: E402
 from weldhead.protocol.settings import Team  # noqa: E402
+from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
+from weldhead.scheduling.objectives import Goals  # noqa: E402
+from weldhead.scheduling.placement.placement import Scene, plan_pass  # noqa: E402
 
 COUNTED = ("requests to the store", "writes", "direct requests", "bytes")
 LONG = JobClass("long", "red", 0.0, 20, 200.0, initial=12, cancelled=0.0)
--- a/tools/measure_processor.py
+++ b/tools/measure_processor.py
@@ -36,14 +36,14 @@
 import uvloop  # noqa: E402
 
 from weldhead.clock import MILLISECOND_US  # noqa: E402
-from weldhead.coordination.node import Node  # noqa: E402
+from weldhead.controller.process import Node  # noqa: E402
 from weldhead.emulator import loop as emulated  # noqa: E402
 from weldhead.emulator.experiment import Experiment  # noqa: E402
 from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
 from weldhead.protocol.wire import Command, Report, ReportAnswer, TaskReport  # noqa: E402
 from weldhead.transport import workers  # noqa: E402
-from weldhead.transport.http import HttpClient  # noqa: E402
-from weldhead.transport.server import HttpServer, Response  # noqa: E402
+from weldhead.transport.http_client import HttpClient  # noqa: E402
+from weldhead.transport.http_server import HttpServer, Response  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
 
 #: When the phases of a run begin and end, in its seconds.
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -24,26 +24,26 @@
 from tests.plain import PlainPlan, PlainQueue, plain_starts  # noqa: E402
 from tests.stand_ins import StandInState  # noqa: E402
 from tests.test_recovery import leader_of, put_job  # noqa: E402
-from weldhead.bookkeeping.chains import Chains  # noqa: E402
-from weldhead.bookkeeping.cluster import Cluster  # noqa: E402
-from weldhead.bookkeeping.jobs import Phase, Stop  # noqa: E402
-from weldhead.bookkeeping.machines import Machine  # noqa: E402
-from weldhead.bookkeeping.records import HireRecord  # noqa: E402
 from weldhead.clock import now_us  # noqa: E402
-from weldhead.coordination.leadership.leader import Leader  # noqa: E402
-from weldhead.planning.backlog import Unplaced  # noqa: E402
-from weldhead.planning.estimates import Estimates  # noqa: E402
-from weldhead.planning.fleet import (  # noqa: E402
+from weldhead.cluster_state.cluster import Cluster  # noqa: E402
+from weldhead.cluster_state.dependency_graph import Chains  # noqa: E402
+from weldhead.cluster_state.jobs import Phase, Stop  # noqa: E402
+from weldhead.cluster_state.machines import Machine  # noqa: E402
+from weldhead.cluster_state.records import HireRecord  # noqa: E402
+from weldhead.controller.leadership.leader import Leader  # noqa: E402
+from weldhead.protocol.settings import Objective, Team  # noqa: E402
+from weldhead.scheduling.autoscaling.fleet import (  # noqa: E402
     Missing,
     _Queue,
     forecast_missing,
     usual_boots,
 )
-from weldhead.planning.forecast import boots_of, forecast_us  # noqa: E402
-from weldhead.planning.goals import Goals  # noqa: E402
-from weldhead.planning.outlook import Outlook  # noqa: E402
-from weldhead.planning.placement import Plan, Scene, plan_pass  # noqa: E402
-from weldhead.protocol.settings import Objective, Team  # noqa: E402
+from weldhead.scheduling.forecast.completion_times import boots_of, forecast_us  # noqa: E402
+from weldhead.scheduling.forecast.job_forecasts import Outlook  # noqa: E402
+from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
+from weldhead.scheduling.objectives import Goals  # noqa: E402
+from weldhead.scheduling.placement.backlog import Unplaced  # noqa: E402
+from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
 
 S = 1_000_000
--- a/weldhead/calendars/binding.py
+++ b/weldhead/calendars/binding.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import Binding, Bound
-from weldhead.calendars.document import Calendar
-from weldhead.calendars.state import CalendarState, digest_of
+from weldhead.calendars.calendar_document import Calendar
+from weldhead.calendars.calendar_state import CalendarState, digest_of
 from weldhead.clock import SECOND_US
+from weldhead.cluster_state.records import Binding, Bound
 from weldhead.documents.cache import DocumentCache, Kept
 from weldhead.documents.records import HEAD_KEY, document_key, state_key
 from weldhead.protocol.wire import Condition, JobSpec
--- a/weldhead/calendars/state.py
+++ b/weldhead/calendars/calendar_state.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import Bound
+from weldhead.cluster_state.records import Bound
 
 #: How many coming instants are kept, and with how few left more are computed.
 KEPT_INSTANTS = 48
--- a/weldhead/calendars/table.py
+++ b/weldhead/calendars/deadline_table.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import Bound
 from weldhead.calendars.binding import moved
+from weldhead.calendars.formatting import due, span, utc
 from weldhead.calendars.lateness import SOON_US
-from weldhead.calendars.words import due, span, utc
+from weldhead.cluster_state.records import Bound
 from weldhead.documents.cache import DocumentCache
 
 
--- a/weldhead/calendars/words.py
+++ b/weldhead/calendars/formatting.py
@@ -2,8 +2,8 @@
 
 import time
 
-from weldhead.bookkeeping.records import Bound
 from weldhead.clock import SECOND_US, to_seconds
+from weldhead.cluster_state.records import Bound
 
 
 def utc(wall_us: int) -> str:
--- a/weldhead/calendars/dues.py
+++ b/weldhead/calendars/job_deadlines.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Iterable
 
-from weldhead.bookkeeping.jobs import Job
 from weldhead.calendars.binding import moved
 from weldhead.clock import MILLISECOND_US
+from weldhead.cluster_state.jobs import Job
 from weldhead.documents.cache import DocumentCache
 
 #: Clocks wander: by less nothing is converted anew.
--- a/weldhead/calendars/lateness.py
+++ b/weldhead/calendars/lateness.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.calendars.words import span, utc
+from weldhead.calendars.formatting import span, utc
 from weldhead.clock import SECOND_US
-from weldhead.planning.forecast import Boots, holding_up
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Job
+from weldhead.scheduling.forecast.completion_times import Boots, holding_up
 
 #: What the line of a takeover counts one by one.
 SOON_US = 3600 * SECOND_US
--- a/weldhead/calendars/recurrence.py
+++ b/weldhead/calendars/recurrence.py
@@ -18,7 +18,7 @@
 
 from dateutil.rrule import rrulestr
 
-from weldhead.calendars.document import Calendar
+from weldhead.calendars.calendar_document import Calendar
 from weldhead.clock import SECOND_US, seconds_us
 
 _DAY = timedelta(days=1)
--- a/weldhead/cli/site.py
+++ b/weldhead/cli/site.py
@@ -14,7 +14,7 @@
 from weldhead.cli.structured import configure_structured_logging
 from weldhead.site.http import Handler, SiteServer
 from weldhead.site.processes import until_told
-from weldhead.transport.duties import Duties
+from weldhead.transport.background_tasks import Duties
 
 T = TypeVar("T")
 
--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -53,9 +53,9 @@
 def _compute(file: Path, offer: Offer) -> None:
     """Say each calendar's next instant; FileProblem where the leader could compute none."""
     from weldhead.calendars.binding import KIND
-    from weldhead.calendars.document import Calendar
+    from weldhead.calendars.calendar_document import Calendar
+    from weldhead.calendars.formatting import utc
     from weldhead.calendars.recurrence import Unusable, check, instants
-    from weldhead.calendars.words import utc
     from weldhead.tomlfiles import problem_at
 
     # They are there in the file's order.
--- a/weldhead/bookkeeping/rooms.py
+++ b/weldhead/cluster_state/capacity_index.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Hashable
 
-from weldhead.bookkeeping.feeds import Registry
-from weldhead.bookkeeping.machines import EPSILON, Machine
+from weldhead.cluster_state.change_feed import Registry
+from weldhead.cluster_state.machines import EPSILON, Machine
 
 #: The journal is cut when it holds so many entries, and shapes remembered before that are
 #: looked for everywhere once.
--- a/weldhead/bookkeeping/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -7,12 +7,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from weldhead.account.amounts import NOTHING, Amount
-from weldhead.account.teams import Use, within_limit
-from weldhead.bookkeeping.feeds import Registry
-from weldhead.bookkeeping.jobs import Attempt, Job, Stop, TaskState
-from weldhead.bookkeeping.machines import EPSILON, Machine
+from weldhead.cluster_state.change_feed import Registry
+from weldhead.cluster_state.jobs import Attempt, Job, Stop, TaskState
+from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.protocol.settings import Team
+from weldhead.quota.amounts import NOTHING, Amount
+from weldhead.quota.teams import Use, within_limit
 
 
 @dataclass(frozen=True)
--- a/weldhead/bookkeeping/chains.py
+++ b/weldhead/cluster_state/dependency_graph.py
@@ -13,7 +13,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from graphlib import TopologicalSorter
 
-from weldhead.bookkeeping.jobs import Job
+from weldhead.cluster_state.jobs import Job
 
 
 class Chains:
--- a/weldhead/bookkeeping/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -4,9 +4,9 @@
 from collections import Counter
 from collections.abc import Container
 
-from weldhead.bookkeeping.feeds import Feeds, Noted
-from weldhead.bookkeeping.records import CHUNK_TASKS, Bound, Hold
 from weldhead.clock import seconds_us
+from weldhead.cluster_state.change_feed import Feeds, Noted
+from weldhead.cluster_state.records import CHUNK_TASKS, Bound, Hold
 from weldhead.protocol.wire import JobSpec
 
 
--- a/weldhead/bookkeeping/machines.py
+++ b/weldhead/cluster_state/machines.py
@@ -3,9 +3,9 @@
 import math
 from collections import OrderedDict
 
-from weldhead.bookkeeping.feeds import Feeds
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase
 from weldhead.clock import surely_over_us
+from weldhead.cluster_state.change_feed import Feeds
+from weldhead.cluster_state.jobs import Attempt, Job, Phase
 from weldhead.protocol.wire import JobSpec, MachineType, TaskReport
 
 #: Amounts are decimals on the wire; sums of them are compared with this slack.
--- a/weldhead/bookkeeping/taken.py
+++ b/weldhead/cluster_state/preemption_history.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from weldhead.bookkeeping.jobs import Attempt, Job, TaskState
 from weldhead.clock import SECOND_US
+from weldhead.cluster_state.jobs import Attempt, Job, TaskState
 
 #: How long a task that was stopped is let run when it has begun again.
 LEAST_HOLD_US = 120 * SECOND_US
--- a/weldhead/bookkeeping/reclaim.py
+++ b/weldhead/cluster_state/reclaim.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from weldhead.bookkeeping.jobs import Attempt
-from weldhead.bookkeeping.taken import Taken
+from weldhead.cluster_state.jobs import Attempt
+from weldhead.cluster_state.preemption_history import Taken
 
 
 @dataclass
--- a/weldhead/bookkeeping/ledger.py
+++ b/weldhead/cluster_state/state_writer.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import LEADER_KEY
 from weldhead.clock import now_us
+from weldhead.cluster_state.records import LEADER_KEY
 from weldhead.protocol.wire import Condition, Delete, Put
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Conflict, Refused, Rejected, StateClient
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Conflict, Refused, Rejected, StateClient
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/documents/calendars.py
+++ b/weldhead/controller/configuration/calendars.py
@@ -6,9 +6,6 @@
 
 import msgspec
 
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.records import JOBS, Binding, JobRecord
 from weldhead.calendars.binding import (
     JUST_PAST_US,
     KIND,
@@ -17,8 +14,8 @@
     passed_us,
     state_of,
 )
-from weldhead.calendars.document import Calendar
-from weldhead.calendars.state import (
+from weldhead.calendars.calendar_document import Calendar
+from weldhead.calendars.calendar_state import (
     KEPT_INSTANTS,
     CalendarState,
     continued,
@@ -26,17 +23,20 @@
     fitting,
     replaced,
 )
-from weldhead.calendars.words import utc
+from weldhead.calendars.formatting import utc
 from weldhead.clock import SECOND_US, now_us, to_seconds, wall_us
-from weldhead.coordination.documents.history import History
-from weldhead.coordination.documents.lateness import LateNotes
-from weldhead.coordination.documents.publisher import Documents, Publisher, Unready
-from weldhead.coordination.term import Term, parts
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.records import JOBS, Binding, JobRecord
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.configuration.late_notifications import LateNotes
+from weldhead.controller.configuration.publisher import Documents, Publisher, Unready
+from weldhead.controller.configuration.run_time_history import History
+from weldhead.controller.term import Term, parts
 from weldhead.documents.records import HEAD_KEY, Offer, document_key, state_key
 from weldhead.protocol.wire import JobSpec
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Compacted, Rejected, StateClient
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Compacted, Rejected, StateClient
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/documents/gate_outlook.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterator, Mapping
 from heapq import nsmallest
 
-from weldhead.bookkeeping.jobs import Job
 from weldhead.clock import SECOND_US
-from weldhead.coordination.requests.chains import Linking
-from weldhead.coordination.term import Term
-from weldhead.gates.book import Book, lent, opens_us, urgency
-from weldhead.planning.fleet import Upcoming
-from weldhead.planning.urgency import MOST_BOUNDS
+from weldhead.cluster_state.jobs import Job
+from weldhead.controller.requests.job_dependencies import Linking
+from weldhead.controller.term import Term
+from weldhead.gates.gate_tracker import Book, lent, opens_us, urgency
+from weldhead.scheduling.autoscaling.fleet import Upcoming
+from weldhead.scheduling.inherited_priority import MOST_BOUNDS
 
 #: Between two looks at what is expected of the acts under way.
 EXPECT_US = SECOND_US
--- a/weldhead/coordination/documents/gates.py
+++ b/weldhead/controller/configuration/gates.py
@@ -13,24 +13,24 @@
 
 import msgspec
 
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.records import Binding, Deed, FinalRecord, Hold, JobRecord, final_key
 from weldhead.clock import SECOND_US, now_us, wall_us
-from weldhead.coordination.documents.gate_outlook import GateOutlook
-from weldhead.coordination.documents.publisher import Publisher, Unready
-from weldhead.coordination.requests.chains import Linking
-from weldhead.coordination.term import LOADED_AT_ONCE, Term, parts
-from weldhead.coordination.workers.dispatch import Dispatcher
-from weldhead.coordination.workers.reports import request_stop
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.records import Binding, Deed, FinalRecord, Hold, JobRecord, final_key
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.configuration.gate_forecast import GateOutlook
+from weldhead.controller.configuration.publisher import Publisher, Unready
+from weldhead.controller.requests.job_dependencies import Linking
+from weldhead.controller.term import LOADED_AT_ONCE, Term, parts
+from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.heartbeat_reconciler import request_stop
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.records import HEAD_KEY, HeadRecord, document_key, state_key
-from weldhead.gates.book import Book, unbegun
-from weldhead.gates.document import Gate
-from weldhead.gates.state import Entered, GateState, deed_of, ended, enter, needed_now
+from weldhead.gates.gate_document import Gate
+from weldhead.gates.gate_state import Entered, GateState, deed_of, ended, enter, needed_now
+from weldhead.gates.gate_tracker import Book, unbegun
 from weldhead.protocol.wire import Condition, JobSpec
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import decode
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import decode
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/documents/lateness.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.coordination.documents.publisher import Publisher
-from weldhead.coordination.term import Term
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.configuration.publisher import Publisher
+from weldhead.controller.term import Term
 from weldhead.documents.records import STATES, state_key
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Rejected
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Rejected
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/documents/publisher.py
+++ b/weldhead/controller/configuration/publisher.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
-from weldhead.bookkeeping.ledger import Deposed, Ledger
-from weldhead.bookkeeping.records import Binding, JobRecord
-from weldhead.calendars.table import DueTable
+from weldhead.calendars.deadline_table import DueTable
 from weldhead.clock import SECOND_US, now_us
+from weldhead.cluster_state.records import Binding, JobRecord
+from weldhead.cluster_state.state_writer import Deposed, Ledger
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import Verdict, judge, leftovers, steps
 from weldhead.documents.records import HEAD_KEY, PREFIX, HeadRecord, Offer
 from weldhead.protocol.wire import JobSpec
-from weldhead.transport.http import CallFailed
-from weldhead.transport.server import Response, refusal
-from weldhead.transport.state import Compacted, Rejected, StateClient
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.state_client import Compacted, Rejected, StateClient
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/documents/history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.coordination.documents.publisher import Publisher
-from weldhead.coordination.term import Term
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.configuration.publisher import Publisher
+from weldhead.controller.term import Term
 from weldhead.documents.records import state_key
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Rejected
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Rejected
 
 KEY = state_key("history", "classes")
 #: Between two writes, if there is anything new.
--- a/weldhead/coordination/rentals/sizing.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -3,14 +3,14 @@
 import logging
 from typing import TYPE_CHECKING
 
-from weldhead.bookkeeping.jobs import Stop
 from weldhead.clock import SECOND_US, now_us, to_seconds
-from weldhead.coordination.pacing import Rank
-from weldhead.coordination.placement.deciding import Deciding
-from weldhead.coordination.rentals.rentals import Rentals
-from weldhead.coordination.term import Term
-from weldhead.coordination.workers.watching import MachineWatch
-from weldhead.planning.fleet import (
+from weldhead.cluster_state.jobs import Stop
+from weldhead.controller.fleet.rental_manager import Rentals
+from weldhead.controller.loop_budget import Rank
+from weldhead.controller.scheduling_loop.scheduling_loop import Deciding
+from weldhead.controller.term import Term
+from weldhead.controller.workers.machine_monitor import MachineWatch
+from weldhead.scheduling.autoscaling.fleet import (
     Move,
     Upcoming,
     endangered,
@@ -21,10 +21,10 @@
     plan_returns,
     replacements,
 )
-from weldhead.planning.placement import plan_nothing
+from weldhead.scheduling.placement.placement import plan_nothing
 
 if TYPE_CHECKING:
-    from weldhead.coordination.documents.gates import Gates
+    from weldhead.controller.configuration.gates import Gates
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/rentals/rentals.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable
 from functools import partial
 
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.records import HIRES, HireRecord, divide_machines
 from weldhead.clock import now_us, seconds_us, wall_us
-from weldhead.coordination.term import Term
-from weldhead.planning.fleet import Coming, Offer
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.records import HIRES, HireRecord, divide_machines
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.term import Term
 from weldhead.protocol.wire import ListedMachine, MachineType, RentalRequest, Report
-from weldhead.transport.cloud import BadRental, NoCapacity, NotAsked
-from weldhead.transport.http import CallFailed
+from weldhead.scheduling.autoscaling.fleet import Coming, Offer
+from weldhead.transport.cloud_client import BadRental, NoCapacity, NotAsked
+from weldhead.transport.http_client import CallFailed
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -9,28 +9,27 @@
 import logging
 from typing import TYPE_CHECKING
 
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.ledger import Deposed, Ledger
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.records import JOBS, FinalRecord, JobRecord
+from weldhead.calendars.formatting import utc
 from weldhead.calendars.lateness import Standing
-from weldhead.calendars.words import utc
 from weldhead.clock import SECOND_US, now_us, to_seconds, wall_us
-from weldhead.coordination.documents.publisher import Documents, Publisher
-from weldhead.coordination.leadership.recovery import Recovery
-from weldhead.coordination.pacing import Pacer
-from weldhead.coordination.placement.deciding import Deciding
-from weldhead.coordination.placement.lookahead import LookAhead
-from weldhead.coordination.rentals.rentals import Rentals
-from weldhead.coordination.rentals.sizing import Sizing
-from weldhead.coordination.requests.chains import Linking
-from weldhead.coordination.requests.completions import Completions
-from weldhead.coordination.term import Term, parts
-from weldhead.coordination.workers.dispatch import Dispatcher
-from weldhead.coordination.workers.reachability import ReachabilityMonitor
-from weldhead.coordination.workers.reports import (
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.records import JOBS, FinalRecord, JobRecord
+from weldhead.cluster_state.state_writer import Deposed, Ledger
+from weldhead.controller.configuration.publisher import Documents, Publisher
+from weldhead.controller.fleet.autoscaler import Sizing
+from weldhead.controller.fleet.rental_manager import Rentals
+from weldhead.controller.leadership.term_recovery import Recovery
+from weldhead.controller.loop_budget import Pacer
+from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.job_dependencies import Linking
+from weldhead.controller.scheduling_loop.completion_forecaster import LookAhead
+from weldhead.controller.scheduling_loop.scheduling_loop import Deciding
+from weldhead.controller.term import Term, parts
+from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.heartbeat_reconciler import (
     Outcome,
     apply_report,
     is_newer,
@@ -38,16 +37,17 @@
     pending_commands,
     pending_kills,
 )
-from weldhead.coordination.workers.watching import MachineWatch
-from weldhead.planning.forecast import due_us
+from weldhead.controller.workers.machine_monitor import MachineWatch
+from weldhead.controller.workers.reachability_monitor import ReachabilityMonitor
 from weldhead.protocol.wire import JobStatus, MachineType, Report, ReportAnswer
 from weldhead.reachability.freshness import Freshness
-from weldhead.recovery.early import Early
-from weldhead.transport.state import Compacted, decode
+from weldhead.reconciliation.buffered_heartbeats import Early
+from weldhead.scheduling.forecast.completion_times import due_us
+from weldhead.transport.state_client import Compacted, decode
 
 if TYPE_CHECKING:
-    from weldhead.coordination.documents.calendars import Calendars
-    from weldhead.coordination.documents.gates import Gates
+    from weldhead.controller.configuration.calendars import Calendars
+    from weldhead.controller.configuration.gates import Gates
 
 log = logging.getLogger(__name__)
 
@@ -110,13 +110,13 @@
 
     def _open_gates(self, publisher: Publisher) -> "Gates":
         # Loaded by controllers that are given documents only.
-        from weldhead.coordination.documents.gates import Gates
+        from weldhead.controller.configuration.gates import Gates
 
         return Gates(self.term, publisher, self.linking, self._dispatcher)
 
     def _open_calendars(self, publisher: Publisher) -> "Calendars":
         # Loaded by controllers that are given documents only.
-        from weldhead.coordination.documents.calendars import Calendars
+        from weldhead.controller.configuration.calendars import Calendars
 
         return Calendars(self.term, publisher, self.linking.refresh)
 
--- a/weldhead/coordination/leadership/campaign.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -10,12 +10,6 @@
 import secrets
 from collections.abc import Mapping
 
-from weldhead.bookkeeping.records import (
-    LEADER_KEY,
-    UNSETTLED_KEY,
-    LeaderRecord,
-    UnsettledRecord,
-)
 from weldhead.clock import (
     MILLISECOND_US,
     SECOND_US,
@@ -24,29 +18,35 @@
     to_seconds,
     wall_us,
 )
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.authority import (
+from weldhead.cluster_state.records import (
+    LEADER_KEY,
+    UNSETTLED_KEY,
+    LeaderRecord,
+    UnsettledRecord,
+)
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.leadership.leader_lease import (
     Authority,
     Candidacy,
     default_timing,
     handicap_us,
     predecessor_over_us,
 )
-from weldhead.coordination.leadership.judging import Judging
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.coordination.leadership.predecessors import Predecessors, missed_from_us
-from weldhead.coordination.leadership.promises import ask_for_promises
-from weldhead.coordination.leadership.renewal import Renewal
-from weldhead.coordination.term import Term
+from weldhead.controller.leadership.lease_renewer import Renewal
+from weldhead.controller.leadership.peer_failure_detector import Judging
+from weldhead.controller.leadership.previous_leaders import Predecessors, missed_from_us
+from weldhead.controller.leadership.promises import ask_for_promises
+from weldhead.controller.term import Term
 from weldhead.protocol.peer import Held, Hold, Pong, Resigned
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.wire import Condition, MachineType, Put
-from weldhead.recovery.answering import answers_until_us, earliest_missed
-from weldhead.transport.cloud import CloudClient
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, HttpClient
-from weldhead.transport.peers import PeerLink
-from weldhead.transport.state import (
+from weldhead.reconciliation.answer_window import answers_until_us, earliest_missed
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.cloud_client import CloudClient
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.peer_links import PeerLink
+from weldhead.transport.state_client import (
     Busy,
     Compacted,
     Conflict,
--- a/weldhead/coordination/leadership/renewal.py
+++ b/weldhead/controller/leadership/lease_renewer.py
@@ -11,9 +11,9 @@
 from collections.abc import Awaitable, Callable
 
 from weldhead.clock import now_us, to_seconds
-from weldhead.coordination.leadership.authority import Authority, Timing
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Busy, LeaseGone, Refused
+from weldhead.controller.leadership.leader_lease import Authority, Timing
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Busy, LeaseGone, Refused
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -5,19 +5,19 @@
 from collections.abc import Mapping
 from hashlib import sha256
 
-from weldhead.bookkeeping.records import LEADER_KEY
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.campaign import Campaign
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.cluster_state.records import LEADER_KEY
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.leadership.leader_election import Campaign
 from weldhead.membership.isolation import Contact, IsolationDetector
 from weldhead.protocol.peer import Answer, Ask
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import MachineType
-from weldhead.transport.http import CallFailed
-from weldhead.transport.peers import PeerLink
-from weldhead.transport.server import Response, refusal
-from weldhead.transport.state import StateClient
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.peer_links import PeerLink
+from weldhead.transport.state_client import StateClient
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/leadership/judging.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -1,6 +1,6 @@
 """Judging the other controllers: who is refused is looked at, with what third ones see of it.
 
-The rules are in ``membership/verdict.py``; this asks.
+The rules are in ``membership/peer_verdict.py``; this asks.
 """
 
 import asyncio
@@ -8,13 +8,13 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
-from weldhead.membership.verdict import Observation, State, Verdict, View, judge
+from weldhead.membership.peer_verdict import Observation, State, Verdict, View, judge
 from weldhead.protocol.peer import Look, Ping, Pong, Seen
 from weldhead.protocol.versions import LOOK_FORMAT
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed
-from weldhead.transport.peers import PeerLink
-from weldhead.transport.state import StateClient
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.peer_links import PeerLink
+from weldhead.transport.state_client import StateClient
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/leadership/predecessors.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -8,16 +8,16 @@
 import asyncio
 import logging
 
-from weldhead.bookkeeping.records import (
+from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds
+from weldhead.cluster_state.records import (
     LEADER_KEY,
     UNSETTLED_KEY,
     LeaderRecord,
     UnsettledRecord,
 )
-from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds
 from weldhead.protocol.peer import Pong
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import STAND_US, Compacted, StateClient, decode
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import STAND_US, Compacted, StateClient, decode
 
 log = logging.getLogger(__name__)
 
@@ -137,7 +137,7 @@
 async def missed_from_us(state: StateClient) -> int | None:
     """Return since when an unsettled row of terms may have missed cancellations (time of day).
 
-    None: the last term was settled (``recovery/answering.py``).
+    None: the last term was settled (``reconciliation/answer_window.py``).
     """
     entry = await state.get(UNSETTLED_KEY, urgent=True, timeout_us=STAND_US)
     if entry is None:
--- a/weldhead/coordination/leadership/promises.py
+++ b/weldhead/controller/leadership/promises.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 
 from weldhead.clock import now_us, surely_valid_us, to_seconds
-from weldhead.coordination.leadership.authority import Authority, Timing
+from weldhead.controller.leadership.leader_lease import Authority, Timing
 from weldhead.protocol.peer import Held, Hold
-from weldhead.transport.peers import PeerLink
+from weldhead.transport.peer_links import PeerLink
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/leadership/recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import UNKNOWN_OPENING, Job
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.records import (
+from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds, wall_us
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import UNKNOWN_OPENING, Job
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.records import (
     CHUNK_TASKS,
     HIRES,
     JOBS,
@@ -26,27 +26,27 @@
     job_key,
     without_gate,
 )
-from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds, wall_us
-from weldhead.coordination.documents.publisher import Publisher
-from weldhead.coordination.pacing import Pacer
-from weldhead.coordination.placement.lending import read_taken
-from weldhead.coordination.rentals.rentals import Rentals
-from weldhead.coordination.requests.chains import Linking
-from weldhead.coordination.requests.completions import Completions
-from weldhead.coordination.term import Term, parts
-from weldhead.coordination.workers.dispatch import Dispatcher
-from weldhead.coordination.workers.watching import MachineWatch
-from weldhead.planning.demand import Demand
-from weldhead.planning.silence import look_gone
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.configuration.publisher import Publisher
+from weldhead.controller.fleet.rental_manager import Rentals
+from weldhead.controller.loop_budget import Pacer
+from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.job_dependencies import Linking
+from weldhead.controller.scheduling_loop.preemption_recorder import read_taken
+from weldhead.controller.term import Term, parts
+from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.machine_monitor import MachineWatch
 from weldhead.protocol.wire import Entry, Report, split_task
-from weldhead.recovery.asking import Asking
-from weldhead.recovery.early import Early, EarlyReports
-from weldhead.recovery.readiness import Partial, doubts, partial_of
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Rejected, decode
+from weldhead.reachability.silence import look_gone
+from weldhead.reconciliation.buffered_heartbeats import Early, EarlyReports
+from weldhead.reconciliation.partial_view import Partial, doubts, partial_of
+from weldhead.reconciliation.status_probes import Asking
+from weldhead.scheduling.autoscaling.arrival_rates import Demand
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Rejected, decode
 
 if TYPE_CHECKING:
-    from weldhead.coordination.documents.gates import Gates
+    from weldhead.controller.configuration.gates import Gates
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/memory.py
+++ b/weldhead/controller/memory_monitor.py
@@ -3,9 +3,9 @@
 import logging
 from collections.abc import Callable
 
-from weldhead.admission.memory import ACCEPT_SHARE, Change, MemoryGate
+from weldhead.admission.memory_gate import ACCEPT_SHARE, Change, MemoryGate
 from weldhead.clock import MILLISECOND_US
-from weldhead.transport.memory import own_bytes
+from weldhead.transport.process_memory import own_bytes
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/node.py
+++ b/weldhead/controller/process.py
@@ -8,13 +8,13 @@
 import msgspec
 
 from weldhead.clock import MILLISECOND_US, PROCESS_STARTED_US, SECOND_US, now_us, seconds_us
-from weldhead.coordination.documents.publisher import Documents
-from weldhead.coordination.leadership.campaign import Campaign
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.coordination.leadership.peer_directory import PeerDirectory
-from weldhead.coordination.memory import MemoryWatch
-from weldhead.coordination.requests.frontdesk import FrontDesk
-from weldhead.coordination.workers.relays import Relays
+from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.peer_directory import PeerDirectory
+from weldhead.controller.memory_monitor import MemoryWatch
+from weldhead.controller.requests.request_handler import FrontDesk
+from weldhead.controller.workers.heartbeat_forwarding import Relays
 from weldhead.documents.records import Offer
 from weldhead.protocol.peer import (
     Answer,
@@ -30,13 +30,13 @@
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.versions import FORMAT
 from weldhead.protocol.wire import MachineType, Redirect, Report
-from weldhead.recovery.answering import shortfall
-from weldhead.transport.cloud import CloudClient
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, HttpClient
-from weldhead.transport.peers import PeerLink, PeerServer
-from weldhead.transport.server import Handler, HttpServer, Listening, Response, refusal
-from weldhead.transport.state import StateClient
+from weldhead.reconciliation.answer_window import shortfall
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.cloud_client import CloudClient
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.http_server import Handler, HttpServer, Listening, Response, refusal
+from weldhead.transport.peer_links import PeerLink, PeerServer
+from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
 log = logging.getLogger(__name__)
@@ -138,8 +138,8 @@
     def _follow_documents(self, offer: Offer) -> Documents:
         """Begin what a node does that is given documents."""
         # Loaded by controllers that are given documents only.
-        from weldhead.coordination.documents.calendars import CalendarBinder, TableKeeper
-        from weldhead.coordination.documents.gates import GateBinder
+        from weldhead.controller.configuration.calendars import CalendarBinder, TableKeeper
+        from weldhead.controller.configuration.gates import GateBinder
 
         documents = Documents(self._state, offer, self.peers.ask_leader)
         self._duties.start("documents", documents.follow)
--- a/weldhead/coordination/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -5,10 +5,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from weldhead.admission.shares import in_turns
-from weldhead.bookkeeping.jobs import Job, TaskState
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.records import (
+from weldhead.admission.team_rate_limiter import in_turns
+from weldhead.clock import MILLISECOND_US, now_us, to_seconds, wall_us
+from weldhead.cluster_state.jobs import Job, TaskState
+from weldhead.cluster_state.records import (
     CHUNK_TASKS,
     FinalRecord,
     cancelled_record,
@@ -17,10 +17,10 @@
     job_key,
     progress_key,
 )
-from weldhead.clock import MILLISECOND_US, now_us, to_seconds, wall_us
-from weldhead.coordination.term import Term
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.term import Term
 from weldhead.protocol.wire import split_task
-from weldhead.transport.state import Rejected
+from weldhead.transport.state_client import Rejected
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/requests/chains.py
+++ b/weldhead/controller/requests/job_dependencies.py
@@ -4,16 +4,16 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from weldhead.bookkeeping.jobs import Job, Stop
-from weldhead.bookkeeping.records import FINAL, JOBS, FinalRecord, JobRecord, final_key, job_key
 from weldhead.clock import SECOND_US, now_us, wall_us
-from weldhead.coordination.requests.completions import Completions
-from weldhead.coordination.term import Term
-from weldhead.coordination.workers.dispatch import Dispatcher
-from weldhead.coordination.workers.reports import request_stop
-from weldhead.planning.urgency import fetch_rate, refresh, stage_us
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import decode
+from weldhead.cluster_state.jobs import Job, Stop
+from weldhead.cluster_state.records import FINAL, JOBS, FinalRecord, JobRecord, final_key, job_key
+from weldhead.controller.requests.completions import Completions
+from weldhead.controller.term import Term
+from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.heartbeat_reconciler import request_stop
+from weldhead.scheduling.inherited_priority import fetch_rate, refresh, stage_us
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import decode
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/requests/frontdesk.py
+++ b/weldhead/controller/requests/request_handler.py
@@ -4,7 +4,7 @@
 changes later is the leader's: its memory answers polls while its authority lasts, and
 otherwise the store itself is read, so that no answer is older than one already given.
 What can never change is remembered. One job's trouble is kept from the others' polls, and
-whose polls have failed for long goes first (``admission/turns.py``).
+whose polls have failed for long goes first (``admission/fair_rate_limiter.py``).
 """
 
 import asyncio
@@ -13,10 +13,13 @@
 
 import msgspec
 
-from weldhead.admission.memory import COME_BACK_S
-from weldhead.admission.shares import Shares
-from weldhead.admission.turns import Turns
-from weldhead.bookkeeping.records import (
+from weldhead.admission.fair_rate_limiter import Turns
+from weldhead.admission.memory_gate import COME_BACK_S
+from weldhead.admission.team_rate_limiter import Shares
+from weldhead.calendars.binding import moved
+from weldhead.calendars.formatting import utc
+from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, to_seconds, wall_us
+from weldhead.cluster_state.records import (
     Binding,
     FinalRecord,
     JobRecord,
@@ -25,12 +28,9 @@
     job_key,
     without_gate,
 )
-from weldhead.calendars.binding import moved
-from weldhead.calendars.words import utc
-from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, to_seconds, wall_us
-from weldhead.coordination.documents.publisher import Documents, Unready
-from weldhead.coordination.leadership.leader import Leader, NotReady
-from weldhead.coordination.memory import MemoryWatch
+from weldhead.controller.configuration.publisher import Documents, Unready
+from weldhead.controller.leadership.leader import Leader, NotReady
+from weldhead.controller.memory_monitor import MemoryWatch
 from weldhead.protocol.settings import Team
 from weldhead.protocol.validation import (
     Refusal,
@@ -42,9 +42,9 @@
 )
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import Condition, JobSpec, JobStatus, MachineType, Put
-from weldhead.transport.http import CallFailed
-from weldhead.transport.server import Response, refusal
-from weldhead.transport.state import Busy, Conflict, Rejected, StateClient, decode
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.state_client import Busy, Conflict, Rejected, StateClient, decode
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/placement/lookahead.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -4,16 +4,16 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from weldhead.bookkeeping.jobs import Job
 from weldhead.calendars import lateness
+from weldhead.calendars.formatting import due as due_words
+from weldhead.calendars.formatting import span
 from weldhead.calendars.lateness import Standing
-from weldhead.calendars.words import due as due_words
-from weldhead.calendars.words import span
 from weldhead.clock import now_us, seconds_us, to_seconds, wall_us
-from weldhead.coordination.pacing import Pacer, Rank
-from weldhead.coordination.term import Term
-from weldhead.planning.forecast import due_us, holding_up, looks_unable
-from weldhead.planning.outlook import Outlook
+from weldhead.cluster_state.jobs import Job
+from weldhead.controller.loop_budget import Pacer, Rank
+from weldhead.controller.term import Term
+from weldhead.scheduling.forecast.completion_times import due_us, holding_up, looks_unable
+from weldhead.scheduling.forecast.job_forecasts import Outlook
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/placement/lending.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -1,17 +1,18 @@
-"""What was taken from tasks with cards stands in shared state, so that a successor gives it back.
+"""Persists which GPU tasks were preempted, so that the next leader restarts them first.
 
-Written as soon as something is taken, in few records (``bookkeeping/taken.py``); a stop does
-not wait for that. A leader that ends before the write is answered leaves evidence: tasks that
-save when its successor finds them, or that their workers list as halted.
+A record is written as soon as a task is preempted (``cluster_state/preemption_history.py``); the
+preemption does not wait for the write. A leader that ends before the write is answered leaves
+evidence: tasks that save their checkpoint when its successor finds them, or that their workers
+list as halted.
 """
 
 import contextlib
 
 import msgspec
 
-from weldhead.bookkeeping.jobs import Attempt, Phase
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.taken import (
+from weldhead.clock import SECOND_US, now_us, wall_us
+from weldhead.cluster_state.jobs import Attempt, Phase
+from weldhead.cluster_state.preemption_history import (
     TAKEN,
     Row,
     rows_of,
@@ -19,9 +20,9 @@
     take_up,
     taken_key,
 )
-from weldhead.clock import SECOND_US, now_us, wall_us
-from weldhead.coordination.term import Term
-from weldhead.transport.state import Rejected, decode
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.term import Term
+from weldhead.transport.state_client import Rejected, decode
 
 #: A task that saves when it is found was stopped no longer ago than this, or is about to end.
 INHERITED_US = SECOND_US
--- a/weldhead/coordination/placement/deciding.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -4,21 +4,21 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from weldhead.bookkeeping.jobs import Attempt, Stop
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.reclaim import ReclaimLists
 from weldhead.clock import MILLISECOND_US, now_us
-from weldhead.coordination.pacing import Pacer, Rank
-from weldhead.coordination.placement.lending import Lending
-from weldhead.coordination.term import LOADED_AT_ONCE, Term
-from weldhead.coordination.workers.dispatch import Dispatcher
-from weldhead.coordination.workers.reports import request_stop
-from weldhead.planning.holding import Ahead, Holding, Holds
-from weldhead.planning.placement import Plan, Scene, plan_pass, usable
-from weldhead.planning.preemptor import overdue, plan_reclaims, stop_for
+from weldhead.cluster_state.jobs import Attempt, Stop
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.reclaim import ReclaimLists
+from weldhead.controller.loop_budget import Pacer, Rank
+from weldhead.controller.scheduling_loop.preemption_recorder import Lending
+from weldhead.controller.term import LOADED_AT_ONCE, Term
+from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.heartbeat_reconciler import request_stop
 from weldhead.protocol.wire import MachineType
-from weldhead.recovery.pace import StopPace
-from weldhead.recovery.readiness import Partial
+from weldhead.reconciliation.partial_view import Partial
+from weldhead.reconciliation.preemption_rate_limit import StopPace
+from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass, usable
+from weldhead.scheduling.preemption.preemptor import overdue, plan_reclaims, stop_for
+from weldhead.scheduling.reservations.holding import Ahead, Holding, Holds
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/term.py
+++ b/weldhead/controller/term.py
@@ -4,25 +4,25 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import TypeVar
 
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.ledger import Ledger
-from weldhead.bookkeeping.taken import Taken
-from weldhead.boots.expect import Boots
-from weldhead.calendars.dues import Dues
+from weldhead.calendars.job_deadlines import Dues
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, seconds_us
-from weldhead.coordination.leadership.authority import Authority
-from weldhead.planning.demand import Demand
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.fleet import Market
-from weldhead.planning.goals import Goals
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.preemption_history import Taken
+from weldhead.cluster_state.state_writer import Ledger
+from weldhead.controller.leadership.leader_lease import Authority
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.wire import MachineType
-from weldhead.recovery.squaring import Tally
-from weldhead.transport.cloud import CloudClient
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import HttpClient
-from weldhead.transport.state import StateClient
+from weldhead.provisioning.boot_times import Boots
+from weldhead.reconciliation.attempt_verdicts import Tally
+from weldhead.scheduling.autoscaling.arrival_rates import Demand
+from weldhead.scheduling.autoscaling.fleet import Market
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.cloud_client import CloudClient
+from weldhead.transport.http_client import HttpClient
+from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
 T = TypeVar("T")
--- a/weldhead/coordination/workers/dispatch.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -4,14 +4,14 @@
 import logging
 from collections.abc import Callable
 
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
-from weldhead.coordination.term import Term
-from weldhead.coordination.workers.reports import pending_commands
+from weldhead.cluster_state.machines import Machine
+from weldhead.controller.term import Term
+from weldhead.controller.workers.heartbeat_reconciler import pending_commands
 from weldhead.protocol.wire import Command, Report
-from weldhead.recovery.outbox import Outbox, rank
-from weldhead.transport import workers
-from weldhead.transport.http import CallFailed, NotConnected
+from weldhead.reconciliation.command_queue import Outbox, rank
+from weldhead.transport import worker_commands as workers
+from weldhead.transport.http_client import CallFailed, NotConnected
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/workers/reports.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase, Stop
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import seconds_us
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.machines import Machine
 from weldhead.protocol.wire import Command, Report, TaskReport
-from weldhead.recovery.squaring import Verdict, judge, locate
+from weldhead.reconciliation.attempt_verdicts import Verdict, judge, locate
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/workers/watching.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -4,20 +4,20 @@
 import logging
 from collections.abc import Callable
 
-from weldhead.attribution.failures import Failures
-from weldhead.attribution.verdict import Standing
-from weldhead.bookkeeping.feeds import Feed
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase, Stop
-from weldhead.bookkeeping.ledger import Deposed
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import SECOND_US, now_us
-from weldhead.coordination.term import Term
-from weldhead.coordination.workers.dispatch import Dispatcher
-from weldhead.coordination.workers.reports import request_stop
-from weldhead.planning.goals import FOR_EVER_US
-from weldhead.planning.silence import look_gone
-from weldhead.recovery.answering import span_us
-from weldhead.transport.http import CallFailed
+from weldhead.cluster_state.change_feed import Feed
+from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.state_writer import Deposed
+from weldhead.controller.term import Term
+from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.heartbeat_reconciler import request_stop
+from weldhead.failure_attribution.failure_tracker import Failures
+from weldhead.failure_attribution.judgement import Standing
+from weldhead.reachability.silence import look_gone
+from weldhead.reconciliation.answer_window import span_us
+from weldhead.scheduling.objectives import FOR_EVER_US
+from weldhead.transport.http_client import CallFailed
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/coordination/workers/reachability.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -4,11 +4,11 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, to_seconds
-from weldhead.coordination.term import Term
-from weldhead.coordination.workers.dispatch import Dispatcher
-from weldhead.coordination.workers.reports import withdraw_unbegun
+from weldhead.cluster_state.machines import Machine
+from weldhead.controller.term import Term
+from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.heartbeat_reconciler import withdraw_unbegun
 from weldhead.protocol.wire import Command, Report
 from weldhead.reachability.evidence import DeliveryEvidence, Sign, told
 from weldhead.reachability.freshness import Freshness, answerable, freshness_of
--- a/weldhead/documents/records.py
+++ b/weldhead/documents/records.py
@@ -11,7 +11,7 @@
 A document is written once and never changed. An edition comes into force with its head, in
 one change, after all of its documents are there: so nobody ever sees half of one, however
 many there are. Only the leader writes these keys, each time on the condition of its token and
-of the key's version (``bookkeeping/ledger.py``); every controller watches them.
+of the key's version (``cluster_state/state_writer.py``); every controller watches them.
 """
 
 import hashlib
--- a/weldhead/documents/source.py
+++ b/weldhead/documents/source.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from weldhead.calendars.document import Calendar
+from weldhead.calendars.calendar_document import Calendar
 from weldhead.documents.records import Offer
-from weldhead.gates.document import Gate, clashes
+from weldhead.gates.gate_document import Gate, clashes
 from weldhead.tomlfiles import parse, problem_at, read_text
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
--- a/weldhead/emulator/arrivals.py
+++ b/weldhead/emulator/arrivals.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import LEADER_KEY, LeaderRecord
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.coordination.node import Node
+from weldhead.cluster_state.records import LEADER_KEY, LeaderRecord
+from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.process import Node
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.machines import Machine
 from weldhead.protocol.wire import DirectCommands, Entry, Report, ReportAnswer
-from weldhead.transport.server import Response
-from weldhead.transport.state import decode
+from weldhead.transport.http_server import Response
+from weldhead.transport.state_client import decode
 
 #: What comes so long before a term was won came just before it stood (seconds).
 BEFORE_S = 3.0
--- a/weldhead/emulator/calendars.py
+++ b/weldhead/emulator/calendars.py
@@ -3,7 +3,7 @@
 import logging
 from collections import Counter
 
-from weldhead.bookkeeping.records import JobRecord
+from weldhead.cluster_state.records import JobRecord
 from weldhead.emulator.checker import Checker
 from weldhead.protocol.wire import JobStatus
 
--- a/weldhead/emulator/checker.py
+++ b/weldhead/emulator/checker.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from weldhead.bookkeeping.records import FinalRecord, JobRecord, final_key, job_key
 from weldhead.clock import SECOND_US
+from weldhead.cluster_state.records import FinalRecord, JobRecord, final_key, job_key
 from weldhead.emulator.serving import Course, unserved
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import JobSpec, MachineType, split_task
 from weldhead.site.store.model import Store
-from weldhead.transport.state import decode
+from weldhead.transport.state_client import decode
 
 if TYPE_CHECKING:
     from weldhead.emulator.calendars import CalendarRules
--- a/weldhead/emulator/close_looks.py
+++ b/weldhead/emulator/close_looks.py
@@ -23,7 +23,7 @@
 from weldhead.emulator.services import STATE_ADDRESS
 from weldhead.protocol.wire import JobSpec, JobStatus
 from weldhead.site.store.model import Batch
-from weldhead.transport.server import Response
+from weldhead.transport.http_server import Response
 from weldhead.tunables.defaults import Tunables
 
 Write = Literal["submission", "cancellation", "completion"]
--- a/weldhead/emulator/controller.py
+++ b/weldhead/emulator/controller.py
@@ -5,13 +5,13 @@
 from functools import partial
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.coordination.node import Node
+from weldhead.controller.process import Node
 from weldhead.documents.records import Offer
 from weldhead.emulator.loop import Life, VirtualLoop
 from weldhead.emulator.network import Network, SimulatedHttp, SimulatedServer
 from weldhead.emulator.processor import START_US
 from weldhead.protocol.settings import Settings
-from weldhead.transport.server import Handler, Response
+from weldhead.transport.http_server import Handler, Response
 from weldhead.tunables.defaults import Tunables
 
 
--- a/weldhead/emulator/events.py
+++ b/weldhead/emulator/events.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import (
+from weldhead.cluster_state.preemption_history import TAKEN
+from weldhead.cluster_state.records import (
     FINAL,
     HIRES,
     JOBS,
@@ -19,7 +20,6 @@
     PROGRESS,
     LeaderRecord,
 )
-from weldhead.bookkeeping.taken import TAKEN
 from weldhead.documents.records import PREFIX as DOCUMENTS
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.controller import Controller
@@ -28,8 +28,8 @@
 from weldhead.emulator.scenario import Event, WriteKind
 from weldhead.protocol.wire import Command, DirectCommands, ReportAnswer
 from weldhead.site.store.model import Batch, Store, Write
-from weldhead.transport.server import Response
-from weldhead.transport.state import decode
+from weldhead.transport.http_server import Response
+from weldhead.transport.state_client import decode
 
 #: How often it is looked how far a term is.
 LOOK_S = 0.01
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -9,8 +9,8 @@
 from typing import TypeVar
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.coordination.documents import lateness
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.controller.configuration import late_notifications as lateness
+from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.records import Offer
 from weldhead.documents.source import parse_source
 from weldhead.emulator.calendars import CalendarRules
@@ -47,7 +47,7 @@
 )
 from weldhead.protocol.settings import Node as Peer
 from weldhead.protocol.wire import JobSpec, MachineType, split_task
-from weldhead.recovery.squaring import Tally, Verdict
+from weldhead.reconciliation.attempt_verdicts import Tally, Verdict
 from weldhead.site.pool import Machine as PoolMachine
 from weldhead.tunables.defaults import Tunables
 
--- a/weldhead/emulator/faults.py
+++ b/weldhead/emulator/faults.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Iterator
 from dataclasses import dataclass
 
-from weldhead.bookkeeping.records import LEADER_KEY, LeaderRecord
+from weldhead.cluster_state.records import LEADER_KEY, LeaderRecord
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.controller import Controller
 from weldhead.emulator.events import LOOK_S, Events, Happened
@@ -19,7 +19,7 @@
 from weldhead.emulator.services import LateWrites, SimulatedCloud, SimulatedStore
 from weldhead.emulator.users import Users
 from weldhead.emulator.zones import ZoneCuts
-from weldhead.transport.state import decode
+from weldhead.transport.state_client import decode
 
 #: Of how many machines the jobs that users cancel at once let hang at most.
 MOST_HUNG = 8
--- a/weldhead/emulator/gates.py
+++ b/weldhead/emulator/gates.py
@@ -13,10 +13,10 @@
 from weldhead.documents.records import Offer, state_key
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.users import Users
-from weldhead.gates.document import Gate
-from weldhead.gates.state import GateState
+from weldhead.gates.gate_document import Gate
+from weldhead.gates.gate_state import GateState
 from weldhead.protocol.wire import split_task
-from weldhead.transport.state import decode
+from weldhead.transport.state_client import decode
 
 #: So long the keeper waits for a rebuild before it goes on all the same.
 PATIENCE_S = 20.0
--- a/weldhead/emulator/hand_overs.py
+++ b/weldhead/emulator/hand_overs.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from weldhead.clock import now_us
-from weldhead.coordination.leadership.leader import Leader
+from weldhead.controller.leadership.leader import Leader
 from weldhead.emulator.events import kinds
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import BEGIN_S, Life, simulated
--- a/weldhead/emulator/lost_answers.py
+++ b/weldhead/emulator/lost_answers.py
@@ -7,7 +7,7 @@
 from weldhead.emulator.events import kinds
 from weldhead.emulator.experiment import Experiment
 from weldhead.site.store.model import Batch
-from weldhead.transport.server import Response
+from weldhead.transport.http_server import Response
 
 #: How many of the controllers' latest reads are kept.
 MOST_READS = 3_000
--- a/weldhead/emulator/machines.py
+++ b/weldhead/emulator/machines.py
@@ -26,8 +26,8 @@
     Work,
     Worker,
 )
-from weldhead.transport.http import CallFailed
-from weldhead.transport.server import Response
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_server import Response
 
 ANSWER_US = 4 * SECOND_US
 _encode = msgspec.json.Encoder().encode
--- a/weldhead/emulator/message_faults.py
+++ b/weldhead/emulator/message_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from weldhead.bookkeeping.records import LEADER_KEY
+from weldhead.cluster_state.records import LEADER_KEY
 from weldhead.emulator.controller import Controller
 from weldhead.emulator.events import LOOK_S, Events
 from weldhead.emulator.loop import VirtualLoop
--- a/weldhead/emulator/network.py
+++ b/weldhead/emulator/network.py
@@ -18,8 +18,8 @@
 from weldhead.clock import SECOND_US
 from weldhead.emulator.loop import Life, VirtualLoop, current_life
 from weldhead.emulator.processor import packet_us, request_us
-from weldhead.transport.http import CallFailed, HttpClient, NotConnected
-from weldhead.transport.server import Handler, Response
+from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
+from weldhead.transport.http_server import Handler, Response
 
 #: ``deaf``: connections come about, and of what is sent on them half arrives after the cut.
 #: ``mute``: no connection comes about from this side; those from the other side work both ways.
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/planted.py
@@ -12,40 +12,40 @@
 
 from msgspec import structs
 
-from weldhead.account.teams import Account
-from weldhead.attribution import failures
-from weldhead.attribution.verdict import FailureEvidence
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.records import LEADER_KEY, Bound, FinalRecord, JobRecord
 from weldhead.calendars.binding import state_of
-from weldhead.calendars.dues import Dues
+from weldhead.calendars.job_deadlines import Dues
 from weldhead.clock import SECOND_US, now_us
-from weldhead.coordination.documents import gates
-from weldhead.coordination.leadership import campaign, leader
-from weldhead.coordination.leadership.authority import Authority
-from weldhead.coordination.leadership.campaign import Campaign
-from weldhead.coordination.leadership.leader import Leader
-from weldhead.coordination.leadership.recovery import Recovery
-from weldhead.coordination.rentals.rentals import Rentals
-from weldhead.coordination.requests import frontdesk
-from weldhead.coordination.requests.chains import Linking
-from weldhead.coordination.requests.frontdesk import FrontDesk
-from weldhead.coordination.workers import reachability, reports
-from weldhead.coordination.workers.watching import MachineWatch
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job
+from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.records import LEADER_KEY, Bound, FinalRecord, JobRecord
+from weldhead.controller.configuration import gates
+from weldhead.controller.fleet.rental_manager import Rentals
+from weldhead.controller.leadership import leader, leader_election
+from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.leader_lease import Authority
+from weldhead.controller.leadership.term_recovery import Recovery
+from weldhead.controller.requests import request_handler
+from weldhead.controller.requests.job_dependencies import Linking
+from weldhead.controller.requests.request_handler import FrontDesk
+from weldhead.controller.workers import heartbeat_reconciler, reachability_monitor
+from weldhead.controller.workers.machine_monitor import MachineWatch
 from weldhead.documents.cache import DocumentCache
-from weldhead.gates.state import GateState
-from weldhead.planning import preemptor
+from weldhead.failure_attribution import failure_tracker
+from weldhead.failure_attribution.judgement import FailureEvidence
+from weldhead.gates.gate_state import GateState
 from weldhead.protocol.peer import Held, Hold
 from weldhead.protocol.wire import Condition, Delete, JobStatus, Put, Report
+from weldhead.quota.teams import Account
 from weldhead.reachability.evidence import DeliveryEvidence
 from weldhead.reachability.freshness import Freshness
-from weldhead.recovery import early as early_reports
-from weldhead.recovery.early import Early
-from weldhead.recovery.readiness import Partial
-from weldhead.transport.http import CallFailed
-from weldhead.transport.state import Refused, Rejected, StateClient
+from weldhead.reconciliation import buffered_heartbeats as early_reports
+from weldhead.reconciliation.buffered_heartbeats import Early
+from weldhead.reconciliation.partial_view import Partial
+from weldhead.scheduling.preemption import preemptor
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.state_client import Refused, Rejected, StateClient
 
 
 def _lease_from_the_answer() -> Iterator[Any]:
@@ -95,7 +95,7 @@
 
 def _in_flight_not_counted() -> Iterator[Any]:
     """A team's usage leaves out attempts that no worker has listed yet."""
-    start, release, moved_on = Cluster.start, Cluster.release, reports._moved_on
+    start, release, moved_on = Cluster.start, Cluster.release, heartbeat_reconciler._moved_on
     uncounted: dict[int, Attempt] = {}
 
     def begin(self: Cluster, *args: Any) -> Attempt:
@@ -118,7 +118,7 @@
 
     yield patch.object(Cluster, "start", begin)
     yield patch.object(Cluster, "release", end)
-    yield patch.object(reports, "_moved_on", first_listed)
+    yield patch.object(heartbeat_reconciler, "_moved_on", first_listed)
 
 
 def _any_failure_accuses() -> Iterator[Any]:
@@ -127,7 +127,7 @@
     def accuses(evidence: list[FailureEvidence], **_: bool) -> bool:
         return sum(a.count for a in evidence) >= 2
 
-    yield patch.object(failures, "is_faulty", accuses)
+    yield patch.object(failure_tracker, "is_faulty", accuses)
 
 
 def _below_a_guarantee() -> Iterator[Any]:
@@ -199,7 +199,7 @@
 def _late_report_applied() -> Iterator[Any]:
     """What a report lists is taken for what runs, however old it is."""
     yield patch.object(leader, "is_newer", lambda *_: True)
-    yield patch.object(reachability, "freshness_of", lambda *_: Freshness.FRESH)
+    yield patch.object(reachability_monitor, "freshness_of", lambda *_: Freshness.FRESH)
 
 
 def _forgotten_too_early() -> Iterator[Any]:
@@ -239,7 +239,7 @@
     async def settled(state: StateClient) -> int | None:
         return None
 
-    yield patch.object(campaign, "missed_from_us", settled)
+    yield patch.object(leader_election, "missed_from_us", settled)
 
 
 def _follower_answers_from_an_old_read() -> Iterator[Any]:
@@ -344,7 +344,7 @@
 
 def _any_job_accepted() -> Iterator[Any]:
     """A job is accepted whether or not it can ever run."""
-    yield patch.object(frontdesk, "check_feasible", lambda *_: None)
+    yield patch.object(request_handler, "check_feasible", lambda *_: None)
 
 
 def _cancelled_jobs_started() -> Iterator[Any]:
--- a/weldhead/emulator/processor.py
+++ b/weldhead/emulator/processor.py
@@ -11,10 +11,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from weldhead.coordination.placement.deciding import Deciding
-from weldhead.coordination.rentals.sizing import Sizing
+from weldhead.controller.fleet.autoscaler import Sizing
+from weldhead.controller.scheduling_loop.scheduling_loop import Deciding
 from weldhead.emulator.loop import VirtualLoop
-from weldhead.planning.outlook import Outlook
+from weldhead.scheduling.forecast.job_forecasts import Outlook
 
 #: A controller's start: interpreter and modules.
 START_US = 700_000.0
--- a/weldhead/emulator/rental_records.py
+++ b/weldhead/emulator/rental_records.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import HIRES, LEADER_KEY, HireRecord
 from weldhead.clock import SECOND_US
+from weldhead.cluster_state.records import HIRES, LEADER_KEY, HireRecord
 from weldhead.emulator.experiment import Experiment
 from weldhead.protocol.wire import Command, DirectCommands, ReportAnswer
 from weldhead.site.store.model import Batch
-from weldhead.transport.server import Response
+from weldhead.transport.http_server import Response
 
 #: A machine whose first task is sent so soon after it was up got work at once (seconds).
 AT_ONCE_S = 4.0
--- a/weldhead/emulator/services.py
+++ b/weldhead/emulator/services.py
@@ -20,9 +20,9 @@
 from weldhead.site.pool import Pool, PoolError
 from weldhead.site.store.model import Batch
 from weldhead.site.store.server import StateService
-from weldhead.transport.budget import Budget
-from weldhead.transport.duties import Duties
-from weldhead.transport.server import Response, refusal
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.token_bucket import Budget
 
 STATE_ADDRESS = "10.2.0.1:2379"
 CLOUD_ADDRESS = "10.2.0.2:8443"
--- a/weldhead/emulator/starts.py
+++ b/weldhead/emulator/starts.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import LEADER_KEY
 from weldhead.clock import SECOND_US
+from weldhead.cluster_state.records import LEADER_KEY
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.network import Network
 from weldhead.protocol.wire import Command, DirectCommands, ReportAnswer, split_task
 from weldhead.site.store.model import Store
-from weldhead.transport.server import Response
+from weldhead.transport.http_server import Response
 
 #: How long who leads may take to learn what another controller has confirmed.
 LEARNS_US = 3 * SECOND_US
--- a/weldhead/emulator/users.py
+++ b/weldhead/emulator/users.py
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import JobRecord, job_key
 from weldhead.clock import SECOND_US
+from weldhead.cluster_state.records import JobRecord, job_key
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.loop import BEGIN_S, Life, VirtualLoop
 from weldhead.emulator.network import Network
 from weldhead.emulator.scenario import JobClass, Scenario
 from weldhead.protocol.wire import JobSpec, JobStatus
 from weldhead.site.store.model import Batch, Store, Write
-from weldhead.transport.http import CallFailed
-from weldhead.transport.server import Response
+from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_server import Response
 
 #: The connections of a controller that is unhealthy for so long are reset.
 RESET_S = 5.0
--- a/weldhead/emulator/watched.py
+++ b/weldhead/emulator/watched.py
@@ -5,14 +5,14 @@
 from unittest.mock import patch
 
 from weldhead.clock import SECOND_US, surely_over_us
-from weldhead.coordination.node import Node
+from weldhead.controller.process import Node
 from weldhead.emulator.arrivals import Arrivals
 from weldhead.emulator.controller import Controller
 from weldhead.emulator.experiment import Experiment, Result, _result
 from weldhead.emulator.loop import VirtualLoop, simulated
 from weldhead.emulator.machines import Machine
 from weldhead.emulator.scenario import Scenario
-from weldhead.transport.server import Response
+from weldhead.transport.http_server import Response
 from weldhead.tunables.defaults import Tunables
 
 
--- a/weldhead/attribution/failures.py
+++ b/weldhead/failure_attribution/failure_tracker.py
@@ -6,17 +6,17 @@
 
 from dataclasses import dataclass, field
 
-from weldhead.attribution.verdict import (
+from weldhead.clock import MILLISECOND_US, SECOND_US
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job, Phase
+from weldhead.cluster_state.machines import Machine
+from weldhead.failure_attribution.judgement import (
     FailureEvidence,
     Standing,
     is_faulty,
     standing_of,
     survived_us,
 )
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase
-from weldhead.bookkeeping.machines import Machine
-from weldhead.clock import MILLISECOND_US, SECOND_US
 
 #: When an attempt began is known by reports only: what is to have begun after a failure must
 #: have been seen to begin so much later.
--- a/weldhead/gates/state.py
+++ b/weldhead/gates/gate_state.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from weldhead.bookkeeping.records import Deed
-from weldhead.gates.document import Gate
+from weldhead.cluster_state.records import Deed
+from weldhead.gates.gate_document import Gate
 
 #: How many editions are kept besides the newest that is open.
 KEPT = 3
--- a/weldhead/gates/book.py
+++ b/weldhead/gates/gate_tracker.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Iterable, Iterator
 
-from weldhead.bookkeeping.jobs import Attempt, Job, Opening, Phase, Stop
-from weldhead.bookkeeping.records import Hold
-from weldhead.gates.document import Gate
-from weldhead.gates.state import GateState, needed_now, permits, waits_for
+from weldhead.cluster_state.jobs import Attempt, Job, Opening, Phase, Stop
+from weldhead.cluster_state.records import Hold
+from weldhead.gates.gate_document import Gate
+from weldhead.gates.gate_state import GateState, needed_now, permits, waits_for
 
 #: Attempts that have not begun, as far as is known.
 UNBEGUN = (Phase.ASSIGNED, Phase.PULLING)
--- a/weldhead/protocol/validation.py
+++ b/weldhead/protocol/validation.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from weldhead.account.amounts import need
-from weldhead.account.teams import bounds_of
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import MAX_TASKS, JobSpec, MachineType
+from weldhead.quota.amounts import need
+from weldhead.quota.teams import bounds_of
 
 #: The one form of job ids.
 JOB_ID = re.compile(r"run-[0-9]{1,24}", re.ASCII)
--- a/weldhead/boots/expect.py
+++ b/weldhead/provisioning/boot_times.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import SECOND_US, seconds_us
+from weldhead.cluster_state.machines import Machine
 
 #: Machines hired within such a span are taken to be hired together.
 SPAN_US = 10 * SECOND_US
--- a/weldhead/account/teams.py
+++ b/weldhead/quota/teams.py
@@ -18,7 +18,9 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from weldhead.account.amounts import (
+from weldhead.protocol.settings import Team
+from weldhead.protocol.wire import JobSpec
+from weldhead.quota.amounts import (
     NOTHING,
     UNBOUNDED,
     UNITS,
@@ -30,8 +32,6 @@
     needs,
     times_in,
 )
-from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import JobSpec
 
 
 class Use:
--- a/weldhead/reachability/freshness.py
+++ b/weldhead/reachability/freshness.py
@@ -8,7 +8,7 @@
 
 import enum
 
-from weldhead.bookkeeping.machines import Machine
+from weldhead.cluster_state.machines import Machine
 from weldhead.protocol.wire import Report
 
 #: Answers to reports of an earlier token after which a machine on which something may run is not
--- a/weldhead/reachability/replacement.py
+++ b/weldhead/reachability/replacement.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Collection, Mapping
 
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.silence import look_gone
+from weldhead.cluster_state.machines import Machine
+from weldhead.reachability.silence import look_gone
 
 
 def replacing_us(machine: Machine) -> int:
--- a/weldhead/planning/silence.py
+++ b/weldhead/reachability/silence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection
 
-from weldhead.bookkeeping.machines import Machine
+from weldhead.cluster_state.machines import Machine
 
 
 def look_gone(silent: Collection[Machine], live: Collection[Machine]) -> bool:
--- a/weldhead/recovery/squaring.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job, TaskState
-from weldhead.bookkeeping.machines import Machine
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Job, TaskState
+from weldhead.cluster_state.machines import Machine
 from weldhead.protocol.wire import TaskReport, split_task
 
 K = TypeVar("K", bound=enum.Enum)
--- a/weldhead/recovery/outbox.py
+++ b/weldhead/reconciliation/command_queue.py
@@ -8,9 +8,9 @@
 import enum
 from heapq import heappop, heappush
 
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Phase, Stop
-from weldhead.bookkeeping.machines import Machine
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Phase, Stop
+from weldhead.cluster_state.machines import Machine
 
 _NO_DUE_US = 1 << 62
 
--- a/weldhead/recovery/readiness.py
+++ b/weldhead/reconciliation/partial_view.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from weldhead.bookkeeping.cluster import Cluster, Doubt
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.machines import Machine
+from weldhead.cluster_state.cluster import Cluster, Doubt
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.machines import Machine
 
 
 @dataclass(frozen=True)
--- a/weldhead/planning/fleet.py
+++ b/weldhead/scheduling/autoscaling/fleet.py
@@ -11,18 +11,18 @@
 from functools import cache
 from itertools import islice
 
-from weldhead.account.teams import within_guarantee
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase, Stop, TaskState
-from weldhead.bookkeeping.machines import EPSILON, Machine, how_many
-from weldhead.boots.expect import Expectations, Expected
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.demand import Demand
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import Goals, slack_us
-from weldhead.planning.holding import Ahead
-from weldhead.planning.placement import Plan, usable
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop, TaskState
+from weldhead.cluster_state.machines import EPSILON, Machine, how_many
 from weldhead.protocol.wire import MachineType, split_task
+from weldhead.provisioning.boot_times import Expectations, Expected
+from weldhead.quota.teams import within_guarantee
+from weldhead.scheduling.autoscaling.arrival_rates import Demand
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals, slack_us
+from weldhead.scheduling.placement.placement import Plan, usable
+from weldhead.scheduling.reservations.holding import Ahead
 
 
 @dataclass(frozen=True)
--- /dev/null
+++ b/weldhead/scheduling/forecast/__init__.py
@@ -0,0 +1,1 @@
+"""How long tasks run and when jobs finish."""
--- a/weldhead/planning/forecast.py
+++ b/weldhead/scheduling/forecast/completion_times.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.machines import Machine
 from weldhead.clock import seconds_us
-from weldhead.planning.estimates import Estimates
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.machines import Machine
+from weldhead.scheduling.forecast.run_times import Estimates
 
 
 @dataclass(frozen=True)
--- a/weldhead/planning/outlook.py
+++ b/weldhead/scheduling/forecast/job_forecasts.py
@@ -10,21 +10,21 @@
 from collections import Counter
 from collections.abc import Callable
 
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.feeds import Registry
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.machines import Machine
-from weldhead.bookkeeping.timers import Timers
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.forecast import (
+from weldhead.cluster_state.change_feed import Registry
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.deadline_heap import Timers
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.machines import Machine
+from weldhead.scheduling.forecast.completion_times import (
     Boots,
     due_us,
     forecast_chains,
     forecast_us,
     looks_unable,
 )
+from weldhead.scheduling.forecast.run_times import Estimates
 
 #: How old a forecast may be that a poll is answered with.
 FRESH_US = SECOND_US
--- a/weldhead/planning/estimates.py
+++ b/weldhead/scheduling/forecast/run_times.py
@@ -7,7 +7,7 @@
 
 import math
 
-from weldhead.bookkeeping.jobs import Attempt, Job
+from weldhead.cluster_state.jobs import Attempt, Job
 
 #: How many observations the assumption "the estimate is right" weighs as much as.
 PRIOR_WEIGHT = 2.0
--- a/weldhead/planning/urgency.py
+++ b/weldhead/scheduling/inherited_priority.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from weldhead.bookkeeping.chains import Chains
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.machines import how_many
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import Goals
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.jobs import Job
+from weldhead.cluster_state.machines import how_many
 from weldhead.protocol.wire import MachineType
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
 
 #: How many inherited bounds a job keeps.
 MOST_BOUNDS = 4
--- a/weldhead/planning/goals.py
+++ b/weldhead/scheduling/objectives.py
@@ -5,8 +5,8 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from weldhead.bookkeeping.jobs import Job
 from weldhead.clock import SECOND_US, seconds_us
+from weldhead.cluster_state.jobs import Job
 from weldhead.protocol.settings import Objective
 
 #: Later than any time that is reckoned with.
--- /dev/null
+++ b/weldhead/scheduling/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Which waiting task starts on which machine."""
--- a/weldhead/planning/backlog.py
+++ b/weldhead/scheduling/placement/backlog.py
@@ -16,13 +16,13 @@
 from itertools import islice
 from typing import NamedTuple
 
-from weldhead.account.amounts import NOTHING, Amount, need, needs, times_in
-from weldhead.account.teams import bounds_of, left, within_guarantee
-from weldhead.bookkeeping.cluster import CERTAIN, Cluster, Doubt
-from weldhead.bookkeeping.jobs import Job
-from weldhead.bookkeeping.timers import Timers
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import FOR_EVER_US, Goals, Press
+from weldhead.cluster_state.cluster import CERTAIN, Cluster, Doubt
+from weldhead.cluster_state.deadline_heap import Timers
+from weldhead.cluster_state.jobs import Job
+from weldhead.quota.amounts import NOTHING, Amount, need, needs, times_in
+from weldhead.quota.teams import bounds_of, left, within_guarantee
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import FOR_EVER_US, Goals, Press
 
 #: How many jobs of a class whose estimate has changed are put in place anew in one look.
 #: Until its turn a job stands where the last estimate put it.
--- a/weldhead/planning/placement.py
+++ b/weldhead/scheduling/placement/placement.py
@@ -13,17 +13,17 @@
 from heapq import heapify, heappop, heapreplace
 from itertools import islice
 
-from weldhead.bookkeeping.cluster import CERTAIN, Cluster
-from weldhead.bookkeeping.jobs import Job, Phase
-from weldhead.bookkeeping.machines import Machine, how_many
-from weldhead.bookkeeping.rooms import FreeRooms
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.backlog import Backlog, Entry, Reserve, Shape, Unplaced
-from weldhead.planning.cards import KeptCards
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import Goals
-from weldhead.planning.holding import Holds
+from weldhead.cluster_state.capacity_index import FreeRooms
+from weldhead.cluster_state.cluster import CERTAIN, Cluster
+from weldhead.cluster_state.jobs import Job, Phase
+from weldhead.cluster_state.machines import Machine, how_many
 from weldhead.protocol.wire import JobSpec
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.placement.backlog import Backlog, Entry, Reserve, Shape, Unplaced
+from weldhead.scheduling.preemption.gpu_claims import KeptCards
+from weldhead.scheduling.reservations.holding import Holds
 
 #: Seconds of image fetching that are worth not starting on an idle machine, and on one that
 #: is rented at the ordinary price: those are to fall idle and be returned.
--- /dev/null
+++ b/weldhead/scheduling/preemption/__init__.py
@@ -0,0 +1,1 @@
+"""Whose tasks give way to whose."""
--- a/weldhead/planning/cards.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -17,15 +17,15 @@
 from heapq import heapify, heappop, heapreplace
 from typing import TYPE_CHECKING, NamedTuple
 
-from weldhead.account.amounts import need
-from weldhead.bookkeeping.jobs import Attempt, Job
-from weldhead.bookkeeping.machines import EPSILON, Machine
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.backlog import Shape
+from weldhead.cluster_state.jobs import Attempt, Job
+from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.protocol.wire import JobSpec
+from weldhead.quota.amounts import need
+from weldhead.scheduling.placement.backlog import Shape
 
 if TYPE_CHECKING:
-    from weldhead.planning.preemptor import Pass
+    from weldhead.scheduling.preemption.preemptor import Pass
 
 
 #: Machines on which the claimant's image takes about as long to fetch are equals.
--- a/weldhead/planning/preemptor.py
+++ b/weldhead/scheduling/preemption/preemptor.py
@@ -16,19 +16,19 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from weldhead.account.amounts import Resource, claimed_resource, need
-from weldhead.account.teams import Account
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Phase, Stop
-from weldhead.bookkeeping.machines import EPSILON, Machine
-from weldhead.bookkeeping.reclaim import Reclaim, ReclaimLists
-from weldhead.bookkeeping.rooms import FreeRooms
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.backlog import Walk
-from weldhead.planning.cards import CardClaims, KeptCards
-from weldhead.planning.estimates import Estimates
-from weldhead.planning.goals import Goals, Press
-from weldhead.planning.placement import Plan, usable
+from weldhead.cluster_state.capacity_index import FreeRooms
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.machines import EPSILON, Machine
+from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
+from weldhead.quota.amounts import Resource, claimed_resource, need
+from weldhead.quota.teams import Account
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.objectives import Goals, Press
+from weldhead.scheduling.placement.backlog import Walk
+from weldhead.scheduling.placement.placement import Plan, usable
+from weldhead.scheduling.preemption.gpu_claims import CardClaims, KeptCards
 
 #: The first task of a job that waited for so long is not stopped for higher priorities' sake
 #: (a guarantee's apart) before it has run for so long.
--- a/weldhead/planning/holding.py
+++ b/weldhead/scheduling/reservations/holding.py
@@ -19,15 +19,15 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop
 
-from weldhead.account.amounts import need
-from weldhead.bookkeeping.cluster import Cluster
-from weldhead.bookkeeping.jobs import Attempt, Job, Stop
-from weldhead.bookkeeping.machines import EPSILON, Machine, how_many
-from weldhead.bookkeeping.timers import Timers
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.planning.backlog import Backlog, Shape
-from weldhead.planning.estimates import Estimates
+from weldhead.cluster_state.cluster import Cluster
+from weldhead.cluster_state.deadline_heap import Timers
+from weldhead.cluster_state.jobs import Attempt, Job, Stop
+from weldhead.cluster_state.machines import EPSILON, Machine, how_many
 from weldhead.protocol.wire import JobSpec, MachineType
+from weldhead.quota.amounts import need
+from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.placement.backlog import Backlog, Shape
 
 #: How often it is decided anew which machines are held.
 LOOK_US = 500_000
--- a/weldhead/serving.py
+++ b/weldhead/serving.py
@@ -63,7 +63,7 @@
     import uvloop
 
     with no_certificates():
-        from weldhead.coordination.node import Node
+        from weldhead.controller.process import Node
     from weldhead.protocol.settings import SettingsError, load_settings
     from weldhead.tunables.defaults import Tunables
 
--- a/weldhead/site/front.py
+++ b/weldhead/site/front.py
@@ -19,8 +19,8 @@
 from weldhead.site.parts import FrontSettings
 from weldhead.site.routing import PROBE_US, Backend, Balancer
 from weldhead.site.worker import Work
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, HttpClient, NotConnected
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/site/http.py
+++ b/weldhead/site/http.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from weldhead.protocol.wire import MAX_BODY_BYTES
-from weldhead.transport.server import BodyTooLarge, read_body
+from weldhead.transport.http_server import BodyTooLarge, read_body
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/site/keeper.py
+++ b/weldhead/site/keeper.py
@@ -20,8 +20,8 @@
 from weldhead.site.layout import Layout, write_whole
 from weldhead.site.parts import FrontSettings, PoolSettings, StateSettings
 from weldhead.site.processes import LIFELINE, Process, spawn, until_told
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, HttpClient
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed, HttpClient
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/site/pool_process.py
+++ b/weldhead/site/pool_process.py
@@ -29,9 +29,9 @@
 )
 from weldhead.site.processes import Process, lifeline, spawn
 from weldhead.site.records import RecordFile
-from weldhead.transport.budget import Budget
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, HttpClient
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.token_bucket import Budget
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/site/store/server.py
+++ b/weldhead/site/store/server.py
@@ -14,8 +14,8 @@
 from weldhead.site.http import Reply, error, integer, reply
 from weldhead.site.records import RecordFile
 from weldhead.site.store.model import Batch, Change, Failed, Store, StoreError
-from weldhead.transport.budget import Budget
-from weldhead.transport.duties import Duties
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.token_bucket import Budget
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -31,8 +31,8 @@
     Work,
     Worker,
 )
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, HttpClient
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed, HttpClient
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/transport/duties.py
+++ b/weldhead/transport/background_tasks.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from weldhead.transport.http import CallFailed
+from weldhead.transport.http_client import CallFailed
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/transport/cloud.py
+++ b/weldhead/transport/cloud_client.py
@@ -15,9 +15,9 @@
     MachineType,
     RentalRequest,
 )
-from weldhead.transport.budget import Budget
-from weldhead.transport.http import CallFailed, HttpClient
-from weldhead.transport.state import decode
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.state_client import decode
+from weldhead.transport.token_bucket import Budget
 
 
 class NoCapacity(Exception):
--- a/weldhead/transport/peers.py
+++ b/weldhead/transport/peer_links.py
@@ -11,7 +11,7 @@
 from typing import TypeVar
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.membership.verdict import Observed
+from weldhead.membership.peer_verdict import Observed
 from weldhead.protocol.peer import (
     Answer,
     Held,
@@ -26,8 +26,8 @@
     frame_length,
 )
 from weldhead.protocol.settings import Node, split_address
-from weldhead.transport.duties import Duties
-from weldhead.transport.http import CallFailed, NotConnected
+from weldhead.transport.background_tasks import Duties
+from weldhead.transport.http_client import CallFailed, NotConnected
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/transport/state.py
+++ b/weldhead/transport/state_client.py
@@ -24,8 +24,8 @@
     Put,
     Transaction,
 )
-from weldhead.transport.budget import Budget
-from weldhead.transport.http import CallFailed, HttpClient
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.token_bucket import Budget
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/transport/workers.py
+++ b/weldhead/transport/worker_commands.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from weldhead.protocol.wire import Command, DirectCommands, Report
-from weldhead.transport.http import CallFailed, HttpClient
-from weldhead.transport.state import decode
+from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.state_client import decode
 
 
 async def command(
--- a/weldhead/tunables/defaults.py
+++ b/weldhead/tunables/defaults.py
@@ -6,13 +6,13 @@
 
 from dataclasses import dataclass, field
 
-from weldhead.boots.expect import Expected
 from weldhead.clock import MILLISECOND_US, SECOND_US
-from weldhead.planning.fleet import FleetSettings
-from weldhead.planning.holding import HoldingSettings
-from weldhead.planning.preemptor import PreemptorSettings
-from weldhead.recovery.asking import AskSettings
-from weldhead.recovery.pace import PaceSettings
+from weldhead.provisioning.boot_times import Expected
+from weldhead.reconciliation.preemption_rate_limit import PaceSettings
+from weldhead.reconciliation.status_probes import AskSettings
+from weldhead.scheduling.autoscaling.fleet import FleetSettings
+from weldhead.scheduling.preemption.preemptor import PreemptorSettings
+from weldhead.scheduling.reservations.holding import HoldingSettings
 
 
 @dataclass
