--- a/tests/builders.py
+++ b/tests/builders.py
@@ -6,7 +6,7 @@
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import JobSpec, MachineType, Report, TaskReport
+from weldhead.protocol.wire import Heartbeat, JobSpec, MachineType, ReportedTask
 
 TOKEN = 41
 
@@ -73,8 +73,8 @@
 
 
 def report(
-    machine: Machine, sequence: int, tasks: list[TaskReport], session: int = 1, **changes: Any
-) -> Report:
+    machine: Machine, sequence: int, tasks: list[ReportedTask], session: int = 1, **changes: Any
+) -> Heartbeat:
     values: dict[str, Any] = {
         "machine": machine.name,
         "address": machine.address,
@@ -86,4 +86,4 @@
         "token": TOKEN,
         "tasks": tasks,
     }
-    return Report(**(values | changes))
+    return Heartbeat(**(values | changes))
--- a/tests/held_network.py
+++ b/tests/held_network.py
@@ -14,14 +14,14 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, leader_of, put_job, put_machine
-from weldhead.cluster_state.jobs import Stop, TaskState
+from weldhead.cluster_state.jobs import StopRequest, TaskState
 from weldhead.cluster_state.records import decode_progress, progress_key
-from weldhead.cluster_state.state_writer import Deposed
+from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import Command, DirectCommands, Report, split_task
+from weldhead.protocol.wire import Command, DirectCommands, Heartbeat, split_task
 from weldhead.site.worker import Action, Fetch, Phase, Place, Signal, Start, Work, Worker
-from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
+from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
 S = 1_000_000
 JOB = "run-000001"
@@ -71,7 +71,7 @@
     """A report on its way; it may arrive more than once."""
 
     host: str
-    report: Report
+    report: Heartbeat
     at_us: int
 
 
@@ -120,7 +120,7 @@
         await settle()
 
     async def _write(self, leader: Leader) -> None:
-        with contextlib.suppress(Deposed):
+        with contextlib.suppress(LeadershipLostError):
             await leader.ledger.run()
 
     async def _end(self, leader: Leader) -> None:
@@ -157,7 +157,7 @@
             leader.deciding.place()
             await settle()
 
-    async def stop(self, number: int, stop: Stop) -> None:
+    async def stop(self, number: int, stop: StopRequest) -> None:
         """Ask one of the attempts that the leader counts to stop."""
         active = list(self.leader.cluster.jobs[JOB].active.values())
         if active:
@@ -275,10 +275,10 @@
             case "answer" if waits and request.reply is not None:
                 request.answer.set_result(request.reply)
             case "fail" if waits:
-                request.answer.set_exception(CallFailed("no answer in time"))
+                request.answer.set_exception(CallError("no answer in time"))
             case "refuse" if waits and not request.arrived:
                 request.arrived = True
-                request.answer.set_exception(NotConnected("refused"))
+                request.answer.set_exception(NotConnectedError("refused"))
         await settle()
 
     async def calm(self) -> None:
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -2,7 +2,7 @@
 
 Each looks at everything there is, as the service itself did before it followed changes. They
 are kept as they were, but for the estimate by which waiting jobs are put in order
-(``Estimates.order_us``) and a place in the order for jobs that are alike in all else.
+(``RunTimeEstimates.order_us``) and a place in the order for jobs that are alike in all else.
 """
 
 import heapq
@@ -10,20 +10,31 @@
 from collections.abc import Iterable, Iterator
 
 from weldhead.clock import seconds_us
-from weldhead.cluster_state.capacity_index import FreeRooms
+from weldhead.cluster_state.capacity_index import CapacityIndex
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, Stop
-from weldhead.cluster_state.machines import EPSILON, how_many
+from weldhead.cluster_state.jobs import Attempt, Job, StopRequest
+from weldhead.cluster_state.machines import EPSILON, tasks_that_fit
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
 from weldhead.quota.amounts import Resource
-from weldhead.scheduling.autoscaling.fleet import Coming, FleetSettings, _Queue, usual_boots
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals, Press
-from weldhead.scheduling.placement.placement import Plan, Room, Rooms, _place, usable
-from weldhead.scheduling.preemption.preemptor import Pass, PreemptorSettings
+from weldhead.scheduling.autoscaling.fleet import (
+    CapacityForecast,
+    FleetSettings,
+    PendingRental,
+    usual_boots,
+)
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
+from weldhead.scheduling.placement.placement import (
+    FreeCapacity,
+    PassCapacity,
+    PlacementPlan,
+    _place,
+    usable,
+)
+from weldhead.scheduling.preemption.preemptor import PreemptionPass, PreemptorSettings
 
 
-class PlainPlan(Plan):
+class PlainPlan(PlacementPlan):
     """The decisions of one pass, and what is left over, each job with its count."""
 
     def __init__(self) -> None:
@@ -31,30 +42,34 @@
         self.listed: list[tuple[Job, int]] = []
 
 
-class PlainRooms(Rooms):
+class PlainRooms(PassCapacity):
     """All machines that may take work; each shape looks at every one of them."""
 
     def __init__(self, cluster: Cluster, at_us: int, silence_us: int) -> None:
         self.open = [
-            Room(machine)
+            FreeCapacity(machine)
             for machine in cluster.machines.values()
             if usable(machine, at_us, silence_us)
         ]
 
-    def for_job(self, job: Job) -> list[Room]:
+    def for_job(self, job: Job) -> list[FreeCapacity]:
         """Return the machines with room for the job's tasks."""
         return [r for r in self.open if r.fits(job) > 0 and r.machine.allows(job)]
 
 
 def order_key(
-    job: Job, estimates: Estimates, goals: Goals, at_us: int, patience_us: int
+    job: Job,
+    estimates: RunTimeEstimates,
+    goals: ServiceLevelObjectives,
+    at_us: int,
+    patience_us: int,
 ) -> tuple[int, ...]:
     """Sort waiting jobs: by need, then priority; those with time to spare by laxity alone."""
     task_us = estimates.order_us(job)
     press = goals.press(job, task_us, at_us, patience_us)
     return (
         press,
-        -job.level if press is not Press.PATIENT else 0,
+        -job.level if press is not Urgency.PATIENT else 0,
         1 if job.spec.is_service else 0,
         goals.laxity_us(job, task_us, at_us),
         job.first_seen_us,
@@ -64,13 +79,13 @@
 def guaranteed_tasks(cluster: Cluster, job: Job, cpus: float, gpus: float) -> int:
     """How many more tasks fit inside the team's guarantee, given its use."""
     team = cluster.teams[job.team]
-    return min(job.waiting, how_many(job.spec, team.cpus - cpus, team.gpus - gpus))
+    return min(job.waiting, tasks_that_fit(job.spec, team.cpus - cpus, team.gpus - gpus))
 
 
 def plain_starts(
     cluster: Cluster,
-    estimates: Estimates,
-    goals: Goals,
+    estimates: RunTimeEstimates,
+    goals: ServiceLevelObjectives,
     at_us: int,
     silence_us: int,
     patience_us: int,
@@ -98,7 +113,7 @@
             team = cluster.teams[job.team]
             cpus = team.cpus_max - usage.cpus - held[0]
             gpus = team.gpus_max - usage.gpus - held[1]
-            allowed = min(job.waiting - planned[job.id], how_many(job.spec, cpus, gpus))
+            allowed = min(job.waiting - planned[job.id], tasks_that_fit(job.spec, cpus, gpus))
             if guaranteed:
                 most = guaranteed_tasks(cluster, job, usage.cpus + held[0], usage.gpus + held[1])
                 allowed = min(allowed, most)
@@ -115,18 +130,18 @@
     return plan
 
 
-class PlainPass(Pass):
+class PlainPass(PreemptionPass):
     """A run of the preemptor that knows every machine and every job from the start."""
 
     def __init__(
         self,
         cluster: Cluster,
         lists: ReclaimLists,
-        estimates: Estimates,
+        estimates: RunTimeEstimates,
         at_us: int,
         settings: PreemptorSettings,
     ) -> None:
-        free = FreeRooms(cluster.machines)
+        free = CapacityIndex(cluster.machines)
         super().__init__(cluster, lists, estimates, at_us, settings, free)
         free.close()
         self.freed: dict[str, float] = defaultdict(float)
@@ -134,7 +149,7 @@
         for machine in cluster.machines.values():
             room = [machine.cpus, machine.gpus, machine.memory_gb]
             for attempt in machine.attempts.values():
-                if attempt.stop is not Stop.NO:
+                if attempt.stop is not StopRequest.NO:
                     self._add(room, attempt.job, 1)
                     self.freed[attempt.job.team] += attempt.job.spec.cpus
             self._free[machine.name] = room if usable(machine, at_us, settings.silence_us) else None
@@ -197,17 +212,17 @@
     cluster: Cluster,
     lists: ReclaimLists,
     plan: PlainPlan,
-    estimates: Estimates,
+    estimates: RunTimeEstimates,
     at_us: int,
     settings: PreemptorSettings,
-    goals: Goals,
+    goals: ServiceLevelObjectives,
     most: int = 64,
 ) -> list[Reclaim]:
     """Return the new requests of one run; every job that found no room is looked at."""
     run = PlainPass(cluster, lists, estimates, at_us, settings)
     reclaims: list[Reclaim] = []
     for job, unplaced in plan.listed:
-        if run.press(job, goals) is Press.PATIENT:
+        if run.press(job, goals) is Urgency.PATIENT:
             if not run.within(job):
                 continue
         for _ in range(max(0, unplaced - lists.count(job.id))):
@@ -220,14 +235,14 @@
     return reclaims
 
 
-class PlainQueue(_Queue):
+class PlainQueue(CapacityForecast):
     """A coarse forecast: waiting tasks take CPUs in order, as running ones give them back."""
 
     def __init__(
         self,
         cluster: Cluster,
-        coming: Iterable[Coming],
-        estimates: Estimates,
+        coming: Iterable[PendingRental],
+        estimates: RunTimeEstimates,
         at_us: int,
         settings: FleetSettings,
     ) -> None:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -13,20 +13,24 @@
 
 from weldhead.protocol.settings import StateLimits
 from weldhead.protocol.wire import (
-    Changes,
     Command,
     Condition,
-    Delete,
-    Entry,
-    Put,
-    Report,
-    ReportAnswer,
-    TaskReport,
+    DeleteKey,
+    Heartbeat,
+    HeartbeatAnswer,
+    KeyChanges,
+    KeyValue,
+    PutKey,
+    ReportedTask,
 )
 from weldhead.site.store.model import Batch, Failed, Store, StoreError, Write
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Conflict, Refused, Rejected
-from weldhead.transport.token_bucket import Budget
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import (
+    ConflictError,
+    RequestRefusedError,
+    TransactionRejectedError,
+)
+from weldhead.transport.token_bucket import TokenBucket
 
 
 @dataclass
@@ -49,24 +53,24 @@
     tasks: dict[str, StandInTask] = field(default_factory=dict)
     starts: list[tuple[str, int]] = field(default_factory=list)
 
-    def report(self) -> Report:
+    def report(self) -> Heartbeat:
         self.sequence += 1
         tasks = [
-            TaskReport(name, task.attempt, task.state, task.why, task.saved)  # type: ignore[arg-type]
+            ReportedTask(name, task.attempt, task.state, task.why, task.saved)  # type: ignore[arg-type]
             for name, task in self.tasks.items()
         ]
-        return Report(
+        return Heartbeat(
             self.name, "10.0.0.9:1", "m4", "a", False, self.session, self.sequence, self.token,
             tasks,
         )  # fmt: skip
 
-    def answered(self, answer: ReportAnswer) -> None:
+    def answered(self, answer: HeartbeatAnswer) -> None:
         if answer.token < self.token:
             return
         self.token = answer.token
         self.execute(answer.commands)
 
-    def direct(self, token: int, session: int, commands: list[Command]) -> tuple[bool, Report]:
+    def direct(self, token: int, session: int, commands: list[Command]) -> tuple[bool, Heartbeat]:
         accepted = token >= self.token and session == self.session
         self.token = max(self.token, token)
         if accepted:
@@ -104,12 +108,12 @@
     def __init__(self) -> None:
         self.store = Store(StateLimits(1e6, 1e6, 8.0, 12))
         self.store.revision = 1
-        self.creates = Budget(1e6, 1e6)
+        self.creates = TokenBucket(1e6, 1e6)
         self.max_writes = 12
         self.value_bytes = 8192
         #: What happens to the next transactions: ok, refused, lost, unanswered or late.
         self.fates: list[str] = []
-        self.late: list[tuple[list[Condition], list[Put | Delete]]] = []
+        self.late: list[tuple[list[Condition], list[PutKey | DeleteKey]]] = []
         self.calls = itertools.count()
         #: How many keys a page has.
         self.page = 100
@@ -141,48 +145,48 @@
     def delete(self, key: str) -> None:
         self.store.commit(Batch([], [Write(delete=key)]), 0)
 
-    def apply(self, conditions: list[Condition], writes: list[Put | Delete]) -> int:
+    def apply(self, conditions: list[Condition], writes: list[PutKey | DeleteKey]) -> int:
         self.store.limits = self.limits
         batch = [
             Write(set=w.key, value=msgspec.Raw(msgspec.json.encode(w.value)), lease=w.lease)
-            if isinstance(w, Put)
+            if isinstance(w, PutKey)
             else Write(delete=w.key)
             for w in writes
         ]
         try:
             return self.store.commit(Batch(conditions, batch), 0)
         except Failed as failed:
-            raise Conflict(failed.keys[0]) from failed
+            raise ConflictError(failed.keys[0]) from failed
         except StoreError as error:
-            raise Rejected(str(error)) from error
+            raise TransactionRejectedError(str(error)) from error
 
     def release_late(self) -> None:
         """Apply what was held back; what no longer holds is refused."""
         for conditions, writes in self.late:
             try:
                 self.apply(conditions, writes)
-            except (Conflict, Rejected):
+            except (ConflictError, TransactionRejectedError):
                 continue
         self.late.clear()
 
     async def transact(
-        self, conditions: list[Condition], writes: list[Put | Delete], **_: Any
+        self, conditions: list[Condition], writes: list[PutKey | DeleteKey], **_: Any
     ) -> int:
         fate = self.fates.pop(0) if self.fates else "ok"
         match fate:
             case "refused":
-                raise Refused("503")
+                raise RequestRefusedError("503")
             case "lost":
-                raise CallFailed("lost")
+                raise CallError("lost")
             case "late":
                 self.late.append((list(conditions), list(writes)))
-                raise CallFailed("held back")
+                raise CallError("held back")
             case "unanswered":
                 self.apply(conditions, writes)
-                raise CallFailed("the answer was lost")
+                raise CallError("the answer was lost")
         return self.apply(conditions, writes)
 
-    async def pages(self, prefix: str) -> AsyncIterator[tuple[list[Entry], int]]:
+    async def pages(self, prefix: str) -> AsyncIterator[tuple[list[KeyValue], int]]:
         revision, start, more = self.store.revision, "", True
         while more:
             await asyncio.sleep(0)
@@ -190,12 +194,12 @@
             yield page.items, revision
             more, start = page.more, page.items[-1].key if page.items else ""
 
-    async def watch(self, prefix: str, revision: int, wait_us: int) -> Changes:
+    async def watch(self, prefix: str, revision: int, wait_us: int) -> KeyChanges:
         """Return what has changed since; it never waits."""
         await asyncio.sleep(0)
-        return Changes(self.store.revision, self.store.changes(prefix, revision))
+        return KeyChanges(self.store.revision, self.store.changes(prefix, revision))
 
-    async def get(self, key: str, **_: Any) -> Entry | None:
+    async def get(self, key: str, **_: Any) -> KeyValue | None:
         return self.store.get(key)
 
 
@@ -214,7 +218,7 @@
         return self.keys[key][1] if key in self.keys else 0
 
     async def transact(
-        self, conditions: list[Condition], writes: list[Put | Delete], **_: Any
+        self, conditions: list[Condition], writes: list[PutKey | DeleteKey], **_: Any
     ) -> int:
         revision = self.apply(conditions, writes)
         if self.loses and any(write.key.startswith(self.loses) for write in writes):
@@ -223,5 +227,5 @@
                 self.loses = ""
                 self.lost = {write.key: self.version(write.key) for write in writes}
                 await self.meanwhile()
-                raise CallFailed("the answer was lost")
+                raise CallError("the answer was lost")
         return revision
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -10,33 +10,45 @@
 
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
 from weldhead.cluster_state.preemption_history import (
-    LEAST_HOLD_US,
-    MOST_AN_HOUR,
+    MAX_PREEMPTIONS_PER_HOUR,
+    MIN_UNDISTURBED_US,
     SHARDS,
-    Taken,
+    PreemptionHistory,
+    restore_rows,
     rows_of,
     shard_of,
-    take_up,
 )
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
 from weldhead.controller.workers.heartbeat_reconciler import apply_report, request_stop
 from weldhead.protocol.settings import Objective, Team
-from weldhead.protocol.wire import TaskReport
-from weldhead.quota.amounts import UNBOUNDED, UNITS, Resource, bound, need, needs
-from weldhead.quota.teams import Account, bounds_of
-from weldhead.scheduling.autoscaling.fleet import Market, plan_hires, plan_returns
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
-from weldhead.scheduling.placement.placement import Plan, Room, fetch_delay_us, plan_starts
+from weldhead.protocol.wire import ReportedTask
+from weldhead.quota.amounts import (
+    UNBOUNDED,
+    UNITS,
+    Resource,
+    allowed_units,
+    required_amounts,
+    required_units,
+)
+from weldhead.quota.teams import QuotaAccount, bounds_of
+from weldhead.scheduling.autoscaling.fleet import RentalOffers, plan_scale_in, plan_scale_out
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
+from weldhead.scheduling.placement.placement import (
+    FreeCapacity,
+    PlacementPlan,
+    fetch_delay_us,
+    plan_starts,
+)
 from weldhead.scheduling.preemption.gpu_claims import fetch_us
-from weldhead.scheduling.preemption.preemptor import plan_reclaims
+from weldhead.scheduling.preemption.preemptor import plan_preemptions
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
 SILENCE = 600 * S
-GOALS = Goals([Objective("wait", "serve", 0.9, 8.0)])
+GOALS = ServiceLevelObjectives([Objective("wait", "serve", 0.9, 8.0)])
 SETTINGS = Tunables().preemptor.settings(SILENCE)
 GIVES_CARDS: Any = {"gpus": 4.0, "cpus": 32.0, "memory_gb": 256.0, "cache_gb": 60.0}
 
@@ -68,24 +80,24 @@
     return add_job(into, job_spec(number, **values), at_us)
 
 
-def place(into: Cluster, at_us: int) -> Plan:
-    plan = plan_starts(into, Estimates(), GOALS, at_us, SILENCE, 45 * S)
+def place(into: Cluster, at_us: int) -> PlacementPlan:
+    plan = plan_starts(into, RunTimeEstimates(), GOALS, at_us, SILENCE, 45 * S)
     for start in plan.starts:
         attempt = into.start(start.job, start.index, start.machine, at_us)
-        attempt.phase, attempt.running_us = Phase.RUNNING, at_us
+        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, at_us
         attempt.sent_sequence = 1
         start.machine.note_image(start.job.spec.image, start.job.spec.image_gb)
     return plan
 
 
-def reclaim(into: Cluster, plan: Plan, lists: ReclaimLists, at_us: int) -> list[Reclaim]:
-    found = plan_reclaims(into, lists, plan, Estimates(), at_us, SETTINGS, GOALS)
+def reclaim(into: Cluster, plan: PlacementPlan, lists: ReclaimLists, at_us: int) -> list[Reclaim]:
+    found = plan_preemptions(into, lists, plan, RunTimeEstimates(), at_us, SETTINGS, GOALS)
     for entry in found:
         lists.add(entry)
         for victim in entry.victims:
             if victim.job.spec.gpus > 0:
                 lists.taken.stop(victim, at_us)
-            request_stop(into, victim, Stop.SOFT, at_us, "room")
+            request_stop(into, victim, StopRequest.SOFT, at_us, "room")
     return found
 
 
@@ -98,12 +110,16 @@
 
 @given(st.lists(st.integers(0, 10**9), max_size=50))
 def test_sums_of_decimals_are_exact(thousandths: list[int]) -> None:
-    assert sum(need(n / 1000) for n in thousandths) == sum(thousandths) * UNITS // 1000
-    assert all(bound(n / 1000) == need(n / 1000) for n in thousandths)
+    assert sum(required_units(n / 1000) for n in thousandths) == sum(thousandths) * UNITS // 1000
+    assert all(allowed_units(n / 1000) == required_units(n / 1000) for n in thousandths)
 
 
 def test_a_need_is_never_understated_nor_a_bound_overstated() -> None:
-    assert (need(4e-7), bound(4e-7), need(math.inf)) == (1, 0, UNBOUNDED)
+    assert (required_units(4e-7), allowed_units(4e-7), required_units(math.inf)) == (
+        1,
+        0,
+        UNBOUNDED,
+    )
     # A limit of 0 means none, and whatever was taken of it, all of it is left.
     assert bounds_of(Team("guest", 0, 0, 0, 0)).limit == (UNBOUNDED, UNBOUNDED)
 
@@ -113,7 +129,7 @@
     add(into, tuning(1, 2))
     add(into, tuning(2, 2, gpus=0.0))
     place(into, S)
-    account = Account(into.teams, into.usage)
+    account = QuotaAccount(into.teams, into.usage)
     assert account.borrows("tuning", Resource.CPUS)
     assert not account.borrows("tuning", Resource.CARDS)
     position = account.position("tuning", Resource.CARDS)
@@ -196,7 +212,7 @@
     add(after, replicas(2, 24))
     for machine in after.machines.values():
         tasks = [
-            TaskReport(a.task, a.number, "saving" if a in stopped else "running")
+            ReportedTask(a.task, a.number, "saving" if a in stopped else "running")
             for a in tuned.active.values()
             if a.machine == machine.name
         ]
@@ -262,7 +278,7 @@
     into = with_cards(1, Team("serving", 0, 0, 4), Team("tuning", 0))
     tuned = add(into, tuning(1, 1))
     machine = next(iter(into.machines.values()))
-    taken, stops = Taken(), list[int]()
+    taken, stops = PreemptionHistory(), list[int]()
     now = S
     attempt = into.start(tuned, 0, machine, now)
     attempt.running_us = now
@@ -277,7 +293,7 @@
         attempt = into.start(tuned, 0, machine, now)
         attempt.running_us = now
     for first in stops:
-        assert sum(first <= stop < first + 3_600 * S for stop in stops) <= MOST_AN_HOUR
+        assert sum(first <= stop < first + 3_600 * S for stop in stops) <= MAX_PREEMPTIONS_PER_HOUR
 
 
 def test_a_task_that_was_stopped_is_let_run_for_the_least_hold() -> None:
@@ -285,7 +301,7 @@
     add(into, tuning(1, 2))
     place(into, S)
     lists = ReclaimLists()
-    for number, at_us in ((2, 2 * S), (3, 20 * S), (4, 15 * S + LEAST_HOLD_US)):
+    for number, at_us in ((2, 2 * S), (3, 20 * S), (4, 15 * S + MIN_UNDISTURBED_US)):
         wanted = add(into, replicas(number, 4))
         stopped = victims(reclaim(into, place(into, at_us), lists, at_us))
         assert len(stopped) == (0 if number == 3 else 2)
@@ -315,9 +331,9 @@
     for index in running:
         if index not in [victim.index for victim in stopped]:
             attempt = after.start(again, index, after.machines[tuned.active[index].machine], S)
-            attempt.phase = Phase.RUNNING
-    found = Taken()
-    take_up(found, rows, after.jobs, 880 * S)
+            attempt.phase = AttemptPhase.RUNNING
+    found = PreemptionHistory()
+    restore_rows(found, rows, after.jobs, 880 * S)
     by_first, by_second = place(into, 30 * S).starts, place(after, 50 * S).starts
     into.jobs.remove("run-000002")
     order = [(start.index, start.machine.name) for start in by_second]
@@ -325,13 +341,13 @@
     assert all(start.job.id == "run-000002" for start in by_first[:8])
     # Nor may the second leader stop them at once again.
     attempt = again.active[stopped[0].index]
-    assert found.kept(attempt, 60 * S) and not found.kept(attempt, 55 * S + LEAST_HOLD_US)
+    assert found.kept(attempt, 60 * S) and not found.kept(attempt, 55 * S + MIN_UNDISTURBED_US)
 
 
 def test_a_full_record_leaves_out_what_was_stopped_longest_ago() -> None:
     into = with_cards(1, Team("tuning", 0))
     job = add(into, tuning(1, 500))
-    taken = Taken()
+    taken = PreemptionHistory()
     machine = next(iter(into.machines))
     for index in range(500):
         taken.stop(Attempt(job, index, index + 1, machine, 0), (index + 1) * S)
@@ -391,8 +407,8 @@
         found = dict.fromkeys(self.into.teams, 0)
         for machine in self.into.machines.values():
             for attempt in machine.attempts.values():
-                if attempt.stop is Stop.NO:
-                    found[attempt.job.team] += needs(attempt.job.spec)[Resource.CARDS]
+                if attempt.stop is StopRequest.NO:
+                    found[attempt.job.team] += required_amounts(attempt.job.spec)[Resource.CARDS]
         return found
 
     def decide(self) -> None:
@@ -436,7 +452,7 @@
     machine = next(iter(into.machines.values()))
     large = add(into, replicas(1, 1, image_gb=80.0))
     machine.note_image("weights", 80.0)
-    assert fetch_delay_us(large, Room(machine)) == fetch_us(large.spec, machine) == 80 * S
+    assert fetch_delay_us(large, FreeCapacity(machine)) == fetch_us(large.spec, machine) == 80 * S
 
 
 def test_weights_that_are_placed_side_by_side_go_to_machines_of_their_own() -> None:
@@ -479,7 +495,7 @@
     kinds = [machine_type(name="plain", cpus=64.0, memory_gb=512.0, price=0.1, spot_price=0.1)]
     kinds.append(machine_type(name="cards", **GIVES_CARDS))
     fleet = Tunables().fleet.settings()
-    found = plan_hires(into, plan, Market(kinds), Estimates(), GOALS, S, fleet)
+    found = plan_scale_out(into, plan, RentalOffers(kinds), RunTimeEstimates(), GOALS, S, fleet)
     assert [(offer.type.name, count) for offer, count in found.items()] == [("cards", 1)]
 
 
@@ -491,5 +507,5 @@
     fleet = Tunables().fleet.settings()
     machine.closing = True
     machine.idle_since_us = 100 * S
-    assert plan_returns(into, 135 * S, fleet) == []
-    assert plan_returns(into, 136 * S, fleet) == [machine]
+    assert plan_scale_in(into, 135 * S, fleet) == []
+    assert plan_scale_in(into, 136 * S, fleet) == [machine]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,17 +7,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhead.admission.fair_rate_limiter import GIVEN_UP_US, Turns
+from weldhead.admission.fair_rate_limiter import GIVEN_UP_US, FairRateLimiter
 from weldhead.admission.team_rate_limiter import (
     ACTIVE_US,
     LEAST_WAIT_S,
     MOST_WAIT_S,
-    Shares,
-    in_turns,
+    TeamRateLimiter,
+    round_robin,
 )
 from weldhead.clock import MILLISECOND_US
 from weldhead.clock import SECOND_US as S
-from weldhead.transport.token_bucket import Budget
+from weldhead.transport.token_bucket import TokenBucket
 
 RATE, BURST = 10.0, 8.0
 ARRIVALS = st.lists(st.tuples(st.integers(0, 400_000), st.sampled_from("abc")), max_size=200)
@@ -27,7 +27,7 @@
 def test_no_more_is_taken_than_there_is_and_whoever_waits_is_told_for_how_long(
     arrivals: list[tuple[int, str]],
 ) -> None:
-    shares, at_us, taken = Shares(BURST), 1, 0
+    shares, at_us, taken = TeamRateLimiter(BURST), 1, 0
     for pause_us, team in arrivals:
         at_us += pause_us
         wait_s = shares.admit(team, RATE, at_us)
@@ -39,7 +39,7 @@
 @given(st.integers(1, 40), st.integers(4, 20))
 def test_a_flood_of_one_team_keeps_nobody_else_waiting(flood: int, every: int) -> None:
     """A guest's single tasks, forty a second, had other teams' jobs wait for 47 s."""
-    shares, refused = Shares(BURST), 0
+    shares, refused = TeamRateLimiter(BURST), 0
     for step in range(400):
         at_us = 1 + step * 100 * MILLISECOND_US
         for _ in range(flood):
@@ -51,14 +51,14 @@
 
 
 def test_what_was_taken_long_ago_is_not_kept() -> None:
-    shares = Shares(BURST)
+    shares = TeamRateLimiter(BURST)
     for second in range(1, 200):
         assert shares.admit("red", RATE, second * S) == 0
     assert len(shares._taken) <= ACTIVE_US // S + 1
 
 
 def test_who_is_told_that_a_rate_is_used_up_slows_down_and_recovers() -> None:
-    budget = Budget(20.0, 8.0)
+    budget = TokenBucket(20.0, 8.0)
     budget.drain()
     budget.drain()
     assert 20.0 * 4 / 9 <= budget.rate < 20.0 * 4 / 9 + 0.1
@@ -75,7 +75,7 @@
     owners: list[str],
 ) -> None:
     numbered = list(enumerate(owners))
-    turns = in_turns(numbered, lambda item: item[1])
+    turns = round_robin(numbered, lambda item: item[1])
     assert sorted(turns) == numbered
     for owner in "abc":
         assert [i for i in turns if i[1] == owner] == [i for i in numbered if i[1] == owner]
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("jobs", [60, 200, 300])
 def test_nobody_who_asks_is_forgotten(jobs: int) -> None:
     """Nine answers a second, and up to 60 jobs asked about a second: chance forgot some."""
-    turns, chance = Turns(18.0, 36.0, 1), Random(jobs)
+    turns, chance = FairRateLimiter(18.0, 36.0, 1), Random(jobs)
     answered_us = dict.fromkeys(range(jobs), 1)
     asks = [(chance.randrange(1, 5 * S), job) for job in answered_us]
     longest_us = 0
@@ -103,7 +103,7 @@
 
 
 def test_what_is_remembered_of_those_who_wait_is_bounded() -> None:
-    turns = Turns(1.0, 2.0, 1, most=3)
+    turns = FairRateLimiter(1.0, 2.0, 1, most=3)
     for name in "abcd":
         turns.failed(name, S)
     assert turns.waited_us("a", 11 * S) == 10 * S
@@ -117,7 +117,7 @@
 
 
 def test_what_an_answer_costs_besides_is_waited_for_by_others() -> None:
-    turns = Turns(10.0, 20.0, 1)
+    turns = FairRateLimiter(10.0, 20.0, 1)
     assert turns.take("long", 8.0, 1)
     turns.charge(500.0, 1)
     assert not turns.take("other", 1.0, 1 + 2 * S)
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -17,10 +17,10 @@
     MOST_PAUSE_US,
     RENT_PAUSE_US,
     REVIEW_US,
-    Failures,
+    FailureTracker,
 )
-from weldhead.failure_attribution.judgement import FailureEvidence, Standing, is_faulty, standing_of
-from weldhead.scheduling.placement.placement import Plan
+from weldhead.failure_attribution.judgement import FailureEvidence, JobHealth, is_faulty, job_health
+from weldhead.scheduling.placement.placement import PlacementPlan
 
 EVIDENCE = st.lists(st.builds(FailureEvidence, st.integers(1, 9), st.booleans(), st.booleans()))
 
@@ -41,50 +41,52 @@
 def test_a_job_that_succeeds_somewhere_is_never_called_broken(
     succeeds: bool, failed_on: int, on_proven: int
 ) -> None:
-    standing = standing_of(succeeds=succeeds, failed_on=failed_on, on_proven=on_proven)
-    assert (standing is Standing.SOUND) == succeeds
+    standing = job_health(succeeds=succeeds, failed_on=failed_on, on_proven=on_proven)
+    assert (standing is JobHealth.SOUND) == succeeds
     if not succeeds and failed_on < 2 and not on_proven:
-        assert standing is Standing.OPEN
+        assert standing is JobHealth.OPEN
 
 
-def starts(into: Cluster, at_us: int) -> Plan:
+def starts(into: Cluster, at_us: int) -> PlacementPlan:
     """A pass while all machines are heard."""
     for machine in into.machines.values():
         machine.heard_us = at_us
     return starts_of(into, at_us)
 
 
-def fail(failures: Failures, into: Cluster, job: Job, index: int, on: Machine, at_us: int) -> None:
+def fail(
+    failures: FailureTracker, into: Cluster, job: Job, index: int, on: Machine, at_us: int
+) -> None:
     attempt = run_on(into, job, index, on, at_us - S // 10)
     into.release(attempt)
     failures.failed(attempt, at_us)
 
 
-def judged(failures: Failures, into: Cluster) -> dict[str, Standing]:
+def judged(failures: FailureTracker, into: Cluster) -> dict[str, JobHealth]:
     """Look once, and apply what a leader applies; the standings that changed."""
     review = failures.review(into)
     for machine in review.faulty:
         machine.draining = True
     for job, standing in review.changed:
-        job.broken = standing is Standing.BROKEN
-        job.probing = standing is not Standing.SOUND
+        job.broken = standing is JobHealth.BROKEN
+        job.probing = standing is not JobHealth.SOUND
     return {job.id: standing for job, standing in review.changed}
 
 
 def test_a_broken_job_drains_no_machine_and_takes_little() -> None:
     """One that failed with many tasks on each machine had them all returned, one by one."""
-    into, failures = cluster(), Failures()
+    into, failures = cluster(), FailureTracker()
     machines = [add_machine(into, f"vm-{n}", cpus=64.0, memory_gb=64.0) for n in range(4)]
     job = add_job(into, job_spec(1, tasks=30))
     for n, index in enumerate((0, 1, 2)):
         fail(failures, into, job, index, machines[0], (n + 1) * S)
-    assert judged(failures, into) == {job.id: Standing.OPEN}
+    assert judged(failures, into) == {job.id: JobHealth.OPEN}
     # Tried elsewhere, one task at a time, and nothing is rented or stopped for it.
     plan = starts(into, 10 * S)
     assert [start.machine is machines[0] for start in plan.starts] == [False]
     assert not plan.unplaced
     fail(failures, into, job, 0, machines[1], 11 * S)
-    assert judged(failures, into) == {job.id: Standing.BROKEN}
+    assert judged(failures, into) == {job.id: JobHealth.BROKEN}
     for tries in range(12):
         before_us = (20 + 100 * tries) * S
         fail(failures, into, job, 0, machines[tries % 4], before_us)
@@ -98,7 +100,7 @@
 
 
 def test_a_faulty_machine_is_found_beside_broken_jobs() -> None:
-    into, failures = cluster(), Failures()
+    into, failures = cluster(), FailureTracker()
     sick, well = (add_machine(into, name, cpus=64.0, memory_gb=64.0) for name in ("vm-1", "vm-2"))
     broken = [add_job(into, job_spec(n, tasks=8)) for n in range(1, 6)]
     for job in broken:
@@ -118,21 +120,21 @@
 
 
 def test_a_machine_on_which_others_succeed_since_is_healthy_and_the_job_broken() -> None:
-    into, failures = cluster(), Failures()
+    into, failures = cluster(), FailureTracker()
     machine = add_machine(into, cpus=64.0, memory_gb=64.0)
     job = add_job(into, job_spec(1, tasks=8))
     fail(failures, into, job, 0, machine, S)
-    assert judged(failures, into) == {job.id: Standing.OPEN}
+    assert judged(failures, into) == {job.id: JobHealth.OPEN}
     # What began before the failure proves nothing: machines fall sick.
     failures.succeeded(machine, S)
     assert judged(failures, into) == {}
     failures.succeeded(machine, 3 * S)
-    assert judged(failures, into) == {job.id: Standing.BROKEN}
+    assert judged(failures, into) == {job.id: JobHealth.BROKEN}
 
 
 @pytest.mark.parametrize("alone", [True, False])
 def test_many_new_jobs_failing_on_one_machine_accuse_it_only_where_it_is_alone(alone: bool) -> None:
-    into, failures = cluster(), Failures()
+    into, failures = cluster(), FailureTracker()
     machine = add_machine(into, cpus=64.0, memory_gb=64.0)
     if not alone:
         add_machine(into, "vm-2")
@@ -144,12 +146,12 @@
 
 
 def test_a_job_that_was_only_unlucky_goes_on_at_its_whole_width() -> None:
-    into, failures = cluster(), Failures()
+    into, failures = cluster(), FailureTracker()
     sick = [add_machine(into, f"vm-{n}") for n in range(2)]
     job = add_job(into, job_spec(1, tasks=4, cpus=1.0))
     for machine in sick:
         fail(failures, into, job, 0, machine, S)
-    assert judged(failures, into) == {job.id: Standing.BROKEN}
+    assert judged(failures, into) == {job.id: JobHealth.BROKEN}
     assert job.not_before_us == S + REVIEW_US
     well = add_machine(into, "vm-9")
     (start,) = starts(into, 3 * S).starts
@@ -159,12 +161,12 @@
     well.heard_us = 7 * S
     assert judged(failures, into) == {}
     well.heard_us = 9 * S
-    assert judged(failures, into) == {job.id: Standing.SOUND}
+    assert judged(failures, into) == {job.id: JobHealth.SOUND}
     assert job.waiting == 3
 
 
 def test_a_job_with_no_machine_to_be_tried_on_has_one_rented_but_rarely_once_it_is_broken() -> None:
-    into, failures = cluster(), Failures()
+    into, failures = cluster(), FailureTracker()
     machine = add_machine(into)
     job = add_job(into, job_spec(1))
     fail(failures, into, job, 0, machine, S)
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -7,9 +7,15 @@
 from weldhead.clock import SECOND_US as S
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.machines import Machine
-from weldhead.provisioning.boot_times import LEAST, Boots, Expectations, Expected, expected_of
-
-USUAL = Expected(1.0, 2.0, 4.0)
+from weldhead.provisioning.boot_times import (
+    LEAST,
+    BootExpectation,
+    BootExpectations,
+    BootHistory,
+    expected_of,
+)
+
+USUAL = BootExpectation(1.0, 2.0, 4.0)
 BOOT_S = 30
 RATIOS = st.lists(st.floats(0.01, 9.0), max_size=60)
 
@@ -37,19 +43,19 @@
     return made
 
 
-def come(boots: Boots, machines: list[Machine], at_us: int) -> None:
+def come(boots: BootHistory, machines: list[Machine], at_us: int) -> None:
     for machine in machines:
         boots.came(machine, at_us)
         machine.order = (1, 1)
 
 
-def look(boots: Boots, into: Cluster, at_us: int) -> Expectations:
+def look(boots: BootHistory, into: Cluster, at_us: int) -> BootExpectations:
     return boots.look(into.machines.values(), at_us, USUAL, 60 * S)
 
 
 def test_where_all_are_late_none_is_lost_and_none_is_rented_twice() -> None:
     """A whole fleet that booted three times as long was rented a second time."""
-    into, boots = cluster(), Boots()
+    into, boots = cluster(), BootHistory()
     fleet = hire(into, 40, 0)
     at_us = 80 * S
     expected = look(boots, into, at_us)
@@ -66,7 +72,7 @@
 
 def test_one_that_stays_behind_those_hired_with_it_is_given_up_before_long() -> None:
     """Those that never come were kept for four boots, and took room that others could have."""
-    into, boots = cluster(), Boots()
+    into, boots = cluster(), BootHistory()
     fleet = hire(into, 20, 0)
     come(boots, fleet[:15], 30 * S)
     early, late = 60 * S, 72 * S
@@ -79,7 +85,7 @@
 
 
 def test_another_zone_and_earlier_hires_tell_nothing() -> None:
-    into, boots = cluster(), Boots()
+    into, boots = cluster(), BootHistory()
     come(boots, hire(into, 20, 0, "b"), 30 * S)
     come(boots, hire(into, 20, 0), 30 * S)
     fleet = hire(into, 20, 60 * S)
@@ -89,7 +95,7 @@
 
 
 def test_they_come_at_once_and_are_not_counted_on_sooner_than_they_did() -> None:
-    into, boots = cluster(), Boots()
+    into, boots = cluster(), BootHistory()
     fleet = hire(into, 20, 0)
     come(boots, fleet[:19], 2 * S)
     expected = look(boots, into, 3 * S)
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -19,27 +19,33 @@
 from tests.test_recovery import Clock, clock, fixed_clock, new_leader  # noqa: F401
 from tests.test_users import StandInNode, desk, run
 from tests.test_validation import GOOD
-from weldhead.calendars.binding import KIND, NotComputed, bind, moved
+from weldhead.calendars.binding import KIND, InstantsNotComputedError, bind, moved
 from weldhead.calendars.calendar_document import Calendar
-from weldhead.calendars.calendar_state import CalendarState, Move, digest_of, fitting, replaced
-from weldhead.calendars.deadline_table import DueTable
-from weldhead.calendars.lateness import Standing, standing
-from weldhead.calendars.recurrence import Unusable, check, compute, hour_us, instants
-from weldhead.cluster_state.dependency_graph import Chains
-from weldhead.cluster_state.jobs import Job, Opening
-from weldhead.cluster_state.records import Bound, JobRecord, job_key
-from weldhead.controller.configuration.calendars import CalendarBinder, Calendars
-from weldhead.controller.configuration.publisher import Documents
-from weldhead.controller.configuration.run_time_history import KEY, History
+from weldhead.calendars.calendar_state import (
+    CalendarState,
+    InstantMove,
+    digest_of,
+    fitting,
+    replaced,
+)
+from weldhead.calendars.deadline_table import DeadlineTable
+from weldhead.calendars.lateness import DeadlineStanding, standing
+from weldhead.calendars.recurrence import UnusableCalendarError, check, compute, hour_us, instants
+from weldhead.cluster_state.dependency_graph import DependencyGraph
+from weldhead.cluster_state.jobs import GateStatus, Job
+from weldhead.cluster_state.records import CalendarDeadline, JobRecord, job_key
+from weldhead.controller.configuration.calendars import CalendarBinder, CalendarKeeper
+from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.controller.configuration.run_time_history import KEY, RunTimeHistory
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import steps
-from weldhead.documents.records import HEAD_KEY, Offer, state_key
+from weldhead.documents.records import HEAD_KEY, DocumentSet, state_key
 from weldhead.documents.source import parse_source
-from weldhead.scheduling.forecast.job_forecasts import FAR_US, Outlook
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
-from weldhead.transport.http_client import CallFailed
+from weldhead.scheduling.forecast.job_forecasts import FAR_US, JobForecasts
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
+from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import StateClient
 
 S = 1_000_000
@@ -135,9 +141,9 @@
 
 def test_the_example_that_operators_start_from_is_good() -> None:
     text = (Path(__file__).parents[1] / "deploy" / "documents.toml").read_text()
-    assert Calendars.vet(parse_source("documents.toml", text, 8_000)) is None
+    assert CalendarKeeper.vet(parse_source("documents.toml", text, 8_000)) is None
     wrong = parse_source("documents.toml", text.replace("FREQ=WEEKLY", "FREQ=HOURLY"), 8_000)
-    assert str(Calendars.vet(wrong)).startswith("calendar/counters: rule: FREQ is one of")
+    assert str(CalendarKeeper.vet(wrong)).startswith("calendar/counters: rule: FREQ is one of")
 
 
 def test_a_rule_that_ends_has_no_more_instants() -> None:
@@ -158,7 +164,7 @@
     ],
 )
 def test_what_cannot_be_computed_is_refused(changes: dict[str, Any], field: str) -> None:
-    with pytest.raises(Unusable) as problem:
+    with pytest.raises(UnusableCalendarError) as problem:
         check(calendar(**changes))
     assert problem.value.field == field
 
@@ -179,7 +185,7 @@
     changes = sorted(change for _, _, change in editions[1:])
     state = CalendarState("1", 1, tuple(editions[0][0]))
     # Accepted under the edition of that moment.
-    bound: Bound | None = None
+    bound: CalendarDeadline | None = None
     due = 0
     for number, (stamps, rebinds, _) in enumerate(editions[1:], start=2):
         change = changes[number - 2]
@@ -187,7 +193,7 @@
             first = state.after(accepted)
             if first is None:
                 return
-            bound = Bound("morning", number - 1, first)
+            bound = CalendarDeadline("morning", number - 1, first)
             due = first
         fresh = CalendarState(f"{number}", number, tuple(stamps))
         state = replaced(state, fresh, change, 0, rebinds=rebinds)
@@ -207,9 +213,9 @@
     former = CalendarState("a", 1, (100 * S, 200 * S, 300 * S))
     fresh = CalendarState("b", 2, (90 * S, 190 * S, 290 * S))
     state = replaced(former, fresh, 98 * S, S, rebinds=False)
-    assert state.moves == (Move(2, 200 * S, 190 * S),)
+    assert state.moves == (InstantMove(2, 200 * S, 190 * S),)
     # One that is due before the change is not made good by it.
-    assert state.moved(Bound("m", 1, 100 * S)).due_us == 100 * S
+    assert state.moved(CalendarDeadline("m", 1, 100 * S)).due_us == 100 * S
 
 
 # -- binding ---------------------------------------------------------------------------------
@@ -218,7 +224,7 @@
 def cache_with(found: Calendar, *stamps: int, edition: int = 3, **of: Any) -> DocumentCache:
     cache = DocumentCache()
     body = msgspec.json.encode(found)
-    offer = Offer(edition, {f"{KIND}/{found.name}": msgspec.Raw(body)})
+    offer = DocumentSet(edition, {f"{KIND}/{found.name}": msgspec.Raw(body)})
     mark = 4
     for step in steps(offer, [], 9):
         for key, value in step.items():
@@ -234,32 +240,32 @@
     cache = cache_with(calendar(), 100 * S, 200 * S)
     spec = job_spec(1, job_class="balance")
     bound = bind(cache, spec, 98 * S, S).bound
-    assert bound == Bound("morning", 3, 100 * S)
+    assert bound == CalendarDeadline("morning", 3, 100 * S)
     # A moment before the hour, by some clock past it.
     for at_us in (99 * S, 100 * S, 150 * S):
         found = bind(cache, spec, at_us, S)
-        assert found.bound == Bound("morning", 3, 200 * S)
+        assert found.bound == CalendarDeadline("morning", 3, 200 * S)
     assert {c.key for c in found.conditions} == {HEAD_KEY, state_key(KIND, "morning")}
     # None is left, and no more can come; or more will be known.
     assert bind(cache, spec, 200 * S, S).bound is None
-    with pytest.raises(NotComputed):
+    with pytest.raises(InstantsNotComputedError):
         bind(cache_with(calendar(), 100 * S, until_us=100 * S), spec, 100 * S, S)
     # That nothing binds it rests on the edition.
     other = bind(cache, job_spec(1), 98 * S, S)
     assert other.bound is None and [c.key for c in other.conditions] == [HEAD_KEY]
 
 
-def documents_of(state: StandInState, offer: Offer | None = None) -> Documents:
+def documents_of(state: StandInState, offer: DocumentSet | None = None) -> DocumentReplica:
     async def nobody(kind: str, job_id: str, body: bytes) -> None:
         return None
 
-    documents = Documents(cast(StateClient, state), offer, nobody)
+    documents = DocumentReplica(cast(StateClient, state), offer, nobody)
     CalendarBinder(documents, S)
     return documents
 
 
 def put_edition(state: StandInState, found: Calendar, edition: int) -> None:
-    offer = Offer(edition, {f"{KIND}/{found.name}": msgspec.Raw(msgspec.json.encode(found))})
+    offer = DocumentSet(edition, {f"{KIND}/{found.name}": msgspec.Raw(msgspec.json.encode(found))})
     for step in steps(offer, [], 9):
         for key, value in step.items():
             state.put(key, value)
@@ -298,12 +304,12 @@
     state = StandInState()
     node = StandInNode()
     node.documents = documents_of(state)
-    node.documents.table.put("run-000001", Bound("morning", 1, us("2026-03-01 05:30")))
+    node.documents.table.put("run-000001", CalendarDeadline("morning", 1, us("2026-03-01 05:30")))
     front = desk(state, node)
 
     async def poll() -> Any:
         async def gone(*_: Any, **__: Any) -> None:
-            raise CallFailed("down")
+            raise CallError("down")
 
         front._read = gone  # type: ignore[method-assign]
         return await front.poll("run-000001")
@@ -314,8 +320,11 @@
 
 
 def test_the_table_follows_records_and_says_what_is_due_soon() -> None:
-    table, cache = DueTable(), cache_with(calendar(), 9 * H, moves=(Move(4, 9 * H, H // 2),))
-    record = JobRecord(job_spec(1), 0, bound=Bound("morning", 3, 9 * H))
+    table, cache = (
+        DeadlineTable(),
+        cache_with(calendar(), 9 * H, moves=(InstantMove(4, 9 * H, H // 2),)),
+    )
+    record = JobRecord(job_spec(1), 0, bound=CalendarDeadline("morning", 3, 9 * H))
     for number in range(3):
         table.read(f"run-{number}", msgspec.json.encode(record))
     table.read("run-9", msgspec.json.encode(JobRecord(job_spec(1), 0)))
@@ -377,7 +386,7 @@
 
 def bound_job(terms: Terms, number: int, due_us: int, edition: int = 1, **of: Any) -> str:
     spec = job_spec(number, job_class="balance", **of)
-    bound = Bound("morning", edition, due_us)
+    bound = CalendarDeadline("morning", edition, due_us)
     terms.state.put(job_key(spec.id), JobRecord(spec, terms.clock() - 10 * S, bound=bound))
     return spec.id
 
@@ -390,18 +399,22 @@
     first = terms.lead()
     terms.renew(first)
     due_us = us("2026-03-02 05:30")
-    kept = moved(first.publisher.cache, Bound("morning", 1, due_us)) if first.publisher else None
-    assert kept == Bound("morning", 1, due_us)
+    kept = (
+        moved(first.publisher.cache, CalendarDeadline("morning", 1, due_us))
+        if first.publisher
+        else None
+    )
+    assert kept == CalendarDeadline("morning", 1, due_us)
     name = bound_job(terms, 1, due_us)
     late = bound_job(terms, 2, us("2026-03-01 05:30"))
     # Earlier: at once. It is one write for all jobs, and one line for each.
     put_edition(terms.state, calendar(hour="05:00"), 2)
     second = terms.lead()
-    assert second.cluster.jobs[name].bound == Bound("morning", 1, due_us)
+    assert second.cluster.jobs[name].bound == CalendarDeadline("morning", 1, due_us)
     before = terms.state.revision
     terms.renew(second)
     assert terms.state.revision == before + 1
-    earlier = Bound("morning", 2, us("2026-03-02 04:00"))
+    earlier = CalendarDeadline("morning", 2, us("2026-03-02 04:00"))
     lines = [r.message for r in caplog.records if "bound anew" in r.message]
     assert lines == [
         "run-000001 is bound anew by calendar morning, edition 2: due by 2026-03-02T04:00:00Z, "
@@ -414,11 +427,13 @@
     fourth = terms.lead()
     for leader in (second, third, fourth):
         assert leader.cluster.jobs[name].bound == earlier
-        assert leader.cluster.jobs[late].bound == Bound("morning", 1, us("2026-03-01 05:30"))
+        assert leader.cluster.jobs[late].bound == CalendarDeadline(
+            "morning", 1, us("2026-03-01 05:30")
+        )
     put_edition(terms.state, calendar(hour="08:00", rebinds=True), 4)
     fifth = terms.lead()
     terms.renew(fifth)
-    assert fifth.cluster.jobs[name].bound == Bound("morning", 4, us("2026-03-02 07:00"))
+    assert fifth.cluster.jobs[name].bound == CalendarDeadline("morning", 4, us("2026-03-02 07:00"))
     # Nothing has changed: nothing is written.
     before = terms.state.revision
     terms.renew(fifth)
@@ -473,7 +488,9 @@
     successor = terms.lead()
     status = successor.status(names[0])
     assert status is not None and status.late
-    assert successor.look_ahead.standing(successor.cluster.jobs[fine], 0) is Standing.UNKNOWN
+    assert (
+        successor.look_ahead.standing(successor.cluster.jobs[fine], 0) is DeadlineStanding.UNKNOWN
+    )
     for _ in range(2):
         leader = terms.lead()
         leader.term.estimates.observe(leader.cluster.jobs[names[0]], 300 * S)
@@ -506,7 +523,7 @@
     assert f"(late: {name})" in line
 
 
-def history_of(leader: Leader) -> History:
+def history_of(leader: Leader) -> RunTimeHistory:
     assert leader.calendars is not None
     return leader.calendars.history
 
@@ -599,7 +616,7 @@
 
 def test_a_record_is_cut_to_what_the_store_takes() -> None:
     whole = CalendarState(
-        "d", 1, tuple(range(1, 49)), 48, tuple(Move(n, n, n + 1) for n in range(64))
+        "d", 1, tuple(range(1, 49)), 48, tuple(InstantMove(n, n, n + 1) for n in range(64))
     )
     small = fitting(whole, 400)
     assert len(msgspec.json.encode(small)) <= 400
@@ -621,11 +638,11 @@
 
 def test_a_late_jobs_reason_is_the_true_one(terms: Terms) -> None:
     from weldhead.calendars.lateness import reason
-    from weldhead.scheduling.forecast.completion_times import Boots
+    from weldhead.scheduling.forecast.completion_times import BootForecast
 
     into = cluster()
     job = add_job(into, job_spec(1, job_class="balance"))
-    quiet, boots = Boots(None, 0), Boots(20 * S, 30 * S)
+    quiet, boots = BootForecast(None, 0), BootForecast(20 * S, 30 * S)
 
     def why(job: Job) -> str:
         return "gate book: it is rebuilt"
@@ -634,18 +651,18 @@
     assert reason(into, job, boots, 0, why).startswith("a machine boots, up in 20 s")
     into.usage["red"].cpus = 100.0
     assert reason(into, job, boots, 0, why).startswith("no room within the limit of team red")
-    chains = Chains(into.jobs)
+    chains = DependencyGraph(into.jobs)
     follower = add_job(into, job_spec(2, needs=(job.id,)))
     chains.add(follower, (job.id,))
     assert reason(into, follower, quiet, 0, why).startswith(
         "it waits for run-000001 (balance), no room"
     )
-    job.held = Opening()
+    job.held = GateStatus()
     assert reason(into, job, quiet, 0, why) == "held by gate book: it is rebuilt"
     # It cannot be told when the gate opens: late when even an opening now is too late.
     job.bound_due_us = 100 * S
-    assert standing(job, 0, has_history=True, least_us=90 * S) is Standing.UNKNOWN
-    assert standing(job, 11 * S, has_history=True, least_us=90 * S) is Standing.LATE
+    assert standing(job, 0, has_history=True, least_us=90 * S) is DeadlineStanding.UNKNOWN
+    assert standing(job, 11 * S, has_history=True, least_us=90 * S) is DeadlineStanding.LATE
     job.held, job.broken = None, True
     assert "fail everywhere" in reason(into, job, quiet, 0, why)
 
@@ -654,9 +671,9 @@
     into = cluster()
     job = add_job(into, job_spec(1))
     job.bound_due_us, job.forecast_us = 10 * S, 5 * S
-    assert standing(job, 0, has_history=False) is Standing.UNKNOWN
-    assert standing(job, 11 * S, has_history=False) is Standing.LATE
-    assert standing(job, 0, has_history=True) is Standing.ON_TRACK
+    assert standing(job, 0, has_history=False) is DeadlineStanding.UNKNOWN
+    assert standing(job, 11 * S, has_history=False) is DeadlineStanding.LATE
+    assert standing(job, 0, has_history=True) is DeadlineStanding.ON_TRACK
 
 
 def test_thousands_of_bound_jobs_cost_what_changes() -> None:
@@ -664,7 +681,9 @@
     for number in range(5_000):
         job = add_job(into, job_spec(number, job_class="balance"))
         job.bound_due_us = 8 * H
-    outlook = Outlook(into, Chains(into.jobs), Estimates(), lambda job: 0, S, 4 * S, 100_000)
+    outlook = JobForecasts(
+        into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: 0, S, 4 * S, 100_000
+    )
     assert len(outlook.look(1)) == 5_000
     looks = sum(len(outlook.look(1 + second * S)) for second in range(1, 61))
     assert looks <= 5_000 * 60 * S // FAR_US
@@ -675,6 +694,6 @@
 def test_unbound_work_is_due_as_before() -> None:
     into = cluster()
     plain, due = add_job(into, job_spec(1)), add_job(into, job_spec(2, deadline_s=30.0))
-    goals = Goals([])
+    goals = ServiceLevelObjectives([])
     assert goals.deadlines_us(plain) == [] and goals.deadlines_us(due) == [30 * S]
     assert plain.due_us is None and due.due_us == 30 * S
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -16,13 +16,13 @@
 from tests.stand_ins import StandInState, StandInTask, StandInWorker
 from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine, report
 from tests.test_wire import SETTINGS
-from weldhead.admission.team_rate_limiter import in_turns
+from weldhead.admission.team_rate_limiter import round_robin
 from weldhead.clock import now_us
-from weldhead.cluster_state.jobs import Job, Stop
+from weldhead.cluster_state.jobs import Job, StopRequest
 from weldhead.cluster_state.records import LEADER_KEY, UNSETTLED_KEY, JobRecord, final_key, job_key
-from weldhead.controller.leadership.leader import Leader, NotReady
+from weldhead.controller.leadership.leader import Leader, NotReadyError
 from weldhead.controller.leadership.leader_lease import Candidacy
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.protocol.settings import parse_settings
 from weldhead.reconciliation.answer_window import (
     answers_until_us,
@@ -30,7 +30,7 @@
     shortfall,
     span_us,
 )
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
@@ -139,10 +139,10 @@
     def down(prefix: str) -> Any:
         if prefix != "t/" and prefix != "p/":
             return pages(prefix)
-        raise CallFailed("503")
+        raise CallError("503")
 
     state.__dict__["pages"] = down
-    with pytest.raises(CallFailed):
+    with pytest.raises(CallError):
         asyncio.run(leader.recovery.load())
     assert not leader.loaded
     assert [report(leader, w, clock()) for w in (wanted, cancelled, unread)] == [True, False, False]
@@ -229,7 +229,7 @@
     async def outage() -> None:
         state.fates = ["unanswered" if applied else "lost"] + ["refused"] * 1_000
         ledger = asyncio.create_task(leader.ledger.run())
-        with pytest.raises(NotReady):
+        with pytest.raises(NotReadyError):
             await leader.cancel(job.id)
         for _ in range(20):
             await asyncio.sleep(0)
@@ -242,7 +242,7 @@
             assert answer is not None
             late.answered(answer)
             assert late.live() == set()
-        assert all(a.stop is Stop.HARD for a in job.active.values())
+        assert all(a.stop is StopRequest.HARD for a in job.active.values())
         leader.ledger.close()
         ledger.cancel()
 
@@ -263,9 +263,9 @@
     def meet(jobs: list[Job], part: Any) -> list[Job]:
         # Of one turn of the loop: asked for just before, and about to be written.
         met.append(asyncio.get_running_loop().create_task(leader.completions._commit_cancel(job)))
-        return in_turns(jobs, part)
+        return round_robin(jobs, part)
 
-    monkeypatch.setattr("weldhead.controller.requests.completions.in_turns", meet)
+    monkeypatch.setattr("weldhead.controller.requests.completions.round_robin", meet)
 
     async def scenario() -> None:
         ledger = asyncio.create_task(leader.ledger.run())
@@ -326,7 +326,7 @@
     state.__dict__["grant"] = lambda ttl_us: asyncio.sleep(0, state.store.grant(ttl_us // 1_000, 0))
 
     async def term() -> tuple[int, int]:
-        node = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
+        node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
         node.open(cast(StateClient, state), cast(Any, None), cast(Any, None))
         node.catalog = [machine_type()]
         node.candidacy = Candidacy(node.timing, now_us() - 60 * S)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -21,7 +21,7 @@
 from tests.test_users import StandInNode, desk
 from tests.test_versions import OldFinal, OldJob
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.reclaim import ReclaimLists
 from weldhead.cluster_state.records import (
@@ -33,18 +33,23 @@
     job_key,
     progress_key,
 )
-from weldhead.controller.leadership.leader import NotReady
+from weldhead.controller.leadership.leader import NotReadyError
 from weldhead.protocol.settings import Objective, Team
-from weldhead.protocol.wire import Delete, JobSpec
+from weldhead.protocol.wire import DeleteKey, JobSpec
 from weldhead.scheduling import inherited_priority as urgency
-from weldhead.scheduling.autoscaling.fleet import Market, Upcoming, plan_closings, plan_hires
+from weldhead.scheduling.autoscaling.fleet import (
+    ExpectedDemand,
+    RentalOffers,
+    choose_scale_in_candidates,
+    plan_scale_out,
+)
 from weldhead.scheduling.forecast.completion_times import forecast_chains
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals, Press
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
 from weldhead.scheduling.placement.backlog import entry_of
-from weldhead.scheduling.placement.placement import Plan, plan_starts
-from weldhead.scheduling.preemption.preemptor import plan_reclaims
-from weldhead.transport.http_client import CallFailed
+from weldhead.scheduling.placement.placement import PlacementPlan, plan_starts
+from weldhead.scheduling.preemption.preemptor import plan_preemptions
+from weldhead.transport.http_client import CallError
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
@@ -322,7 +327,7 @@
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def get(*_: Any, **__: Any) -> None:
-        raise CallFailed("an outage")
+        raise CallError("an outage")
 
     monkeypatch.setattr(world.state, "get", get)
     assert world.submit(job_spec(3, needs=("run-000009",)))[0] == 503
@@ -351,7 +356,7 @@
     """Limits lower than announced."""
 
     async def reject(*_: Any, **__: Any) -> int:
-        return world.state.apply([], [Delete("x")] * 99)
+        return world.state.apply([], [DeleteKey("x")] * 99)
 
     patch = pytest.MonkeyPatch()
     patch.setattr(world.state, "transact", reject)
@@ -393,7 +398,7 @@
     world.submit(job_spec(1))
     world.submit(job_spec(2, needs=(name(1),)))
     world.state.fates = ["lost"] * 50
-    with pytest.raises(NotReady):
+    with pytest.raises(NotReadyError):
         world.cancel(1)
     assert [world.poll(name(n)) for n in (1, 2)] == ["pending", "pending"]
 
@@ -464,7 +469,7 @@
         return found
 
 
-def ladder(into: Cluster, chains: Chains, steps: int) -> list[Job]:
+def ladder(into: Cluster, chains: DependencyGraph, steps: int) -> list[Job]:
     """Diamonds on end: each step's two jobs need both of the step before."""
     jobs: list[Job] = []
     before: tuple[str, ...] = ()
@@ -479,16 +484,16 @@
     return jobs
 
 
-def inherit(chains: Chains, into: Cluster, jobs: list[Job], at_us: int = 0) -> None:
+def inherit(chains: DependencyGraph, into: Cluster, jobs: list[Job], at_us: int = 0) -> None:
     def path_us(job: Job) -> int:
-        return urgency.stage_us(into, job, Estimates(), 1.0, 0.25)
+        return urgency.stage_us(into, job, RunTimeEstimates(), 1.0, 0.25)
 
-    urgency.refresh(chains, jobs, Goals([]), path_us, at_us)
+    urgency.refresh(chains, jobs, ServiceLevelObjectives([]), path_us, at_us)
 
 
 def test_a_change_costs_each_edge_once_however_many_paths_there_are() -> None:
     into = cluster()
-    chains = Chains(into.jobs)
+    chains = DependencyGraph(into.jobs)
     jobs = ladder(into, chains, 100)
     last = add_job(into, job_spec(999, needs=(jobs[-1].id,), priority="high", deadline_s=9e3))
     chains.add(last, last.spec.needs or ())
@@ -508,7 +513,7 @@
 
 def test_jobs_that_wait_cost_placement_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     into = cluster()
-    ladder(into, Chains(into.jobs), 50)
+    ladder(into, DependencyGraph(into.jobs), 50)
     calls: list[str] = []
 
     def placed(job: Job, *rest: Any) -> Any:
@@ -516,15 +521,15 @@
         return entry_of(job, *rest)
 
     monkeypatch.setattr("weldhead.scheduling.placement.backlog.entry_of", placed)
-    plan_starts(into, Estimates(), Goals([]), S, 10 * S, 45 * S)
+    plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert sorted(calls) == [name(1), name(2)]
 
 
 # -- urgency ------------------------------------------------------------------------------------
 
 
-def path(into: Cluster, *specs: JobSpec) -> tuple[Chains, list[Job]]:
-    chains = Chains(into.jobs)
+def path(into: Cluster, *specs: JobSpec) -> tuple[DependencyGraph, list[Job]]:
+    chains = DependencyGraph(into.jobs)
     jobs = [add_job(into, spec) for spec in specs]
     for job in jobs:
         chains.add(job, job.spec.needs or ())
@@ -545,14 +550,14 @@
     rest_us += round(1.25 * 20 * S) + 2 * S
     assert (first.level, first.chain_due_us) == (2, (100 * S - rest_us,))
     # It presses while it can still be saved; by itself it has a minute and more to spare.
-    goals = Goals([])
-    task_us = Estimates().task_us(first)
-    assert goals.press(first, task_us, 10 * S, 45 * S) is Press.PRESSING
+    goals = ServiceLevelObjectives([])
+    task_us = RunTimeEstimates().task_us(first)
+    assert goals.press(first, task_us, 10 * S, 45 * S) is Urgency.PRESSING
     last.cancelled = True
     chains.remove(last)
     inherit(chains, into, [middle], at_us=10 * S)
     assert (first.level, first.chain_due_us, middle.level) == (1, (), 1)
-    assert goals.press(first, task_us, 10 * S, 45 * S) is Press.PATIENT
+    assert goals.press(first, task_us, 10 * S, 45 * S) is Urgency.PATIENT
 
 
 def test_placement_and_preemptor_use_the_inherited_priority_alike() -> None:
@@ -564,18 +569,18 @@
         job_spec(2, priority="high", needs=(name(1),), deadline_s=30.0),
         job_spec(3, priority="normal", tasks=1, cpus=4.0, deadline_s=30.0),
     )
-    goals = Goals([])
-    order = [entry_of(job, Estimates(), goals, S, 45 * S)[0] for job in (upstream, rival)]
+    goals = ServiceLevelObjectives([])
+    order = [entry_of(job, RunTimeEstimates(), goals, S, 45 * S)[0] for job in (upstream, rival)]
     assert order[0] < order[1]
     machine = add_machine(into)
     attempt = into.start(rival, 0, machine, S)
-    plan = plan_starts(into, Estimates(), goals, S, 10 * S, 45 * S)
+    plan = plan_starts(into, RunTimeEstimates(), goals, S, 10 * S, 45 * S)
     assert [job for job, _ in plan.unplaced] == [upstream]
 
     def asked() -> list[Any]:
         preemptor = TUNABLES.preemptor.settings(10 * S)
         lists = ReclaimLists()
-        return plan_reclaims(into, lists, plan, Estimates(), 2 * S, preemptor, goals)
+        return plan_preemptions(into, lists, plan, RunTimeEstimates(), 2 * S, preemptor, goals)
 
     assert [entry.victims for entry in asked()] == [[attempt]]
     upstream.level = upstream.spec.level
@@ -585,7 +590,7 @@
 def test_bounds_but_the_deadline_count_from_the_release() -> None:
     into = cluster()
     job = add_job(into, job_spec(1, job_class="prompt", deadline_s=500.0, estimate_s=10.0))
-    goals = Goals([Objective("wait", "prompt", 0.9, 40.0)])
+    goals = ServiceLevelObjectives([Objective("wait", "prompt", 0.9, 40.0)])
     job.ready_us = 300 * S
     assert goals.target_us(job, 10 * S, 300 * S) == 350 * S
     assert goals.deadlines_us(job) == [500 * S]
@@ -638,14 +643,21 @@
     waiting = add_job(into, job_spec(2, tasks=8, cpus=2.0, needs=(name(1),)))
     waiting.blockers = frozenset({name(1)})
     settings = TUNABLES.fleet.settings()
-    assert len(plan_closings(into, Plan(), settings)) == 4
-    soon = [Upcoming(waiting, 20 * S)]
-    assert plan_closings(into, Plan(), settings, soon) == set()
-
-    def hires(upcoming: list[Upcoming]) -> int:
-        market = Market([machine_type(boot_s=10.0)])
-        found = plan_hires(
-            into, Plan(), market, Estimates(), Goals([]), S, settings, upcoming=upcoming
+    assert len(choose_scale_in_candidates(into, PlacementPlan(), settings)) == 4
+    soon = [ExpectedDemand(waiting, 20 * S)]
+    assert choose_scale_in_candidates(into, PlacementPlan(), settings, soon) == set()
+
+    def hires(upcoming: list[ExpectedDemand]) -> int:
+        market = RentalOffers([machine_type(boot_s=10.0)])
+        found = plan_scale_out(
+            into,
+            PlacementPlan(),
+            market,
+            RunTimeEstimates(),
+            ServiceLevelObjectives([]),
+            S,
+            settings,
+            upcoming=upcoming,
         )
         return sum(found.values())
 
@@ -670,12 +682,13 @@
             into.start(filler, index, machine, S)
         waiting = add_job(into, job_spec(2, tasks=2, needs=(name(1),), deadline_s=9e5))
         waiting.blockers = frozenset({name(1)})
-        market = Market([machine_type(boot_s=10.0)])
+        market = RentalOffers([machine_type(boot_s=10.0)])
         # Cheap machines are had for anything that waits for long; none are left here.
         market.refused_until_us = {("m4", zone, True): 9 * S for zone in ("a", "b")}
-        found = plan_hires(
-            into, Plan(), market, Estimates(), Goals([]), S, settings,
-            upcoming=[Upcoming(waiting, 20 * S)],
+        found = plan_scale_out(
+            into, PlacementPlan(), market, RunTimeEstimates(), ServiceLevelObjectives([]), S,
+            settings,
+            upcoming=[ExpectedDemand(waiting, 20 * S)],
         )  # fmt: skip
         return sum(found.values())
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,14 +1,14 @@
 """Each `run` is sent so that it cannot be executed a second time."""
 
 from tests.builders import add_job, add_machine, cluster, job_spec, report
-from weldhead.cluster_state.jobs import Phase, Stop
+from weldhead.cluster_state.jobs import AttemptPhase, StopRequest
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.workers.heartbeat_reconciler import (
     apply_report,
     pending_commands,
     request_stop,
 )
-from weldhead.protocol.wire import Command, TaskReport
+from weldhead.protocol.wire import Command, ReportedTask
 
 
 def runs(machine: Machine, sequence: int | None) -> list[Command]:
@@ -52,12 +52,12 @@
     # It stays counted, whatever reports fail to show, until it is surely resolved.
     apply_report(into, machine, report(machine, 9, []), 0, direct=False)
     assert job.active[0] is attempt
-    assert not request_stop(into, attempt, Stop.HARD, 0, "cancelled")
+    assert not request_stop(into, attempt, StopRequest.HARD, 0, "cancelled")
     apply_report(into, machine, report(machine, 10, []), 0, direct=False)
     assert job.active[0] is attempt
-    listed = [TaskReport(attempt.task, attempt.number, "running")]
+    listed = [ReportedTask(attempt.task, attempt.number, "running")]
     apply_report(into, machine, report(machine, 11, listed), 0, direct=False)
-    assert (attempt.unconfirmed_us, attempt.phase) == (0, Phase.RUNNING)
+    assert (attempt.unconfirmed_us, attempt.phase) == (0, AttemptPhase.RUNNING)
 
 
 def test_a_new_session_ends_everything_that_was_unanswered() -> None:
@@ -74,14 +74,14 @@
     into = cluster()
     machine = add_machine(into)
     job = add_job(into, job_spec())
-    assert request_stop(into, into.start(job, 0, machine, 0), Stop.HARD, 0, "room")
+    assert request_stop(into, into.start(job, 0, machine, 0), StopRequest.HARD, 0, "room")
     assert job.active == {} and job.waiting == job.spec.tasks
 
 
 def test_a_malformed_task_name_harms_nothing() -> None:
     into = cluster()
     machine = add_machine(into)
-    nonsense = report(machine, 2, [TaskReport("///", 1, "running")])
+    nonsense = report(machine, 2, [ReportedTask("///", 1, "running")])
     apply_report(into, machine, nonsense, 0, direct=False)
     commands = pending_commands(machine, lambda task: True, may_start=True, sequence=2)
     assert commands == [Command("kill", "///", 1, 0.0)]
@@ -98,7 +98,7 @@
     assert list(into.unconfirmed.values()) == [first]
     into.remove_machine(machine)
     into.lose(second, 6)
-    into.stop(second, Stop.HARD, 6, "test")
+    into.stop(second, StopRequest.HARD, 6, "test")
     assert not into.unconfirmed and not into.stopping
     into.check()
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -11,36 +11,36 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
 from tests.stand_ins import StandInTask, StandInWorker
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
 from weldhead.controller.workers.heartbeat_reconciler import apply_report
 from weldhead.protocol.settings import Objective, Team
-from weldhead.scheduling.autoscaling.arrival_rates import Demand
+from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
 from weldhead.scheduling.autoscaling.fleet import (
-    Market,
-    Move,
-    Offer,
-    plan_closings,
-    plan_hires,
-    plan_moves,
-    plan_returns,
+    MachineDrain,
+    RentalOffer,
+    RentalOffers,
+    choose_scale_in_candidates,
+    plan_consolidation,
+    plan_scale_in,
+    plan_scale_out,
 )
-from weldhead.scheduling.forecast.completion_times import Boots, forecast_us
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals, Press
-from weldhead.scheduling.placement.backlog import Unplaced
-from weldhead.scheduling.placement.placement import Plan, plan_starts
-from weldhead.scheduling.preemption.preemptor import overdue, plan_reclaims, stop_for
+from weldhead.scheduling.forecast.completion_times import BootForecast, forecast_us
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
+from weldhead.scheduling.placement.backlog import UnplacedTasks
+from weldhead.scheduling.placement.placement import PlacementPlan, plan_starts
+from weldhead.scheduling.preemption.preemptor import overdue, plan_preemptions, stop_for
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
 TUNABLES = Tunables()
 SILENCE = 10 * S
-NO_BOOTS = Boots(None, 0)
+NO_BOOTS = BootForecast(None, 0)
 PATIENCE = TUNABLES.preemptor.patience_us
 PREEMPTOR = TUNABLES.preemptor.settings(SILENCE)
-GOALS = Goals(
+GOALS = ServiceLevelObjectives(
     [
         Objective("wait", "prompt", 0.9, 4.0),
         Objective("finished", "soon", 0.9, 100.0),
@@ -52,21 +52,21 @@
 )
 
 
-def starts(into: Cluster, at_us: int = S) -> Plan:
-    return plan_starts(into, Estimates(), GOALS, at_us, SILENCE, PATIENCE)
+def starts(into: Cluster, at_us: int = S) -> PlacementPlan:
+    return plan_starts(into, RunTimeEstimates(), GOALS, at_us, SILENCE, PATIENCE)
 
 
 def run_on(into: Cluster, job: Job, index: int, machine: Machine, since_us: int = 0) -> Attempt:
     attempt = into.start(job, index, machine, since_us)
-    attempt.phase, attempt.running_us = Phase.RUNNING, max(1, since_us)
+    attempt.phase, attempt.running_us = AttemptPhase.RUNNING, max(1, since_us)
     return attempt
 
 
 def reclaims(
-    into: Cluster, plan: Plan, at_us: int = 2 * S, lists: ReclaimLists | None = None
+    into: Cluster, plan: PlacementPlan, at_us: int = 2 * S, lists: ReclaimLists | None = None
 ) -> list[Reclaim]:
     lists = lists if lists is not None else ReclaimLists()
-    return plan_reclaims(into, lists, plan, Estimates(), at_us, PREEMPTOR, GOALS)
+    return plan_preemptions(into, lists, plan, RunTimeEstimates(), at_us, PREEMPTOR, GOALS)
 
 
 # -- placement ------------------------------------------------------------------------
@@ -298,10 +298,10 @@
     quick = add_job(into, job_spec(2, checkpoint_s=30.0, save_s=1.0))
     prompt = add_job(into, job_spec(3, job_class="prompt"))
     other = add_job(into, job_spec(4))
-    assert stop_for(other, saves, GOALS) is Stop.SOFT
-    assert stop_for(prompt, quick, GOALS) is Stop.SOFT
-    assert stop_for(prompt, saves, GOALS) is Stop.HARD
-    assert stop_for(other, prompt, GOALS) is Stop.HARD
+    assert stop_for(other, saves, GOALS) is StopRequest.SOFT
+    assert stop_for(prompt, quick, GOALS) is StopRequest.SOFT
+    assert stop_for(prompt, saves, GOALS) is StopRequest.HARD
+    assert stop_for(other, prompt, GOALS) is StopRequest.HARD
 
 
 class Reclaiming(RuleBasedStateMachine):
@@ -348,12 +348,14 @@
 
 # -- the fleet ------------------------------------------------------------------------
 
-MARKET = Market([machine_type()])
+MARKET = RentalOffers([machine_type()])
 FLEET = TUNABLES.fleet.settings()
 
 
-def hires(into: Cluster, market: Market = MARKET, at_us: int = S) -> dict[Offer, int]:
-    return plan_hires(into, starts(into, at_us), market, Estimates(), GOALS, at_us, FLEET)
+def hires(into: Cluster, market: RentalOffers = MARKET, at_us: int = S) -> dict[RentalOffer, int]:
+    return plan_scale_out(
+        into, starts(into, at_us), market, RunTimeEstimates(), GOALS, at_us, FLEET
+    )
 
 
 def test_spot_machines_are_rented_first() -> None:
@@ -373,7 +375,7 @@
 def test_what_was_refused_is_not_asked_for_again_at_once() -> None:
     into = cluster()
     add_job(into, job_spec(tasks=2, types=("m4",), zone="a", deadline_s=100.0))
-    refused = Market([machine_type()], {("m4", "a", True): 9 * S, ("m4", "a", False): 9 * S})
+    refused = RentalOffers([machine_type()], {("m4", "a", True): 9 * S, ("m4", "a", False): 9 * S})
     assert hires(into, refused) == {}
     assert hires(into, refused, 10 * S) != {}
 
@@ -404,9 +406,9 @@
     run_on(into, add_job(into, job_spec()), 0, busy)
     late = Machine("vm-000003", machine_type(), "a", False, 0)
     into.machines[late.name] = late
-    assert plan_returns(into, 59 * S, FLEET) == []
-    assert plan_returns(into, 61 * S, FLEET) == [idle]
-    assert plan_returns(into, 200 * S, FLEET) == [idle, late]
+    assert plan_scale_in(into, 59 * S, FLEET) == []
+    assert plan_scale_in(into, 61 * S, FLEET) == [idle]
+    assert plan_scale_in(into, 200 * S, FLEET) == [idle, late]
 
 
 def test_an_idle_machine_stays_until_the_completions_it_lists_are_committed() -> None:
@@ -416,9 +418,9 @@
     job = add_job(into, job_spec())
     job.complete_waiting(0)
     idle.forget = {("run-000001/0", 1), ("run-000001/9", 1), ("run-000009/0", 1), ("///", 1)}
-    assert plan_returns(into, 61 * S, FLEET) == []
+    assert plan_scale_in(into, 61 * S, FLEET) == []
     job.mark_committed([0])
-    assert plan_returns(into, 61 * S, FLEET) == [idle]
+    assert plan_scale_in(into, 61 * S, FLEET) == [idle]
 
 
 def test_what_is_not_needed_closes_but_the_rest_has_room() -> None:
@@ -426,10 +428,10 @@
     for number in range(4):
         add_machine(into, f"vm-{number:06}")
     run_on(into, add_job(into, job_spec()), 0, into.machines["vm-000000"])
-    closing = plan_closings(into, Plan(), FLEET)
+    closing = choose_scale_in_candidates(into, PlacementPlan(), FLEET)
     assert closing == {"vm-000001", "vm-000002", "vm-000003"}
-    waiting = Plan(unplaced=Unplaced([(add_job(into, job_spec(2)), 1)]))
-    assert plan_closings(into, waiting, FLEET) == set()
+    waiting = PlacementPlan(unplaced=UnplacedTasks([(add_job(into, job_spec(2)), 1)]))
+    assert choose_scale_in_candidates(into, waiting, FLEET) == set()
 
 
 # -- estimates, goals, forecasts --------------------------------------------------------
@@ -438,7 +440,7 @@
 @given(st.floats(0.3, 3.0), st.integers(10, 40))
 def test_estimates_that_are_off_are_corrected(bias: float, tasks: int) -> None:
     into = cluster()
-    estimates = Estimates()
+    estimates = RunTimeEstimates()
     job = add_job(into, job_spec(1, tasks=100))
     for _ in range(tasks):
         estimates.observe(job, round(job.spec.estimate_us * bias))
@@ -452,19 +454,19 @@
     job = add_job(into, job_spec(checkpoint_s=10.0, estimate_s=60.0))
     job.saved_us[0] = 30 * S
     attempt = run_on(into, job, 0, add_machine(into), since_us=S)
-    assert Estimates().remaining_us(attempt, 11 * S) == 20 * S
-    assert Estimates().remaining_us(attempt, 99 * S) == 0
+    assert RunTimeEstimates().remaining_us(attempt, 11 * S) == 20 * S
+    assert RunTimeEstimates().remaining_us(attempt, 99 * S) == 0
 
 
 def test_presses() -> None:
     into = cluster()
     soon = add_job(into, job_spec(1, job_class="soon"))
     assert GOALS.target_us(soon, 10 * S, 0) == 50 * S
-    assert GOALS.press(soon, 10 * S, 0, 30 * S) is Press.PATIENT
-    assert GOALS.press(soon, 10 * S, 20 * S, 30 * S) is Press.PRESSING
-    assert GOALS.press(soon, 10 * S, 98 * S, 30 * S) is Press.LATE
+    assert GOALS.press(soon, 10 * S, 0, 30 * S) is Urgency.PATIENT
+    assert GOALS.press(soon, 10 * S, 20 * S, 30 * S) is Urgency.PRESSING
+    assert GOALS.press(soon, 10 * S, 98 * S, 30 * S) is Urgency.LATE
     prompt = add_job(into, job_spec(2, job_class="prompt", deadline_s=900.0))
-    assert GOALS.press(prompt, 10 * S, 0, 30 * S) is Press.PRESSING
+    assert GOALS.press(prompt, 10 * S, 0, 30 * S) is Urgency.PRESSING
 
 
 def test_the_nearest_bound_that_can_be_kept_counts() -> None:
@@ -472,13 +474,13 @@
     into = cluster()
     steady = add_job(into, job_spec(1, job_class="steady"))
     assert GOALS.target_us(steady, 20 * S, 0) == 200 * S
-    assert GOALS.press(steady, 20 * S, 10 * S, 30 * S) is Press.PATIENT
-    assert GOALS.press(steady, 20 * S, 170 * S, 30 * S) is Press.PRESSING
+    assert GOALS.press(steady, 20 * S, 10 * S, 30 * S) is Urgency.PATIENT
+    assert GOALS.press(steady, 20 * S, 170 * S, 30 * S) is Urgency.PRESSING
     soon = add_job(into, job_spec(2, job_class="soon"))
     assert [GOALS.target_us(soon, 12 * S, at * S) for at in (0, 42, 43, 200)] == [
         50 * S, 50 * S, 100 * S, 100 * S,
     ]  # fmt: skip
-    assert GOALS.press(soon, 12 * S, 43 * S, 30 * S) is Press.PATIENT
+    assert GOALS.press(soon, 12 * S, 43 * S, 30 * S) is Urgency.PATIENT
     twice = add_job(into, job_spec(3, job_class="twice", deadline_s=100.0))
     assert [GOALS.target_us(twice, 12 * S, at * S) for at in (0, 93)] == [100 * S, 150 * S]
 
@@ -489,9 +491,11 @@
     machine = add_machine(into)
     run_on(into, job, 0, machine, since_us=0)
     run_on(into, job, 1, machine, since_us=0)
-    assert forecast_us(into, job, Estimates(), 10 * S, NO_BOOTS) == pytest.approx(120 * S, abs=10)
+    assert forecast_us(into, job, RunTimeEstimates(), 10 * S, NO_BOOTS) == pytest.approx(
+        120 * S, abs=10
+    )
     service = add_job(into, job_spec(2, kind="standing"))
-    assert forecast_us(into, service, Estimates(), 10 * S, NO_BOOTS) is None
+    assert forecast_us(into, service, RunTimeEstimates(), 10 * S, NO_BOOTS) is None
 
 
 def test_run_times_of_adopted_tasks_are_not_learned_from() -> None:
@@ -504,7 +508,7 @@
     apply_report(into, machine, worker.report(), 100 * S, direct=False)
     attempt = job.active[0]
     assert attempt.adopted
-    assert Estimates().remaining_us(attempt, 110 * S) == 20 * S
+    assert RunTimeEstimates().remaining_us(attempt, 110 * S) == 20 * S
     worker.tasks["run-000001/0"] = StandInTask(77, "ended", "done")
     outcome = apply_report(into, machine, worker.report(), 105 * S, direct=False)
     assert (outcome.completed, outcome.run_times) == ([job], [])
@@ -512,7 +516,7 @@
 
 def test_work_that_keeps_arriving_above_stretches_the_wait() -> None:
     """Idle work seemed to start in time by what waited; each moment more came before it."""
-    demand = Demand(100 * S)
+    demand = ArrivalRates(100 * S)
     for at in range(300):
         demand.arrived(2, 50.0 * S, at * S)
     # 50 CPU seconds a second are 50 CPUs; the memory has filled to 95 % of that.
@@ -529,18 +533,18 @@
     for index in range(50):
         run_on(into, fill, index, add_machine(into, f"vm-{index:06}", spot=True), 0)
     add_job(into, job_spec(2, tasks=90, cpus=4.0, job_class="steady", priority="idle"))
-    dear = Market([machine_type()], {("m4", zone, True): 9_999 * S for zone in "ab"})
+    dear = RentalOffers([machine_type()], {("m4", zone, True): 9_999 * S for zone in "ab"})
     plan = starts(into)
 
-    def rented(demand: Demand | None) -> int:
-        found = plan_hires(
-            into, plan, dear, Estimates(), GOALS, S, TUNABLES.fleet.settings(), (), demand
+    def rented(demand: ArrivalRates | None) -> int:
+        found = plan_scale_out(
+            into, plan, dear, RunTimeEstimates(), GOALS, S, TUNABLES.fleet.settings(), (), demand
         )
         return sum(found.values())
 
-    busy = Demand(100 * S)
+    busy = ArrivalRates(100 * S)
     busy.arrived(2, 12_000.0 * S, S)
-    assert rented(None) == rented(Demand(100 * S)) == 0
+    assert rented(None) == rented(ArrivalRates(100 * S)) == 0
     assert rented(busy) > 0
 
 
@@ -549,7 +553,7 @@
     arrivals: list[tuple[int, float, int]],
 ) -> None:
     """A new leader reads jobs in the order of their names."""
-    one, other = Demand(100 * S), Demand(100 * S)
+    one, other = ArrivalRates(100 * S), ArrivalRates(100 * S)
     for arrival in arrivals:
         one.arrived(*arrival)
     for arrival in reversed(arrivals):
@@ -557,9 +561,11 @@
     assert one.above(-1, 500 * S) == pytest.approx(other.above(-1, 500 * S))
 
 
-def moves(into: Cluster, plan: Plan | None = None) -> list[str]:
+def moves(into: Cluster, plan: PlacementPlan | None = None) -> list[str]:
     fleet = TUNABLES.fleet.settings()
-    chosen = plan_moves(into, plan or Plan(), Estimates(), 2 * S, fleet, SILENCE)
+    chosen = plan_consolidation(
+        into, plan or PlacementPlan(), RunTimeEstimates(), 2 * S, fleet, SILENCE
+    )
     return [move.machine.name for move in chosen]
 
 
@@ -583,7 +589,7 @@
     assert moves(into) == ["vm-000001"]
     run_on(into, plain, 0, closing, S)
     assert moves(into) == ["vm-000001"]
-    assert moves(into, Plan(unplaced=Unplaced([(plain, 1)]))) == []
+    assert moves(into, PlacementPlan(unplaced=UnplacedTasks([(plain, 1)]))) == []
     # What cannot be moved holds the machine for nearly as long.
     long = add_job(into, job_spec(3, tasks=9, cpus=1.0, estimate_s=50.0))
     held = run_on(into, long, 0, closing, S)
@@ -607,10 +613,12 @@
     small = run_on(into, job, 0, large, S)
     fleet = TUNABLES.fleet.settings()
 
-    def chosen(at_us: int, goals: Goals = GOALS) -> list[Move]:
+    def chosen(at_us: int, goals: ServiceLevelObjectives = GOALS) -> list[MachineDrain]:
         for machine in into.machines.values():
             machine.heard_us = at_us
-        return plan_moves(into, Plan(), Estimates(), at_us, fleet, SILENCE, goals)
+        return plan_consolidation(
+            into, PlacementPlan(), RunTimeEstimates(), at_us, fleet, SILENCE, goals
+        )
 
     (move,) = chosen(40 * S)
     assert (move.machine, move.attempts) == (large, [small])
@@ -622,8 +630,10 @@
     job.spec, job.level = spec, spec.level
     assert move.gain_us == 111 * S
     # Whoever may not be late: 150 s again, and as estimates are rough, are not in time.
-    assert chosen(40 * S, Goals([Objective("finished", "train", 0.9, 240.0)])) == []
-    assert chosen(40 * S, Goals([Objective("finished", "train", 0.9, 300.0)]))
+    assert (
+        chosen(40 * S, ServiceLevelObjectives([Objective("finished", "train", 0.9, 240.0)])) == []
+    )
+    assert chosen(40 * S, ServiceLevelObjectives([Objective("finished", "train", 0.9, 300.0)]))
     # Nearly done, the machine would not go much sooner.
     assert chosen(135 * S) == []
     # Of many, more would be lost than is won.
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -11,15 +11,15 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState
 from tests.test_recovery import START, put_job
-from weldhead.cluster_state.records import Binding, Bound, JobRecord, job_key
-from weldhead.cluster_state.state_writer import Ledger
-from weldhead.controller.configuration.publisher import Documents, Publisher
+from weldhead.cluster_state.records import AdmissionBinding, CalendarDeadline, JobRecord, job_key
+from weldhead.cluster_state.state_writer import StateWriter
+from weldhead.controller.configuration.publisher import DocumentPublisher, DocumentReplica
 from weldhead.documents.cache import DocumentCache
-from weldhead.documents.editions import Verdict, judge, leftovers, steps
-from weldhead.documents.records import HEAD_KEY, HeadRecord, Offer, document_key, edition_of
+from weldhead.documents.editions import EditionVerdict, judge_edition, leftovers, steps
+from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key, edition_of
 from weldhead.documents.source import parse_source
 from weldhead.protocol.wire import Condition
-from weldhead.tomlfiles import FileProblem
+from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.state_client import StateClient
 
 SOURCE = """
@@ -42,10 +42,10 @@
 """
 
 
-def offers(number: int) -> st.SearchStrategy[Offer]:
+def offers(number: int) -> st.SearchStrategy[DocumentSet]:
     names = st.sampled_from(["gate/a", "gate/b", "calendar/a", "calendar/b", "gate/c"])
     bodies = st.integers(0, 9).map(lambda n: msgspec.Raw(b'{"n":%d}' % n))
-    return st.dictionaries(names, bodies, max_size=5).map(lambda found: Offer(number, found))
+    return st.dictionaries(names, bodies, max_size=5).map(lambda found: DocumentSet(number, found))
 
 
 def seen(cache: DocumentCache) -> dict[str, bytes] | None:
@@ -68,8 +68,8 @@
     last: dict[str, bytes] = {}
     for _ in range(data.draw(st.integers(1, 5))):
         offer = data.draw(numbers.flatmap(offers))
-        verdict = judge(cache.head, offer, 1_000)
-        if verdict is not Verdict.TAKEN:
+        verdict = judge_edition(cache.head, offer, 1_000)
+        if verdict is not EditionVerdict.TAKEN:
             assert cache.head is not None and cache.head.edition >= offer.edition
             continue
         changes = steps(offer, cache.documents(), data.draw(st.integers(1, 3)))
@@ -91,12 +91,12 @@
 
 
 def test_the_same_number_with_other_content_is_refused() -> None:
-    offer = Offer(4, {"gate/a": msgspec.Raw(b"1")})
-    head = HeadRecord(4, Offer(4, {"gate/a": msgspec.Raw(b"2")}).digest, ("gate/a",))
-    assert judge(head, offer, 100) is Verdict.CONTRADICTS
-    assert judge(HeadRecord(4, offer.digest), offer, 100) is Verdict.SAME
-    assert judge(HeadRecord(5, offer.digest), offer, 100) is Verdict.OLDER
-    assert judge(None, offer, 0) is Verdict.TOO_LARGE
+    offer = DocumentSet(4, {"gate/a": msgspec.Raw(b"1")})
+    head = HeadRecord(4, DocumentSet(4, {"gate/a": msgspec.Raw(b"2")}).digest, ("gate/a",))
+    assert judge_edition(head, offer, 100) is EditionVerdict.CONTRADICTS
+    assert judge_edition(HeadRecord(4, offer.digest), offer, 100) is EditionVerdict.SAME
+    assert judge_edition(HeadRecord(5, offer.digest), offer, 100) is EditionVerdict.OLDER
+    assert judge_edition(None, offer, 0) is EditionVerdict.TOO_LARGE
 
 
 @given(st.permutations([("put", b"1", 3), ("put", b"2", 5), ("drop", b"", 7), ("put", b"3", 9)]))
@@ -126,26 +126,28 @@
     ],
 )
 def test_errors_name_the_line(change: tuple[str, str], line: int, word: str) -> None:
-    with pytest.raises(FileProblem) as problem:
+    with pytest.raises(FileProblemError) as problem:
         parse_source("days.toml", SOURCE.replace(*change), 8_000)
     assert word in str(problem.value) and f"days.toml:{line}" in str(problem.value)
 
 
 def test_a_document_that_no_record_takes_is_refused_with_its_line() -> None:
-    with pytest.raises(FileProblem, match=r"days.toml:4: .*100 at most"):
+    with pytest.raises(FileProblemError, match=r"days.toml:4: .*100 at most"):
         parse_source("days.toml", SOURCE, 100)
 
 
-def publisher(state: StandInState, offer: Offer | None) -> tuple[Publisher, Ledger]:
+def publisher(
+    state: StandInState, offer: DocumentSet | None
+) -> tuple[DocumentPublisher, StateWriter]:
     token = state.put("leader", {"name": "n-0", "nonce": "x", "ttl_us": 3})
     client = cast(StateClient, state)
-    ledger = Ledger(client, token)
+    ledger = StateWriter(client, token)
 
     async def nobody(kind: str, job_id: str, body: bytes) -> None:
         return None
 
-    documents = Documents(client, offer, nobody)
-    return Publisher(documents, client, lambda: ledger, lambda: True), ledger
+    documents = DocumentReplica(client, offer, nobody)
+    return DocumentPublisher(documents, client, lambda: ledger, lambda: True), ledger
 
 
 def test_a_successor_goes_on_where_a_leader_ended() -> None:
@@ -174,7 +176,7 @@
         third, _ = publisher(state, None)
         await third.load()
         assert seen(third.cache) == seen(second.cache)
-        older = msgspec.json.encode(Offer(2, {}))
+        older = msgspec.json.encode(DocumentSet(2, {}))
         assert third.take(older).body == b'"older"'
 
     asyncio.run(play())
@@ -182,12 +184,14 @@
 
 def test_what_bound_a_job_is_loaded_with_it() -> None:
     state = StandInState()
-    bound = Bound("morning", 3, START + 5)
+    bound = CalendarDeadline("morning", 3, START + 5)
     put_job(state, job_spec(1), bound=bound)
     record = msgspec.json.decode(
         msgspec.json.encode(state.keys[job_key(job_spec(1).id)][0]), type=JobRecord
     )
     assert record.bound == bound
-    earlier = Binding(Bound("noon", 3, START), conditions=(Condition("d/a", 1),))
-    both = Binding(bound, conditions=(Condition("d/b", 2),)).joined(earlier)
+    earlier = AdmissionBinding(
+        CalendarDeadline("noon", 3, START), conditions=(Condition("d/a", 1),)
+    )
+    both = AdmissionBinding(bound, conditions=(Condition("d/b", 2),)).joined(earlier)
     assert both.bound == earlier.bound and len(both.conditions) == 2
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,9 +20,9 @@
 from weldhead.emulator.waiting import Healthy, WaitingRules
 from weldhead.emulator.watched import play_watched
 from weldhead.protocol.settings import StateLimits, Team
-from weldhead.reconciliation.attempt_verdicts import Verdict
+from weldhead.reconciliation.attempt_verdicts import AttemptVerdict
 from weldhead.site.store.model import Store
-from weldhead.tomlfiles import FileProblem
+from weldhead.tomlfiles import FileProblemError
 
 SCENARIOS = Path(__file__).parents[1] / "deploy" / "scenarios"
 #: Each planted error is found within so many seeds of the scenario.
@@ -57,7 +57,12 @@
 #: What a closer look is needed for: nobody else sees a leader that outlives its term.
 PLAYED_BY = {"promise-to-the-replaced": lambda site, seed: play_watched(site, seed)[0]}
 #: What is found on machines while nothing is wrong with the controllers.
-ORDINARY = {Verdict.ADOPTED, Verdict.FINISHED, Verdict.ENDED, Verdict.CANCELLED}
+ORDINARY = {
+    AttemptVerdict.ADOPTED,
+    AttemptVerdict.FINISHED,
+    AttemptVerdict.ENDED,
+    AttemptVerdict.CANCELLED,
+}
 
 
 def scenario(name: str) -> Scenario:
@@ -173,7 +178,7 @@
 )
 def test_a_scenario_is_checked(old: str, new: str, what: str) -> None:
     text = (SCENARIOS / "drawn.toml").read_text().replace(old, new, 1)
-    with pytest.raises(FileProblem, match=what):
+    with pytest.raises(FileProblemError, match=what):
         parse_scenario("s.toml", text)
 
 
@@ -201,7 +206,7 @@
 def test_ties_to_events_and_roles_are_checked(lines: str, line: int, field: str, what: str) -> None:
     fault = f'[[faults]]\nkind = "controllers_end"\nat-s = 10.0\n{lines}\n'
     base = (SCENARIOS / "drawn.toml").read_text()
-    with pytest.raises(FileProblem, match=what) as caught:
+    with pytest.raises(FileProblemError, match=what) as caught:
         parse_scenario("s.toml", f"{base}\n{fault}")
     begins = base.count("\n") + 2
     assert caught.value.line == begins + line - 1
@@ -234,7 +239,7 @@
 )
 def test_a_fault_has_to_fit_its_tie(kind: str, lines: str, what: str) -> None:
     fault = f'[[faults]]\nkind = "{kind}"\nat-s = 10.0\n{lines}\n'
-    with pytest.raises(FileProblem, match=what):
+    with pytest.raises(FileProblemError, match=what):
         parse_scenario("s.toml", (SCENARIOS / "drawn.toml").read_text() + fault)
 
 
--- a/tests/test_equivalence.py
+++ b/tests/test_equivalence.py
@@ -9,25 +9,35 @@
 from tests.builders import TOKEN, add_job, job_spec, machine_type
 from tests.plain import PlainPlan, PlainQueue, plain_reclaims, plain_starts
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Phase, Stop
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, StopRequest
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
 from weldhead.controller.workers.heartbeat_reconciler import request_stop
 from weldhead.protocol.settings import Objective, Team
-from weldhead.scheduling.autoscaling.fleet import Coming, _Queue, forecast_missing, usual_boots
-from weldhead.scheduling.forecast.completion_times import boots_of, forecast_us
-from weldhead.scheduling.forecast.job_forecasts import BootWatch
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
-from weldhead.scheduling.placement.backlog import Unplaced
-from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass, plan_starts
-from weldhead.scheduling.preemption.preemptor import plan_reclaims
+from weldhead.scheduling.autoscaling.fleet import (
+    CapacityForecast,
+    PendingRental,
+    forecast_unmet_demand,
+    usual_boots,
+)
+from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us
+from weldhead.scheduling.forecast.job_forecasts import BootTracker
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
+from weldhead.scheduling.placement.backlog import UnplacedTasks
+from weldhead.scheduling.placement.placement import (
+    PlacementInput,
+    PlacementPlan,
+    plan_pass,
+    plan_starts,
+)
+from weldhead.scheduling.preemption.preemptor import plan_preemptions
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
 SILENCE = 6 * S
 PATIENCE = 45 * S
-GOALS = Goals(
+GOALS = ServiceLevelObjectives(
     [
         Objective("wait", "prompt", 0.9, 3.0),
         Objective("wait", "soon", 0.9, 30.0),
@@ -49,7 +59,7 @@
         self.dice = random.Random(seed)
         self.now = 100 * S
         self.cluster = Cluster([Team("red", 8, 20), Team("blue", 4, 30), Team("far", 0, 6)], TOKEN)
-        self.estimates = Estimates()
+        self.estimates = RunTimeEstimates()
         self.lists = ReclaimLists()
         self.machines = 0
         self.jobs = 0
@@ -59,8 +69,8 @@
         for _ in range(6 if self.dense else self.dice.randint(0, 4)):
             self.add_machine()
             self.add_job()
-        self.scene = Scene(self.cluster, self.estimates, GOALS, PATIENCE)
-        self.boots = BootWatch(self.cluster.machines)
+        self.scene = PlacementInput(self.cluster, self.estimates, GOALS, PATIENCE)
+        self.boots = BootTracker(self.cluster.machines)
 
     # -- changes ---------------------------------------------------------------------------
 
@@ -161,7 +171,7 @@
                     attempt.job.failed_on |= {attempt.machine}
                     attempt.job.not_before_us = self.now + 2 * S
             case 8 if attempt is not None:
-                request_stop(cluster, attempt, Stop.SOFT, self.now, "test")
+                request_stop(cluster, attempt, StopRequest.SOFT, self.now, "test")
             case 9 if machine is not None and len(self.cluster.machines) > 5:
                 cluster.remove_machine(machine)
             case 10 if machine is not None and machine.booting:
@@ -177,7 +187,7 @@
             case 13 if job is not None:
                 job.cancelled = True
                 for held in list(job.active.values()):
-                    request_stop(cluster, held, Stop.HARD, self.now, "cancelled")
+                    request_stop(cluster, held, StopRequest.HARD, self.now, "cancelled")
             case 14 if job is not None and not job.active:
                 cluster.jobs.remove(job.id)
             case 15 if job is not None:
@@ -197,7 +207,7 @@
             attempt = self.cluster.start(start.job, start.index, start.machine, self.now)
             self.lists.granted(start.job.id, start.machine.name)
             if self.dice.random() < 0.9:
-                attempt.phase, attempt.running_us = Phase.RUNNING, self.now
+                attempt.phase, attempt.running_us = AttemptPhase.RUNNING, self.now
                 start.machine.note_image(start.job.spec.image, start.job.spec.image_gb)
         # Counts are asked for after the starts were entered.
         counts = {job.id: count for job, count in plain.listed}
@@ -209,7 +219,7 @@
             self.cluster, self.lists, plain, self.estimates, self.now, PREEMPTOR, GOALS, 8
         )
         self.compare_missing(plain, plan)
-        reclaims = plan_reclaims(
+        reclaims = plan_preemptions(
             self.cluster, self.lists, plan, self.estimates, self.now, PREEMPTOR, GOALS, 8,
             self.scene.free,
         )  # fmt: skip
@@ -217,26 +227,26 @@
         for reclaim in reclaims:
             self.lists.add(reclaim)
             for victim in reclaim.victims:
-                request_stop(self.cluster, victim, Stop.SOFT, self.now, "room")
+                request_stop(self.cluster, victim, StopRequest.SOFT, self.now, "room")
 
-    def compare_missing(self, plain: PlainPlan, plan: Plan) -> None:
+    def compare_missing(self, plain: PlainPlan, plan: PlacementPlan) -> None:
         """Compare before anything is stopped for it, as plan and plain plan count alike then."""
-        coming = [Coming(machine_type(), self.dice.randint(0, 3))]
+        coming = [PendingRental(machine_type(), self.dice.randint(0, 3))]
         queues = (
-            _Queue(self.cluster, coming, self.estimates, self.now, usual_boots(FLEET)),
+            CapacityForecast(self.cluster, coming, self.estimates, self.now, usual_boots(FLEET)),
             PlainQueue(self.cluster, coming, self.estimates, self.now, FLEET),
         )
         rest = (self.estimates, GOALS, self.now, 20 * S, lambda job: 1.5, FLEET)
-        found = forecast_missing(self.cluster, plan, queues[0], *rest)
-        listed = Plan(unplaced=Unplaced(plain.listed))
-        expected = forecast_missing(self.cluster, listed, queues[1], *rest)
+        found = forecast_unmet_demand(self.cluster, plan, queues[0], *rest)
+        listed = PlacementPlan(unplaced=UnplacedTasks(plain.listed))
+        expected = forecast_unmet_demand(self.cluster, listed, queues[1], *rest)
         assert found.patient == expected.patient
         assert found.pressing == expected.pressing
         assert math.isclose(found.backlog_us, expected.backlog_us, rel_tol=1e-9)
 
     def compare_forecasts(self) -> None:
         boots = self.boots.boots()
-        plain = boots_of(self.cluster.machines.values())
+        plain = boot_forecast_of(self.cluster.machines.values())
         assert boots == plain
         for job in self.cluster.jobs.values():
             left = [self.estimates.remaining_us(a, self.now) for a in job.active.values()]
@@ -268,7 +278,7 @@
     machine.order, machine.heard_us = (1, 1), S
     held = add_job(into, job_spec(1, team="blue", priority="idle", tasks=1, cpus=4.0))
     attempt = into.start(held, 0, machine, S)
-    attempt.phase, attempt.running_us = Phase.RUNNING, S
+    attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
     # The same kind before and behind the one that may stop the idle task. (The first of a
     # kind is listed by itself, those behind it are what a pass left.)
     orders = ((2, "red", 2.0), (3, "red", 2.0), (4, "blue", 1.0), (5, "red", 2.0))
@@ -279,10 +289,12 @@
         )
         for n, team, cpus in orders
     )
-    plan = plan_starts(into, Estimates(), Goals([]), 2 * S, SILENCE, PATIENCE)
+    plan = plan_starts(
+        into, RunTimeEstimates(), ServiceLevelObjectives([]), 2 * S, SILENCE, PATIENCE
+    )
     assert [job for job, _ in plan.unplaced] == [first, before, between, behind]
-    found = plan_reclaims(
-        into, ReclaimLists(), plan, Estimates(), 2 * S, PREEMPTOR, Goals([])
+    found = plan_preemptions(
+        into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S, PREEMPTOR, ServiceLevelObjectives([])
     )  # fmt: skip
     assert [(entry.job_id, entry.victims) for entry in found] == [
         (between.id, [attempt]),
@@ -299,15 +311,17 @@
     held = add_job(into, job_spec(1, priority="idle", tasks=2, cpus=2.0))
     for index in range(2):
         attempt = into.start(held, index, machine, S)
-        attempt.phase, attempt.running_us = Phase.RUNNING, S
+        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
     # 30 s to spare: it presses, and claims nothing yet. The other has missed its deadline.
     waits, too = (
         add_job(into, job_spec(n, tasks=1, deadline_s=39.0 + n, estimate_s=9.0)) for n in (2, 3)
     )
     late = add_job(into, job_spec(4, tasks=1, deadline_s=1.0, estimate_s=9.0))
-    plan = plan_starts(into, Estimates(), Goals([]), 2 * S, SILENCE, PATIENCE)
+    plan = plan_starts(
+        into, RunTimeEstimates(), ServiceLevelObjectives([]), 2 * S, SILENCE, PATIENCE
+    )
     assert [job for job, _ in plan.unplaced] == [waits, too, late]
-    found = plan_reclaims(
-        into, ReclaimLists(), plan, Estimates(), 2 * S, PREEMPTOR, Goals([])
+    found = plan_preemptions(
+        into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S, PREEMPTOR, ServiceLevelObjectives([])
     )  # fmt: skip
     assert [entry.job_id for entry in found] == [late.id]
--- a/tests/test_fair_polls.py
+++ b/tests/test_fair_polls.py
@@ -9,7 +9,7 @@
 import random
 from unittest.mock import patch
 
-from weldhead.controller.leadership.term_recovery import Recovery
+from weldhead.controller.leadership.term_recovery import TermRecovery
 from weldhead.emulator.checker import FORGOTTEN_IN_CALM_US
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import BEGIN_S, simulated
@@ -19,7 +19,7 @@
 JOBS, STORE_RPS, SECONDS = 300, 20.0, 160.0
 
 
-async def _never(_: Recovery) -> None:
+async def _never(_: TermRecovery) -> None:
     """The jobs are not read: the leader has no memory to answer from."""
     await asyncio.Event().wait()
 
@@ -32,7 +32,7 @@
         store_rps=STORE_RPS, store_write_rps=10.0, stored_jobs=JOBS,
     )  # fmt: skip
     chance, over_s = random.Random(1), BEGIN_S + SECONDS
-    with simulated() as loop, patch.object(Recovery, "load_until_done", _never):
+    with simulated() as loop, patch.object(TermRecovery, "load_until_done", _never):
         experiment = Experiment(loop, scenario, 1, Tunables())
         users, addresses = experiment.users, list(experiment.addresses.values())
         users.store(experiment.store.service.store)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -27,32 +27,37 @@
 )
 from tests.test_size import StandInCloud, count_calls, full_fleet, settle
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
-from weldhead.cluster_state.records import HireRecord
-from weldhead.controller.leadership.term_recovery import Recovery
-from weldhead.controller.loop_budget import MOST_PUT_OFF_US, SHARES, Pacer, Rank
-from weldhead.controller.term import LOADED_AT_ONCE
+from weldhead.cluster_state.records import RentalRecord
+from weldhead.controller.leadership.term_recovery import TermRecovery
+from weldhead.controller.loop_budget import (
+    LOOP_SHARES,
+    MAX_DEFERRAL_US,
+    EventLoopBudget,
+    LoopPriority,
+)
+from weldhead.controller.term import LOAD_BATCH_SIZE
 from weldhead.protocol.settings import StateLimits
 from weldhead.scheduling.autoscaling.fleet import (
-    Market,
-    Offer,
-    Upcoming,
-    _Queue,
+    CapacityForecast,
+    ExpectedDemand,
+    RentalOffer,
+    RentalOffers,
     endangered,
-    forecast_missing,
-    plan_hires,
+    forecast_unmet_demand,
+    plan_scale_out,
     replacements,
     usual_boots,
 )
 from weldhead.scheduling.forecast import job_forecasts
-from weldhead.scheduling.forecast.job_forecasts import Outlook
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.forecast.job_forecasts import JobForecasts
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.scheduling.placement import backlog, placement
-from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass
-from weldhead.transport.http_client import CallFailed, HttpClient
-from weldhead.transport.state_client import Refused, StateClient
+from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass
+from weldhead.transport.http_client import CallError, HttpClient
+from weldhead.transport.state_client import RequestRefusedError, StateClient
 from weldhead.tunables.defaults import FleetTunables, Tunables
 
 S = 1_000_000
@@ -66,8 +71,8 @@
         yield clock
 
 
-def scene_of(into: Cluster) -> Scene:
-    scene = Scene(into, Estimates(), Goals([]), 45 * S)
+def scene_of(into: Cluster) -> PlacementInput:
+    scene = PlacementInput(into, RunTimeEstimates(), ServiceLevelObjectives([]), 45 * S)
     assert len(plan_pass(scene, 2 * S, 10 * S).unplaced) == len(scene.backlog)
     return scene
 
@@ -83,8 +88,8 @@
     scene = scene_of(into)
     counts: dict[str, int] = {}
     count_calls(monkeypatch, backlog, "entry_of", counts)
-    count_calls(monkeypatch, placement.Room, "__init__", counts)
-    count_calls(monkeypatch, placement.Room, "fits", counts)
+    count_calls(monkeypatch, placement.FreeCapacity, "__init__", counts)
+    count_calls(monkeypatch, placement.FreeCapacity, "fits", counts)
     count_calls(monkeypatch, placement, "usable", counts)
     plan = plan_pass(scene, 2 * S, 10 * S)
     assert plan.starts == [] and bool(plan.unplaced)
@@ -123,11 +128,13 @@
 ) -> None:
     into = full_fleet(machines, jobs)
     due = add_job(into, job_spec(90_001, deadline_s=1e6))
-    watch = Outlook(into, Chains(into.jobs), Estimates(), lambda job: S, S, 4 * S, 50_000)
+    watch = JobForecasts(
+        into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: S, S, 4 * S, 50_000
+    )
     assert len(watch.look(S)) == jobs + 2
     counts: dict[str, int] = {}
     count_calls(monkeypatch, job_forecasts, "forecast_us", counts)
-    count_calls(monkeypatch, job_forecasts.BootWatch, "_enter", counts)
+    count_calls(monkeypatch, job_forecasts.BootTracker, "_enter", counts)
     assert watch.look(2 * S) == []
     assert counts == {}
     into.jobs["run-000003"].touch()
@@ -145,7 +152,9 @@
 def test_a_look_ahead_has_a_bound_and_leaves_nobody_out() -> None:
     into = full_fleet(10, 0)
     jobs = [add_job(into, job_spec(100 + n, deadline_s=1e5)) for n in range(1_000)]
-    watch = Outlook(into, Chains(into.jobs), Estimates(), lambda job: S, S, 4 * S, 300)
+    watch = JobForecasts(
+        into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: S, S, 4 * S, 300
+    )
     seen: list[Job] = []
     for at_s in range(1, 5):
         seen += watch.look(at_s * S)
@@ -160,7 +169,9 @@
         add_job(into, job_spec(100 + n, deadline_s=30.0 + 3 * n, estimate_s=20.0, tasks=1))
         for n in range(40)
     ]
-    watch = Outlook(into, Chains(into.jobs), Estimates(), lambda job: S, S, 4 * S, 5_000)
+    watch = JobForecasts(
+        into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: S, S, 4 * S, 5_000
+    )
     noticed: dict[str, int] = {}
     turned: dict[str, int] = {}
     for at_us in range(S, 200 * S, S):
@@ -182,7 +193,7 @@
     job = add_job(into, job_spec(9, tasks=50_000, cpus=1.0))
     scene = scene_of(into)
     plan = plan_pass(scene, 2 * S, 10 * S)
-    queue = _Queue(into, [], Estimates(), 2 * S, usual_boots(FLEET))
+    queue = CapacityForecast(into, [], RunTimeEstimates(), 2 * S, usual_boots(FLEET))
     pushed = itertools.count()
     take = queue.take
 
@@ -192,9 +203,9 @@
             yield found
 
     cast(Any, queue).take = counted
-    goals = Goals([])
-    found = forecast_missing(
-        into, plan, queue, Estimates(), goals, 2 * S, 20 * S, lambda job: 1.0, FLEET
+    goals = ServiceLevelObjectives([])
+    found = forecast_unmet_demand(
+        into, plan, queue, RunTimeEstimates(), goals, 2 * S, 20 * S, lambda job: 1.0, FLEET
     )
     assert found.patient and found.patient[0][0] is job
     # 80 CPUs: 625 turns of 80 tasks.
@@ -206,9 +217,9 @@
     scene = scene_of(into)
     plan = plan_pass(scene, 2 * S, 10 * S)
     few, all_of_them = (
-        forecast_missing(
-            into, plan, _Queue(into, [], Estimates(), 2 * S, usual_boots(FLEET)),
-            Estimates(), Goals([]), 2 * S,
+        forecast_unmet_demand(
+            into, plan, CapacityForecast(into, [], RunTimeEstimates(), 2 * S, usual_boots(FLEET)),
+            RunTimeEstimates(), ServiceLevelObjectives([]), 2 * S,
             20 * S, lambda job: 1.0, settings, (), 5_000,
         )
         for settings in (FLEET, FleetTunables(most_considered=10_000).settings())
@@ -233,18 +244,18 @@
     for number in range(2_500):
         names[f"vm-{number:06}"] = "10.0.0.9:1"
         if len(names) == 50:
-            state.put(f"h/{number}", HireRecord("m4", "a", False, 50, START, True, names))
+            state.put(f"h/{number}", RentalRecord("m4", "a", False, 50, START, True, names))
             names = {}
     turns = longest = since = 0
-    original = Recovery.add_job
+    original = TermRecovery.add_job
 
-    def add(self: Recovery, *args: Any) -> Job:
+    def add(self: TermRecovery, *args: Any) -> Job:
         nonlocal since, longest
         since += 1
         longest = max(longest, since)
         return original(self, *args)
 
-    monkeypatch.setattr(Recovery, "add_job", add)
+    monkeypatch.setattr(TermRecovery, "add_job", add)
     leader = leader_of(state, clock())
 
     async def scenario() -> None:
@@ -258,7 +269,7 @@
 
     asyncio.run(scenario())
     assert (len(leader.cluster.jobs), len(leader.cluster.machines)) == (20_000, 2_500)
-    assert longest <= LOADED_AT_ONCE and turns >= 2 * 20_000 // LOADED_AT_ONCE
+    assert longest <= LOAD_BATCH_SIZE and turns >= 2 * 20_000 // LOAD_BATCH_SIZE
     assert len(leader.deciding.kept_scene().backlog) == 20_000
     assert spec.id in leader.cluster.jobs
 
@@ -386,7 +397,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     loop = Loop()
-    pacer = Pacer(S // 10, loop, loop.sleep)
+    pacer = EventLoopBudget(S // 10, loop, loop.sleep)
     with caplog.at_level(logging.WARNING):
         for took_us in (S // 20, S // 5, S // 5):
             with pacer.hold("fleet"):
@@ -395,30 +406,30 @@
     assert said == ["duty fleet held the loop for 0.200 s (over 0.100 s; 1 times so far)"]
     assert pacer.held == {"fleet": 2}
     assert pacer.summary() == "fleet held 2 times"
-    for rank, share in SHARES.items():
+    for rank, share in LOOP_SHARES.items():
         pause_us = pacer.pause_us("fleet", rank, S // 100)
         assert (S // 5) / (S // 5 + pause_us) == pytest.approx(share, rel=1e-3)
-    assert pacer.pause_us("fleet", Rank.PLACEMENT, 3 * S) == 3 * S
+    assert pacer.pause_us("fleet", LoopPriority.PLACEMENT, 3 * S) == 3 * S
 
 
 def test_while_the_loop_is_late_the_last_in_order_waits_first_and_not_for_ever() -> None:
     loop = Loop()
-    pacer = Pacer(S // 10, loop, loop.sleep)
+    pacer = EventLoopBudget(S // 10, loop, loop.sleep)
     waiting = {}
     for late_us in (0, 30_000, 60_000, 110_000):
         pacer.late_us = late_us
-        waiting[late_us] = [rank for rank in Rank if pacer.must_wait(rank)]
+        waiting[late_us] = [rank for rank in LoopPriority if pacer.must_wait(rank)]
     assert list(waiting.values()) == [
         [],
-        [Rank.FORECASTS],
-        [Rank.FLEET, Rank.FORECASTS],
-        [Rank.PREEMPTOR, Rank.FLEET, Rank.FORECASTS],
+        [LoopPriority.FORECASTS],
+        [LoopPriority.FLEET, LoopPriority.FORECASTS],
+        [LoopPriority.PREEMPTOR, LoopPriority.FLEET, LoopPriority.FORECASTS],
     ]
 
     async def scenario() -> None:
         began_us = loop()
-        await pacer.rest("fleet", Rank.FLEET, S)
-        assert MOST_PUT_OFF_US <= loop() - began_us - S <= MOST_PUT_OFF_US + S
+        await pacer.rest("fleet", LoopPriority.FLEET, S)
+        assert MAX_DEFERRAL_US <= loop() - began_us - S <= MAX_DEFERRAL_US + S
         assert pacer.put_off == {"fleet": 1}
         loop.late_us = 5_000
         watch = asyncio.create_task(pacer.watch())
@@ -449,13 +460,24 @@
     at_us, lease_us = 8 * S, 14 * S
     (lost,) = endangered(silent, at_us, lease_us)
     assert (lost.job, lost.starts_us, lost.tasks(into)) == (filler, S + lease_us, 60)
-    market = Market([machine_type(cpus=8.0, memory_gb=64.0, zones=("a",), boot_s=10.0)])
-    estimates, goals = Estimates(), Goals([])
+    market = RentalOffers([machine_type(cpus=8.0, memory_gb=64.0, zones=("a",), boot_s=10.0)])
+    estimates, goals = RunTimeEstimates(), ServiceLevelObjectives([])
     names = {machine.name for machine in silent}
 
-    def hires(upcoming: list[Upcoming], away: set[str]) -> int:
-        found = plan_hires(
-            into, Plan(), market, estimates, goals, at_us, FLEET, (), None, upcoming, 0, away
+    def hires(upcoming: list[ExpectedDemand], away: set[str]) -> int:
+        found = plan_scale_out(
+            into,
+            PlacementPlan(),
+            market,
+            estimates,
+            goals,
+            at_us,
+            FLEET,
+            (),
+            None,
+            upcoming,
+            0,
+            away,
         )
         return sum(found.values())
 
@@ -475,7 +497,7 @@
     orders: list[tuple[float, int]], missing: float
 ) -> None:
     hires = {
-        Offer(machine_type(name=f"m{n}", cpus=cpus), "a", True): count
+        RentalOffer(machine_type(name=f"m{n}", cpus=cpus), "a", True): count
         for n, (cpus, count) in enumerate(orders)
     }
     found = replacements(hires, missing)
@@ -544,7 +566,7 @@
             asked.append(url.partition("&from=")[2])
             fate = fates.pop(0)
             if fate is None:
-                raise CallFailed("no answer")
+                raise CallError("no answer")
             return fate, pages[len(set(asked)) - 1]
 
     async def read() -> list[tuple[list[str], int]]:
@@ -560,5 +582,5 @@
     # Nothing has been read yet: whoever asked decides.
     fates = [503]
     asked.clear()
-    with pytest.raises(Refused):
+    with pytest.raises(RequestRefusedError):
         asyncio.run(read())
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -14,36 +14,36 @@
 from tests.stand_ins import StandInState
 from tests.test_recovery import START, Clock, clock, fixed_clock, leader_of  # noqa: F401
 from tests.test_users import StandInNode, desk
-from weldhead.cluster_state.jobs import Job, Phase, Stop
+from weldhead.cluster_state.jobs import AttemptPhase, Job, StopRequest
 from weldhead.cluster_state.records import (
-    Binding,
-    Deed,
+    AdmissionBinding,
     FinalRecord,
-    HireRecord,
-    Hold,
+    GateAction,
+    GateHold,
     JobRecord,
-    bound_record,
+    RentalRecord,
+    admitted_record,
     final_key,
     job_key,
 )
-from weldhead.controller.configuration.gates import GateBinder, Gates
-from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.configuration.gates import GateBinder, GateKeeper
+from weldhead.controller.configuration.publisher import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
-from weldhead.documents.records import HEAD_KEY, HeadRecord, Offer, document_key, state_key
+from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key, state_key
 from weldhead.documents.source import parse_source
-from weldhead.gates.gate_document import Act, Gate
+from weldhead.gates.gate_document import Gate, GateActionRule
 from weldhead.gates.gate_state import (
     KEPT,
     MOST_PENDING,
-    Entered,
+    ActionEntry,
     GateState,
-    deed_of,
     ended,
     enter,
+    gate_action,
     permits,
     waits_for,
 )
-from weldhead.tomlfiles import FileProblem
+from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.state_client import StateClient
 
 S = 1_000_000
@@ -53,7 +53,7 @@
 
 
 def gate(former: Any = "finish", **changes: Any) -> Gate:
-    acts = {act: Act(name) for act, name in CLASSES.items()}
+    acts = {act: GateActionRule(name) for act, name in CLASSES.items()}
     return Gate("book", ["quotes"], former=former, **(acts | changes))
 
 
@@ -69,17 +69,17 @@
 
     def __init__(self) -> None:
         self.state = GateState()
-        self.accepted: dict[int, tuple[str, int, int, Deed]] = {}
+        self.accepted: dict[int, tuple[str, int, int, GateAction]] = {}
         self.entered: dict[int, int] = {}
         self.over: dict[int, bool] = {}
         self.count = 0
 
     def accept(self, act: str, needs: int) -> int:
         self.count += 1
-        self.accepted[self.count] = (act, needs, self.count, deed_of(gate(), self.state, act))
+        self.accepted[self.count] = (act, needs, self.count, gate_action(gate(), self.state, act))
         return self.count
 
-    def enter(self, number: int) -> Entered:
+    def enter(self, number: int) -> ActionEntry:
         act, needs, _, deed = self.accepted[number]
         names = [run_id(needs)] if needs else []
         self.state, outcome = enter(self.state, act, run_id(number), names, deed, number)
@@ -115,7 +115,7 @@
     def _enter(self, number: int) -> None:
         before = self.model.state
         outcome = self.model.enter(number)
-        if outcome is not Entered.TAKEN:
+        if outcome is not ActionEntry.TAKEN:
             assert self.model.state == before
             return
         edition = self.model.state.pending[-1].edition
@@ -192,16 +192,16 @@
 
     for order in ((3, 4), (4, 3)):
         state = opened()
-        deeds = {n: deed_of(gate(), state, a) for n, a in ((3, "approval"), (4, "withdrawal"))}
+        deeds = {n: gate_action(gate(), state, a) for n, a in ((3, "approval"), (4, "withdrawal"))}
         for number in order:
             act = "approval" if number == 3 else "withdrawal"
             state, _ = enter(state, act, run_id(number), [], deeds[number], 2)
         state = ended(state, run_id(3), 3, done=True)
         assert not permits("finish", state, 1) and "again" in waits_for(gate(), state)
         state, taken = enter(
-            state, "approval", run_id(5), [], deed_of(gate(), state, "approval"), 4
+            state, "approval", run_id(5), [], gate_action(gate(), state, "approval"), 4
         )
-        assert taken is Entered.TAKEN
+        assert taken is ActionEntry.TAKEN
         assert permits("finish", ended(state, run_id(5), 5, done=True), 1)
 
 
@@ -226,7 +226,7 @@
         ((("a", "quotes", "p", "s"), ("b", "cuts", "p", "t")), "work on gate a"),
         ((("a", "quotes", "p", "s"), ("b", "p", "q", "t")), "gate b holds these"),
     ]:
-        with pytest.raises(FileProblem, match=word):
+        with pytest.raises(FileProblemError, match=word):
             check(*wrong)
 
 
@@ -255,13 +255,13 @@
 
     def machine(self) -> None:
         machines: dict[str, str | None] = {"vm-1": "10.0.0.9:1"}
-        self.state.put("h/vm-1", HireRecord("m4", "a", False, 1, START, True, machines))
+        self.state.put("h/vm-1", RentalRecord("m4", "a", False, 1, START, True, machines))
 
-    def documents(self) -> Documents:
+    def documents(self) -> DocumentReplica:
         async def nobody(kind: str, job_id: str, body: bytes) -> None:
             return None
 
-        documents = Documents(cast(StateClient, self.state), None, nobody)
+        documents = DocumentReplica(cast(StateClient, self.state), None, nobody)
         documents.binders.append(GateBinder(documents.cache))
         self.run(documents._read())
         return documents
@@ -292,7 +292,7 @@
         return self.loop.run_until_complete(wait())
 
     @property
-    def gates(self) -> Gates:
+    def gates(self) -> GateKeeper:
         assert self.leader.gates is not None
         return self.leader.gates
 
@@ -302,7 +302,7 @@
             return
         self.run(self.gates._look(list(self.leader.cluster.jobs.values())))
 
-    def submit(self, number: int, job_class: str, *, documents: Documents | None = None,
+    def submit(self, number: int, job_class: str, *, documents: DocumentReplica | None = None,
                needs: tuple[int, ...] = (), **of: Any) -> int:  # fmt: skip
         node = StandInNode()
         node.documents = documents or self.documents()
@@ -355,7 +355,7 @@
 def test_a_job_waits_for_approval_and_publication_and_says_so(world: World) -> None:
     assert world.submit(1, "quotes") == 201
     record = msgspec.convert(world.state.keys[job_key(run_id(1))][0], JobRecord)
-    assert record.hold == Hold("book", 1)
+    assert record.hold == GateHold("book", 1)
     job = world.job(1)
     told = world.leader.status(job.id)
     assert job.waiting == 0 and told is not None and told.state == "pending"
@@ -436,12 +436,12 @@
     assert world.submit(12, "quotes", documents=before) == 503
     assert world.submit(12, "quotes", documents=old) == 503
     assert world.submit(12, "quotes") == 201
-    assert world.job(12).hold == Hold("book", 2)
+    assert world.job(12).hold == GateHold("book", 2)
     world.publish(None)
     assert world.submit(13, "other", documents=before) == 503
 
 
-def running(world: World, number: int, phases: list[Phase]) -> None:
+def running(world: World, number: int, phases: list[AttemptPhase]) -> None:
     machine = world.leader.cluster.machines["vm-1"]
     for index, phase in enumerate(phases):
         attempt = world.leader.cluster.start(world.job(number), index, machine, world.clock())
@@ -457,14 +457,14 @@
     world = World(clock, gate(former))
     world.open(2)
     world.submit(10, "quotes", cpus=0.5)
-    running(world, 10, [Phase.ASSIGNED, Phase.PULLING, Phase.RUNNING])
+    running(world, 10, [AttemptPhase.ASSIGNED, AttemptPhase.PULLING, AttemptPhase.RUNNING])
     unanswered = world.job(10).active[0]
     unanswered.unconfirmed_us = clock()
     world.submit(11, "recall")
     job = world.job(10)
     stops = [job.active[n].stop for n in range(3)]
-    running_stop = Stop.SOFT if former == "stop" else Stop.NO
-    assert stops == [Stop.HARD, Stop.HARD, running_stop] and job.waiting == 0
+    running_stop = StopRequest.SOFT if former == "stop" else StopRequest.NO
+    assert stops == [StopRequest.HARD, StopRequest.HARD, running_stop] and job.waiting == 0
     # It is told, and its own job begins, once nothing can begin any more.
     told = world.leader.status(job.id)
     assert told is not None and told.held_by is None and world.job(11).waiting == 0
@@ -490,11 +490,11 @@
         world = World(clock, gate(former))
         world.open(2)
         world.submit(10, "quotes", cpus=0.5)
-        running(world, 10, [Phase.RUNNING])
+        running(world, 10, [AttemptPhase.RUNNING])
         world.submit(11, "prices")
         job = world.job(10)
         stopped = former == "stop"
-        assert (job.active[0].stop is Stop.SOFT, job.waiting == 0) == (stopped, stopped)
+        assert (job.active[0].stop is StopRequest.SOFT, job.waiting == 0) == (stopped, stopped)
         world.close()
 
 
@@ -551,7 +551,7 @@
     world.submit(1, "quotes")
     assert world.job(1).waiting == 0
     assert world.leader.publisher is not None
-    world.run(world.leader.publisher._publish(Offer(2, {})))
+    world.run(world.leader.publisher._publish(DocumentSet(2, {})))
     assert world.submit(5, "other") == 201
     assert world.job(1).waiting == 4
 
@@ -624,7 +624,7 @@
     count = 2_000
     for number in range(1, count + 1):
         spec = job_spec(number, job_class="quotes", priority="high" if number % 2 else "idle")
-        record = bound_record(spec, START, Binding(hold=Hold("book", 1)))
+        record = admitted_record(spec, START, AdmissionBinding(hold=GateHold("book", 1)))
         world.leader.job_created(record, number)
     world.act(10_001, "rebuild")
     world.act(10_002, "approval")
--- a/tests/test_handing_back.py
+++ b/tests/test_handing_back.py
@@ -30,7 +30,7 @@
     CloudLimits,
     Facts,
     MachineLimits,
-    Node,
+    PeerSettings,
     Services,
     Settings,
     StateLimits,
@@ -85,7 +85,7 @@
         self.store = Store(loop, self.network)
         kinds = {machine_type(): 0}
         self.cloud = SimulatedCloud(loop, self.network, kinds, 10.0, _none, random.Random(seed))
-        peers = [Node(f"n-{n}", "ab"[n % 2], f"10.0.0.{n}:81") for n in range(count)]
+        peers = [PeerSettings(f"n-{n}", "ab"[n % 2], f"10.0.0.{n}:81") for n in range(count)]
         facts = Facts(
             ["a", "b"], [Team("red", 8, 100)], WorkerLimits(3.0, 14.0, 44.0), LIMITS,
             CloudLimits(10.0, 2.0), [], MachineLimits(1.0, 0.0, 1024),
--- a/tests/test_held_commands.py
+++ b/tests/test_held_commands.py
@@ -12,10 +12,10 @@
 from tests.loopback import eventually, served
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, clock, fixed_clock, new_leader, put_job, put_machine
-from weldhead.cluster_state.jobs import Stop
+from weldhead.cluster_state.jobs import StopRequest
 from weldhead.site.http import Reply
 from weldhead.transport import worker_commands as workers
-from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
+from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
 S = 1_000_000
 __all__ = ["clock"]
@@ -42,8 +42,8 @@
         leader._dispatcher.post_soon(machine)
         await settle()
         assert attempt.posted
-        leader.deciding.stop(attempt, Stop.HARD, clock(), "room")
-        wire.requests[0].answer.set_exception(NotConnected("refused"))
+        leader.deciding.stop(attempt, StopRequest.HARD, clock(), "room")
+        wire.requests[0].answer.set_exception(NotConnectedError("refused"))
         await settle()
         for _ in range(2):
             clock.us += S
@@ -70,16 +70,16 @@
         async with served(handle) as address:
             one = asyncio.create_task(workers.command(http, address, 1, 1, [], 60 * S))
             await eventually(lambda: len(asked) == 1)
-            with pytest.raises(NotConnected):
+            with pytest.raises(NotConnectedError):
                 await workers.command(http, address, 2, 1, [], S // 10)
             waiting.set()
-            with pytest.raises(CallFailed, match="503"):
+            with pytest.raises(CallError, match="503"):
                 await one
             waiting.clear()
             # One that was sent and is not answered in time is no such thing.
-            with pytest.raises(CallFailed) as sent:
+            with pytest.raises(CallError) as sent:
                 await workers.command(http, address, 3, 1, [], S // 10)
-            assert not isinstance(sent.value, NotConnected)
+            assert not isinstance(sent.value, NotConnectedError)
             waiting.set()
             await http.close()
         assert [b'"token":2' in body for body in asked] == [False] * 2
@@ -130,7 +130,9 @@
             case "exit":
                 network.exit(number)
             case "stop" | "kill":
-                await network.stop(number, Stop.SOFT if event == "stop" else Stop.HARD)
+                await network.stop(
+                    number, StopRequest.SOFT if event == "stop" else StopRequest.HARD
+                )
             case "save":
                 await network.save()
             case "take over":
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -8,19 +8,24 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
 from tests.test_equivalence import FLEET, GOALS, PATIENCE, PREEMPTOR, SILENCE, Town
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Job, Phase
+from weldhead.cluster_state.jobs import AttemptPhase, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
 from weldhead.protocol.settings import Team
-from weldhead.scheduling.autoscaling.fleet import Market, plan_hires
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.placement.backlog import Unplaced
-from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass, usable
-from weldhead.scheduling.preemption.preemptor import plan_reclaims
-from weldhead.scheduling.reservations.holding import Ahead, Holding, HoldingSettings, Holds
+from weldhead.scheduling.autoscaling.fleet import RentalOffers, plan_scale_out
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.placement.backlog import UnplacedTasks
+from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass, usable
+from weldhead.scheduling.preemption.preemptor import plan_preemptions
+from weldhead.scheduling.reservations.holding import (
+    CapacityReserver,
+    Reservations,
+    ReservationSettings,
+    WideTaskForecast,
+)
 
 S = 1_000_000
-SETTINGS = HoldingSettings(15 * S, 60 * S, 0.5, 0.25)
+SETTINGS = ReservationSettings(15 * S, 60 * S, 0.5, 0.25)
 
 
 class Field:
@@ -32,9 +37,9 @@
         self.cluster = Cluster([Team("red", 0, limit), Team("blue", 0, 1_000)], 41)
         for number in range(machines):
             add_machine(self.cluster, f"vm-{number:06}", cpus=8.0, memory_gb=64.0)
-        self.estimates = Estimates()
-        self.scene = Scene(self.cluster, self.estimates, GOALS, PATIENCE)
-        self.holding = Holding(self.cluster, self.scene.backlog, self.estimates, SETTINGS)
+        self.estimates = RunTimeEstimates()
+        self.scene = PlacementInput(self.cluster, self.estimates, GOALS, PATIENCE)
+        self.holding = CapacityReserver(self.cluster, self.scene.backlog, self.estimates, SETTINGS)
         self.jobs = 0
 
     def job(self, waited_us: int = 0, **changes: object) -> Job:
@@ -45,9 +50,9 @@
 
     def run(self, job: Job, machine: Machine, for_us: int = 0) -> None:
         attempt = self.cluster.start(job, job.waiting_indexes(1)[0], machine, self.now)
-        attempt.phase, attempt.running_us = Phase.RUNNING, self.now - for_us
+        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, self.now - for_us
 
-    def decide(self) -> Plan:
+    def decide(self) -> PlacementPlan:
         for machine in self.cluster.machines.values():
             machine.hear(self.now, SILENCE)
         self.scene.refresh(self.now)
@@ -76,7 +81,7 @@
                 until_us, _ = self.scene.holds.until_us[start.machine.name]
                 assert self.now + 2 * start.job.spec.estimate_us <= until_us
             attempt = self.cluster.start(start.job, start.index, start.machine, self.now)
-            attempt.phase, attempt.running_us = Phase.RUNNING, self.now
+            attempt.phase, attempt.running_us = AttemptPhase.RUNNING, self.now
         self.now += S
 
     def check_share(self) -> None:
@@ -123,14 +128,14 @@
 @given(st.integers(0, 100_000))
 def test_nothing_changes_where_nothing_is_wide(seed: int) -> None:
     town = Town(seed)
-    holding = Holding(
-        town.cluster, town.scene.backlog, town.estimates, HoldingSettings(1, 1 << 60, 1.0, 0.5)
+    holding = CapacityReserver(
+        town.cluster, town.scene.backlog, town.estimates, ReservationSettings(1, 1 << 60, 1.0, 0.5)
     )
     for _ in range(40):
         town.change()
         town.scene.refresh(town.now)
         town.scene.holds = holding.look(town.now, lambda machine: True)
-        assert town.scene.holds == Holds()
+        assert town.scene.holds == Reservations()
         town.compare_placement()
 
 
@@ -150,10 +155,10 @@
     assert field.scene.holds.machines == {"vm-000001": wide.id}
     # Later by half more than is estimated it would be too late; not before that.
     field.now -= 15 * S
-    early = Holding(field.cluster, field.scene.backlog, field.estimates, SETTINGS)
+    early = CapacityReserver(field.cluster, field.scene.backlog, field.estimates, SETTINGS)
     assert early.look(field.now, lambda machine: True).machines == {}
     field.now += 16 * S
-    successor = Holding(field.cluster, field.scene.backlog, field.estimates, SETTINGS)
+    successor = CapacityReserver(field.cluster, field.scene.backlog, field.estimates, SETTINGS)
     assert successor.look(field.now, lambda machine: True).machines == {"vm-000001": wide.id}
 
 
@@ -179,7 +184,7 @@
     field.job(waited_us=5 * S)
     wide = field.job(waited_us=50 * S, cpus=6.0)
     assert field.decide().starts == []
-    assert field.scene.holds == Holds({}, {}, {wide.team: (6.0, 0.0)})
+    assert field.scene.holds == Reservations({}, {}, {wide.team: (6.0, 0.0)})
 
 
 def test_a_held_machine_is_emptied_as_a_set_and_nobody_else_claims_it() -> None:
@@ -198,7 +203,7 @@
     assert list(held.values()) == [wide.id]
     # What may not be stopped still runs there: nobody is stopped in vain.
     for expected in (0, 1):
-        reclaims = plan_reclaims(
+        reclaims = plan_preemptions(
             field.cluster, ReclaimLists(), plan, field.estimates, field.now, PREEMPTOR, GOALS,
             held=held,
         )  # fmt: skip
@@ -217,15 +222,15 @@
         machine = add_machine(into, f"vm-{number:06}", cpus=8.0, memory_gb=64.0)
         into.start(add_job(into, job_spec(number, cpus=2.0, tasks=1)), 0, machine, 0)
     wide = add_job(into, job_spec(99, cpus=7.0, tasks=2, estimate_s=200.0), 100 * S)
-    plan = Plan(unplaced=Unplaced([(wide, 2)]))
-    market = Market([machine_type(cpus=8.0, memory_gb=64.0)])
+    plan = PlacementPlan(unplaced=UnplacedTasks([(wide, 2)]))
+    market = RentalOffers([machine_type(cpus=8.0, memory_gb=64.0)])
 
     def hires(coming: int) -> int:
         kind = market.types[0]
-        found = plan_hires(
-            into, plan, market, Estimates(), GOALS, 100 * S, FLEET,
-            ahead=lambda up_us: Ahead(
-                into.machines.values(), [(kind, coming)], Holds(), 0.5, up_us
+        found = plan_scale_out(
+            into, plan, market, RunTimeEstimates(), GOALS, 100 * S, FLEET,
+            ahead=lambda up_us: WideTaskForecast(
+                into.machines.values(), [(kind, coming)], Reservations(), 0.5, up_us
             ),
         )  # fmt: skip
         return sum(found.values())
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -22,20 +22,20 @@
 from tests.test_users import GOOD_BODY, JOB, StandInNode, desk
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import (
-    HIRES,
     LEADER_KEY,
     PROGRESS,
-    HireRecord,
+    RENTALS,
     JobRecord,
+    RentalRecord,
     final_key,
     job_key,
 )
-from weldhead.cluster_state.state_writer import Deposed, Ledger
+from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import StateLimits
-from weldhead.scheduling.autoscaling.fleet import Offer
+from weldhead.scheduling.autoscaling.fleet import RentalOffer
 from weldhead.site.store.server import StateService
-from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.state_client import StateClient
 
 LIMITS = StateLimits(1e6, 1e6, 8.0, 12)
@@ -63,15 +63,15 @@
         if fate == "refused":
             return 503, b"{}"
         if fate == "lost":
-            raise CallFailed("lost")
+            raise CallError("lost")
         if fate == "late" and body is not None:
             self.late.append(body)
-            raise CallFailed("held back")
+            raise CallError("held back")
         asked = dict(part.split("=") for part in query.split("&") if part)
         request: Any = SimpleNamespace(method=method, path=path, query=asked)
         answer = await self.service.handle(request, body or b"")
         if fate == "unanswered":
-            raise CallFailed("the answer was lost")
+            raise CallError("the answer was lost")
         return answer.status, answer.body
 
     async def release(self) -> None:
@@ -121,14 +121,14 @@
         created: dict[str, list[int]] = defaultdict(list)
         doubts: set[str] = set()
 
-        async def lead(name: str) -> tuple[Ledger, "asyncio.Task[None]"]:
-            ledger = Ledger(state, await transport.lead(name))
+        async def lead(name: str) -> tuple[StateWriter, "asyncio.Task[None]"]:
+            ledger = StateWriter(state, await transport.lead(name))
             for key in KEYS:
                 if (known := await state.get(key)) is not None:
                     ledger.learn(key, known.version)
             return ledger, asyncio.create_task(ledger.run())
 
-        def look(ledger: Ledger) -> None:
+        def look(ledger: StateWriter) -> None:
             doubts.update(key for key in KEYS if ledger.in_doubt(key))
             for key, value in told.items():
                 stored = transport.stored(key)
@@ -175,11 +175,11 @@
     async def scenario() -> None:
         transport = LateTransport()
         state = StateClient(cast(HttpClient, transport), "state", LIMITS)
-        ledger = Ledger(state, await transport.lead("n-0"))
+        ledger = StateWriter(state, await transport.lead("n-0"))
         await transport.lead("n-1")
         transport.fates = list(fates)
         duty = asyncio.create_task(ledger.run())
-        with pytest.raises(Deposed):
+        with pytest.raises(LeadershipLostError):
             await ledger.write({"j/1": 1, "h/1": 2})
         await transport.release()
         assert transport.stored("j/1") is transport.stored("h/1") is None
@@ -225,7 +225,7 @@
     async def rent_and_return() -> None:
         first.term.duties.start("deletions", first.rentals._delete)
         state.fates = list(fates)
-        first.rentals.hire(Offer(machine_type(), "a", True), 2)
+        first.rentals.hire(RentalOffer(machine_type(), "a", True), 2)
         await settle()
         first.rentals.delete(dict(first.cluster.machines))
         await settle()
@@ -244,7 +244,7 @@
     assert len(cloud.rented) == asked == 1
     assert not second.cluster.machines and not second.rentals.coming()
     # What had to be kept of it goes with the term that could not delete it for good.
-    assert not [key for key in state.keys if key.startswith(HIRES)]
+    assert not [key for key in state.keys if key.startswith(RENTALS)]
 
 
 def test_a_rental_whose_record_was_answered_leaves_nothing() -> None:
@@ -253,11 +253,11 @@
     first = term(state, cloud)
 
     async def rent() -> None:
-        first.rentals.hire(Offer(machine_type(), "a", True), 2)
+        first.rentals.hire(RentalOffer(machine_type(), "a", True), 2)
         await settle()
 
     run(played(first, rent))
-    assert not [key for key in state.keys if key.startswith(HIRES)]
+    assert not [key for key in state.keys if key.startswith(RENTALS)]
 
 
 @given(st.lists(st.sampled_from(FATES), max_size=6), st.booleans())
@@ -265,7 +265,7 @@
     """Nothing was started where the next leader does not look."""
     state = StandInState()
     machines: dict[str, str | None] = {"vm-000001": None, "vm-000002": None}
-    state.put("h/x", HireRecord("m4", "a", False, 2, 0, True, dict(machines)))
+    state.put("h/x", RentalRecord("m4", "a", False, 2, 0, True, dict(machines)))
     first = term(state, StandInCloud())
 
     async def mark() -> None:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -17,19 +17,18 @@
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY, UNSETTLED_KEY, LeaderRecord
 from weldhead.controller.leadership import leader_election as campaigning
-from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.leader_lease import (
-    Authority,
     Candidacy,
+    LeaderLease,
     default_timing,
     handicap_us,
     predecessor_over_us,
 )
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.protocol.peer import Pong
-from weldhead.protocol.settings import Node as PeerNode
-from weldhead.protocol.settings import parse_settings
-from weldhead.protocol.wire import Put
+from weldhead.protocol.settings import PeerSettings, parse_settings
+from weldhead.protocol.wire import PutKey
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
@@ -58,9 +57,9 @@
         self.true_us = 0.0
         self.store = StandInLease()
         self.outage = False
-        self.on_the_way: list[tuple[Authority, int, str, int]] = []
+        self.on_the_way: list[tuple[LeaderLease, int, str, int]] = []
         self.started = dict.fromkeys(NODES, 0.0)
-        self.authority = {n: Authority(TIMING, frozenset(NODES) - {n}) for n in NODES}
+        self.authority = {n: LeaderLease(TIMING, frozenset(NODES) - {n}) for n in NODES}
         self.candidacy = {n: Candidacy(TIMING, self.clock(n)) for n in NODES}
 
     def clock(self, node: str) -> int:
@@ -133,7 +132,7 @@
 
     @rule(node=st.sampled_from(NODES))
     def restart(self, node: str) -> None:
-        self.authority[node] = Authority(TIMING, frozenset(NODES) - {node})
+        self.authority[node] = LeaderLease(TIMING, frozenset(NODES) - {node})
         self.candidacy[node] = Candidacy(TIMING, self.clock(node))
 
     @rule(node=st.sampled_from(NODES))
@@ -153,7 +152,7 @@
 
 
 def test_a_lease_counts_from_sending_and_allows_for_drift() -> None:
-    authority = Authority(TIMING, frozenset({"n-1"}))
+    authority = LeaderLease(TIMING, frozenset({"n-1"}))
     authority.begin(5, 7, 1_000_000)
     assert authority.valid(1_000_000 + TIMING.ttl_us * 99 // 100)
     assert not authority.valid(1_000_000 + TIMING.ttl_us)
@@ -161,7 +160,7 @@
 
 def test_a_renewed_lease_counts_no_longer_than_the_key_was_seen() -> None:
     """Extended after the key was another's, it outlasted what a successor waits for."""
-    authority = Authority(TIMING, frozenset({"n-1"}))
+    authority = LeaderLease(TIMING, frozenset({"n-1"}))
     authority.begin(5, 7, S)
     for sent_us in range(2 * S, 9 * S, S // 2):
         authority.renewed(sent_us)
@@ -185,7 +184,7 @@
 
 
 def test_promises_count_only_when_all_others_gave_one() -> None:
-    authority = Authority(TIMING, frozenset({"n-1", "n-2"}))
+    authority = LeaderLease(TIMING, frozenset({"n-1", "n-2"}))
     authority.begin(5, 7, 0)
     late = TIMING.ttl_us - 100_000
     authority.promised("n-1", late, late)
@@ -196,7 +195,7 @@
 
 def test_promises_that_come_after_the_lease_count_for_nothing() -> None:
     """In the gap another may have led; started anew, it promises and knows nothing of that."""
-    authority = Authority(TIMING, frozenset({"n-1", "n-2"}))
+    authority = LeaderLease(TIMING, frozenset({"n-1", "n-2"}))
     authority.begin(5, 7, 0)
     for peer in ("n-1", "n-2"):
         authority.promised(peer, TIMING.ttl_us - 100_000, TIMING.ttl_us + 100_000)
@@ -204,7 +203,7 @@
 
 
 def test_a_node_without_peers_has_nobody_to_promise() -> None:
-    authority = Authority(TIMING, frozenset())
+    authority = LeaderLease(TIMING, frozenset())
     authority.begin(5, 7, 0)
     assert authority.until_us() < TIMING.ttl_us
 
@@ -225,7 +224,7 @@
 
 
 def test_nobody_else_led_when_the_first_of_all_promises_was_asked_for() -> None:
-    authority = Authority(TIMING, frozenset({"n-1", "n-2"}))
+    authority = LeaderLease(TIMING, frozenset({"n-1", "n-2"}))
     authority.begin(5, 7, 0)
     authority.promised("n-1", 700, 900)
     assert authority.alone_us == 0
@@ -238,9 +237,9 @@
     assert predecessor_over_us(100, 0) == 100
 
 
-def restarted_node(record: LeaderRecord) -> tuple[Campaign, list[tuple[int, int]]]:
+def restarted_node(record: LeaderRecord) -> tuple[LeaderElection, list[tuple[int, int]]]:
     """A node that has just started and finds the record in the leader's key."""
-    node = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
+    node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
     state = StandInState()
     state.put(LEADER_KEY, record)
     stood: list[tuple[int, int]] = []
@@ -259,7 +258,7 @@
 def test_a_nodes_own_former_life_is_replaced_without_waiting_for_its_lease() -> None:
     """All controllers ended in an outage, after which each lease had its full time again."""
 
-    async def read(node: Campaign) -> None:
+    async def read(node: LeaderElection) -> None:
         await node.read_leader()
         for _ in range(5):
             await asyncio.sleep(0)
@@ -314,7 +313,7 @@
         assert node.leader is None
         (_, (put, unsettled)) = state.late.pop()
         assert unsettled.key == UNSETTLED_KEY
-        state.put(LEADER_KEY, cast(Put, put).value)
+        state.put(LEADER_KEY, cast(PutKey, put).value)
         node.stand = note  # type: ignore[method-assign]
         await node.read_leader()
         for _ in range(5):
@@ -382,7 +381,7 @@
     asyncio.run(take_over())
     assert (waited, stood) == ([0.0], [(2, 3 * S)])
     cast(dict[str, PeerLink], node._links)["n-2"] = PeerLink(
-        PeerNode("n-2", "b", "10.0.0.3:1"), "n-0"
+        PeerSettings("n-2", "b", "10.0.0.3:1"), "n-0"
     )
     asyncio.run(take_over())
     assert (waited[1:], len(stood)) == ([0.1], 2)
@@ -406,7 +405,7 @@
     """A follower kept its last term's jobs and machines until it led again."""
     monkeypatch.setattr(campaigning, "RELEASE_S", 0.0)
 
-    async def lose(campaign: Campaign) -> "weakref.ref[StandInTerm]":
+    async def lose(campaign: LeaderElection) -> "weakref.ref[StandInTerm]":
         term = StandInTerm()
         campaign.leader = cast(Any, term)
         campaign._state = cast(Any, StandInState())
@@ -414,7 +413,9 @@
         return weakref.ref(term)
 
     async def see() -> None:
-        campaign = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
+        campaign = ControllerProcess(
+            parse_settings(msgspec.json.encode(SETTINGS)), Tunables()
+        ).campaign
         kept = await lose(campaign)
         for _ in range(20):
             await asyncio.sleep(0)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,9 +10,9 @@
 from tests.stand_ins import StandInState
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY
-from weldhead.cluster_state.state_writer import Deposed, Ledger
-from weldhead.transport.state_client import Rejected, StateClient
-from weldhead.transport.token_bucket import Budget
+from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
+from weldhead.transport.state_client import StateClient, TransactionRejectedError
+from weldhead.transport.token_bucket import TokenBucket
 
 FATES = st.lists(st.sampled_from(["ok", "refused", "lost", "unanswered", "late"]), max_size=12)
 
@@ -35,7 +35,7 @@
         state = StandInState()
         token = state.put(LEADER_KEY, {"name": "n-0"})
         state.fates = list(fates)
-        ledger = Ledger(cast(StateClient, state), token)
+        ledger = StateWriter(cast(StateClient, state), token)
         duty = asyncio.create_task(ledger.run())
         for count, key in enumerate(keys):
             if count == release:
@@ -56,11 +56,11 @@
     async def scenario() -> None:
         state = StandInState()
         token = state.put(LEADER_KEY, {"name": "n-0"})
-        ledger = Ledger(cast(StateClient, state), token)
+        ledger = StateWriter(cast(StateClient, state), token)
         state.fates = list(fates)
         state.put(LEADER_KEY, {"name": "n-1"})
         duty = asyncio.create_task(ledger.run())
-        with pytest.raises(Deposed):
+        with pytest.raises(LeadershipLostError):
             await ledger.write({"f/run-1": "done"})
         state.release_late()
         assert "f/run-1" not in state.keys
@@ -74,7 +74,7 @@
     async def scenario() -> None:
         state = StandInState()
         token = state.put(LEADER_KEY, {"name": "n-0"})
-        ledger = Ledger(cast(StateClient, state), token)
+        ledger = StateWriter(cast(StateClient, state), token)
         writes = [asyncio.create_task(ledger.write({f"p/{n}": n})) for n in range(20)]
         urgent = asyncio.create_task(ledger.write({"m/x": 1}, urgent=True))
         await asyncio.sleep(0)
@@ -95,7 +95,7 @@
         state = StandInState()
         token = state.put(LEADER_KEY, {"name": "n-0"})
         state.value_bytes = 100
-        ledger = Ledger(cast(StateClient, state), token)
+        ledger = StateWriter(cast(StateClient, state), token)
         writes = [
             asyncio.create_task(ledger.write({f"p/{n}": "x" * (200 if n == 2 else 20)}))
             for n in range(5)
@@ -104,7 +104,13 @@
         await asyncio.sleep(0)
         duty = asyncio.create_task(ledger.run())
         answers = await asyncio.gather(*writes, return_exceptions=True)
-        assert [type(answer) for answer in answers] == [int, int, Rejected, int, int]
+        assert [type(answer) for answer in answers] == [
+            int,
+            int,
+            TransactionRejectedError,
+            int,
+            int,
+        ]
         # The same key goes on with a value that fits.
         await later
         assert state.keys["p/2"][0] == "short"
@@ -118,7 +124,7 @@
     async def scenario() -> None:
         state = StandInState()
         token = state.put(LEADER_KEY, {"name": "n-0"})
-        ledger = Ledger(cast(StateClient, state), token)
+        ledger = StateWriter(cast(StateClient, state), token)
         value = ["old"]
         write = asyncio.create_task(ledger.write({"h/1": lambda: value[0], "h/2": None}))
         await asyncio.sleep(0)
@@ -133,7 +139,7 @@
 
 
 def test_a_429_empties_the_budget_so_that_the_next_try_waits() -> None:
-    budget = Budget(10.0, 5.0)
+    budget = TokenBucket(10.0, 5.0)
     assert budget.try_take(1, now_us())
     budget.drain()
     at_us = now_us()
@@ -148,7 +154,7 @@
     """Others read it already, while this leader goes by what was there before."""
     state = StandInState()
     token = state.put(LEADER_KEY, {"name": "n-0"})
-    ledger = Ledger(cast(StateClient, state), token)
+    ledger = StateWriter(cast(StateClient, state), token)
     seen: list[frozenset[str]] = []
     transact = state.transact
 
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -14,7 +14,7 @@
 from tests.plain import plain_starts
 from tests.stand_ins import StandInWorker
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Phase, Stop, TaskState
+from weldhead.cluster_state.jobs import AttemptPhase, StopRequest, TaskState
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.workers.heartbeat_reconciler import (
     apply_report,
@@ -23,11 +23,11 @@
     request_stop,
 )
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import Command, Report, split_task
-from weldhead.reconciliation.command_queue import Errand, _rank_of, rank
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
-from weldhead.scheduling.placement.placement import Scene, plan_pass
+from weldhead.protocol.wire import Command, Heartbeat, split_task
+from weldhead.reconciliation.command_queue import CommandPriority, _rank_of, queue_position
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
+from weldhead.scheduling.placement.placement import PlacementInput, plan_pass
 
 NAMES = ["vm-000001", "vm-000002", "vm-000003"]
 LIMIT = 10.0
@@ -47,13 +47,15 @@
             self.cluster.machines[name] = machine
         add_job(self.cluster, job_spec(1, tasks=6))
         add_job(self.cluster, job_spec(2, tasks=3, cpus=1.0, checkpoint_s=10.0))
-        self.scene = Scene(self.cluster, Estimates(), Goals([]), 45_000_000)
+        self.scene = PlacementInput(
+            self.cluster, RunTimeEstimates(), ServiceLevelObjectives([]), 45_000_000
+        )
         #: Reports and direct requests that the network holds back.
-        self.held_reports: list[Report] = []
+        self.held_reports: list[Heartbeat] = []
         self.held_direct: list[tuple[str, int, list[Command]]] = []
         self.finished: set[str] = set()
 
-    def _handle(self, report: Report, *, direct: bool) -> None:
+    def _handle(self, report: Heartbeat, *, direct: bool) -> None:
         machine = self.cluster.machines[report.machine]
         if not is_newer(machine, report):
             return
@@ -102,10 +104,12 @@
         """Commands and ranks look at fewer attempts than there are: the rest changes nothing."""
         for machine in self.cluster.machines.values():
             phases = {attempt.phase for attempt in machine.attempts.values()}
-            assert machine.listing is None or Phase.ASSIGNED not in phases
+            assert machine.listing is None or AttemptPhase.ASSIGNED not in phases
             ranks = [_rank_of(self.cluster, a) for a in machine.attempts.values()]
-            ranks += [(Errand.RULES, 0)] if machine.ghosts else []
-            assert rank(self.cluster, machine) == min(ranks, default=(Errand.REST, 1 << 62))
+            ranks += [(CommandPriority.RULES, 0)] if machine.ghosts else []
+            assert queue_position(self.cluster, machine) == min(
+                ranks, default=(CommandPriority.REST, 1 << 62)
+            )
 
     @rule()
     def late_report_arrives(self) -> None:
@@ -119,7 +123,14 @@
             machine.hear(self.now, 10_000_000)
         # Kept over all steps: what it is not told of, it would not place.
         plan = plan_pass(self.scene, self.now, 10_000_000)
-        plain = plain_starts(self.cluster, Estimates(), Goals([]), self.now, 10_000_000, 45_000_000)
+        plain = plain_starts(
+            self.cluster,
+            RunTimeEstimates(),
+            ServiceLevelObjectives([]),
+            self.now,
+            10_000_000,
+            45_000_000,
+        )
         assert plan.starts == plain.starts
         for start in plan.starts:
             self.cluster.start(start.job, start.index, start.machine, self.now)
@@ -174,7 +185,7 @@
         attempts: list[Any] = list(self.cluster.machines[name].attempts.values())
         if attempts:
             attempt = data.draw(st.sampled_from(attempts))
-            stop = Stop.HARD if hard else Stop.SOFT
+            stop = StopRequest.HARD if hard else StopRequest.SOFT
             request_stop(self.cluster, attempt, stop, self.now, "test")
 
     @invariant()
--- a/tests/test_lone_leader.py
+++ b/tests/test_lone_leader.py
@@ -18,9 +18,9 @@
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY, FinalRecord, final_key, job_key
 from weldhead.controller.requests.job_dependencies import DOUBT_US
-from weldhead.controller.requests.request_handler import FrontDesk
-from weldhead.protocol.wire import Entry
-from weldhead.transport.http_client import CallFailed
+from weldhead.controller.requests.request_handler import RequestHandler
+from weldhead.protocol.wire import KeyValue
+from weldhead.transport.http_client import CallError
 
 JOB, FOLLOWER = "run-000001", "run-000002"
 
@@ -35,19 +35,19 @@
         #: How the next transactions end that reach the store.
         self.answers: list[str] = []
 
-    async def get(self, key: str, **more: Any) -> Entry | None:
+    async def get(self, key: str, **more: Any) -> KeyValue | None:
         if self.cut:
-            raise CallFailed("cut off")
+            raise CallError("cut off")
         return await super().get(key, **more)
 
     async def transact(self, conditions: list[Any], writes: list[Any], **more: Any) -> int:
         if self.cut:
-            raise CallFailed("cut off")
+            raise CallError("cut off")
         revision = await super().transact(conditions, writes, **more)
         if self.answers and self.answers.pop(0) == "cut":
             # It is carried out, and from then on nothing gets through any more.
             self.cut = True
-            raise CallFailed("the answer was lost")
+            raise CallError("the answer was lost")
         return revision
 
 
@@ -64,7 +64,7 @@
         node.leader = self.leader
         self.near, self.far = desk(self.way, node), desk(self.state)
 
-    async def answered(self, front: FrontDesk, job_id: str) -> tuple[int, str]:
+    async def answered(self, front: RequestHandler, job_id: str) -> tuple[int, str]:
         response = await front.poll(job_id)
         body = msgspec.json.decode(response.body)
         return response.status, body.get("status", "")
@@ -186,7 +186,7 @@
 
     async def command(*args: object, **more: object) -> tuple[bool, object]:
         sent.append(args)
-        raise CallFailed("no answer")
+        raise CallError("no answer")
 
     monkeypatch.setattr("weldhead.transport.worker_commands.command", command)
     for _ in range(2):
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -24,32 +24,32 @@
 from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine  # noqa: F401
 from tests.test_size import StandInCloud
 from tests.test_users import GOOD_BODY, JOB, StandInNode, desk
-from weldhead.cluster_state.jobs import Stop
+from weldhead.cluster_state.jobs import StopRequest
 from weldhead.cluster_state.records import (
-    HIRES,
     LEADER_KEY,
+    RENTALS,
     UNSETTLED_KEY,
-    Deed,
-    HireRecord,
-    Hold,
+    GateAction,
+    GateHold,
     JobRecord,
     LeaderRecord,
+    RentalRecord,
     UnsettledRecord,
     job_key,
 )
-from weldhead.cluster_state.state_writer import Deposed
+from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.controller.configuration.gates import GateBinder
-from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.configuration.publisher import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.previous_leaders import missed_from_us
-from weldhead.documents.records import HEAD_KEY, HeadRecord, Offer, document_key
+from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key
 from weldhead.emulator.controller import Controller
 from weldhead.emulator.experiment import play_observed
 from weldhead.emulator.lost_answers import LostAnswerObserver
 from weldhead.emulator.scenario import read_scenario
 from weldhead.gates.gate_state import GateState, ended, enter
 from weldhead.protocol.wire import Command
-from weldhead.scheduling.autoscaling.fleet import Offer as MachineOffer
+from weldhead.scheduling.autoscaling.fleet import RentalOffer
 from weldhead.transport.state_client import StateClient
 
 ONE, TWO = "run-000001", "run-000002"
@@ -77,7 +77,7 @@
         """What is on record before."""
         put_machine(self.state, "vm-000001")
 
-    def documents(self) -> Documents | None:
+    def documents(self) -> DocumentReplica | None:
         return None
 
     async def leads(self) -> Leader:
@@ -188,7 +188,7 @@
         # Nobody denies it, and what runs is stopped: also of who needs it.
         for job_id in (ONE, TWO):
             assert await self.told_by_both(job_id) == ["withdrawn"] * 2
-        assert self.attempt.stop is Stop.HARD
+        assert self.attempt.stop is StopRequest.HARD
         assert [command.op for command in self.reported()] == ["kill"]
 
     def succeeded(self, successor: Leader) -> None:
@@ -243,13 +243,13 @@
 class RentalName(Story):
     """What may be asked for under a name is on record, and asked for once it surely is."""
 
-    key, goes_on = HIRES, True
+    key, goes_on = RENTALS, True
 
     def prepare(self) -> None:
         pass
 
     async def write(self) -> None:
-        self.leader.rentals.hire(MachineOffer(machine_type(), "a", True), 2)
+        self.leader.rentals.hire(RentalOffer(machine_type(), "a", True), 2)
         await eventually(lambda: self.cloud.rented or self.duty.done())
 
     async def meanwhile(self) -> None:
@@ -257,11 +257,11 @@
 
     def succeeded(self, successor: Leader) -> None:
         (self.name,) = successor.rentals._open()
-        assert self.state.lost.keys() == {HIRES + self.name}
+        assert self.state.lost.keys() == {RENTALS + self.name}
 
     async def answered(self) -> None:
         await eventually(lambda: len(self.leader.cluster.machines) == 2)
-        assert [HIRES + r.request for r in self.cloud.rented] == list(self.state.lost)
+        assert [RENTALS + r.request for r in self.cloud.rented] == list(self.state.lost)
 
 
 class RentedMachines(RentalName):
@@ -293,7 +293,7 @@
 
 
 class UpMark(Story):
-    key = HIRES
+    key = RENTALS
 
     def prepare(self) -> None:
         put_machine(self.state, "vm-000001", up=False)
@@ -318,10 +318,10 @@
 
 
 class Adoption(Story):
-    key = HIRES
+    key = RENTALS
 
     async def write(self) -> None:
-        self.leader.rentals._adopt_soon("vm-000007", HireRecord("m4", "a", True, 1, 0))
+        self.leader.rentals._adopt_soon("vm-000007", RentalRecord("m4", "a", True, 1, 0))
         machines = self.leader.cluster.machines
         await eventually(lambda: "vm-000007" in machines or self.duty.done())
 
@@ -333,7 +333,7 @@
 
 
 class Returned(Story):
-    key = HIRES
+    key = RENTALS
 
     async def write(self) -> None:
         self.leader.rentals._deleted([self.machine])
@@ -341,7 +341,7 @@
         await eventually(lambda: not records or self.duty.done())
 
     async def meanwhile(self) -> None:
-        assert not [key for key in self.state.keys if key.startswith(HIRES)]
+        assert not [key for key in self.state.keys if key.startswith(RENTALS)]
 
     def succeeded(self, successor: Leader) -> None:
         assert not successor.cluster.machines
@@ -350,16 +350,18 @@
 class Division(Story):
     """A record that grew too large is divided: each machine is on record once or twice."""
 
-    key = HIRES
+    key = RENTALS
 
     def prepare(self) -> None:
         self.names = [f"vm-{number:06}" for number in range(60)]
-        record = HireRecord("m4", "a", False, 60, 0, True, dict.fromkeys(self.names, "10.0.0.9:1"))
-        self.state.put(HIRES + "x", record)
+        record = RentalRecord(
+            "m4", "a", False, 60, 0, True, dict.fromkeys(self.names, "10.0.0.9:1")
+        )
+        self.state.put(RENTALS + "x", record)
         self.state.value_bytes = 2048
 
     def kept(self) -> list[Any]:
-        return [value["machines"] for key, (value, _) in self.state.keys.items() if HIRES in key]
+        return [value["machines"] for key, (value, _) in self.state.keys.items() if RENTALS in key]
 
     async def write(self) -> None:
         await self.leader.rentals._enter("x")
@@ -423,11 +425,11 @@
         super().prepare()
         self.state.put(HEAD_KEY, HeadRecord(1, "1"))
 
-    def documents(self) -> Documents:
+    def documents(self) -> DocumentReplica:
         async def nobody(kind: str, job_id: str, body: bytes) -> None:
             return None
 
-        documents = Documents(cast(StateClient, self.state), None, nobody)
+        documents = DocumentReplica(cast(StateClient, self.state), None, nobody)
         documents.binders.append(GateBinder(documents.cache))
         return documents
 
@@ -447,12 +449,12 @@
 
     async def write(self) -> None:
         assert self.leader.publisher is not None
-        offer = Offer(2, {"gate/book": msgspec.Raw(msgspec.json.encode(gate()))})
+        offer = DocumentSet(2, {"gate/book": msgspec.Raw(msgspec.json.encode(gate()))})
         await self.leader.publisher._publish(offer)
 
     async def meanwhile(self) -> None:
         record = await self.accepted(9, "quotes")
-        assert record.hold == Hold("book", 1)
+        assert record.hold == GateHold("book", 1)
         assert self.job(9).held is not None
         # Who performs an act waits until it is entered.
         assert (await self.accepted(8, CLASSES["rebuild"])).deed is not None
@@ -502,7 +504,7 @@
     def after_acts(self, *acts: str) -> GateState:
         state = GateState()
         for number, act in enumerate(acts, 3):
-            deed = Deed("book", act, 0 if act == "rebuild" else 1)
+            deed = GateAction("book", act, 0 if act == "rebuild" else 1)
             state, _ = enter(state, act, f"run-{number:06}", (), deed, self.clock())
             state = ended(state, f"run-{number:06}", self.clock(), done=True)
         return state
@@ -513,7 +515,7 @@
         assert self.leader.gates is not None
         self.gates = self.leader.gates
         await self.gates._look([])
-        assert (await self.accepted(7, "quotes")).hold == Hold("book", 1)
+        assert (await self.accepted(7, "quotes")).hold == GateHold("book", 1)
         assert self.job(7).held is None
 
     async def write(self) -> None:
@@ -521,7 +523,7 @@
         await self.gates._look([])
 
     async def meanwhile(self) -> None:
-        assert (await self.accepted(9, "quotes")).hold == Hold("book", 2)
+        assert (await self.accepted(9, "quotes")).hold == GateHold("book", 2)
         assert self.job(9).held is not None
         # What it closes is held, and does not begin, before the act does.
         assert self.job(8).held is not None
@@ -589,7 +591,7 @@
         super().prepare()
         put_edition(self.state, calendar(), 1)
 
-    def documents(self) -> Documents:
+    def documents(self) -> DocumentReplica:
         return documents_of(self.state)
 
     async def write(self) -> None:
@@ -635,7 +637,7 @@
         story.state.loses, story.state.after = story.key, story.after
         try:
             await asyncio.wait_for(story.write(), 10.0)
-        except Deposed:
+        except LeadershipLostError:
             assert replaced
         # It came about, and nothing is written a second time.
         assert story.state.lost
@@ -644,7 +646,7 @@
             story.succeeded(successor)
             if story.leaders:
                 await asyncio.wait({story.duty}, timeout=10.0)
-                assert isinstance(story.duty.exception(), Deposed)
+                assert isinstance(story.duty.exception(), LeadershipLostError)
             await successor.close()
         if not successors:
             await story.answered()
--- a/tests/test_meet_limits.py
+++ b/tests/test_meet_limits.py
@@ -15,9 +15,14 @@
 from weldhead.emulator.hand_overs import STEPS, HandOverObserver, observe_hand_overs
 from weldhead.emulator.scenario import Scenario, read_scenario
 from weldhead.protocol.settings import Team
-from weldhead.scheduling.autoscaling.fleet import Coming, Market, Offer, plan_hires
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.autoscaling.fleet import (
+    PendingRental,
+    RentalOffer,
+    RentalOffers,
+    plan_scale_out,
+)
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.scheduling.placement.placement import plan_starts
 from weldhead.tunables.defaults import Tunables
 
@@ -85,10 +90,12 @@
     assert not observer.experiment.checker.broken, observer.experiment.checker.details
 
 
-def _hired(into: Cluster, coming: list[Coming]) -> dict[Offer, int]:
-    plan = plan_starts(into, Estimates(), Goals([]), S, 10 * S, 45 * S)
-    market, fleet = Market([machine_type(zones=("a", "b"))]), Tunables().fleet.settings()
-    return plan_hires(into, plan, market, Estimates(), Goals([]), S, fleet, coming)
+def _hired(into: Cluster, coming: list[PendingRental]) -> dict[RentalOffer, int]:
+    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
+    market, fleet = RentalOffers([machine_type(zones=("a", "b"))]), Tunables().fleet.settings()
+    return plan_scale_out(
+        into, plan, market, RunTimeEstimates(), ServiceLevelObjectives([]), S, fleet, coming
+    )
 
 
 def test_free_machines_of_other_zones_are_no_room_for_a_job_bound_to_one() -> None:
@@ -99,8 +106,8 @@
     add_job(into, job_spec(1, tasks=2, zone="b"))
     assert {offer.zone for offer in _hired(into, [])} == {"b"}
     kind = machine_type(zones=("a", "b"))
-    assert _hired(into, [Coming(kind, 4, "a")])
-    assert not _hired(into, [Coming(kind, 4, "b")])
+    assert _hired(into, [PendingRental(kind, 4, "a")])
+    assert not _hired(into, [PendingRental(kind, 4, "b")])
 
 
 def test_a_job_ends_only_once_what_must_go_has_gone(clock: Clock) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,90 +15,113 @@
 from weldhead.emulator.experiment import Result, play
 from weldhead.emulator.network import Weather
 from weldhead.emulator.scenario import Fault, read_scenario
-from weldhead.membership.isolation import Contact, IsolationDetector
-from weldhead.membership.peer_verdict import Observation, Observed, State, Verdict, View, judge
+from weldhead.membership.isolation import IsolationDetector, LastContact
+from weldhead.membership.peer_verdict import (
+    IndirectProbeResult,
+    MembershipView,
+    PeerObservation,
+    PeerState,
+    PeerVerdict,
+    judge_peer,
+)
 
 S = 1_000_000
 ROOT = Path(__file__).parents[1]
 NOW = 100 * S
 #: Refused since a moment ago, after its connection ended.
-SUSPECT = Observed("x", False, NOW - 1_000, NOW - 200_000, NOW - 300_000)
-UP = Observed("p", True, 0, 0, NOW)
+SUSPECT = PeerObservation("x", False, NOW - 1_000, NOW - 200_000, NOW - 300_000)
+UP = PeerObservation("p", True, 0, 0, NOW)
 #: Lost at the same moment, and long ago.
-LOST = Observed("q", False, NOW - 900, NOW - 150_000, NOW - 200_000)
-GONE = Observed("r", False, NOW - 50 * S, NOW - 60 * S, NOW - 60 * S)
+LOST = PeerObservation("q", False, NOW - 900, NOW - 150_000, NOW - 200_000)
+GONE = PeerObservation("r", False, NOW - 50 * S, NOW - 60 * S, NOW - 60 * S)
 
 
 @pytest.mark.parametrize(
     ("suspect", "others", "observations", "state"),
     [
-        (SUSPECT, [], [], State.DEAD),
-        (SUSPECT, [UP], [("p", Observation.REFUSED)], State.DEAD),
-        (SUSPECT, [UP], [("p", Observation.LOST)], State.DEAD),
-        (SUSPECT, [UP], [("p", Observation.HEARD)], State.SUSPECTED),
-        (SUSPECT, [UP, LOST], [("p", Observation.CONNECTED)], State.SUSPECTED),
+        (SUSPECT, [], [], PeerState.DEAD),
+        (SUSPECT, [UP], [("p", IndirectProbeResult.REFUSED)], PeerState.DEAD),
+        (SUSPECT, [UP], [("p", IndirectProbeResult.LOST)], PeerState.DEAD),
+        (SUSPECT, [UP], [("p", IndirectProbeResult.HEARD)], PeerState.SUSPECTED),
+        (SUSPECT, [UP, LOST], [("p", IndirectProbeResult.CONNECTED)], PeerState.SUSPECTED),
         # An older version cannot be asked: as it was before.
-        (SUSPECT, [UP], [], State.DEAD),
+        (SUSPECT, [UP], [], PeerState.DEAD),
         # All links at once: rather this node, or a packet filter.
-        (SUSPECT, [LOST], [], State.SUSPECTED),
-        (SUSPECT, [LOST, GONE], [], State.SUSPECTED),
+        (SUSPECT, [LOST], [], PeerState.SUSPECTED),
+        (SUSPECT, [LOST, GONE], [], PeerState.SUSPECTED),
         # The others have been down for long: nothing speaks against its death.
-        (SUSPECT, [GONE], [], State.DEAD),
-        (replace(SUSPECT, refused_us=0), [UP], [("p", Observation.REFUSED)], State.SUSPECTED),
-        (replace(SUSPECT, heard_us=NOW), [GONE], [], State.ALIVE),
-        (replace(SUSPECT, connected=True), [LOST], [], State.ALIVE),
+        (SUSPECT, [GONE], [], PeerState.DEAD),
+        (
+            replace(SUSPECT, refused_us=0),
+            [UP],
+            [("p", IndirectProbeResult.REFUSED)],
+            PeerState.SUSPECTED,
+        ),
+        (replace(SUSPECT, heard_us=NOW), [GONE], [], PeerState.ALIVE),
+        (replace(SUSPECT, connected=True), [LOST], [], PeerState.ALIVE),
     ],
 )
 def test_verdicts(
-    suspect: Observed,
-    others: list[Observed],
-    observations: list[tuple[str, Observation]],
-    state: State,
+    suspect: PeerObservation,
+    others: list[PeerObservation],
+    observations: list[tuple[str, IndirectProbeResult]],
+    state: PeerState,
 ) -> None:
-    assert judge(suspect, others, observations, NOW).state is state
+    assert judge_peer(suspect, others, observations, NOW).state is state
 
 
 @given(
-    observations=st.lists(st.sampled_from(Observation), max_size=4),
+    observations=st.lists(st.sampled_from(IndirectProbeResult), max_size=4),
     refused=st.booleans(), connected=st.booleans(), heard_us=st.integers(0, NOW),
 )  # fmt: skip
 def test_nobody_is_judged_dead_whom_somebody_reaches_or_nobody_refuses(
-    observations: list[Observation], refused: bool, connected: bool, heard_us: int
+    observations: list[IndirectProbeResult], refused: bool, connected: bool, heard_us: int
 ) -> None:
-    suspect = Observed("x", connected, NOW if refused else 0, NOW - S, heard_us)
+    suspect = PeerObservation("x", connected, NOW if refused else 0, NOW - S, heard_us)
     named = [(f"p{n}", observation) for n, observation in enumerate(observations)]
-    verdict = judge(suspect, [UP], named, NOW)
-    if connected or not refused or {Observation.HEARD, Observation.CONNECTED} & set(observations):
-        assert verdict.state is not State.DEAD
+    verdict = judge_peer(suspect, [UP], named, NOW)
+    if (
+        connected
+        or not refused
+        or {IndirectProbeResult.HEARD, IndirectProbeResult.CONNECTED} & set(observations)
+    ):
+        assert verdict.state is not PeerState.DEAD
     else:
-        assert verdict.state is State.DEAD
+        assert verdict.state is PeerState.DEAD
     for name, observation in named:
-        if verdict.state is State.DEAD:
+        if verdict.state is PeerState.DEAD:
             assert f"{name}: {observation.value}" in verdict.evidence
 
 
 def test_words_of_a_former_life_that_are_read_late_refute_nothing_for_long() -> None:
     """Its last ping, read after its end, kept its successors waiting for its whole lease."""
     spoken = replace(SUSPECT, heard_us=NOW)
-    assert judge(spoken, [GONE], [], NOW).state is State.ALIVE
-    assert judge(spoken, [GONE], [], NOW + 2 * S).state is State.DEAD
+    assert judge_peer(spoken, [GONE], [], NOW).state is PeerState.ALIVE
+    assert judge_peer(spoken, [GONE], [], NOW + 2 * S).state is PeerState.DEAD
 
 
 def test_whom_the_state_service_does_not_serve_judges_nobody_by_its_own_word() -> None:
     """A controller that had been alone took over as soon as the service was back."""
-    assert judge(SUSPECT, [GONE], [], NOW, NOW - 100_000).state is State.SUSPECTED
-    assert judge(SUSPECT, [GONE], [], NOW, NOW - 1 * S).state is State.DEAD
-    assert judge(SUSPECT, [UP], [("p", Observation.REFUSED)], NOW, NOW).state is State.DEAD
+    assert judge_peer(SUSPECT, [GONE], [], NOW, NOW - 100_000).state is PeerState.SUSPECTED
+    assert judge_peer(SUSPECT, [GONE], [], NOW, NOW - 1 * S).state is PeerState.DEAD
+    assert (
+        judge_peer(SUSPECT, [UP], [("p", IndirectProbeResult.REFUSED)], NOW, NOW).state
+        is PeerState.DEAD
+    )
 
 
 def test_a_new_life_judges_nobody_whom_it_never_reached() -> None:
     """Started behind a packet filter, it took over from a leader that served everybody."""
     suspect, other = replace(SUSPECT, lost_us=0), replace(LOST, lost_us=0)
-    assert judge(suspect, [other], [], NOW).state is State.SUSPECTED
-    assert judge(suspect, [UP], [("p", Observation.REFUSED)], NOW).state is State.DEAD
+    assert judge_peer(suspect, [other], [], NOW).state is PeerState.SUSPECTED
+    assert (
+        judge_peer(suspect, [UP], [("p", IndirectProbeResult.REFUSED)], NOW).state is PeerState.DEAD
+    )
 
 
-def looks(detector: IsolationDetector, contact: Contact, from_us: int, to_us: int) -> list[bool]:
+def looks(
+    detector: IsolationDetector, contact: LastContact, from_us: int, to_us: int
+) -> list[bool]:
     """Look every 0.2 s; whether it was alone each time."""
     seen = []
     for at_us in range(from_us, to_us, 200_000):
@@ -110,9 +133,9 @@
 def test_alone_is_who_reaches_neither_the_state_service_nor_anybody_else() -> None:
     detector = IsolationDetector(NOW)
     # All answer; the service fails: an outage, and all stay.
-    assert not any(looks(detector, Contact(NOW + 9 * S, NOW, NOW + S), NOW, NOW + 9 * S))
+    assert not any(looks(detector, LastContact(NOW + 9 * S, NOW, NOW + S), NOW, NOW + 9 * S))
     # The others have ended; the service serves. It is asked only as long as they are silent.
-    served = Contact(NOW + 9 * S, NOW + 9 * S, NOW + S)
+    served = LastContact(NOW + 9 * S, NOW + 9 * S, NOW + S)
     assert not any(looks(detector, served, NOW + 9 * S, NOW + 12 * S))
     assert detector.ask
     # Both: known within two seconds, and over at the first answer of either.
@@ -124,19 +147,21 @@
 
 def test_who_stood_still_or_has_just_started_does_not_call_itself_alone() -> None:
     detector = IsolationDetector(NOW)
-    nothing = Contact(0, 0, NOW + 1)
+    nothing = LastContact(0, 0, NOW + 1)
     assert looks(detector, nothing, NOW, NOW + S) == [False] * 5
     detector = IsolationDetector(NOW)
-    seen = looks(detector, Contact(NOW, NOW, NOW + 1), NOW, NOW + S)
-    assert not any(seen + looks(detector, Contact(NOW, NOW, NOW + 1), NOW + 9 * S, NOW + 10 * S))
+    seen = looks(detector, LastContact(NOW, NOW, NOW + 1), NOW, NOW + S)
+    assert not any(
+        seen + looks(detector, LastContact(NOW, NOW, NOW + 1), NOW + 9 * S, NOW + 10 * S)
+    )
 
 
 def test_a_change_is_told_once() -> None:
-    view = View()
-    dead = Verdict(State.DEAD, "refused")
-    assert view.state("x") is State.ALIVE
+    view = MembershipView()
+    dead = PeerVerdict(PeerState.DEAD, "refused")
+    assert view.state("x") is PeerState.ALIVE
     assert view.enter("x", dead) and not view.enter("x", dead)
-    assert view.enter("x", Verdict(State.ALIVE, "")) and view.state("x") is State.ALIVE
+    assert view.enter("x", PeerVerdict(PeerState.ALIVE, "")) and view.state("x") is PeerState.ALIVE
 
 
 def test_the_decisions_import_nothing_that_waits_or_sends() -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -20,14 +20,14 @@
     REFUSE_SHARE,
     TRIAL_SHARE,
     TRIAL_US,
-    Change,
     MemoryGate,
+    MemoryTransition,
 )
 from weldhead.clock import now_us
-from weldhead.controller.memory_monitor import MIB, READING_US, MemoryWatch
-from weldhead.controller.process import Node
+from weldhead.controller.memory_monitor import MIB, READING_US, MemoryMonitor
+from weldhead.controller.process import ControllerProcess
 from weldhead.controller.requests import request_handler as frontdesk
-from weldhead.controller.requests.request_handler import FrontDesk
+from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol import peer
 from weldhead.protocol.settings import SettingsError, Team, parse_settings
 from weldhead.transport.process_memory import own_bytes
@@ -46,7 +46,13 @@
         at_us += pause_us
         change, before = gate.read(percent * MIB), full
         full = percent >= 100 * (ACCEPT_SHARE if full else REFUSE_SHARE)
-        assert change is (Change.NONE if full is before else Change.FULL if full else Change.ROOM)
+        assert change is (
+            MemoryTransition.NONE
+            if full is before
+            else MemoryTransition.FULL
+            if full
+            else MemoryTransition.ROOM
+        )
         taken = gate.admits(at_us)
         if full and taken:
             # Python keeps what it frees: without a trial a full one might refuse for ever.
@@ -68,7 +74,7 @@
 def test_followers_are_told_when_not_even_trials_are_taken() -> None:
     """Told from the first mark on, four of five controllers refused all for most of a day."""
     used = [94 * MIB]
-    memory = MemoryWatch(100.0, lambda: used[0])
+    memory = MemoryMonitor(100.0, lambda: used[0])
     assert not memory.exhausted(S) and memory.admits(2 * S + TRIAL_US)
     used[0] = 96 * MIB
     assert memory.exhausted(10 * S) and not memory.admits(20 * S)
@@ -76,8 +82,8 @@
 
 @pytest.mark.parametrize("used", [None, 10**12])
 def test_without_a_limit_or_a_reading_everything_is_taken(used: int | None) -> None:
-    assert MemoryWatch(0.0, lambda: used).admits(S)
-    assert MemoryWatch(100.0, lambda: None).admits(S)
+    assert MemoryMonitor(0.0, lambda: used).admits(S)
+    assert MemoryMonitor(100.0, lambda: None).admits(S)
 
 
 def test_a_process_reads_what_it_holds_itself() -> None:
@@ -93,9 +99,9 @@
 ) -> None:
     used, at_us = [50 * MIB], [now_us()]
     monkeypatch.setattr(frontdesk, "now_us", lambda: at_us[0])
-    memory = MemoryWatch(100.0, lambda: used[0])
+    memory = MemoryMonitor(100.0, lambda: used[0])
     state = cast(Any, StandInState())
-    desk = FrontDesk(StandInNode(), state, [Team("red", 8, 16)], memory=memory)
+    desk = RequestHandler(StandInNode(), state, [Team("red", 8, 16)], memory=memory)
     caplog.set_level(logging.INFO, "weldhead.controller.memory_monitor")
     assert run(desk.submit(GOOD_BODY))[0] == 201
     used[0] = 97 * MIB
@@ -117,10 +123,10 @@
 
 def test_followers_of_a_full_leader_refuse_too() -> None:
     """Whoever accepts a job, the leader keeps it: its memory filled up by others' acceptances."""
-    node = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
+    node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
     node._state = cast(Any, SimpleNamespace(ok=True))
     # What the tests' own process holds is no matter here.
-    node.memory = MemoryWatch(100.0, lambda: 0)
+    node.memory = MemoryMonitor(100.0, lambda: 0)
     assert node.memory.admits(now_us())
     asyncio.run(node._peer_request("n-1", peer.Ping(7, 41, True, (), full=True)))
     assert not node.memory.admits(now_us())
--- a/tests/test_old_reports.py
+++ b/tests/test_old_reports.py
@@ -12,14 +12,14 @@
 from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine
 from weldhead.cluster_state.jobs import TaskState
 from weldhead.controller.leadership.leader import Leader
-from weldhead.protocol.wire import Report, ReportAnswer
+from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer
 
 S = 1_000_000
 __all__ = ["clock"]
 
 
-def deliver(leader: Leader, report: Report, at_us: int) -> ReportAnswer:
-    async def scenario() -> ReportAnswer | None:
+def deliver(leader: Leader, report: Heartbeat, at_us: int) -> HeartbeatAnswer:
+    async def scenario() -> HeartbeatAnswer | None:
         return leader.report(report, at_us, relayed=False)
 
     answer = asyncio.run(scenario())
@@ -27,7 +27,7 @@
     return answer
 
 
-def runs(worker: StandInWorker, task: str, attempt: int) -> Report:
+def runs(worker: StandInWorker, task: str, attempt: int) -> Heartbeat:
     """Let a worker run something, and return what it reports then."""
     worker.tasks[task] = StandInTask(attempt, "running")
     return worker.report()
--- a/tests/test_peer_directory.py
+++ b/tests/test_peer_directory.py
@@ -10,9 +10,9 @@
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LeaderRecord
 from weldhead.controller.leadership import peer_directory
-from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.peer_directory import PeerDirectory
-from weldhead.protocol.peer import Answer, Ask
+from weldhead.protocol.peer import ForwardedAnswer, ForwardedRequest
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import StateClient
 
@@ -34,9 +34,9 @@
     def next_id(self) -> int:
         return 1
 
-    async def ask(self, message: Ask, *_: Any) -> Answer:
+    async def ask(self, message: ForwardedRequest, *_: Any) -> ForwardedAnswer:
         self.asked.append(message.kind)
-        return Answer(1, 200, b"{}")
+        return ForwardedAnswer(1, 200, b"{}")
 
 
 class Site:
@@ -50,7 +50,7 @@
             leader=None, catalog=[machine_type()], known_leader=LeaderRecord("n-1", "x", 3 * S)
         )
         links = cast(dict[str, PeerLink], self.links)
-        self.here = PeerDirectory("n-0", links, cast(Campaign, self.campaign), self.at_us)
+        self.here = PeerDirectory("n-0", links, cast(LeaderElection, self.campaign), self.at_us)
         self.state = SimpleNamespace(ok=True, served_us=self.at_us, failed_us=0)
         self.here.open(cast(StateClient, self.state))
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -15,13 +15,12 @@
 from tests.test_slow_store import SlowStore
 from tests.test_wire import SETTINGS
 from weldhead.controller.leadership.promises import began_by_us
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.emulator.controller import Controller
-from weldhead.protocol.peer import Held, Hold, Pong, decode_message, encode_frame
-from weldhead.protocol.settings import Node as Peer
-from weldhead.protocol.settings import parse_settings
-from weldhead.protocol.wire import Report
-from weldhead.transport.http_client import CallFailed
+from weldhead.protocol.peer import Pong, PromiseAnswer, PromiseRequest, decode_message, encode_frame
+from weldhead.protocol.settings import PeerSettings, parse_settings
+from weldhead.protocol.wire import Heartbeat
+from weldhead.transport.http_client import CallError
 from weldhead.transport.peer_links import PeerLink
 from weldhead.tunables.defaults import Tunables
 
@@ -85,13 +84,13 @@
 
 def test_a_token_that_a_worker_has_seen_reaches_the_leader_that_was_replaced() -> None:
     """Over whichever controller it reports to: that one promises nothing, and says the token."""
-    node = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
-    node.campaign._state = cast(Any, SlowStore([CallFailed("no answer")]))
-    report = Report("vm-000001", "", "m4", "a", False, 1, 1, token=9, tasks=[])
+    node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
+    node.campaign._state = cast(Any, SlowStore([CallError("no answer")]))
+    report = Heartbeat("vm-000001", "", "m4", "a", False, 1, 1, token=9, tasks=[])
 
-    async def scenario() -> Held:
+    async def scenario() -> PromiseAnswer:
         await node._handle("POST", "/v1/report", msgspec.json.encode(report))
-        return await node.campaign.answer_hold("n-1", Hold(1, 5, 1_500_000))
+        return await node.campaign.answer_hold("n-1", PromiseRequest(1, 5, 1_500_000))
 
     said = asyncio.run(scenario())
     assert (said.promised, said.known_token) == (False, 9)
@@ -131,10 +130,10 @@
 
 def test_a_version_that_knows_no_tokens_in_promises_reads_them_and_is_read() -> None:
     decode = msgspec.msgpack.Decoder(OldHeld).decode
-    assert decode(encode_frame(Held(9, True, 41, 5_000_000))[4:]) == OldHeld(9, True)
+    assert decode(encode_frame(PromiseAnswer(9, True, 41, 5_000_000))[4:]) == OldHeld(9, True)
     said = decode_message(msgspec.msgpack.encode(OldHeld(9, True)))
-    assert said == Held(9, True)
+    assert said == PromiseAnswer(9, True)
     # It does not say for how long it has run: its process is as old as its connection.
-    link = PeerLink(Peer("n-1", "a", "10.0.0.1:81"), "n-0")
+    link = PeerLink(PeerSettings("n-1", "a", "10.0.0.1:81"), "n-0")
     link.connected_us = 7
-    assert isinstance(said, Held) and began_by_us(link, said, 10) == 7
+    assert isinstance(said, PromiseAnswer) and began_by_us(link, said, 10) == 7
