--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -12,13 +12,18 @@
 from tests.stand_ins import StandInState, StandInWorker
 from tests.test_recovery import START, Clock, clock, fixed_clock, new_leader, put_job, put_machine
 from weldhead.clock import surely_valid_us
-from weldhead.cluster_state.jobs import Phase
+from weldhead.cluster_state.jobs import AttemptPhase
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.leadership.leader import Leader
-from weldhead.protocol.wire import Report, ReportAnswer, TaskReport
-from weldhead.reachability.evidence import DeliveryEvidence, Sign, Told, sign_of
+from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer, ReportedTask
+from weldhead.reachability.evidence import (
+    DeliveryEvidence,
+    DeliverySignal,
+    SentAnswer,
+    delivery_signal,
+)
 from weldhead.reachability.freshness import MOST_UNSHOWN, RELAYED_MORE
-from weldhead.reachability.replacement import to_return
+from weldhead.reachability.replacement import machines_to_replace
 from weldhead.scheduling.placement.placement import usable
 
 S = 1_000_000
@@ -26,55 +31,63 @@
 __all__ = ["clock"]
 
 
-def say(session: int, stamp: int, token: int, *tasks: tuple[str, int]) -> Report:
-    listed = [TaskReport(name, attempt, "running") for name, attempt in tasks]
-    return Report("vm-1", "a:1", "m4", "a", False, session, stamp, token, listed)
+def say(session: int, stamp: int, token: int, *tasks: tuple[str, int]) -> Heartbeat:
+    listed = [ReportedTask(name, attempt, "running") for name, attempt in tasks]
+    return Heartbeat("vm-1", "a:1", "m4", "a", False, session, stamp, token, listed)
 
 
-def answer_of(stamp: int, shown: int = 9, **of: Any) -> Told:
-    return Told((1, stamp), shown, 9, relayed=False, at_us=START, **of)
+def answer_of(stamp: int, shown: int = 9, **of: Any) -> SentAnswer:
+    return SentAnswer((1, stamp), shown, 9, relayed=False, at_us=START, **of)
 
 
 @pytest.mark.parametrize(
     ("last", "report", "after_s", "relayed", "sign"),
     [
-        (answer_of(3), say(1, 4, 9), 5, False, Sign.NOTHING),
-        (answer_of(3), say(1, 5, 9), 5, False, Sign.MOVED),
-        (answer_of(3), say(1, 4, 9), 5, True, Sign.MOVED),
+        (answer_of(3), say(1, 4, 9), 5, False, DeliverySignal.NOTHING),
+        (answer_of(3), say(1, 5, 9), 5, False, DeliverySignal.MOVED),
+        (answer_of(3), say(1, 4, 9), 5, True, DeliverySignal.MOVED),
         # A process that stood still reads several reports in one go: no answer had its time.
-        (answer_of(3), say(1, 5, 9), 0.1, False, Sign.NOTHING),
-        (answer_of(3, 7), say(1, 4, 9), 5, False, Sign.HEARD),
-        (answer_of(3, 7), say(1, 4, 7), 5, False, Sign.UNSHOWN),
-        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 1)), 5, False, Sign.HEARD),
-        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 2)), 5, False, Sign.UNSHOWN),
-        (answer_of(3, forgets=(("t", 1),)), say(1, 4, 9), 5, False, Sign.HEARD),
-        (answer_of(3, forgets=(("t", 1),)), say(1, 4, 9, ("t", 1)), 5, False, Sign.UNSHOWN),
-        (answer_of(3), say(2, 5, 9), 5, False, Sign.NEW_SESSION),
+        (answer_of(3), say(1, 5, 9), 0.1, False, DeliverySignal.NOTHING),
+        (answer_of(3, 7), say(1, 4, 9), 5, False, DeliverySignal.HEARD),
+        (answer_of(3, 7), say(1, 4, 7), 5, False, DeliverySignal.UNSHOWN),
+        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 1)), 5, False, DeliverySignal.HEARD),
+        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 2)), 5, False, DeliverySignal.UNSHOWN),
+        (answer_of(3, forgets=(("t", 1),)), say(1, 4, 9), 5, False, DeliverySignal.HEARD),
+        (
+            answer_of(3, forgets=(("t", 1),)),
+            say(1, 4, 9, ("t", 1)),
+            5,
+            False,
+            DeliverySignal.UNSHOWN,
+        ),
+        (answer_of(3), say(2, 5, 9), 5, False, DeliverySignal.NEW_SESSION),
         # Its lease may have run out between two answers, or its process began anew.
-        (answer_of(3), say(2, 5, 9), 11, False, Sign.NOTHING),
-        (answer_of(3), say(2, 1, 0), 5, False, Sign.NOTHING),
+        (answer_of(3), say(2, 5, 9), 11, False, DeliverySignal.NOTHING),
+        (answer_of(3), say(2, 1, 0), 5, False, DeliverySignal.NOTHING),
     ],
 )
-def test_signs(last: Told, report: Report, after_s: float, relayed: bool, sign: Sign) -> None:
+def test_signs(
+    last: SentAnswer, report: Heartbeat, after_s: float, relayed: bool, sign: DeliverySignal
+) -> None:
     at_us = START + round(after_s * S)
-    assert sign_of(last, report, last.order[1], at_us, LEASE, relayed=relayed) is sign
+    assert delivery_signal(last, report, last.order[1], at_us, LEASE, relayed=relayed) is sign
 
 
 def test_one_lost_answer_or_a_closed_port_make_no_suspect() -> None:
     evidence = DeliveryEvidence(LEASE, answer_of(3), START)
-    assert not evidence.note(Sign.UNSHOWN, START)
+    assert not evidence.note(DeliverySignal.UNSHOWN, START)
     # Much later once more: answers are lost now and then.
-    assert not evidence.note(Sign.UNSHOWN, START + 30 * S)
-    evidence.note(Sign.HEARD, START + 31 * S)
+    assert not evidence.note(DeliverySignal.UNSHOWN, START + 30 * S)
+    evidence.note(DeliverySignal.HEARD, START + 31 * S)
     for number in range(5):
         # Its reports come and are answered; only its port is closed to this controller.
         evidence.listen(say(1, 4 + number, 9), 3 + number, START + (31 + number) * S, relayed=False)
-        assert not evidence.note(Sign.UNANSWERED, START + (31 + number) * S)
-    assert evidence.note(Sign.MOVED, START + 40 * S) and evidence.deaf_us
+        assert not evidence.note(DeliverySignal.UNANSWERED, START + (31 + number) * S)
+    assert evidence.note(DeliverySignal.MOVED, START + 40 * S) and evidence.deaf_us
     # Its session has outlived a lease since: some answer must have arrived.
     late = replace(answer_of(9), at_us=START + 50 * S)
     evidence.last = late
-    assert evidence.listen(say(1, 10, 9), 9, START + 55 * S, relayed=False) is Sign.HEARD
+    assert evidence.listen(say(1, 10, 9), 9, START + 55 * S, relayed=False) is DeliverySignal.HEARD
 
 
 def test_many_that_hear_nothing_are_the_network_and_few_are_replaced_at_their_price() -> None:
@@ -87,7 +100,7 @@
     boot_us = round(machines[0].type.boot_s * S)
 
     def found(deaf: dict[str, int], at_us: int) -> list[Machine]:
-        return to_return(deaf, machines, [], at_us, LEASE, 60 * S)
+        return machines_to_replace(deaf, machines, [], at_us, LEASE, 60 * S)
 
     later = START + max(boot_us, LEASE, 120 * S)
     assert found(few, START + boot_us // 2) == []
@@ -106,9 +119,9 @@
 
 
 def deliver(
-    leader: Leader, report: Report, at_us: int, *, relayed: bool = False
-) -> ReportAnswer | None:
-    async def scenario() -> ReportAnswer | None:
+    leader: Leader, report: Heartbeat, at_us: int, *, relayed: bool = False
+) -> HeartbeatAnswer | None:
+    async def scenario() -> HeartbeatAnswer | None:
         return leader.report(report, at_us, relayed=relayed)
 
     return asyncio.run(scenario())
@@ -191,9 +204,9 @@
     leader = new_leader(StandInState(), clock())
     entered: list[str] = []
     monkeypatch.setattr(leader.rentals, "unexpected", lambda report: entered.append(report.machine))
-    there: dict[str, Report] = {}
+    there: dict[str, Heartbeat] = {}
 
-    async def question(name: str, address: str, session: int) -> Report | None:
+    async def question(name: str, address: str, session: int) -> Heartbeat | None:
         return there.get(name)
 
     monkeypatch.setattr(leader._dispatcher, "question", question)
@@ -234,13 +247,13 @@
     worker: StandInWorker
     from_us: int
     alive: bool = True
-    said: list[Report] = field(default_factory=list)
+    said: list[Heartbeat] = field(default_factory=list)
 
-    def report(self) -> Report:
+    def report(self) -> Heartbeat:
         self.said.append(self.worker.report())
         return self.said[-1]
 
-    def answered(self, answer: ReportAnswer, sent_us: int) -> None:
+    def answered(self, answer: HeartbeatAnswer, sent_us: int) -> None:
         if answer.token >= self.worker.token:
             self.from_us = max(self.from_us, sent_us)
         self.worker.answered(answer)
@@ -343,7 +356,7 @@
                     raise AssertionError("a session that runs was given up")
             leader.cluster.check()
             assert all(
-                a.phase is not Phase.ASSIGNED or not m.deaf or a.sent_sequence is not None
+                a.phase is not AttemptPhase.ASSIGNED or not m.deaf or a.sent_sequence is not None
                 for m in leader.cluster.machines.values()
                 for a in m.attempts.values()
             )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,19 +17,19 @@
 from tests.stand_ins import StandInState, StandInTask, StandInWorker
 from tests.test_wire import SETTINGS
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Phase
-from weldhead.cluster_state.preemption_history import LEAST_HOLD_US
+from weldhead.cluster_state.jobs import AttemptPhase
+from weldhead.cluster_state.preemption_history import MIN_UNDISTURBED_US
 from weldhead.cluster_state.records import (
     LEADER_KEY,
-    HireRecord,
     JobRecord,
+    RentalRecord,
     encode_progress,
     job_key,
     progress_key,
 )
-from weldhead.controller.configuration.publisher import Documents
-from weldhead.controller.leadership.leader import Leader, NotReady
-from weldhead.controller.leadership.leader_lease import Authority, default_timing
+from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.controller.leadership.leader import Leader, NotReadyError
+from weldhead.controller.leadership.leader_lease import LeaderLease, default_timing
 from weldhead.controller.term import Term
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import JobSpec
@@ -98,7 +98,7 @@
     state: StandInState,
     at_us: int,
     predecessor_over_us: int = 0,
-    documents: Documents | None = None,
+    documents: DocumentReplica | None = None,
 ) -> Leader:
     leader = leader_of(state, at_us, predecessor_over_us, documents)
     asyncio.run(leader.recovery.load())
@@ -110,7 +110,7 @@
     state: StandInState,
     at_us: int,
     predecessor_over_us: int = 0,
-    documents: Documents | None = None,
+    documents: DocumentReplica | None = None,
     answers_until_us: int | None = None,
 ) -> Leader:
     """A leader whose term has not been loaded yet."""
@@ -118,7 +118,7 @@
     document["facts"]["teams"] = [{"name": "red", "cpus": 8, "cpus_max": 100}]
     settings = parse_settings(msgspec.json.encode(document))
     token = state.put(LEADER_KEY, {"name": "n-0", "nonce": "x", "ttl_us": 3 * S})
-    authority = Authority(default_timing(1_000 * S), frozenset())
+    authority = LeaderLease(default_timing(1_000 * S), frozenset())
     authority.begin(token, 1, at_us)
     term = Term(
         settings, Tunables(), authority, cast(StateClient, state), cast(CloudClient, None),
@@ -134,7 +134,7 @@
 
 def put_machine(state: StandInState, name: str, *, up: bool = True) -> StandInWorker:
     machines: dict[str, str | None] = {name: "10.0.0.9:1" if up else None}
-    record = HireRecord("m4", "a", False, 1, START - 60 * S, True, machines)
+    record = RentalRecord("m4", "a", False, 1, START - 60 * S, True, machines)
     state.put(f"h/{name}", record)
     return StandInWorker(name, 4.0)
 
@@ -187,7 +187,7 @@
     report(leader, workers[1], clock())
     assert leader.recovery.known.is_set()
     attempt = leader.cluster.jobs["run-000001"].active[2]
-    assert (attempt.number, attempt.phase) == (77, Phase.RUNNING)
+    assert (attempt.number, attempt.phase) == (77, AttemptPhase.RUNNING)
 
 
 def test_a_machine_synced_directly_keeps_its_earlier_lease(clock: Clock) -> None:
@@ -274,7 +274,7 @@
     job = second.cluster.jobs["run-000001"]
     assert job.waiting_indexes(9) == [3, 0, 4, 1, 2]
     assert job.last_machine == dict.fromkeys((0, 3, 4, 5), "vm-000001")
-    assert second.deciding.reclaims.taken.hold_us(job.id, 3, clock()) == LEAST_HOLD_US
+    assert second.deciding.reclaims.taken.hold_us(job.id, 3, clock()) == MIN_UNDISTURBED_US
     assert list(second.cluster.stopping) == [("run-000001/5", 9)]
 
 
@@ -360,7 +360,7 @@
 
         monkeypatch.setattr(leader.ledger, "write", write)
         for _ in range(2):
-            with pytest.raises(NotReady):
+            with pytest.raises(NotReadyError):
                 await leader.cancel(job.id)
         assert not job.cancelled and len(leader.completions.cancelling) == 1
         store_is_back.set_result(99)
--- a/tests/test_short_jobs.py
+++ b/tests/test_short_jobs.py
@@ -11,10 +11,14 @@
 import pytest
 
 from weldhead.cluster_state.records import FINAL, JOBS
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.controller.requests.completions import FINALS_KEPT
 from weldhead.controller.requests.request_handler import KEPT
-from weldhead.controller.workers.heartbeat_forwarding import CAME_BACK_US, MOST_REMEMBERED, Relays
+from weldhead.controller.workers.heartbeat_forwarding import (
+    CAME_BACK_US,
+    MOST_REMEMBERED,
+    HeartbeatForwarding,
+)
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import simulated
 from weldhead.emulator.scenario import read_scenario
@@ -27,7 +31,7 @@
 WRITES_A_JOB = 3
 
 
-def kept(node: Node) -> Counter[str]:
+def kept(node: ControllerProcess) -> Counter[str]:
     """How much a controller keeps: of jobs that are over, and that is bounded otherwise."""
     sizes = Counter(desk=len(node._desk._finals), waiting=len(node._desk._turns._waiting))
     leader = node.leader
@@ -84,7 +88,7 @@
 
 
 def test_workers_that_do_not_come_back_are_forgotten() -> None:
-    relays = Relays()
+    relays = HeartbeatForwarding()
     for number in range(MOST_REMEMBERED):
         relays.redirected(f"vm-{number}", 1)
     relays.redirected("vm-late", 1 + CAME_BACK_US)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -16,22 +16,27 @@
 from tests.test_recovery import new_leader
 from weldhead.clock import now_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Phase
+from weldhead.cluster_state.jobs import AttemptPhase
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
-from weldhead.cluster_state.records import HIRES, LEADER_KEY, HireRecord, divide_machines
-from weldhead.cluster_state.state_writer import Ledger
+from weldhead.cluster_state.records import LEADER_KEY, RENTALS, RentalRecord, divide_machines
+from weldhead.cluster_state.state_writer import StateWriter
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import RentalRequest
-from weldhead.reachability.silence import look_gone
-from weldhead.scheduling.autoscaling.fleet import Coming, Market, Offer, plan_hires
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
+from weldhead.reachability.silence import look_lost
+from weldhead.scheduling.autoscaling.fleet import (
+    PendingRental,
+    RentalOffer,
+    RentalOffers,
+    plan_scale_out,
+)
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.scheduling.placement import placement
 from weldhead.scheduling.placement.placement import plan_starts
 from weldhead.scheduling.preemption import preemptor
-from weldhead.scheduling.preemption.preemptor import plan_reclaims
-from weldhead.transport.cloud_client import NoCapacity, NotAsked
+from weldhead.scheduling.preemption.preemptor import plan_preemptions
+from weldhead.transport.cloud_client import NoCapacityError, NotSentError
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
@@ -63,7 +68,7 @@
     filler = add_job(into, job_spec(1, priority="idle", tasks=machines * 4, cpus=2.0))
     for index, machine in enumerate(m for m in into.machines.values() for _ in range(4)):
         attempt = into.start(filler, index, machine, S)
-        attempt.phase, attempt.running_us = Phase.RUNNING, S
+        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
     for number in range(2, jobs + 2):
         add_job(into, job_spec(number, priority="high", tasks=20, cpus=2.0 + 2.0 * (number % 2)))
     return into
@@ -75,8 +80,8 @@
     into = full_fleet(100, 50)
     counts: dict[str, int] = {}
     count_calls(monkeypatch, placement, "usable", counts)
-    count_calls(monkeypatch, placement.Room, "__init__", counts)
-    plan = plan_starts(into, Estimates(), Goals([]), S, 10 * S, 45 * S)
+    count_calls(monkeypatch, placement.FreeCapacity, "__init__", counts)
+    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert len(plan.unplaced) == 50
     assert counts == {}
 
@@ -91,8 +96,8 @@
         into.adopt(attempt, into.machines[attempt.machine])
     small = add_job(into, job_spec(99, tasks=1, cpus=0.0, memory_gb=0.0))
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, placement.Room, "fits", counts)
-    plan = plan_starts(into, Estimates(), Goals([]), S, 10 * S, 45 * S)
+    count_calls(monkeypatch, placement.FreeCapacity, "fits", counts)
+    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert [start.job for start in plan.starts] == [small]
     # Three shapes over a hundred machines, not fifty jobs twice over.
     assert counts["fits"] <= 5 * 100
@@ -100,13 +105,13 @@
 
 def test_the_preemptor_looks_at_each_victim_once(monkeypatch: pytest.MonkeyPatch) -> None:
     into = full_fleet(100, 50)
-    plan = plan_starts(into, Estimates(), Goals([]), S, 10 * S, 45 * S)
+    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     counts: dict[str, int] = {}
     count_calls(monkeypatch, preemptor, "victim_key", counts)
     count_calls(monkeypatch, preemptor, "over_guarantee", counts)
-    found = plan_reclaims(
-        into, ReclaimLists(), plan, Estimates(), 2 * S,
-        TUNABLES.preemptor.settings(10 * S), Goals([]), most=64,
+    found = plan_preemptions(
+        into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S,
+        TUNABLES.preemptor.settings(10 * S), ServiceLevelObjectives([]), most=64,
     )  # fmt: skip
     assert len(found) == 64
     victims = [victim for reclaim in found for victim in reclaim.victims]
@@ -120,24 +125,26 @@
     """Requests are under way side by side; each look would rent the same again."""
     into = cluster(Team("red", 1_000, 1_000))
     add_job(into, job_spec(1, tasks=100, cpus=4.0))
-    plan = plan_starts(into, Estimates(), Goals([]), S, 10 * S, 45 * S)
+    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     kind = machine_type(zones=("a",))
 
-    def rented(coming: list[Coming]) -> int:
-        market = Market([kind])
+    def rented(coming: list[PendingRental]) -> int:
+        market = RentalOffers([kind])
         fleet = TUNABLES.fleet.settings()
         return sum(
-            plan_hires(into, plan, market, Estimates(), Goals([]), S, fleet, coming).values()
+            plan_scale_out(
+                into, plan, market, RunTimeEstimates(), ServiceLevelObjectives([]), S, fleet, coming
+            ).values()
         )
 
     assert rented([]) >= 50
-    assert rented([Coming(kind, 100)]) == 0
+    assert rented([PendingRental(kind, 100)]) == 0
 
 
 def test_changes_of_one_record_share_a_write() -> None:
     async def scenario() -> None:
         state = StandInState()
-        ledger = Ledger(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
+        ledger = StateWriter(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
         record: dict[str, int] = {}
         waiting = []
         for number in range(50):
@@ -163,7 +170,7 @@
     async def scenario() -> None:
         state = StandInState()
         state.max_writes = 1
-        ledger = Ledger(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
+        ledger = StateWriter(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
         first = asyncio.create_task(ledger.write({"p/1": 1}))
         last = asyncio.create_task(ledger.write_latest("p/2", lambda: 2))
         await asyncio.sleep(0)
@@ -192,11 +199,11 @@
         # One call at a time, as the cloud's budget has it.
         async with self.turn:
             if not wanted():
-                raise NotAsked
+                raise NotSentError
             await asyncio.sleep(0)
             self.rented.append(request)
             if self.next + request.count > self.capacity:
-                raise NoCapacity
+                raise NoCapacityError
         self.next += request.count
         return [f"vm-{self.next - n:06}" for n in range(request.count)]
 
@@ -204,7 +211,7 @@
         # Another call has its turn first.
         await asyncio.sleep(0)
         if not wanted():
-            raise NotAsked
+            raise NotSentError
         self.deleted.append(names)
 
 
@@ -226,7 +233,7 @@
     async def scenario() -> None:
         duty = asyncio.create_task(leader.ledger.run())
         leader.term.duties.start("deletions", rentals._delete)
-        rentals.hire(Offer(machine_type(), "a", True), 230)
+        rentals.hire(RentalOffer(machine_type(), "a", True), 230)
         await settle()
         machines = dict(leader.cluster.machines)
         assert len(machines) == 230
@@ -239,7 +246,7 @@
         await settle()
         assert all(machine.up for machine in machines.values())
         assert state.revision - before <= 5
-        stored = [value for key, (value, _) in state.keys.items() if key.startswith(HIRES)]
+        stored = [value for key, (value, _) in state.keys.items() if key.startswith(RENTALS)]
         marked = [address for record in stored for address in record["machines"].values()]
         assert len(marked) == 230 and None not in marked
         before = state.revision
@@ -247,7 +254,7 @@
         await settle()
         assert [len(names) for names in cloud.deleted] == [100, 100, 30]
         assert leader.cluster.machines == {}
-        assert not any(key.startswith(HIRES) for key in state.keys)
+        assert not any(key.startswith(RENTALS) for key in state.keys)
         assert state.revision - before <= 10
         await leader.close()
         await asyncio.gather(duty, return_exceptions=True)
@@ -265,9 +272,9 @@
 
     async def scenario() -> None:
         duty = asyncio.create_task(leader.ledger.run())
-        rentals.hire(Offer(machine_type(), "a", True), 500)
+        rentals.hire(RentalOffer(machine_type(), "a", True), 500)
         # What an earlier leader may have asked for has to be settled all the same.
-        rentals._records["n-9-9-1"] = HireRecord("m4", "a", True, 7, 0)
+        rentals._records["n-9-9-1"] = RentalRecord("m4", "a", True, 7, 0)
         await settle()
         assert [request.count for request in cloud.rented][:3] == [50, 50, 50]
         asked = len(cloud.rented)
@@ -277,7 +284,7 @@
         assert len(leader.cluster.machines) == 100
         await settle()
         # Nothing of what was refused, or never asked for, stays on record.
-        assert len([key for key in state.keys if key.startswith(HIRES)]) == 2
+        assert len([key for key in state.keys if key.startswith(RENTALS)]) == 2
         assert not rentals.coming() and not rentals._unsent
         await leader.close()
         await asyncio.gather(duty, return_exceptions=True)
@@ -299,7 +306,7 @@
     async def scenario() -> None:
         duty = asyncio.create_task(leader.ledger.run())
         leader.term.duties.start("deletions", rentals._delete)
-        rentals.hire(Offer(machine_type(), "a", True), 100)
+        rentals.hire(RentalOffer(machine_type(), "a", True), 100)
         await settle()
         asked = {(offer.zone, offer.spot) for offer in market.offers(now_us())}
         assert ("a", True) not in asked and ("b", True) in asked
@@ -307,7 +314,7 @@
         rentals.delete({name: leader.cluster.machines[name]})
         await settle()
         assert name not in leader.cluster.machines
-        assert Offer(machine_type(), "a", True) in market.offers(now_us())
+        assert RentalOffer(machine_type(), "a", True) in market.offers(now_us())
         await leader.close()
         await asyncio.gather(duty, return_exceptions=True)
 
@@ -317,7 +324,7 @@
 def test_a_rentals_machines_are_divided_so_that_each_record_fits_with_all_addresses() -> None:
     for limit in (1024, 2048, 8192):
         names: dict[str, str | None] = {f"vm-{n:012}": None for n in range(50)}
-        record = HireRecord("a-rather-long-type-name", "zone-name", True, 50, 2**52, True, names)
+        record = RentalRecord("a-rather-long-type-name", "zone-name", True, 50, 2**52, True, names)
         parts = divide_machines(record, limit)
         assert [name for part in parts for name in part] == list(names)
         for part in parts:
@@ -339,11 +346,11 @@
     spots, ordinary = fleet("a", True, 10), fleet("a", False, 3)
     others = fleet("b", True, 3)
     live = spots + ordinary + others
-    assert look_gone(spots[:5], live)
+    assert look_lost(spots[:5], live)
     # More than a third, but only spot machines, beside ordinary ones that are heard.
-    assert look_gone(spots[:9], live)
-    assert not look_gone(spots[:9] + ordinary[:1], live)
+    assert look_lost(spots[:9], live)
+    assert not look_lost(spots[:9] + ordinary[:1], live)
     # Nothing ordinary is heard in that zone: it may be cut off.
-    assert not look_gone(spots[:5] + others, live)
-    assert not look_gone(live, live)
-    assert look_gone(ordinary[:1], ordinary[:1])
+    assert not look_lost(spots[:5] + others, live)
+    assert not look_lost(live, live)
+    assert look_lost(ordinary[:1], ordinary[:1])
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -18,24 +18,24 @@
 from tests.test_wire import SETTINGS
 from weldhead.clock import SECOND_US as S
 from weldhead.clock import now_us
-from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.leader_lease import Candidacy, default_timing
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.controller.requests import request_handler as frontdesk
-from weldhead.controller.requests.request_handler import FrontDesk
-from weldhead.protocol.peer import Hold
+from weldhead.controller.requests.request_handler import RequestHandler
+from weldhead.protocol.peer import PromiseRequest
 from weldhead.protocol.settings import StateLimits, Team, parse_settings
-from weldhead.protocol.wire import Entry
-from weldhead.transport.http_client import CallFailed
+from weldhead.protocol.wire import KeyValue
+from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response
-from weldhead.transport.state_client import Busy, LeaseGone
+from weldhead.transport.state_client import LeaseNotFoundError, RateLimitedError
 from weldhead.tunables.defaults import Tunables
 
 RPS, JOBS = 15.0, 200
 
 
-def controller() -> Campaign:
-    return Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
+def controller() -> LeaderElection:
+    return ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
 
 
 # -- who is asked about for long goes first, whichever node its users reach ---------------------
@@ -55,7 +55,7 @@
     def __init__(self, chance: Random, number: int) -> None:
         super().__init__()
         self.number = number
-        self.peers: list[FrontDesk] = []
+        self.peers: list[RequestHandler] = []
         self._chance = chance
 
     async def ask_served_peer(
@@ -80,7 +80,7 @@
     clock, chance, state = Clock(), Random(seed), SmallStore()
     monkeypatch.setattr(frontdesk, "now_us", clock)
     nodes = [Follower(chance, number) for number in range(3)]
-    desks = [FrontDesk(node, cast(Any, state), [Team("red", 8, 16)], 3) for node in nodes]
+    desks = [RequestHandler(node, cast(Any, state), [Team("red", 8, 16)], 3) for node in nodes]
     for node, own in zip(nodes, desks, strict=True):
         node.peers = [other for other in desks if other is not own]
     names = [f"run-{number:06}" for number in range(JOBS)]
@@ -114,13 +114,13 @@
         self.answers = answers
         self.patience: list[int] = []
 
-    async def get(self, key: str, *, urgent: bool, timeout_us: int) -> Entry | None:
+    async def get(self, key: str, *, urgent: bool, timeout_us: int) -> KeyValue | None:
         self.patience.append(timeout_us)
         answer = self.answers.pop(0)
         if isinstance(answer, Exception):
             raise answer
         if answer > timeout_us:
-            raise CallFailed("no answer in time")
+            raise CallError("no answer in time")
         return None
 
 
@@ -130,7 +130,7 @@
         ([10_000], False),
         # Slow is like silent: nobody leads meanwhile who could have been told otherwise.
         ([600_000], True),
-        ([CallFailed("503")], True),
+        ([CallError("503")], True),
     ],
 )
 def test_who_promised_because_the_store_was_slow_does_not_stand_when_its_answer_comes(
@@ -142,7 +142,7 @@
     campaign._state = cast(Any, SlowStore(answers))
     assert campaign.candidacy.may_lead(now_us())
     asked_us = now_us()
-    hold = Hold(1, 5, campaign.timing.promise_us)
+    hold = PromiseRequest(1, 5, campaign.timing.promise_us)
     assert asyncio.run(campaign.promise(hold)) is promised
     # The key that it finds free now may be that of the leader it has promised to.
     assert campaign.candidacy.may_lead(now_us()) is not promised
@@ -153,9 +153,9 @@
 def test_a_rate_that_is_used_up_is_no_outage() -> None:
     """The store is well: a promise kept a leader in place that it did not serve."""
     campaign = controller()
-    campaign._state = cast(Any, SlowStore([Busy("429")]))
-    with pytest.raises(Busy):
-        asyncio.run(campaign.promise(Hold(1, 5, campaign.timing.promise_us)))
+    campaign._state = cast(Any, SlowStore([RateLimitedError("429")]))
+    with pytest.raises(RateLimitedError):
+        asyncio.run(campaign.promise(PromiseRequest(1, 5, campaign.timing.promise_us)))
     campaign.candidacy.nobody_leads()
     assert campaign.candidacy.may_lead(now_us())
 
@@ -166,7 +166,7 @@
 def test_a_renewal_that_finds_the_rate_used_up_hands_nothing_over() -> None:
     """All were served, so the leader gave up its term for one 429."""
     asks: list[int] = []
-    answers: list[Exception] = [Busy("429"), Busy("429")]
+    answers: list[Exception] = [RateLimitedError("429"), RateLimitedError("429")]
     campaign = controller()
     campaign.timing = default_timing(200_000)
 
@@ -201,7 +201,7 @@
     class Store:
         async def extend(self, lease: int, timeout_us: int) -> None:
             campaign.leader = cast(Any, "the next term")
-            raise LeaseGone
+            raise LeaseNotFoundError
 
     campaign._state = cast(Any, Store())
     campaign.step_down = ended.append  # type: ignore[assignment]
--- a/tests/test_small_controller.py
+++ b/tests/test_small_controller.py
@@ -17,7 +17,7 @@
 from weldhead.emulator.experiment import Result, play
 from weldhead.emulator.loop import BEGIN_S, CALLBACK_US, Life, simulated
 from weldhead.emulator.scenario import parse_scenario, read_scenario
-from weldhead.tomlfiles import FileProblem
+from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.http_server import Response
 
 SCENARIO = Path(__file__).parents[1] / "deploy" / "scenarios" / "small-controller.toml"
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("share", ["-0.1", "1.5"])
 def test_a_share_of_a_core_is_checked(share: str) -> None:
     text = SCENARIO.read_text().replace("core-share = 0.04", f"core-share = {share}")
-    with pytest.raises(FileProblem, match="core-share: must be from 0"):
+    with pytest.raises(FileProblemError, match="core-share: must be from 0"):
         parse_scenario("s.toml", text)
 
 
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -20,15 +20,15 @@
 from weldhead.controller.leadership import peer_directory
 from weldhead.controller.leadership.leader_lease import default_timing
 from weldhead.controller.leadership.peer_directory import FORWARD_US
-from weldhead.controller.process import PONG_US, Node
+from weldhead.controller.process import PONG_US, ControllerProcess
 from weldhead.controller.requests import request_handler as frontdesk
-from weldhead.protocol.peer import Answer
+from weldhead.protocol.peer import ForwardedAnswer
 from weldhead.protocol.settings import parse_settings
-from weldhead.protocol.wire import Entry
-from weldhead.scheduling.autoscaling.fleet import Offer
-from weldhead.transport.http_client import CallFailed
+from weldhead.protocol.wire import KeyValue
+from weldhead.scheduling.autoscaling.fleet import RentalOffer
+from weldhead.transport.http_client import CallError
 from weldhead.transport.peer_links import PeerLink
-from weldhead.transport.state_client import Refused
+from weldhead.transport.state_client import RequestRefusedError
 from weldhead.tunables.defaults import Tunables
 
 
@@ -45,12 +45,12 @@
     async def scenario() -> None:
         duty = asyncio.create_task(leader.ledger.run())
         leader.term.duties.start("deletions", rentals._delete)
-        rentals.hire(Offer(machine_type(), "a", True), 3)
+        rentals.hire(RentalOffer(machine_type(), "a", True), 3)
         await settle()
         assert len(leader.cluster.machines) == 3
         async with cloud.turn:
             # The lease runs out while both wait for their turn.
-            rentals.hire(Offer(machine_type(), "a", True), 5)
+            rentals.hire(RentalOffer(machine_type(), "a", True), 5)
             await settle()
             monkeypatch.setattr(authority, "valid", lambda at_us: False)
         machines = dict(leader.cluster.machines)
@@ -77,7 +77,7 @@
     assert run(desk(state).submit(GOOD_BODY))[0] == 201
     front, read = desk(state), state.get
 
-    async def get(key: str, **more: Any) -> Entry | None:
+    async def get(key: str, **more: Any) -> KeyValue | None:
         found = await read(key, **more)
         clock.us += frontdesk.STALE_US + 1
         return found
@@ -125,8 +125,8 @@
         self.dropped += 1
 
 
-def controller() -> Node:
-    return Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
+def controller() -> ControllerProcess:
+    return ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
 
 
 @pytest.mark.parametrize(("late_us", "dropped"), [(PONG_US, 1), (PONG_US + 5 * S, 0)])
@@ -135,7 +135,7 @@
 ) -> None:
     clock = Clock()
     monkeypatch.setattr(node, "now_us", clock)
-    link = SilentLink(clock, late_us, CallFailed("no answer"))
+    link = SilentLink(clock, late_us, CallError("no answer"))
 
     async def scenario() -> None:
         here = controller()
@@ -157,7 +157,7 @@
 ) -> None:
     clock = Clock()
     monkeypatch.setattr(peer_directory, "now_us", clock)
-    link = SilentLink(clock, late_us, Answer(1, 200, b"{}"))
+    link = SilentLink(clock, late_us, ForwardedAnswer(1, 200, b"{}"))
 
     async def scenario() -> bool:
         answer = await controller().peers.forward(cast(PeerLink, link), "poll", JOB, b"")
@@ -169,9 +169,9 @@
 @pytest.mark.parametrize(
     ("fates", "asked"),
     [
-        ([CallFailed("no answer")], 0),
-        ([CallFailed("no answer"), CallFailed("no answer")], 1),
-        ([Refused("503")], 1),
+        ([CallError("no answer")], 0),
+        ([CallError("no answer"), CallError("no answer")], 1),
+        ([RequestRefusedError("503")], 1),
     ],
 )
 def test_one_lost_renewal_hands_nothing_over(fates: list[Exception], asked: int) -> None:
@@ -183,10 +183,10 @@
                 raise fates.pop(0)
             here.campaign.leader = None
 
-        async def get(self, key: str, **_: Any) -> Entry:
+        async def get(self, key: str, **_: Any) -> KeyValue:
             # Read with each renewal: the key is still its own.
             record = LeaderRecord("n-0", "x", 200_000)
-            return Entry(key, msgspec.Raw(msgspec.json.encode(record)), 5)
+            return KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
 
     here = controller()
     campaign, asks = here.campaign, []
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -15,22 +15,31 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
 from tests.stand_ins import StandInState, StandInTask
 from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine
-from weldhead.cluster_state.jobs import Stop
+from weldhead.cluster_state.jobs import StopRequest
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.workers.heartbeat_reconciler import apply_report, pending_commands
 from weldhead.emulator.experiment import play
 from weldhead.emulator.scenario import Fault, Scenario, read_scenario
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import Report, TaskReport
-from weldhead.reconciliation.attempt_verdicts import Standing, Tally, Verdict, judge, standing
-from weldhead.reconciliation.buffered_heartbeats import EarlyReports
-from weldhead.reconciliation.command_queue import Errand, Outbox, rank
-from weldhead.reconciliation.partial_view import doubts, partial_of
-from weldhead.reconciliation.preemption_rate_limit import PaceSettings, StopPace
-from weldhead.reconciliation.status_probes import Asking, AskSettings
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
-from weldhead.scheduling.placement.placement import Scene, plan_pass
+from weldhead.protocol.wire import Heartbeat, ReportedTask
+from weldhead.reconciliation.attempt_verdicts import (
+    AttemptVerdict,
+    MachineStanding,
+    ReconciliationCounts,
+    judge_attempt,
+    machine_standing,
+)
+from weldhead.reconciliation.buffered_heartbeats import HeartbeatBuffer
+from weldhead.reconciliation.command_queue import CommandPriority, CommandQueue, queue_position
+from weldhead.reconciliation.partial_view import partial_view_of, unverified_usage
+from weldhead.reconciliation.preemption_rate_limit import (
+    PreemptionRateLimit,
+    PreemptionRateSettings,
+)
+from weldhead.reconciliation.status_probes import ProbeSettings, StatusProbes
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
+from weldhead.scheduling.placement.placement import PlacementInput, plan_pass
 
 S = 1_000_000
 MS = 1_000
@@ -87,29 +96,29 @@
     into = cluster(Team("red", 8, of.pop("limit", 100)))
     machine = add_machine(into)
     job = add_job(into, job_spec(1, tasks=4, **of.pop("spec", {})))
-    return into, machine, job, TaskReport(name, 7, state, why)
+    return into, machine, job, ReportedTask(name, 7, state, why)
 
 
 @pytest.mark.parametrize(
     ("verdict", "task", "prepare", "active", "commands"),
     [
-        (Verdict.ADOPTED, ("run-000001/0", "running", None), "", 1, []),
-        (Verdict.FINISHED, ("run-000001/0", "ended", "done"), "", 0, ["forget"]),
-        (Verdict.ENDED, ("run-000001/0", "ended", "halted"), "", 0, ["forget"]),
-        (Verdict.ENDED, ("run-000009/0", "ended", "done"), "", 0, ["forget"]),
-        (Verdict.ENDED, ("run-000001/0", "ended", "done"), "cancelled", 0, ["forget"]),
-        (Verdict.CANCELLED, ("run-000001/0", "saving", None), "cancelled", 1, ["kill"]),
-        (Verdict.OVER, ("run-000001/0", "running", None), "completed", 0, ["kill"]),
-        (Verdict.UNRECORDED, ("run-000009/0", "running", None), "", 0, ["kill"]),
-        (Verdict.UNRECORDED, ("run-000001/4", "running", None), "", 0, ["kill"]),
-        (Verdict.UNRECORDED, ("nonsense", "pulling", None), "", 0, ["kill"]),
-        (Verdict.SECOND, ("run-000001/0", "running", None), "elsewhere", 1, ["kill"]),
-        (Verdict.OVER_LIMIT, ("run-000001/0", "running", None), "limit", 1, []),
-        (Verdict.CROWDED, ("run-000001/0", "running", None), "large", 1, ["kill"]),
+        (AttemptVerdict.ADOPTED, ("run-000001/0", "running", None), "", 1, []),
+        (AttemptVerdict.FINISHED, ("run-000001/0", "ended", "done"), "", 0, ["forget"]),
+        (AttemptVerdict.ENDED, ("run-000001/0", "ended", "halted"), "", 0, ["forget"]),
+        (AttemptVerdict.ENDED, ("run-000009/0", "ended", "done"), "", 0, ["forget"]),
+        (AttemptVerdict.ENDED, ("run-000001/0", "ended", "done"), "cancelled", 0, ["forget"]),
+        (AttemptVerdict.CANCELLED, ("run-000001/0", "saving", None), "cancelled", 1, ["kill"]),
+        (AttemptVerdict.OVER, ("run-000001/0", "running", None), "completed", 0, ["kill"]),
+        (AttemptVerdict.UNRECORDED, ("run-000009/0", "running", None), "", 0, ["kill"]),
+        (AttemptVerdict.UNRECORDED, ("run-000001/4", "running", None), "", 0, ["kill"]),
+        (AttemptVerdict.UNRECORDED, ("nonsense", "pulling", None), "", 0, ["kill"]),
+        (AttemptVerdict.SECOND, ("run-000001/0", "running", None), "elsewhere", 1, ["kill"]),
+        (AttemptVerdict.OVER_LIMIT, ("run-000001/0", "running", None), "limit", 1, []),
+        (AttemptVerdict.CROWDED, ("run-000001/0", "running", None), "large", 1, ["kill"]),
     ],
 )
 def test_each_verdict_has_its_order(
-    verdict: Verdict, task: Any, prepare: str, active: int, commands: list[str]
+    verdict: AttemptVerdict, task: Any, prepare: str, active: int, commands: list[str]
 ) -> None:
     spec = {"cpus": 5.0} if prepare == "large" else {}
     into, machine, job, told = judged(*task, spec=spec, limit=1 if prepare == "limit" else 100)
@@ -119,7 +128,7 @@
         job.complete_waiting(0)
     if prepare == "elsewhere":
         into.start(job, 0, add_machine(into, "vm-000002"), 0)
-    assert judge(into, machine, told) is verdict
+    assert judge_attempt(into, machine, told) is verdict
     outcome = apply_report(into, machine, report(machine, 2, [told]), 0, direct=False)
     assert outcome.verdicts == {verdict: 1}
     orders = pending_commands(machine, lambda _: True, may_start=True, sequence=2)
@@ -129,7 +138,7 @@
     # Said again, it is the same attempt: judged once.
     again = apply_report(into, machine, report(machine, 3, [told]), 0, direct=False)
     assert not again.verdicts
-    tally = Tally()
+    tally = ReconciliationCounts()
     tally.tasks.update(outcome.verdicts)
     assert f"attempts: 1 {verdict.value}" in tally.line(into)
 
@@ -140,10 +149,11 @@
     silent.synced = unused.synced = False
     unused.up, leaving.deleting = False, True
     gone.expired_session = gone.session
-    found = [standing(m) for m in (known, silent, unused, leaving, gone, None)]
+    found = [machine_standing(m) for m in (known, silent, unused, leaving, gone, None)]
     assert found == [
-        Standing.KNOWN, Standing.SILENT, Standing.UNUSED, Standing.LEAVING, Standing.GONE,
-        Standing.UNKNOWN,
+        MachineStanding.KNOWN, MachineStanding.SILENT, MachineStanding.UNUSED,
+        MachineStanding.LEAVING, MachineStanding.GONE,
+        MachineStanding.UNKNOWN,
     ]  # fmt: skip
 
 
@@ -177,9 +187,9 @@
 
 
 def test_the_newest_message_of_a_machine_is_kept() -> None:
-    early, into = EarlyReports(), cluster()
+    early, into = HeartbeatBuffer(), cluster()
     machine = add_machine(into)
-    messages: list[Report] = [report(machine, n, []) for n in range(5)]
+    messages: list[Heartbeat] = [report(machine, n, []) for n in range(5)]
     assert early.answer(messages[1], 10, relayed=False)
     early.shown(messages[0])
     early.shown(messages[3])
@@ -200,7 +210,7 @@
     gone: set[int], at_once: int, answer_ms: int
 ) -> None:
     """In the order of asking, those that are gone held all turns (found on an own day)."""
-    asking = Asking(AskSettings(at_once))
+    asking = StatusProbes(ProbeSettings(at_once))
     asking.add(f"vm-{n}" for n in range(60))
     events: list[tuple[int, str, bool]] = []
     at_us = 0
@@ -228,7 +238,7 @@
 
 
 def test_silence_while_the_loop_is_late_tells_nothing() -> None:
-    asking = Asking(AskSettings())
+    asking = StatusProbes(ProbeSettings())
     asking.add(["vm-1"])
     assert asking.next(0) == ["vm-1"] and asking.next(100 * MS) == []
     assert asking.next(150 * MS) == ["vm-1"]
@@ -271,9 +281,9 @@
                 hidden.add((job.id, index))
                 hidden_cpus[job.team] += job.spec.cpus
                 machine.cpus -= job.spec.cpus
-    partial = partial_of(into.machines.values(), 10)
-    into.doubts = doubts(into, partial)
-    scene = Scene(into, Estimates(), Goals([]), 0)
+    partial = partial_view_of(into.machines.values(), 10)
+    into.doubts = unverified_usage(into, partial)
+    scene = PlacementInput(into, RunTimeEstimates(), ServiceLevelObjectives([]), 0)
     plan = plan_pass(scene, 0, 10 * S, 1.0, partial.settled)
     used = {team: into.usage[team].cpus + hidden_cpus[team] for team in into.teams}
     for start in plan.starts:
@@ -292,9 +302,9 @@
     machine.synced = False
     job = add_job(into, job_spec(1, tasks=4))
     job.version, job.cancelled = 50, True
-    partial = partial_of(into.machines.values(), 10)
+    partial = partial_view_of(into.machines.values(), 10)
     assert not partial.settled(job)
-    assert doubts(into, partial)["red"].cpus == 4.0
+    assert unverified_usage(into, partial)["red"].cpus == 4.0
 
 
 def test_a_type_that_left_the_catalog_may_hold_anything() -> None:
@@ -304,16 +314,16 @@
     machine.up = True
     into.machines[machine.name] = machine
     job = add_job(into, job_spec(1, tasks=4))
-    partial = partial_of(into.machines.values(), None)
+    partial = partial_view_of(into.machines.values(), None)
     assert not partial.settled(job)
-    assert doubts(into, partial)["red"].cpus == 8.0
+    assert unverified_usage(into, partial)["red"].cpus == 8.0
 
 
 # -- no storm ------------------------------------------------------------------------------
 
 
 def test_stops_are_paced_until_the_start_is_settled() -> None:
-    pace = StopPace(PaceSettings(settle_us=10 * S, stop_share=0.001))
+    pace = PreemptionRateLimit(PreemptionRateSettings(settle_us=10 * S, stop_share=0.001))
     stopped = []
     for at_us in range(0, 10 * S, 250 * MS):
         allowed = pace.allowed(0, 5_000, at_us)
@@ -333,20 +343,20 @@
     jobs[3].cancelled = True
     into.start(jobs[0], 0, rest, 0)
     into.start(jobs[1], 0, start, 0)
-    into.stop(into.start(jobs[2], 0, stop, 0), Stop.SOFT, 0, "room")
+    into.stop(into.start(jobs[2], 0, stop, 0), StopRequest.SOFT, 0, "room")
     into.jobs["run-000003"].cancelled = False
-    into.stop(into.start(jobs[3], 0, cancelled, 0), Stop.HARD, 0, "cancelled")
+    into.stop(into.start(jobs[3], 0, cancelled, 0), StopRequest.HARD, 0, "cancelled")
     jobs[3].cancelled = True
     ghost.ghosts.add(("run-000009/0", 1))
     into.usage["red"].cpus = 4.0
-    outbox = Outbox()
+    outbox = CommandQueue()
     for machine in (rest, start, stop, cancelled, ghost, rest):
-        outbox.put(machine.name, rank(into, machine))
-    assert [rank(into, m)[0] for m in (rest, start, stop)] == [
-        Errand.REST, Errand.GUARANTEED, Errand.ROOM,
+        outbox.put(machine.name, queue_position(into, machine))
+    assert [queue_position(into, m)[0] for m in (rest, start, stop)] == [
+        CommandPriority.REST, CommandPriority.GUARANTEED, CommandPriority.ROOM,
     ]  # fmt: skip
     # What became more urgent meanwhile moves up, and has one turn.
-    outbox.put(rest.name, (Errand.RULES, -1))
+    outbox.put(rest.name, (CommandPriority.RULES, -1))
     assert rest.name in outbox and len(outbox) == 5
     order = [outbox.pop() for _ in range(6)]
     assert order == [rest.name, cancelled.name, ghost.name, stop.name, start.name, None]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
 from tests.loopback import served
 from weldhead.clock import MILLISECOND_US, SECOND_US
 from weldhead.protocol.settings import StateLimits
-from weldhead.protocol.wire import Condition, Delete, Put
+from weldhead.protocol.wire import Condition, DeleteKey, PutKey
 from weldhead.site.records import DamagedRecords, RecordFile
 from weldhead.site.store.model import (
     KEPT_CHANGES,
@@ -29,15 +29,15 @@
     Write,
 )
 from weldhead.site.store.server import StateService
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.state_client import (
-    Compacted,
-    Conflict,
-    LeaseGone,
-    Refused,
-    Rejected,
+    ConflictError,
+    LeaseNotFoundError,
+    RequestRefusedError,
+    RevisionCompactedError,
     StateClient,
+    TransactionRejectedError,
 )
 
 LIMITS = StateLimits(1000.0, 1000.0, 1.0, 4)
@@ -263,7 +263,7 @@
         with tempfile.TemporaryDirectory() as folder:
             record = Path(folder) / "record"
             service = StateService(StateLimits(1e4, 1e4, 1.0, 4), record)
-            duties = Duties()
+            duties = BackgroundTasks()
             service.start(duties)
             async with served(service.handle) as address:
                 http = HttpClient(8)
@@ -283,19 +283,19 @@
     async def talk(
         service: StateService, client: StateClient, http: HttpClient, address: str
     ) -> None:
-        first = await client.transact([Condition("a/1", 0)], [Put("a/1", {"x": 1})])
+        first = await client.transact([Condition("a/1", 0)], [PutKey("a/1", {"x": 1})])
         entry = await client.get("a/1")
         assert entry is not None and entry.version == first
         assert await client.get("a/2") is None
-        with pytest.raises(Conflict):
-            await client.transact([Condition("a/1", 0)], [Put("a/1", 2)])
-        with pytest.raises(Rejected):
-            await client.transact([], [Put("a/1", "x" * 2000)])
-        with pytest.raises(LeaseGone):
-            await client.transact([Condition("no", 7)], [Put("a/1", 2, lease=99)])
+        with pytest.raises(ConflictError):
+            await client.transact([Condition("a/1", 0)], [PutKey("a/1", 2)])
+        with pytest.raises(TransactionRejectedError):
+            await client.transact([], [PutKey("a/1", "x" * 2000)])
+        with pytest.raises(LeaseNotFoundError):
+            await client.transact([Condition("no", 7)], [PutKey("a/1", 2, lease=99)])
         # Pages, and a watch that waits.
         for number in range(3):
-            await client.transact([], [Put(f"b/{number}", number)])
+            await client.transact([], [PutKey(f"b/{number}", number)])
         ((entries, revision),) = [page async for page in client.pages("b/")]
         assert [entry.key for entry in entries] == ["b/0", "b/1", "b/2"]
         status, body = await http.call(
@@ -305,19 +305,19 @@
         assert [item["key"] for item in msgspec.json.decode(body)["items"]] == ["b/1", "b/2"]
         watch = asyncio.create_task(client.watch("b/", revision, 3 * SECOND_US))
         await asyncio.sleep(0.05)
-        await client.transact([], [Delete("b/1"), Put("c", 1)])
+        await client.transact([], [DeleteKey("b/1"), PutKey("c", 1)])
         changes = await watch
         assert [event.delete for event in changes.events] == ["b/1"]
-        with pytest.raises(Compacted):
+        with pytest.raises(RevisionCompactedError):
             await client.watch("b/", 10**6, 0)
         # A grant that ends takes its keys along, and watches hear of it.
         lease = await client.grant(100 * MILLISECOND_US)
-        await client.transact([], [Put("leader", "me", lease=lease)])
+        await client.transact([], [PutKey("leader", "me", lease=lease)])
         revision = service.store.revision
         await client.extend(lease, SECOND_US)
         gone = await client.watch("leader", revision, 3 * SECOND_US)
         assert [event.delete for event in gone.events] == ["leader"]
-        with pytest.raises(LeaseGone):
+        with pytest.raises(LeaseNotFoundError):
             await client.extend(lease, SECOND_US)
         # Malformed, unserved, over the rate.
         for method, path, bad in (
@@ -328,12 +328,12 @@
             status, _ = await http.call(method, f"http://{address}{path}", bad, SECOND_US)
             assert status == 400
         service.outage = True
-        with pytest.raises(Refused):
+        with pytest.raises(RequestRefusedError):
             await client.get("a/1")
         service.end_outage()
         service.set_limits(StateLimits(1e4, 2.0, 1.0, 4))
-        with pytest.raises(CallFailed, match="429"):
+        with pytest.raises(CallError, match="429"):
             for number in range(4):
-                await client.transact([], [Put("d", number)])
+                await client.transact([], [PutKey("d", number)])
 
     asyncio.run(run())
--- a/tests/test_text_files.py
+++ b/tests/test_text_files.py
@@ -18,7 +18,7 @@
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import MAX_BODY_BYTES
 from weldhead.site.description import controller_settings, parse_description, read_description
-from weldhead.tomlfiles import FileProblem, line_of
+from weldhead.tomlfiles import FileProblemError, line_of
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -42,7 +42,7 @@
     ],
 )
 def test_a_wrong_job_file_is_refused_with_line_and_field(text: str, line: int, field: str) -> None:
-    with pytest.raises(FileProblem) as refused:
+    with pytest.raises(FileProblemError) as refused:
         parse_job("job.toml", text)
     assert refused.value.field.startswith(field)
     if field:
@@ -117,7 +117,7 @@
         ("[class.x]\npatience_s = 1e9", 2, "class.x.patience_s"),
         ("[classes.x]", 1, "classes"),
     ):
-        with pytest.raises(FileProblem) as refused:
+        with pytest.raises(FileProblemError) as refused:
             parse_policies("p.toml", text)
         assert (refused.value.line, refused.value.field[: len(field)]) == (line, field)
 
@@ -162,7 +162,7 @@
 )
 def test_a_wrong_description_names_its_field(old: str, new: str, field: str) -> None:
     parse_description("site.toml", SITE)
-    with pytest.raises(FileProblem) as refused:
+    with pytest.raises(FileProblemError) as refused:
         parse_description("site.toml", SITE.replace(old, new))
     assert refused.value.field == field
     assert refused.value.line is not None
@@ -248,7 +248,7 @@
     with pytest.raises(ConfigProblem, match="--server"):
         servers_of("nowhere", "--server")
     path.write_text('serve = "a:1"\n')
-    with pytest.raises(FileProblem, match=r"config\.toml:1: serve"):
+    with pytest.raises(FileProblemError, match=r"config\.toml:1: serve"):
         client_settings(None, None, None)
     monkeypatch.delenv("WELDHEAD_SERVER")
     path.write_text("")
--- a/tests/test_unheard_machines.py
+++ b/tests/test_unheard_machines.py
@@ -11,7 +11,7 @@
 from tests.test_old_reports import meet
 from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine
 from weldhead.clock import surely_valid_us
-from weldhead.reconciliation.attempt_verdicts import Verdict
+from weldhead.reconciliation.attempt_verdicts import AttemptVerdict
 from weldhead.transport.http_client import HttpClient
 
 S = 1_000_000
@@ -58,11 +58,13 @@
     assert list(leader.cluster.jobs["run-000001"].active) == [0]
 
 
-@pytest.mark.parametrize("verdict", [Verdict.CROWDED, Verdict.OVER, Verdict.UNRECORDED])
-def test_what_must_go_counts_until_it_has_gone(clock: Clock, verdict: Verdict) -> None:
+@pytest.mark.parametrize(
+    "verdict", [AttemptVerdict.CROWDED, AttemptVerdict.OVER, AttemptVerdict.UNRECORDED]
+)
+def test_what_must_go_counts_until_it_has_gone(clock: Clock, verdict: AttemptVerdict) -> None:
     """Its kill may be lost: its team was given its room, and its task started elsewhere."""
     state = StandInState()
-    put_job(state, job_spec(1, tasks=2, cpus=5.0 if verdict is Verdict.CROWDED else 4.0))
+    put_job(state, job_spec(1, tasks=2, cpus=5.0 if verdict is AttemptVerdict.CROWDED else 4.0))
     runner, other = (put_machine(state, f"vm-{n:06}") for n in (1, 2))
     leader = new_leader(state, clock())
     leader.term.ready = True
@@ -77,14 +79,14 @@
     for worker in (runner, other):
         for _ in range(2):
             meet(leader, worker, clock())
-    if verdict is Verdict.OVER:
+    if verdict is AttemptVerdict.OVER:
         job.complete_waiting(0)
-    elif verdict is Verdict.UNRECORDED:
+    elif verdict is AttemptVerdict.UNRECORDED:
         leader.cluster.jobs.remove(job.id)
     runner.tasks["run-000001/0"] = StandInTask(77, "running")
     meet(leader, runner, clock(), heard=False)
     assert leader.term.tally.tasks == {verdict: 1}
-    if verdict is Verdict.UNRECORDED:
+    if verdict is AttemptVerdict.UNRECORDED:
         # Accepted and started under the leader before; the watch tells it late.
         leader.cluster.jobs[job.id] = job
     else:
@@ -96,7 +98,7 @@
     for _ in range(2):
         meet(leader, runner, clock())
     # What turns out to be wanted goes on.
-    assert (runner.live() == set()) == (verdict is not Verdict.UNRECORDED)
+    assert (runner.live() == set()) == (verdict is not AttemptVerdict.UNRECORDED)
     assert not leader.cluster.ghosts and not leader.cluster.haunted("run-000001/0")
     leader.cluster.check()
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -13,12 +13,12 @@
 from tests.stand_ins import StandInState
 from tests.test_validation import GOOD
 from weldhead.cluster_state.records import FinalRecord, final_key, job_key
-from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.configuration.publisher import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
-from weldhead.controller.requests.request_handler import FrontDesk
+from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import MachineType
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import HttpServer, Response
 from weldhead.transport.state_client import StateClient
 
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.leader: Leader | None = None
         self.all_know_chains = True
-        self.documents: Documents | None = None
+        self.documents: DocumentReplica | None = None
         self.alone = False
         #: What others answer, by the kind of question.
         self.others: dict[str, Response] = {}
@@ -54,8 +54,8 @@
         return self.all_know_chains
 
 
-def desk(state: StandInState, node: StandInNode | None = None) -> FrontDesk:
-    return FrontDesk(node or StandInNode(), cast(StateClient, state), [Team("red", 8, 16)])
+def desk(state: StandInState, node: StandInNode | None = None) -> RequestHandler:
+    return RequestHandler(node or StandInNode(), cast(StateClient, state), [Team("red", 8, 16)])
 
 
 async def responded(call: Awaitable[Response]) -> Response:
@@ -194,7 +194,7 @@
     async def limited(key: str, **more: Any) -> Any:
         read.append(key)
         if len(read) % 60 == 0:
-            raise CallFailed("enough")
+            raise CallError("enough")
         return await get(key, **more)
 
     state.get = limited  # type: ignore[method-assign]
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -9,7 +9,12 @@
 
 from tests.builders import job_spec, machine_type
 from weldhead.protocol.settings import Team
-from weldhead.protocol.validation import Refusal, check_feasible, is_job_id, parse_submission
+from weldhead.protocol.validation import (
+    SubmissionRefusedError,
+    check_feasible,
+    is_job_id,
+    parse_submission,
+)
 
 GOOD: dict[str, Any] = {
     "uid": "run-000412", "jobclass": "train", "owner": "red", "shape": "batch",
@@ -36,7 +41,7 @@
     if field in NULLABLE:
         assert parse_submission(body).id == "run-000412"
         return
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(SubmissionRefusedError) as refused:
         parse_submission(body)
     assert (refused.value.status, refused.value.field) == (400, field)
 
@@ -64,14 +69,14 @@
     ("field", "value"), [(field, value) for field, values in WRONG.items() for value in values]
 )
 def test_wrong_values_are_400_and_name_the_field(field: str, value: object) -> None:
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(SubmissionRefusedError) as refused:
         parse_submission(msgspec.json.encode(GOOD | {field: value}))
     assert (refused.value.status, refused.value.field) == (400, field)
 
 
 @given(st.binary(max_size=100) | st.text(max_size=50).map(lambda t: t.encode()))
 def test_nonsense_is_400(body: bytes) -> None:
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(SubmissionRefusedError) as refused:
         parse_submission(body)
     assert refused.value.status == 400
 
@@ -89,7 +94,7 @@
     try:
         body = msgspec.json.encode(GOOD | changes)
         spec = parse_submission(body)
-    except Refusal as refused:
+    except SubmissionRefusedError as refused:
         assert refused.status == 400 and refused.reason
         return
     assert is_job_id(spec.id) and 1 <= spec.tasks <= 100_000 and spec.cpus >= 0
@@ -112,7 +117,7 @@
     ],
 )
 def test_impossible_jobs_are_422(changes: dict[str, Any], field: str) -> None:
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(SubmissionRefusedError) as refused:
         check_feasible(job_spec(**changes), TEAMS, CATALOG)
     assert (refused.value.status, refused.value.field) == (422, field)
 
@@ -128,7 +133,7 @@
     "needs", ["run-000001", 7, {}, [7], [None], ["run-1", "x"], ["run-"], [""], ["run-1/0"]]
 )
 def test_a_list_of_needed_jobs_that_is_none_is_malformed(needs: object) -> None:
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(SubmissionRefusedError) as refusal:
         parse_submission(msgspec.json.encode(GOOD | {"waits_on": needs}))
     assert (refusal.value.status, refusal.value.field) == (400, "waits_on")
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,21 +19,21 @@
 from tests.test_recovery import START, Clock, clock, new_leader  # noqa: F401
 from tests.test_wire import SETTINGS
 from weldhead.clock import now_us
-from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.records import (
-    Binding,
-    Deed,
+    AdmissionBinding,
     FinalRecord,
-    HireRecord,
-    Hold,
+    GateAction,
+    GateHold,
     JobRecord,
     LeaderRecord,
-    bound_record,
+    RentalRecord,
+    admitted_record,
     cancelled_record,
     decode_progress,
     without_gate,
 )
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.protocol import peer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.validation import is_job_id
@@ -67,13 +67,13 @@
     "0000000b92a568656c6c6fa36e2d30": peer.Hello("n-0"),
     "0000001495a470696e670729c391a9766d2d303030323331": peer.Ping(7, 41, True, ("vm-000231",)),
     "0000000893a4706f6e6707c3": peer.Pong(7, True),
-    "0000001c95a361736b08a67375626d6974aa72756e2d303030343132c4027b7d": peer.Ask(
+    "0000001c95a361736b08a67375626d6974aa72756e2d303030343132c4027b7d": peer.ForwardedRequest(
         8, "submit", "run-000412", b"{}"
     ),
-    "0000000f94a6616e7377657208ccc9c4027b7d": peer.Answer(8, 201, b"{}"),
-    "0000000d94a4686f6c640929ce0016e360": peer.Hold(9, 41, 1_500_000),
-    "0000000893a468656c6409c3": peer.Held(9, True),
-    "0000000c93a872657369676e65640a29": peer.Resigned(10, 41),
+    "0000000f94a6616e7377657208ccc9c4027b7d": peer.ForwardedAnswer(8, 201, b"{}"),
+    "0000000d94a4686f6c640929ce0016e360": peer.PromiseRequest(9, 41, 1_500_000),
+    "0000000893a468656c6409c3": peer.PromiseAnswer(9, True),
+    "0000000c93a872657369676e65640a29": peer.LeaderResigned(10, 41),
 }
 
 
@@ -88,9 +88,9 @@
     assert job.spec.needs is None
     assert read(CANCELLED, JobRecord).cancelled
     assert read(FINAL, FinalRecord) == FinalRecord("done", 4, 0, False)
-    hire = read(HIRE, HireRecord)
+    hire = read(HIRE, RentalRecord)
     assert hire.machines == {"vm-000231": "10.1.0.232:9000", "vm-000232": None}
-    assert (read(OPEN_HIRE, HireRecord).settled, read(OPEN_HIRE, HireRecord).machines) == (
+    assert (read(OPEN_HIRE, RentalRecord).settled, read(OPEN_HIRE, RentalRecord).machines) == (
         False,
         {},
     )
@@ -197,7 +197,7 @@
 def test_format_1_reads_ends_rentals_and_shortened_cancellations() -> None:
     end = msgspec.json.encode(FinalRecord("withdrawn", 2, 2**50, True))
     assert read(end, OldFinal) == OldFinal("withdrawn", 2)
-    hire = HireRecord("m4", "a", True, 2, 5, True, {"vm-1": None, "vm-2": "10.0.0.1:1"})
+    hire = RentalRecord("m4", "a", True, 2, 5, True, {"vm-1": None, "vm-2": "10.0.0.1:1"})
     old = read(msgspec.json.encode(hire), OldHire)
     assert (old.settled, old.machines) == (True, hire.machines)
     long = job_spec(7, types=tuple(f"{n:0200}" for n in range(30)), image="i" * 200)
@@ -217,7 +217,7 @@
     for message, old in (
         (peer.Ping(7, 41, True, ("vm-1",)), OldPing(7, 41, True, ("vm-1",))),
         (peer.Pong(7, True, FORMAT), OldPong(7, True)),
-        (peer.Ask(8, "poll", "run-1", b""), OldAsk(8, "poll", "run-1", b"")),
+        (peer.ForwardedRequest(8, "poll", "run-1", b""), OldAsk(8, "poll", "run-1", b"")),
     ):
         assert decoder.decode(peer.encode_frame(message)[4:]) == old
 
@@ -229,7 +229,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A node of format 1 would accept the job without what it waits for, and start it."""
-    node = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
+    node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
     link = node._links["n-1"]
     link._writer = cast(Any, object())
     link.heard_us, link.state_ok = 10**18, True
@@ -326,7 +326,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """A peer that comes back may be another version: nothing is assumed of a new connection."""
-    node = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
+    node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
     node._state = cast(Any, SimpleNamespace(ok=True))
     pong = asyncio.run(node._peer_request("n-1", peer.Ping(7, 0, True)))
     assert pong == peer.Pong(7, True, FORMAT, False)
@@ -365,7 +365,9 @@
 
 def test_an_older_pong_does_not_say_that_its_sender_is_in_no_term() -> None:
     """Beside an older version a node that has just started keeps its former promises."""
-    node = Node(parse_settings(msgspec.json.encode(SETTINGS)), Tunables(), started_us=now_us())
+    node = ControllerProcess(
+        parse_settings(msgspec.json.encode(SETTINGS)), Tunables(), started_us=now_us()
+    )
     older = msgspec.msgpack.encode(("pong", 7, True, 2))
     for name in node._links:
         node.campaign.heard_pong(name, cast(peer.Pong, peer.decode_message(older)), now_us())
@@ -389,21 +391,25 @@
 
 
 @pytest.mark.parametrize(
-    "binding", [Binding(hold=Hold("book", 3)), Binding(deed=Deed("book", "approval", 3))]
+    "binding",
+    [
+        AdmissionBinding(hold=GateHold("book", 3)),
+        AdmissionBinding(deed=GateAction("book", "approval", 3)),
+    ],
 )
 def test_a_leader_that_knows_chains_and_no_gates_never_starts_what_a_gate_concerns(
-    binding: Binding,
+    binding: AdmissionBinding,
 ) -> None:
     # Such a version may come back and lead while held jobs exist: their records name a need
     # that no job can have, so nobody ever commits its end.
     spec = job_spec(1, needs=("run-000009",))
-    record = bound_record(spec, START, binding)
+    record = admitted_record(spec, START, binding)
     old = msgspec.json.decode(msgspec.json.encode(record), type=ChainsJob)
     assert old.spec.waits_on == ("run-000009", "gate/book")
     assert not is_job_id("gate/book") and without_gate(record.spec) == spec
     # What it does with a list of needs.
     of = cluster()
-    chains = Chains(of.jobs)
+    chains = DependencyGraph(of.jobs)
     job = add_job(of, spec)
     chains.add(job, old.spec.waits_on)
     chains.done("run-000009", START)
@@ -415,5 +421,5 @@
 
 def test_a_job_that_concerns_no_gate_is_recorded_as_ever() -> None:
     spec = job_spec(412, zone="a", types=("m4",), deadline_s=900.0)
-    record = bound_record(spec, 1_760_000_000_000_000, Binding())
+    record = admitted_record(spec, 1_760_000_000_000_000, AdmissionBinding())
     assert msgspec.json.encode(record) == JOB
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,11 +16,11 @@
 from weldhead.protocol.wire import (
     Command,
     Condition,
-    Delete,
+    DeleteKey,
+    Heartbeat,
+    HeartbeatAnswer,
     JobSpec,
-    Put,
-    Report,
-    ReportAnswer,
+    PutKey,
     Transaction,
     split_task,
     task_name,
@@ -35,7 +35,7 @@
 
 
 def test_report_has_the_wires_names_and_ignores_unknown_fields() -> None:
-    report = msgspec.json.decode(REPORT, type=Report)
+    report = msgspec.json.decode(REPORT, type=Heartbeat)
     assert (report.machine, report.session, report.sequence, report.token) == (
         "vm-000231",
         1,
@@ -47,7 +47,9 @@
 
 
 def test_answers_and_transactions_have_the_wires_names() -> None:
-    answer = ReportAnswer(41, [Command("kill", "run-1/1", 1, 10.0), Command("run", "run-1/2", 2)])
+    answer = HeartbeatAnswer(
+        41, [Command("kill", "run-1/1", 1, 10.0), Command("run", "run-1/2", 2)]
+    )
     assert msgspec.json.decode(msgspec.json.encode(answer)) == {
         "torch": 41,
         "orders": [
@@ -55,7 +57,7 @@
             {"order": "run", "piece": "run-1/2", "pass": 2},
         ],
     }
-    transaction = Transaction([Condition("a/b", 0)], [Put("a/b", {"x": 1}, 7), Delete("c/d")])
+    transaction = Transaction([Condition("a/b", 0)], [PutKey("a/b", {"x": 1}, 7), DeleteKey("c/d")])
     assert msgspec.json.decode(msgspec.json.encode(transaction)) == {
         "if": [{"key": "a/b", "mark": 0}],
         "writes": [{"set": "a/b", "value": {"x": 1}, "permit": 7}, {"delete": "c/d"}],
@@ -108,14 +110,14 @@
         st.lists(st.text(max_size=9), max_size=3).map(tuple),
     ),
     st.builds(
-        peer.Ask,
+        peer.ForwardedRequest,
         st.integers(0, 2**63),
         st.sampled_from(["poll", "submit"]),
         st.text(max_size=9),
         st.binary(max_size=99),
     ),
-    st.builds(peer.Hold, st.integers(0, 99), st.integers(0, 99), st.integers(0, 10**7)),
-    st.builds(peer.Held, st.integers(0, 99), st.booleans()),
+    st.builds(peer.PromiseRequest, st.integers(0, 99), st.integers(0, 99), st.integers(0, 10**7)),
+    st.builds(peer.PromiseAnswer, st.integers(0, 99), st.booleans()),
     st.builds(peer.Pong, st.integers(0, 99), st.booleans(), st.integers(1, 9)),
 )
 
--- a/tools/failures.py
+++ b/tools/failures.py
@@ -26,7 +26,7 @@
 from weldhead.emulator.reduction import Found, Reduction, first_found  # noqa: E402
 from weldhead.emulator.scenario import Scenario, read_scenario  # noqa: E402
 from weldhead.emulator.scenario_file import scenario_text  # noqa: E402
-from weldhead.tomlfiles import FileProblem  # noqa: E402
+from weldhead.tomlfiles import FileProblemError  # noqa: E402
 
 #: What the table has a column for.
 COLUMNS = (
@@ -151,7 +151,7 @@
     """Play a scenario with many seeds and print a table; exit status 1 if a rule broke."""
     try:
         scenario = read_scenario(scenario_file)
-    except FileProblem as problem:
+    except FileProblemError as problem:
         raise click.ClickException(str(problem)) from problem
     scenario.machines = machines or scenario.machines
     scenario.controllers = controllers or scenario.controllers
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -33,14 +33,14 @@
 from tests.test_recovery import fixed_clock, new_leader  # noqa: E402
 from tests.test_users import StandInNode, desk  # noqa: E402
 from weldhead.calendars.calendar_state import CalendarState, digest_of  # noqa: E402
-from weldhead.calendars.deadline_table import DueTable  # noqa: E402
+from weldhead.calendars.deadline_table import DeadlineTable  # noqa: E402
 from weldhead.cluster_state.cluster import Cluster  # noqa: E402
-from weldhead.cluster_state.dependency_graph import Chains  # noqa: E402
+from weldhead.cluster_state.dependency_graph import DependencyGraph  # noqa: E402
 from weldhead.cluster_state.jobs import Job  # noqa: E402
-from weldhead.cluster_state.records import Bound, JobRecord, job_key  # noqa: E402
+from weldhead.cluster_state.records import CalendarDeadline, JobRecord, job_key  # noqa: E402
 from weldhead.documents.records import state_key  # noqa: E402
-from weldhead.scheduling.forecast.job_forecasts import Outlook  # noqa: E402
-from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
+from weldhead.scheduling.forecast.job_forecasts import JobForecasts  # noqa: E402
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
 
 
 class CountingState(StandInState):
@@ -95,7 +95,7 @@
         clock.us = us("2026-03-02 05:20")
         state = CountingState()
         put_edition(state, calendar(), 1)
-        bound = Bound("morning", 1, us("2026-03-02 05:30"))
+        bound = CalendarDeadline("morning", 1, us("2026-03-02 05:30"))
         for number in range(count):
             spec = job_spec(number, job_class="balance")
             state.put(job_key(spec.id), JobRecord(spec, clock() - S, bound=bound))
@@ -142,7 +142,9 @@
             job = Job(spec, 0, 1, 0)
             into.jobs[job.id] = job
             job.bound_due_us = due_us
-        outlook = Outlook(into, Chains(into.jobs), Estimates(), lambda job: 0, S, 4 * S, 5_000)
+        outlook = JobForecasts(
+            into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: 0, S, 4 * S, 5_000
+        )
         outlook.look(1)
         began, looks = time.process_time(), 0
         for second in range(1, 61):
@@ -153,7 +155,8 @@
 
 def memory(count: int) -> None:
     """Trace what bound jobs hold in a follower's table and in a leader's memory."""
-    bounds = [msgspec.json.encode(JobRecord(job_spec(n), 0, bound=Bound("morning", 1, 9 * H)))
+    deadline = CalendarDeadline("morning", 1, 9 * H)
+    bounds = [msgspec.json.encode(JobRecord(job_spec(n), 0, bound=deadline))
               for n in range(count)]  # fmt: skip
     plain = [msgspec.json.encode(JobRecord(job_spec(n), 0)) for n in range(count)]
 
@@ -167,8 +170,8 @@
         del kept
         return size / 1024
 
-    def table() -> DueTable:
-        made = DueTable()
+    def table() -> DeadlineTable:
+        made = DeadlineTable()
         for number, record in enumerate(bounds):
             made.read(f"run-{number:06}", record)
         return made
--- a/tools/measure_cards.py
+++ b/tools/measure_cards.py
@@ -16,13 +16,13 @@
 import click  # noqa: E402
 
 from tests.builders import add_job, add_machine, cluster, job_spec  # noqa: E402
-from weldhead.cluster_state.jobs import Phase  # noqa: E402
+from weldhead.cluster_state.jobs import AttemptPhase  # noqa: E402
 from weldhead.cluster_state.reclaim import ReclaimLists  # noqa: E402
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
-from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
-from weldhead.scheduling.objectives import Goals  # noqa: E402
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
+from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
 from weldhead.scheduling.placement.placement import plan_starts  # noqa: E402
-from weldhead.scheduling.preemption.preemptor import plan_reclaims  # noqa: E402
+from weldhead.scheduling.preemption.preemptor import plan_preemptions  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
 
 S = 1_000_000
@@ -35,7 +35,7 @@
 @click.option("--times", default=9)
 def main(machines: int, tasks: int, claimants: int, times: int) -> None:
     """Print the median time of a pass, and how many claims it made."""
-    goals = Goals([Objective("wait", "serve", 0.9, 8.0)])
+    goals = ServiceLevelObjectives([Objective("wait", "serve", 0.9, 8.0)])
     settings = Tunables().preemptor.settings(600 * S)
     spent, claims = [], 0
     for _ in range(times):
@@ -52,22 +52,24 @@
                 place = (number * 20 + index) // 4 % len(held)
                 job = into.jobs.get(spec.id) or add_job(into, spec)
                 attempt = into.start(job, index, held[place], S)
-                attempt.phase, attempt.running_us = Phase.RUNNING, S
+                attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
         for number, machine in enumerate(other):
             job = add_job(into, job_spec(10_000 + number, priority="idle", cpus=2.0, tasks=8,
                                          memory_gb=2.0))  # fmt: skip
             for index in range(8):
-                into.start(job, index, machine, S).phase = Phase.RUNNING
+                into.start(job, index, machine, S).phase = AttemptPhase.RUNNING
         for machine in held:
             machine.draining = machine.gpus > 0
         for number in range(claimants):
             add_job(into, job_spec(20_000 + number, team="serving", job_class="serve", gpus=1.0,
                                    priority="high", cpus=4.0, tasks=2, memory_gb=4.0,
                                    image=f"weights-{number % 2}", image_gb=15.0))  # fmt: skip
-        plan = plan_starts(into, Estimates(), goals, 2 * S, 600 * S, 45 * S)
+        plan = plan_starts(into, RunTimeEstimates(), goals, 2 * S, 600 * S, 45 * S)
         lists = ReclaimLists()
         begun = time.perf_counter()
-        claims = len(plan_reclaims(into, lists, plan, Estimates(), 2 * S, settings, goals))
+        claims = len(
+            plan_preemptions(into, lists, plan, RunTimeEstimates(), 2 * S, settings, goals)
+        )
         spent.append(time.perf_counter() - begun)
     print(f"{claims} claims, {1e3 * statistics.median(spent):.1f} ms a pass")
 
--- a/tools/measure_memory.py
+++ b/tools/measure_memory.py
@@ -377,12 +377,15 @@
 
 def _teams(count: int) -> Kept:
     """Return what that many teams take: their limits, their use and their share of admission."""
-    from weldhead.admission.team_rate_limiter import Shares
+    from weldhead.admission.team_rate_limiter import TeamRateLimiter
     from weldhead.cluster_state.cluster import Cluster
     from weldhead.protocol.settings import Team
 
     def build() -> object:
-        into, shares = Cluster([Team(f"team-{n}", 8.0, 100.0) for n in range(count)]), Shares(8.0)
+        into, shares = (
+            Cluster([Team(f"team-{n}", 8.0, 100.0) for n in range(count)]),
+            TeamRateLimiter(8.0),
+        )
         for name in into.teams:
             _ = into.usage[name].units
             shares.admit(name, 10.0, 1)
--- a/tools/measure_ops.py
+++ b/tools/measure_ops.py
@@ -22,9 +22,9 @@
 from weldhead.emulator.experiment import Result, play  # noqa: E402
 from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
 from weldhead.protocol.settings import Team  # noqa: E402
-from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
-from weldhead.scheduling.objectives import Goals  # noqa: E402
-from weldhead.scheduling.placement.placement import Scene, plan_pass  # noqa: E402
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
+from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
+from weldhead.scheduling.placement.placement import PlacementInput, plan_pass  # noqa: E402
 
 COUNTED = ("requests to the store", "writes", "direct requests", "bytes")
 LONG = JobClass("long", "red", 0.0, 20, 200.0, initial=12, cancelled=0.0)
@@ -48,7 +48,7 @@
     into = cluster(Team("red", 1e6, 1e7))
     add_job(into, job_spec(1, tasks=tasks))
     jobs = [add_job(into, job_spec(number)) for number in range(2, 500)]
-    scene = Scene(into, Estimates(), Goals([]), 0)
+    scene = PlacementInput(into, RunTimeEstimates(), ServiceLevelObjectives([]), 0)
     plan_pass(scene, 1, 1)
 
     def work() -> None:
--- a/tools/measure_processor.py
+++ b/tools/measure_processor.py
@@ -36,11 +36,11 @@
 import uvloop  # noqa: E402
 
 from weldhead.clock import MILLISECOND_US  # noqa: E402
-from weldhead.controller.process import Node  # noqa: E402
+from weldhead.controller.process import ControllerProcess  # noqa: E402
 from weldhead.emulator import loop as emulated  # noqa: E402
 from weldhead.emulator.experiment import Experiment  # noqa: E402
 from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
-from weldhead.protocol.wire import Command, Report, ReportAnswer, TaskReport  # noqa: E402
+from weldhead.protocol.wire import Command, Heartbeat, HeartbeatAnswer, ReportedTask  # noqa: E402
 from weldhead.transport import workers  # noqa: E402
 from weldhead.transport.http_client import HttpClient  # noqa: E402
 from weldhead.transport.http_server import HttpServer, Response  # noqa: E402
@@ -191,13 +191,13 @@
     """Have the emulator's turns and requests entered."""
     handles = (emulated._Handle, emulated._Timer)
     before = [handle._run for handle in handles]
-    answer, answer_peer = Node._handle, Node._answer_peer
+    answer, answer_peer = ControllerProcess._handle, ControllerProcess._answer_peer
 
-    async def handle(node: Node, method: str, path: str, body: bytes) -> Response:
+    async def handle(node: ControllerProcess, method: str, path: str, body: bytes) -> Response:
         meter.request(_request_of(method, path))
         return await answer(node, method, path, body)
 
-    async def handle_peer(node: Node, ask: Any) -> Response:
+    async def handle_peer(node: ControllerProcess, ask: Any) -> Response:
         meter.request(f"passed on: {ask.kind}")
         return await answer_peer(node, ask)
 
@@ -206,13 +206,13 @@
 
     for kind, run in zip(handles, before, strict=True):
         kind._run = metered_run(run)  # type: ignore[method-assign]
-    Node._handle, Node._answer_peer = handle, handle_peer  # type: ignore[method-assign]
+    ControllerProcess._handle, ControllerProcess._answer_peer = handle, handle_peer  # type: ignore[method-assign]
     try:
         yield
     finally:
         for kind, run in zip(handles, before, strict=True):
             kind._run = run  # type: ignore[method-assign]
-        Node._handle, Node._answer_peer = answer, answer_peer  # type: ignore[method-assign]
+        ControllerProcess._handle, ControllerProcess._answer_peer = answer, answer_peer  # type: ignore[method-assign]
 
 
 @dataclass
@@ -329,9 +329,9 @@
 # -- the transport -------------------------------------------------------------------------
 
 
-def _report() -> Report:
-    tasks = [TaskReport(f"job-{number:08}/{number}", 7 << 20, "running") for number in range(4)]
-    return Report("vm-000123", "127.0.0.1:1", "m4", "a", True, 17, 1_234, 7, tasks)
+def _report() -> Heartbeat:
+    tasks = [ReportedTask(f"job-{number:08}/{number}", 7 << 20, "running") for number in range(4)]
+    return Heartbeat("vm-000123", "127.0.0.1:1", "m4", "a", True, 17, 1_234, 7, tasks)
 
 
 def _ask(port: int, body: bytes) -> None:
@@ -371,7 +371,7 @@
 
 async def serve_reports() -> float:
     """Return the processor time of an answered report, without what is decided."""
-    decoder, answer = msgspec.json.Decoder(Report), msgspec.json.encode(ReportAnswer(7, []))
+    decoder, answer = msgspec.json.Decoder(Heartbeat), msgspec.json.encode(HeartbeatAnswer(7, []))
     left, done = REQUESTS, asyncio.Event()
 
     async def handle(method: str, path: str, body: bytes) -> Response:
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -26,29 +26,31 @@
 from tests.test_recovery import leader_of, put_job  # noqa: E402
 from weldhead.clock import now_us  # noqa: E402
 from weldhead.cluster_state.cluster import Cluster  # noqa: E402
-from weldhead.cluster_state.dependency_graph import Chains  # noqa: E402
-from weldhead.cluster_state.jobs import Phase, Stop  # noqa: E402
+from weldhead.cluster_state.dependency_graph import DependencyGraph  # noqa: E402
+from weldhead.cluster_state.jobs import AttemptPhase, StopRequest  # noqa: E402
 from weldhead.cluster_state.machines import Machine  # noqa: E402
-from weldhead.cluster_state.records import HireRecord  # noqa: E402
+from weldhead.cluster_state.records import RentalRecord  # noqa: E402
 from weldhead.controller.leadership.leader import Leader  # noqa: E402
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
 from weldhead.scheduling.autoscaling.fleet import (  # noqa: E402
-    Missing,
-    _Queue,
-    forecast_missing,
+    CapacityForecast,
+    UnmetDemand,
+    forecast_unmet_demand,
     usual_boots,
 )
-from weldhead.scheduling.forecast.completion_times import boots_of, forecast_us  # noqa: E402
-from weldhead.scheduling.forecast.job_forecasts import Outlook  # noqa: E402
-from weldhead.scheduling.forecast.run_times import Estimates  # noqa: E402
-from weldhead.scheduling.objectives import Goals  # noqa: E402
-from weldhead.scheduling.placement.backlog import Unplaced  # noqa: E402
-from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass  # noqa: E402
+from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us  # noqa: E402
+from weldhead.scheduling.forecast.job_forecasts import JobForecasts  # noqa: E402
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
+from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
+from weldhead.scheduling.placement.backlog import UnplacedTasks  # noqa: E402
+from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
 
 S = 1_000_000
 SILENCE, PATIENCE = 6 * S, 45 * S
-GOALS = Goals([Objective("wait", "train", 0.9, 60.0), Objective("finished", "train", 0.9, 200.0)])
+GOALS = ServiceLevelObjectives(
+    [Objective("wait", "train", 0.9, 60.0), Objective("finished", "train", 0.9, 200.0)]
+)
 FLEET = Tunables().fleet.settings()
 TASKS_A_MACHINE = 8
 
@@ -68,7 +70,7 @@
         for place in range(TASKS_A_MACHINE):
             index = number % 50 * TASKS_A_MACHINE + place
             attempt = into.start(holders[-1], index, machine, S)
-            attempt.phase, attempt.running_us = Phase.RUNNING, S
+            attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
     for number in range(jobs):
         add_job(
             into,
@@ -96,10 +98,10 @@
     return best
 
 
-def plain_forecasts(into: Cluster, estimates: Estimates, at_us: int, most: int) -> None:
+def plain_forecasts(into: Cluster, estimates: RunTimeEstimates, at_us: int, most: int) -> None:
     """Forecast as before: each job without a running task looks at every machine."""
     for job in list(into.jobs.values())[-most:]:
-        boots = boots_of(into.machines.values())
+        boots = boot_forecast_of(into.machines.values())
         forecast_us(into, job, estimates, at_us, boots)
 
 
@@ -139,7 +141,7 @@
 
 def measure_passes(machines: int, jobs: int) -> tuple[float, ...]:
     """Return the costs of one line of the table, in seconds."""
-    into, estimates = fleet(machines, jobs), Estimates()
+    into, estimates = fleet(machines, jobs), RunTimeEstimates()
     gc.collect()
     gc.freeze()
     moment = itertools.count(2 * S, 1_000)
@@ -153,28 +155,30 @@
             pass
 
     plain = cost(plain_pass)
-    scene = Scene(into, estimates, GOALS, PATIENCE)
+    scene = PlacementInput(into, estimates, GOALS, PATIENCE)
     first = cost(lambda: plan_pass(scene, next(moment), SILENCE), 0.0)
     still = cost(lambda: plan_pass(scene, next(moment), SILENCE))
     moved = cost(lambda: (next(some), plan_pass(scene, next(moment), SILENCE)))
     sample = min(200, jobs)
     told = cost(lambda: plain_forecasts(into, estimates, next(moment), sample)) * jobs / sample
-    outlook = Outlook(into, Chains(into.jobs), estimates, lambda job: S, S, 4 * S, 5_000)
+    outlook = JobForecasts(
+        into, DependencyGraph(into.jobs), estimates, lambda job: S, S, 4 * S, 5_000
+    )
     look_at_all()
     quiet = cost(lambda: outlook.look(next(moment)))
     looked = cost(lambda: (next(some), outlook.look(next(moment))))
     plan, plain_plan = plan_pass(scene, next(moment), SILENCE), plain_pass()
-    listed = Plan(unplaced=Unplaced(plain_plan.listed))
+    listed = PlacementPlan(unplaced=UnplacedTasks(plain_plan.listed))
     at_us = next(moment)
     rest = (estimates, GOALS, at_us, 20 * S, lambda job: 1.5, FLEET)
 
-    def plain_fleet() -> Missing:
+    def plain_fleet() -> UnmetDemand:
         queue = PlainQueue(into, [], estimates, at_us, FLEET)
-        return forecast_missing(into, listed, queue, *rest)
+        return forecast_unmet_demand(into, listed, queue, *rest)
 
-    def fleet_now() -> Missing:
-        queue = _Queue(into, [], estimates, at_us, usual_boots(FLEET))
-        return forecast_missing(into, plan, queue, *rest)
+    def fleet_now() -> UnmetDemand:
+        queue = CapacityForecast(into, [], estimates, at_us, usual_boots(FLEET))
+        return forecast_unmet_demand(into, plan, queue, *rest)
 
     figures = (plain, still, moved, told, quiet, looked, cost(plain_fleet), cost(fleet_now), first)
     gc.unfreeze()
@@ -208,7 +212,7 @@
         for attempt in machine.attempts.values():
             if attempt.unconfirmed_us and at_us - attempt.unconfirmed_us > term.cancel_us // 4:
                 doomed.append(machine)
-            if attempt.stop is Stop.HARD and at_us - attempt.stop_us > term.cancel_us // 2:
+            if attempt.stop is StopRequest.HARD and at_us - attempt.stop_us > term.cancel_us // 2:
                 doomed.append(machine)
     return doomed + [m for m in machines if leader.watch.taken(m, at_us)]
 
@@ -243,7 +247,7 @@
     names = [f"vm-{number:06}" for number in range(machines)]
     for start in range(0, machines, 50):
         held: dict[str, str | None] = dict.fromkeys(names[start : start + 50], "10.0.0.9:1")
-        state.put(f"h/{start}", HireRecord("m4", "a", False, len(held), 0, True, held))
+        state.put(f"h/{start}", RentalRecord("m4", "a", False, len(held), 0, True, held))
     leader = leader_of(state, now_us())
     gc.collect()
     gc.freeze()
--- a/weldhead/admission/fair_rate_limiter.py
+++ b/weldhead/admission/fair_rate_limiter.py
@@ -24,7 +24,7 @@
 MOST_WAITING = 4_096
 
 
-class Turns:
+class FairRateLimiter:
     """Shares ``rate`` requests a second, ``burst`` at once, among those who ask."""
 
     def __init__(self, rate: float, burst: float, at_us: int, most: int = MOST_WAITING) -> None:
--- a/weldhead/admission/memory_gate.py
+++ b/weldhead/admission/memory_gate.py
@@ -24,7 +24,7 @@
 LEADER_WORD_US = 3 * SECOND_US
 
 
-class Change(enum.Enum):
+class MemoryTransition(enum.Enum):
     """What a reading has changed."""
 
     NONE = 0
@@ -43,15 +43,15 @@
         self._trial_us = 0
         self._leader_full_us: int | None = None
 
-    def read(self, used: int) -> Change:
+    def read(self, used: int) -> MemoryTransition:
         """Take a reading of what the process holds now."""
         self.used = used
         share = self.limit * (ACCEPT_SHARE if self.full else REFUSE_SHARE)
         full = self.limit > 0 and used >= share
         if full is self.full:
-            return Change.NONE
+            return MemoryTransition.NONE
         self.full = full
-        return Change.FULL if full else Change.ROOM
+        return MemoryTransition.FULL if full else MemoryTransition.ROOM
 
     @property
     def exhausted(self) -> bool:
--- a/weldhead/admission/team_rate_limiter.py
+++ b/weldhead/admission/team_rate_limiter.py
@@ -20,7 +20,7 @@
 MOST_WAIT_S, LEAST_WAIT_S = 15, 1
 
 
-def in_turns(items: Iterable[T], whose: Callable[[T], str]) -> list[T]:
+def round_robin(items: Iterable[T], whose: Callable[[T], str]) -> list[T]:
     """Return the items so that everybody's first comes before anybody's second, in order."""
     counts: Counter[str] = Counter()
     numbered: list[tuple[int, T]] = []
@@ -41,7 +41,7 @@
         self.filled_us = self.seen_us = at_us
 
 
-class Shares:
+class TeamRateLimiter:
     """Shares what is to be had, ``burst`` changes at once, among the teams that submit."""
 
     def __init__(self, burst: float) -> None:
--- a/weldhead/calendars/binding.py
+++ b/weldhead/calendars/binding.py
@@ -10,8 +10,8 @@
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.calendars.calendar_state import CalendarState, digest_of
 from weldhead.clock import SECOND_US
-from weldhead.cluster_state.records import Binding, Bound
-from weldhead.documents.cache import DocumentCache, Kept
+from weldhead.cluster_state.records import AdmissionBinding, CalendarDeadline
+from weldhead.documents.cache import CacheEntry, DocumentCache
 from weldhead.documents.records import HEAD_KEY, document_key, state_key
 from weldhead.protocol.wire import Condition, JobSpec
 
@@ -20,18 +20,18 @@
 JUST_PAST_US = 3600 * SECOND_US
 
 
-class NotComputed(Exception):
+class InstantsNotComputedError(Exception):
     """A calendar's instants are not in the store yet."""
 
 
-def state_of(cache: DocumentCache, name: str) -> Kept[CalendarState] | None:
+def state_of(cache: DocumentCache, name: str) -> CacheEntry[CalendarState] | None:
     """Return what is kept of a calendar."""
     return cache.kept(state_key(KIND, name), CalendarState)
 
 
 def current_state(
     cache: DocumentCache, edition: int, calendar: Calendar
-) -> Kept[CalendarState] | None:
+) -> CacheEntry[CalendarState] | None:
     """Return what is kept of a calendar as it stands in an edition; None: not computed yet."""
     kept = state_of(cache, calendar.name)
     body = cache.kept(document_key(edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
@@ -40,20 +40,20 @@
     return kept
 
 
-def moved(cache: DocumentCache | None, bound: Bound) -> Bound:
+def moved(cache: DocumentCache | None, bound: CalendarDeadline) -> CalendarDeadline:
     """Return to what a job is bound now whose record says ``bound``."""
     kept = state_of(cache, bound.calendar) if cache is not None else None
     return kept.value.moved(bound) if kept is not None else bound
 
 
-def bind(cache: DocumentCache, spec: JobSpec, wall_us: int, error_us: int) -> Binding:
+def bind(cache: DocumentCache, spec: JobSpec, wall_us: int, error_us: int) -> AdmissionBinding:
     """Return to what calendars bind a job accepted at ``wall_us``, on which conditions.
 
     ``error_us`` is how far any time of day may be off. NotComputed: ask again later.
     """
     # That nothing binds it rests on the edition as well.
     conditions = [Condition(HEAD_KEY, cache.mark(HEAD_KEY))]
-    first: Bound | None = None
+    first: CalendarDeadline | None = None
     head = cache.head
     for calendar in cache.in_force(KIND, Calendar):
         if head is None or not calendar.value.binds(spec.job_class, spec.team):
@@ -61,18 +61,20 @@
         name = calendar.value.name
         state = current_state(cache, head.edition, calendar.value)
         if state is None:
-            raise NotComputed(name)
+            raise InstantsNotComputedError(name)
         conditions.append(Condition(state_key(KIND, name), state.mark))
         due_us = state.value.after(wall_us + error_us)
         if due_us is None and state.value.until_us is not None:
             # There are more, and nobody leads who would have computed them.
-            raise NotComputed(name)
+            raise InstantsNotComputedError(name)
         if due_us is not None and (first is None or due_us < first.due_us):
-            first = Bound(name, head.edition, due_us)
-    return Binding(first, conditions=tuple(conditions))
+            first = CalendarDeadline(name, head.edition, due_us)
+    return AdmissionBinding(first, conditions=tuple(conditions))
 
 
-def passed_us(cache: DocumentCache, bound: Bound, wall_us: int, error_us: int) -> int | None:
+def passed_us(
+    cache: DocumentCache, bound: CalendarDeadline, wall_us: int, error_us: int
+) -> int | None:
     """Return the instant that was just past when a job was bound to the next one."""
     kept = state_of(cache, bound.calendar)
     past_us = kept.value.before(wall_us + error_us) if kept is not None else None
--- a/weldhead/calendars/calendar_state.py
+++ b/weldhead/calendars/calendar_state.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from weldhead.cluster_state.records import Bound
+from weldhead.cluster_state.records import CalendarDeadline
 
 #: How many coming instants are kept, and with how few left more are computed.
 KEPT_INSTANTS = 48
@@ -25,7 +25,7 @@
 MOST_ERRORS = 10
 
 
-class Move(msgspec.Struct, frozen=True, array_like=True):
+class InstantMove(msgspec.Struct, frozen=True, array_like=True):
     """Who was bound to an instant before that edition is bound to another one since."""
 
     edition: int
@@ -45,7 +45,7 @@
     edition: int
     instants: tuple[int, ...]
     until_us: int | None = None
-    moves: tuple[Move, ...] = ()
+    moves: tuple[InstantMove, ...] = ()
     left: tuple[int, ...] = ()
     problem: str = ""
 
@@ -64,11 +64,11 @@
         coming = len(self.instants) - bisect_right(self.instants, wall_us)
         return self.until_us is not None and coming < FEW_INSTANTS
 
-    def moved(self, bound: Bound) -> Bound:
+    def moved(self, bound: CalendarDeadline) -> CalendarDeadline:
         """Return to what a job is bound now whose record says ``bound``."""
         for move in self.moves:
             if move.edition > bound.edition and move.was_us == bound.due_us:
-                bound = Bound(bound.calendar, move.edition, move.due_us)
+                bound = CalendarDeadline(bound.calendar, move.edition, move.due_us)
         return bound
 
 
@@ -135,7 +135,7 @@
         if due_us is None or due_us == was_us or (due_us > was_us and not rebinds):
             left.add(was_us)
         else:
-            moves.append(Move(fresh.edition, was_us, due_us))
+            moves.append(InstantMove(fresh.edition, was_us, due_us))
     return msgspec.structs.replace(
         fresh, moves=tuple(moves[-KEPT_MOVES:]), left=tuple(sorted(left))
     )
--- a/weldhead/calendars/deadline_table.py
+++ b/weldhead/calendars/deadline_table.py
@@ -11,33 +11,33 @@
 from weldhead.calendars.binding import moved
 from weldhead.calendars.formatting import due, span, utc
 from weldhead.calendars.lateness import SOON_US
-from weldhead.cluster_state.records import Bound
+from weldhead.cluster_state.records import CalendarDeadline
 from weldhead.documents.cache import DocumentCache
 
 
-class _Part(msgspec.Struct):
+class _JobRecordPart(msgspec.Struct):
     """The part of a job's record that counts here."""
 
-    bound: Bound | None = None
+    bound: CalendarDeadline | None = None
     cancelled: bool = False
 
 
-_decoder = msgspec.json.Decoder(_Part)
+_decoder = msgspec.json.Decoder(_JobRecordPart)
 
 
-class DueTable:
+class DeadlineTable:
     """The bound jobs that are not over."""
 
     def __init__(self) -> None:
-        self._jobs: dict[str, Bound] = {}
-        self._shared: dict[Bound, Bound] = {}
+        self._jobs: dict[str, CalendarDeadline] = {}
+        self._shared: dict[CalendarDeadline, CalendarDeadline] = {}
         #: Steady clock of this node; 0: never read.
         self.as_of_us = 0
 
     def __len__(self) -> int:
         return len(self._jobs)
 
-    def put(self, job_id: str, bound: Bound) -> None:
+    def put(self, job_id: str, bound: CalendarDeadline) -> None:
         """Enter what binds a job."""
         self._jobs[job_id] = self._shared.setdefault(bound, bound)
 
@@ -60,12 +60,12 @@
         for job_id in self._jobs.keys() - job_ids:
             self.drop(job_id)
 
-    def bound(self, job_id: str, cache: DocumentCache) -> Bound | None:
+    def bound(self, job_id: str, cache: DocumentCache) -> CalendarDeadline | None:
         """Return what binds a job now, as far as is known here."""
         found = self._jobs.get(job_id)
         return moved(cache, found) if found is not None else None
 
-    def soon(self, cache: DocumentCache, wall_us: int) -> Iterator[tuple[str, Bound]]:
+    def soon(self, cache: DocumentCache, wall_us: int) -> Iterator[tuple[str, CalendarDeadline]]:
         """Iterate over the jobs due within the hour, or past it."""
         now = {one: moved(cache, one) for one in self._shared}
         for job_id, one in self._jobs.items():
--- a/weldhead/calendars/formatting.py
+++ b/weldhead/calendars/formatting.py
@@ -3,7 +3,7 @@
 import time
 
 from weldhead.clock import SECOND_US, to_seconds
-from weldhead.cluster_state.records import Bound
+from weldhead.cluster_state.records import CalendarDeadline
 
 
 def utc(wall_us: int) -> str:
@@ -11,7 +11,7 @@
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(wall_us // SECOND_US))
 
 
-def due(bound: Bound) -> str:
+def due(bound: CalendarDeadline) -> str:
     """Say by when a bound job has to be finished."""
     return f"due by {utc(bound.due_us)} ({bound.calendar}, edition {bound.edition})"
 
--- a/weldhead/calendars/job_deadlines.py
+++ b/weldhead/calendars/job_deadlines.py
@@ -16,7 +16,7 @@
 STEP_US = 250 * MILLISECOND_US
 
 
-class Dues:
+class JobDeadlines:
     """What a term needs to know when bound jobs are due."""
 
     def __init__(self, error_us: int) -> None:
--- a/weldhead/calendars/lateness.py
+++ b/weldhead/calendars/lateness.py
@@ -12,7 +12,7 @@
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Job
-from weldhead.scheduling.forecast.completion_times import Boots, holding_up
+from weldhead.scheduling.forecast.completion_times import BootForecast, holding_up
 
 #: What the line of a takeover counts one by one.
 SOON_US = 3600 * SECOND_US
@@ -20,7 +20,7 @@
 NAMED = 5
 
 
-class Standing(enum.Enum):
+class DeadlineStanding(enum.Enum):
     """How a bound job stands."""
 
     ON_TRACK = "on track"
@@ -28,7 +28,7 @@
     UNKNOWN = "unknown"
 
 
-def standing(job: Job, at_us: int, *, has_history: bool, least_us: int = 0) -> Standing:
+def standing(job: Job, at_us: int, *, has_history: bool, least_us: int = 0) -> DeadlineStanding:
     """Say how a bound job stands, by its latest forecast; ``due_s`` is another matter.
 
     ``least_us`` is what it would take if it were released now: one that is held, nobody knows
@@ -36,18 +36,20 @@
     """
     due_us = job.bound_due_us
     if due_us is None or job.complete:
-        return Standing.ON_TRACK
+        return DeadlineStanding.ON_TRACK
     if at_us > due_us or job.broken:
-        return Standing.LATE
+        return DeadlineStanding.LATE
     if not has_history:
-        return Standing.UNKNOWN
+        return DeadlineStanding.UNKNOWN
     if job.forecast_us is None:
         too_much = job.held is not None and at_us + least_us > due_us
-        return Standing.LATE if too_much else Standing.UNKNOWN
-    return Standing.LATE if job.forecast_us > due_us else Standing.ON_TRACK
+        return DeadlineStanding.LATE if too_much else DeadlineStanding.UNKNOWN
+    return DeadlineStanding.LATE if job.forecast_us > due_us else DeadlineStanding.ON_TRACK
 
 
-def reason(cluster: Cluster, job: Job, boots: Boots, at_us: int, held: Callable[[Job], str]) -> str:
+def reason(
+    cluster: Cluster, job: Job, boots: BootForecast, at_us: int, held: Callable[[Job], str]
+) -> str:
     """Say why a job is late: what keeps it now, the first of what has to go first.
 
     ``held`` says of a held job which gate holds it, and why.
@@ -61,7 +63,9 @@
     return _own(cluster, job, boots, at_us, held)
 
 
-def _own(cluster: Cluster, job: Job, boots: Boots, at_us: int, held: Callable[[Job], str]) -> str:
+def _own(
+    cluster: Cluster, job: Job, boots: BootForecast, at_us: int, held: Callable[[Job], str]
+) -> str:
     if job.held is not None and not job.active and not job.complete:
         # Nothing of it may start, whatever room there is.
         return f"held by {held(job) or 'a gate of which nothing is known yet'}"
@@ -81,11 +85,13 @@
 
 
 @dataclass
-class Account:
+class LatenessSummary:
     """The bound jobs of one moment, as a new leader tells of them."""
 
     bound: int = 0
-    soon: dict[Standing, int] = field(default_factory=lambda: dict.fromkeys(Standing, 0))
+    soon: dict[DeadlineStanding, int] = field(
+        default_factory=lambda: dict.fromkeys(DeadlineStanding, 0)
+    )
     late: list[str] = field(default_factory=list)
     first: Job | None = None
 
@@ -104,9 +110,9 @@
         return text
 
 
-def account(judged: Iterable[tuple[Job, Standing]], at_us: int) -> Account:
+def account(judged: Iterable[tuple[Job, DeadlineStanding]], at_us: int) -> LatenessSummary:
     """Count bound jobs that are not over."""
-    found = Account()
+    found = LatenessSummary()
     for job, stands in judged:
         due_us = job.bound_due_us
         if due_us is None or job.cancelled or job.complete:
@@ -116,6 +122,6 @@
             found.first = job
         if due_us - at_us <= SOON_US:
             found.soon[stands] += 1
-            if stands is Standing.LATE:
+            if stands is DeadlineStanding.LATE:
                 found.late.append(job.id)
     return found
--- a/weldhead/calendars/recurrence.py
+++ b/weldhead/calendars/recurrence.py
@@ -30,7 +30,7 @@
 _FAR_DAYS = 366 * 9
 
 
-class Unusable(ValueError):
+class UnusableCalendarError(ValueError):
     """A calendar of which no instant can be computed; ``field`` says where it is wrong."""
 
     def __init__(self, field: str, reason: str) -> None:
@@ -43,7 +43,7 @@
     """Compute a calendar's first days; Unusable if that is not possible."""
     found = islice(instants(calendar, 0), 3)
     if not list(found):
-        raise Unusable("rule", "it names no day")
+        raise UnusableCalendarError("rule", "it names no day")
 
 
 def compute(calendar: Calendar, after_us: int, most: int) -> tuple[tuple[int, ...], int | None]:
@@ -77,7 +77,7 @@
     try:
         return ZoneInfo(calendar.zone)
     except (ZoneInfoNotFoundError, ValueError, OSError) as error:
-        raise Unusable("zone", f"no time zone {calendar.zone!r} is known") from error
+        raise UnusableCalendarError("zone", f"no time zone {calendar.zone!r} is known") from error
 
 
 def _days(calendar: Calendar, begin: date) -> Iterator[date]:
@@ -85,18 +85,18 @@
     given = [part.partition("=")[0].upper() for part in calendar.rule.split(";")]
     wrong = next((part for part in given if part not in _PARTS), None)
     if wrong is not None:
-        raise Unusable("rule", f"{wrong!r} is no part of a rule of days")
+        raise UnusableCalendarError("rule", f"{wrong!r} is no part of a rule of days")
     if len(set(given)) < len(given):
-        raise Unusable("rule", "a part is given twice")
+        raise UnusableCalendarError("rule", "a part is given twice")
     parts = dict(part.upper().split("=", 1) for part in calendar.rule.split(";") if "=" in part)
     if parts.get("FREQ") not in _FREQUENCIES:
-        raise Unusable("rule", "FREQ is one of " + ", ".join(_FREQUENCIES))
+        raise UnusableCalendarError("rule", "FREQ is one of " + ", ".join(_FREQUENCIES))
     try:
         start = datetime.combine(calendar.first_day, time())
         rule = rrulestr(calendar.rule, dtstart=start)
         moved = {date.fromisoformat(day): to for day, to in calendar.moved.items()}
     except (ValueError, TypeError, KeyError, IndexError) as error:
-        raise Unusable("rule", str(error)) from error
+        raise UnusableCalendarError("rule", str(error)) from error
     # A day may be moved to before others: what is moved is put in its place beforehand.
     never = {*calendar.never_on, *moved}
     extra = sorted({to for to in moved.values() if to >= begin})
--- a/weldhead/cli/jobs.py
+++ b/weldhead/cli/jobs.py
@@ -20,7 +20,7 @@
 from weldhead.client.job import Job, JobProblem, check_job, parse_job
 from weldhead.client.journal import Entry, Journal, JournalError, KeyConflict
 from weldhead.protocol.validation import is_job_id
-from weldhead.tomlfiles import FileProblem, read_text
+from weldhead.tomlfiles import FileProblemError, read_text
 
 EXIT_WITHDRAWN = 1
 EXIT_REFUSED = 3
@@ -52,7 +52,7 @@
 def _settings(server: str | None, journal: Path | None, policies: Path | None) -> ClientSettings:
     try:
         return client_settings(server, journal, policies)
-    except (ConfigProblem, FileProblem) as problem:
+    except (ConfigProblem, FileProblemError) as problem:
         _fail(2, str(problem))
 
 
@@ -177,7 +177,7 @@
             job, key = parse_job(file, read_text(Path(file)))
         else:
             job = msgspec.convert(read_config().defaults, Job)
-    except FileProblem as problem:
+    except FileProblemError as problem:
         _fail(2, str(problem))
     except msgspec.ValidationError as error:
         _fail(2, f"config file: defaults: {error}")
@@ -348,7 +348,7 @@
     """List the journal's submissions; the service is not asked."""
     try:
         path = journal or journal_path(read_config())
-    except FileProblem as problem:
+    except FileProblemError as problem:
         _fail(2, str(problem))
 
     async def run() -> int:
--- a/weldhead/cli/logs.py
+++ b/weldhead/cli/logs.py
@@ -15,7 +15,7 @@
 from weldhead.client.journal import Journal, JournalError
 from weldhead.client.transport import Transport
 from weldhead.clock import SECOND_US, now_us, seconds_us
-from weldhead.tomlfiles import FileProblem
+from weldhead.tomlfiles import FileProblemError
 
 
 class _Failure(Exception):
@@ -45,7 +45,7 @@
         raise click.UsageError("JOB/TASK: as in run-000000000000000000000001/0")
     try:
         settings = client_settings(server, journal, None)
-    except (ConfigProblem, FileProblem) as problem:
+    except (ConfigProblem, FileProblemError) as problem:
         raise click.UsageError(str(problem)) from problem
     end_us = now_us() + seconds_us(timeout)
 
--- a/weldhead/cli/site.py
+++ b/weldhead/cli/site.py
@@ -14,7 +14,7 @@
 from weldhead.cli.structured import configure_structured_logging
 from weldhead.site.http import Handler, SiteServer
 from weldhead.site.processes import until_told
-from weldhead.transport.background_tasks import Duties
+from weldhead.transport.background_tasks import BackgroundTasks
 
 T = TypeVar("T")
 
@@ -57,11 +57,11 @@
     configure_structured_logging()
     from weldhead.site.description import read_description
     from weldhead.site.keeper import Keeper, SiteError
-    from weldhead.tomlfiles import FileProblem
+    from weldhead.tomlfiles import FileProblemError
 
     try:
         description = read_description(file)
-    except FileProblem as problem:
+    except FileProblemError as problem:
         raise click.ClickException(str(problem)) from problem
     if controllers is not None:
         description.controllers.count = controllers
@@ -116,7 +116,7 @@
 
     async def run() -> None:
         service = StateService(limits(settings.limits), Path(settings.record))
-        duties = Duties()
+        duties = BackgroundTasks()
         service.start(duties)
         if settings.next_limits is not None:
             coming = limits(settings.limits | settings.next_limits)
@@ -161,7 +161,7 @@
 
     async def run() -> None:
         front = Front(_settings(path, FrontSettings))
-        duties = Duties()
+        duties = BackgroundTasks()
         front.start(duties)
         server = await _serve(front.handle, fd)
         await until_told()
--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -8,7 +8,7 @@
 
 from weldhead.cli.common import read_text
 from weldhead.clock import wall_us
-from weldhead.documents.records import Offer
+from weldhead.documents.records import DocumentSet
 
 #: What a document may take where no controller's settings say it.
 VALUE_BYTES = 8 * 1024
@@ -36,12 +36,12 @@
 def _check_documents(file: Path) -> None:
     """Check calendars and gates; what a record takes is the least that PROTOCOL's sites give."""
     from weldhead.documents.source import read_source
-    from weldhead.tomlfiles import FileProblem
+    from weldhead.tomlfiles import FileProblemError
 
     try:
         offer = read_source(file, VALUE_BYTES)
         _compute(file, offer)
-    except FileProblem as error:
+    except FileProblemError as error:
         click.echo(str(error), err=True)
         sys.exit(1)
     click.echo(
@@ -50,12 +50,12 @@
     )
 
 
-def _compute(file: Path, offer: Offer) -> None:
+def _compute(file: Path, offer: DocumentSet) -> None:
     """Say each calendar's next instant; FileProblem where the leader could compute none."""
     from weldhead.calendars.binding import KIND
     from weldhead.calendars.calendar_document import Calendar
     from weldhead.calendars.formatting import utc
-    from weldhead.calendars.recurrence import Unusable, check, instants
+    from weldhead.calendars.recurrence import UnusableCalendarError, check, instants
     from weldhead.tomlfiles import problem_at
 
     # They are there in the file's order.
@@ -64,7 +64,7 @@
         calendar = msgspec.json.decode(bytes(body), type=Calendar)
         try:
             check(calendar)
-        except Unusable as error:
+        except UnusableCalendarError as error:
             path: list[str | int] = [KIND, number, error.field]
             raise problem_at(str(file), read_text(file), path, error.reason) from error
         first_us = next(instants(calendar, wall_us()), None)
--- a/weldhead/client/job.py
+++ b/weldhead/client/job.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from weldhead.protocol.validation import Refusal, parse_submission
+from weldhead.protocol.validation import SubmissionRefusedError, parse_submission
 from weldhead.protocol.wire import MAX_BODY_BYTES, JobSpec
 from weldhead.tomlfiles import parse, problem_at
 
@@ -130,7 +130,7 @@
     """JobProblem if no server would take the job: what can be known here is not sent."""
     try:
         parse_submission(job.body(SAMPLE_ID))
-    except Refusal as refusal:
+    except SubmissionRefusedError as refusal:
         field = own_name(refusal.field)
         reason = refusal.reason.removeprefix(f"{refusal.field}: ")
         raise JobProblem(field, reason) from refusal
--- a/weldhead/cluster_state/capacity_index.py
+++ b/weldhead/cluster_state/capacity_index.py
@@ -12,13 +12,13 @@
 
 #: The journal is cut when it holds so many entries, and shapes remembered before that are
 #: looked for everywhere once.
-MOST_JOURNAL = 4_096
+MAX_JOURNAL_ENTRIES = 4_096
 
 #: More shapes than this are not remembered.
-MOST_SHAPES = 4_096
+MAX_REMEMBERED_SHAPES = 4_096
 
 
-class FreeRooms:
+class CapacityIndex:
     """An index of the machines of a cluster; it follows them by their feed."""
 
     def __init__(self, machines: Registry[Machine]) -> None:
@@ -43,7 +43,7 @@
         """Take up what has changed."""
         for machine in self._feed.take():
             self._enter(machine)
-        if len(self._journal) > MOST_JOURNAL:
+        if len(self._journal) > MAX_JOURNAL_ENTRIES:
             self._cut += len(self._journal)
             self._journal.clear()
 
@@ -88,7 +88,7 @@
         if room:
             self._hopeless.pop(shape, None)
             return
-        if len(self._hopeless) >= MOST_SHAPES:
+        if len(self._hopeless) >= MAX_REMEMBERED_SHAPES:
             self._hopeless.clear()
         self._hopeless[shape] = self._cut + len(self._journal)
 
--- a/weldhead/cluster_state/change_feed.py
+++ b/weldhead/cluster_state/change_feed.py
@@ -9,20 +9,20 @@
 from operator import attrgetter
 from typing import TYPE_CHECKING, Any, Generic, Protocol, Self, TypeVar
 
-T = TypeVar("T", bound="Watched")
+T = TypeVar("T", bound="Observable")
 V = TypeVar("V")
 
 
-class Watched(Protocol):
+class Observable(Protocol):
     """Something with a name that tells of its changes."""
 
     #: Where it tells; None: nobody listens.
-    feeds: "Feeds[Self] | None"
+    feeds: "ChangeFeeds[Self] | None"
     #: Its place in the order of entry, never used again.
     serial: int
 
 
-class Feeds(Generic[T]):
+class ChangeFeeds(Generic[T]):
     """The feeds of one kind of thing."""
 
     __slots__ = ("_readers",)
@@ -30,11 +30,11 @@
     def __init__(self) -> None:
         self._readers: list[dict[str, T]] = []
 
-    def subscribe(self) -> "Feed[T]":
+    def subscribe(self) -> "ChangeFeed[T]":
         """Return a new reader's feed, empty."""
         changed: dict[str, T] = {}
         self._readers.append(changed)
-        return Feed(self, changed)
+        return ChangeFeed(self, changed)
 
     def close(self, changed: dict[str, T]) -> None:
         """Enter nothing more for a reader."""
@@ -46,12 +46,12 @@
             changed[name] = item
 
 
-class Feed(Generic[T]):
+class ChangeFeed(Generic[T]):
     """One reader's feed."""
 
     __slots__ = ("_changed", "_feeds")
 
-    def __init__(self, feeds: Feeds[T], changed: dict[str, T]) -> None:
+    def __init__(self, feeds: ChangeFeeds[T], changed: dict[str, T]) -> None:
         self._feeds = feeds
         self._changed = changed
 
@@ -76,7 +76,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.feeds: Feeds[T] = Feeds()
+        self.feeds: ChangeFeeds[T] = ChangeFeeds()
         self._serial = 0
 
     def __setitem__(self, name: str, item: T) -> None:
@@ -107,7 +107,7 @@
 
 if TYPE_CHECKING:
 
-    class Noted(Generic[V]):
+    class ObservedAttribute(Generic[V]):
         """An attribute kept in a slot, which tells of its changes when it is set."""
 
         def __init__(self, slot: str) -> None: ...
@@ -118,7 +118,7 @@
 
 else:
 
-    class Noted(property):
+    class ObservedAttribute(property):
         """An attribute kept in a slot; read far more often than set, so by no code of ours."""
 
         def __class_getitem__(cls, kind):
--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -8,26 +8,26 @@
 from dataclasses import dataclass
 
 from weldhead.cluster_state.change_feed import Registry
-from weldhead.cluster_state.jobs import Attempt, Job, Stop, TaskState
+from weldhead.cluster_state.jobs import Attempt, Job, StopRequest, TaskState
 from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.protocol.settings import Team
 from weldhead.quota.amounts import NOTHING, Amount
-from weldhead.quota.teams import Use, within_limit
+from weldhead.quota.teams import ResourceUsage, within_limit
 
 
 @dataclass(frozen=True)
-class Doubt:
+class UnverifiedUsage:
     """What a team's attempts on unknown machines may use at most."""
 
     cpus: float = 0.0
     gpus: float = 0.0
 
 
-CERTAIN = Doubt()
+NO_UNVERIFIED_USAGE = UnverifiedUsage()
 
 
 @dataclass(frozen=True)
-class Ghost:
+class OrphanAttempt:
     """An attempt that must go and is no job's attempt in the books; its job, if on record."""
 
     machine: str
@@ -51,12 +51,12 @@
         self.unconfirmed: dict[tuple[str, int], Attempt] = {}
         #: Attempts that must go and that no job counts, by machine, task and number; and how
         #: many there are of a task.
-        self.ghosts: dict[tuple[str, str, int], Ghost] = {}
+        self.ghosts: dict[tuple[str, str, int], OrphanAttempt] = {}
         self._haunted: Counter[str] = Counter()
         #: What each team's attempts take, by evidence; exact (``account/``).
-        self.usage: Mapping[str, Use] = defaultdict(Use)
+        self.usage: Mapping[str, ResourceUsage] = defaultdict(ResourceUsage)
         #: By team, while some machines have not shown what runs there.
-        self.doubts: Mapping[str, Doubt] = {}
+        self.doubts: Mapping[str, UnverifiedUsage] = {}
         #: The count of the newest attempt of each task, by job; of jobs that are over only the
         #: highest of all: kept for each task, they were all that grew as long as a term lasted.
         self._starts: dict[str, dict[int, int]] = defaultdict(dict)
@@ -98,7 +98,7 @@
         attempt.job.end(attempt, machine.zone, completed=completed)
         if not attempt.job.active:
             self.holders.pop(attempt.job.id, None)
-        if attempt.stop is not Stop.NO:
+        if attempt.stop is not StopRequest.NO:
             self.stopping.pop((attempt.task, attempt.number), None)
         if self.unconfirmed:
             self.unconfirmed.pop((attempt.task, attempt.number), None)
@@ -121,7 +121,7 @@
         if key in machine.ghosts:
             return
         machine.ghosts.add(key)
-        self.ghosts[machine.name, *key] = Ghost(machine.name, job, at_us)
+        self.ghosts[machine.name, *key] = OrphanAttempt(machine.name, job, at_us)
         self._haunted[key[0]] += 1
         if job is not None:
             self.usage[job.team].add(job.spec)
@@ -153,11 +153,11 @@
         self.machines.remove(machine.name)
         return gone
 
-    def stop(self, attempt: Attempt, stop: Stop, at_us: int, reason: str) -> None:
+    def stop(self, attempt: Attempt, stop: StopRequest, at_us: int, reason: str) -> None:
         """Ask an attempt to stop; a harder request replaces a softer one."""
         if stop.value <= attempt.stop.value:
             return
-        if attempt.stop is Stop.NO:
+        if attempt.stop is StopRequest.NO:
             attempt.stop_us = at_us
             attempt.reason = reason
         attempt.stop = stop
@@ -187,12 +187,12 @@
 
     def check(self) -> None:
         """Raise AssertionError if the sums disagree with the attempts; for tests."""
-        recounted: dict[str, Use] = defaultdict(Use)
+        recounted: dict[str, ResourceUsage] = defaultdict(ResourceUsage)
         for machine in self.machines.values():
             used = sum(a.job.spec.cpus for a in machine.attempts.values())
             for attempt in machine.attempts.values():
                 key = (attempt.task, attempt.number)
-                assert (attempt.stop is not Stop.NO) == (key in self.stopping), attempt.task
+                assert (attempt.stop is not StopRequest.NO) == (key in self.stopping), attempt.task
                 assert not attempt.unconfirmed_us or key in self.unconfirmed, attempt.task
             assert abs(machine.cpus + used - machine.type.cpus) < EPSILON * 100, machine.name
             for attempt in machine.attempts.values():
--- a/weldhead/cluster_state/deadline_heap.py
+++ b/weldhead/cluster_state/deadline_heap.py
@@ -3,7 +3,7 @@
 from heapq import heapify, heappop, heappush
 
 
-class Timers:
+class DeadlineHeap:
     """A heap of moments, in which a name's earlier entries are passed over."""
 
     __slots__ = ("_due", "_heap")
--- a/weldhead/cluster_state/dependency_graph.py
+++ b/weldhead/cluster_state/dependency_graph.py
@@ -16,7 +16,7 @@
 from weldhead.cluster_state.jobs import Job
 
 
-class Chains:
+class DependencyGraph:
     """The edges between jobs that are not over; each change costs the edges that it meets."""
 
     def __init__(self, jobs: Mapping[str, Job]) -> None:
--- a/weldhead/cluster_state/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -5,12 +5,12 @@
 from collections.abc import Container
 
 from weldhead.clock import seconds_us
-from weldhead.cluster_state.change_feed import Feeds, Noted
-from weldhead.cluster_state.records import CHUNK_TASKS, Bound, Hold
+from weldhead.cluster_state.change_feed import ChangeFeeds, ObservedAttribute
+from weldhead.cluster_state.records import CHUNK_TASKS, CalendarDeadline, GateHold
 from weldhead.protocol.wire import JobSpec
 
 
-class Phase(enum.Enum):
+class AttemptPhase(enum.Enum):
     """Where an attempt stands, as far as the leader knows."""
 
     #: Promised a place; the worker has not reported it yet.
@@ -20,7 +20,7 @@
     SAVING = "saving"
 
 
-class Stop(enum.Enum):
+class StopRequest(enum.Enum):
     """Whether an attempt was asked to stop, and how."""
 
     NO = 0
@@ -75,8 +75,8 @@
         self.machine = machine
         #: An earlier leader started it, nobody knows when.
         self.adopted = False
-        self.phase = Phase.ASSIGNED
-        self.stop = Stop.NO
+        self.phase = AttemptPhase.ASSIGNED
+        self.stop = StopRequest.NO
         self.stop_us = 0
         self.running_us = 0
         #: Sequence of the report whose answer carried the ``run``; None: not sent so.
@@ -106,7 +106,7 @@
         return task_us if task_us > 0 else 0
 
 
-class Opening:
+class GateStatus:
     """What holds jobs that wait for the same; shared by all of them."""
 
     __slots__ = ("name", "starts_us", "why")
@@ -120,7 +120,7 @@
 
 
 #: Nobody knows yet whether a job is held, or by what: closed when in doubt.
-UNKNOWN_OPENING = Opening()
+UNKNOWN_GATE_STATUS = GateStatus()
 
 
 class Job:
@@ -170,21 +170,21 @@
     )  # fmt: skip
 
     #: What decides whether and when its tasks are placed tells of its changes.
-    cancelled = Noted[bool]("_cancelled")
-    cancel_asked = Noted[bool]("_cancel_asked")
-    finishing = Noted[bool]("_finishing")
-    first_seen_us = Noted[int]("_first_seen_us")
-    ready_us = Noted[int]("_ready_us")
-    not_before_us = Noted[int]("_not_before_us")
-    probing = Noted[bool]("_probing")
-    stranded = Noted[bool]("_stranded")
-    level = Noted[int]("_level")
-    chain_due_us = Noted[tuple[int, ...]]("_chain_due_us")
-    bound_due_us = Noted[int | None]("_bound_due_us")
-    held = Noted[Opening | None]("_held")
+    cancelled = ObservedAttribute[bool]("_cancelled")
+    cancel_asked = ObservedAttribute[bool]("_cancel_asked")
+    finishing = ObservedAttribute[bool]("_finishing")
+    first_seen_us = ObservedAttribute[int]("_first_seen_us")
+    ready_us = ObservedAttribute[int]("_ready_us")
+    not_before_us = ObservedAttribute[int]("_not_before_us")
+    probing = ObservedAttribute[bool]("_probing")
+    stranded = ObservedAttribute[bool]("_stranded")
+    level = ObservedAttribute[int]("_level")
+    chain_due_us = ObservedAttribute[tuple[int, ...]]("_chain_due_us")
+    bound_due_us = ObservedAttribute[int | None]("_bound_due_us")
+    held = ObservedAttribute[GateStatus | None]("_held")
 
     def __init__(self, spec: JobSpec, submitted_us: int, version: int, at_us: int) -> None:
-        self.feeds: Feeds[Job] | None = None
+        self.feeds: ChangeFeeds[Job] | None = None
         self.serial = 0
         self.spec = spec
         self.id = spec.id
@@ -196,12 +196,12 @@
         #: When its last needed job was done: users' times but the deadline count from then.
         self._ready_us = at_us
         #: What documents said of it when it was accepted.
-        self.bound: Bound | None = None
+        self.bound: CalendarDeadline | None = None
         #: When that is on this node's steady clock, so early that it is met by every clock.
         self._bound_due_us: int | None = None
-        self.hold: Hold | None = None
+        self.hold: GateHold | None = None
         #: What holds it now; None: nothing does.
-        self._held: Opening | None = None
+        self._held: GateStatus | None = None
         #: Needed jobs that are not known to be committed as done.
         self.blockers: frozenset[str] = frozenset()
         #: Its priority, or that of a job that needs it; and by when it has to be done for
@@ -278,7 +278,11 @@
     @property
     def running(self) -> int:
         """How many tasks run."""
-        return sum(1 for a in self.active.values() if a.phase in (Phase.RUNNING, Phase.SAVING))
+        return sum(
+            1
+            for a in self.active.values()
+            if a.phase in (AttemptPhase.RUNNING, AttemptPhase.SAVING)
+        )
 
     @property
     def status(self) -> str:
--- a/weldhead/cluster_state/machines.py
+++ b/weldhead/cluster_state/machines.py
@@ -4,15 +4,15 @@
 from collections import OrderedDict
 
 from weldhead.clock import surely_over_us
-from weldhead.cluster_state.change_feed import Feeds
-from weldhead.cluster_state.jobs import Attempt, Job, Phase
-from weldhead.protocol.wire import JobSpec, MachineType, TaskReport
+from weldhead.cluster_state.change_feed import ChangeFeeds
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job
+from weldhead.protocol.wire import JobSpec, MachineType, ReportedTask
 
 #: Amounts are decimals on the wire; sums of them are compared with this slack.
 EPSILON = 1e-6
 
 
-def how_many(spec: JobSpec, cpus: float, gpus: float, memory_gb: float = math.inf) -> int:
+def tasks_that_fit(spec: JobSpec, cpus: float, gpus: float, memory_gb: float = math.inf) -> int:
     """How many of the job's tasks fit into these amounts."""
     most = spec.tasks
     # Asked for each machine and job of a pass: a loop over the three takes twice as long.
@@ -76,7 +76,7 @@
     def __init__(
         self, name: str, machine_type: MachineType, zone: str, spot: bool, hired_us: int
     ) -> None:
-        self.feeds: Feeds[Machine] | None = None
+        self.feeds: ChangeFeeds[Machine] | None = None
         self.serial = 0
         self.name = name
         self.type = machine_type
@@ -132,7 +132,7 @@
         self.listed = False
         #: What its worker listed last, while nothing has been decided since by which the same
         #: list would mean anything new.
-        self.listing: list[TaskReport] | None = None
+        self.listing: list[ReportedTask] | None = None
         #: A new leader asked it directly what it runs, and got no answer.
         self.asked_in_vain = False
 
@@ -192,7 +192,7 @@
 
     def fits(self, job: Job) -> int:
         """How many more tasks of the job fit by their amounts."""
-        return how_many(job.spec, self.cpus, self.gpus, self.memory_gb)
+        return tasks_that_fit(job.spec, self.cpus, self.gpus, self.memory_gb)
 
     def allows(self, job: Job) -> bool:
         """Whether the job may be here at all."""
@@ -212,7 +212,9 @@
 
     def pulls(self) -> int:
         """How many images are being fetched."""
-        return len({a.job.spec.image for a in self.attempts.values() if a.phase is Phase.PULLING})
+        return len(
+            {a.job.spec.image for a in self.attempts.values() if a.phase is AttemptPhase.PULLING}
+        )
 
     def lease_over_us(self, lease_us: int, floor_us: int) -> int:
         """Return when its worker's lease is surely over.
--- a/weldhead/cluster_state/preemption_history.py
+++ b/weldhead/cluster_state/preemption_history.py
@@ -3,7 +3,7 @@
 They are to be given back: stopped tasks first, on their last machine, from their checkpoint.
 And none is stopped again and again: a task that was stopped within the last hour is left
 alone until it has run for the least hold, which doubles with each stop in that hour. So
-however claims come and go, no task is stopped more than ``MOST_AN_HOUR`` times an hour:
+however claims come and go, no task is stopped more than ``MAX_PREEMPTIONS_PER_HOUR`` times an hour:
 before the n-th stop in an hour it has run for LEAST_HOLD_US times 2 to the power n - 2,
 and 120 + 240 + 480 + 960 + 1,920 seconds are more than an hour.
 """
@@ -18,15 +18,15 @@
 from weldhead.cluster_state.jobs import Attempt, Job, TaskState
 
 #: How long a task that was stopped is let run when it has begun again.
-LEAST_HOLD_US = 120 * SECOND_US
+MIN_UNDISTURBED_US = 120 * SECOND_US
 #: For so long a stop counts.
-MEMORY_US = 3_600 * SECOND_US
+PREEMPTION_MEMORY_US = 3_600 * SECOND_US
 #: How often the same task is stopped for others within an hour at most.
-MOST_AN_HOUR = 5
+MAX_PREEMPTIONS_PER_HOUR = 5
 
 
 @dataclass
-class Loan:
+class PreemptedTask:
     """One task from which cards were taken: its last machine, and when it was stopped."""
 
     job_id: str
@@ -41,11 +41,11 @@
         return self.stops_us[-1]
 
 
-class Taken:
+class PreemptionHistory:
     """The loans of all jobs, by job and task."""
 
     def __init__(self) -> None:
-        self._loans: dict[str, dict[int, Loan]] = {}
+        self._loans: dict[str, dict[int, PreemptedTask]] = {}
 
     def __len__(self) -> int:
         return sum(len(loans) for loans in self._loans.values())
@@ -54,12 +54,12 @@
         """Forget everything, to be read anew."""
         self._loans.clear()
 
-    def loans(self) -> Iterator[Loan]:
+    def loans(self) -> Iterator[PreemptedTask]:
         """Iterate over all loans."""
         for loans in self._loans.values():
             yield from loans.values()
 
-    def of(self, job_id: str) -> dict[int, Loan]:
+    def of(self, job_id: str) -> dict[int, PreemptedTask]:
         """Return a job's loans by task."""
         return self._loans.get(job_id, {})
 
@@ -68,11 +68,11 @@
         loans = self._loans.setdefault(attempt.job.id, {})
         loan = loans.get(attempt.index)
         if loan is None:
-            loan = loans[attempt.index] = Loan(attempt.job.id, attempt.index, "", [])
+            loan = loans[attempt.index] = PreemptedTask(attempt.job.id, attempt.index, "", [])
         loan.machine = attempt.machine
-        loan.stops_us = [s for s in loan.stops_us if s > at_us - MEMORY_US] + [at_us]
+        loan.stops_us = [s for s in loan.stops_us if s > at_us - PREEMPTION_MEMORY_US] + [at_us]
 
-    def enter(self, loan: Loan) -> None:
+    def enter(self, loan: PreemptedTask) -> None:
         """Take up a loan from the records."""
         self._loans.setdefault(loan.job_id, {})[loan.index] = loan
 
@@ -81,8 +81,8 @@
         loan = self._loans.get(job_id, {}).get(index)
         if loan is None:
             return 0
-        recent = sum(1 for stop_us in loan.stops_us if stop_us > at_us - MEMORY_US)
-        return LEAST_HOLD_US << (recent - 1) if recent else 0
+        recent = sum(1 for stop_us in loan.stops_us if stop_us > at_us - PREEMPTION_MEMORY_US)
+        return MIN_UNDISTURBED_US << (recent - 1) if recent else 0
 
     def kept(self, attempt: Attempt, at_us: int) -> bool:
         """Whether a task is left alone: it was stopped of late and has not run for long since.
@@ -104,7 +104,7 @@
             job = keep.get(job_id)
             for index, loan in list(loans.items()):
                 waits = job is not None and job.states[index] == TaskState.WAITING
-                if job is None or (loan.since_us <= at_us - MEMORY_US and not waits):
+                if job is None or (loan.since_us <= at_us - PREEMPTION_MEMORY_US and not waits):
                     del loans[index]
             if not loans:
                 del self._loans[job_id]
@@ -113,7 +113,7 @@
 # -- records -------------------------------------------------------------------------------
 
 #: Keys of the records; one holds the loans of many jobs, so that a burst costs few changes.
-TAKEN = "t/"
+PREEMPTED = "t/"
 #: How many records there are at most; a job's loans are always in the same one.
 SHARDS = 16
 
@@ -126,12 +126,12 @@
     return zlib.crc32(job_id.encode()) % SHARDS
 
 
-def taken_key(shard: int) -> str:
+def preempted_key(shard: int) -> str:
     """Return the key of a record."""
-    return f"{TAKEN}{shard}"
+    return f"{PREEMPTED}{shard}"
 
 
-def rows_of(taken: Taken, shard: int, offset_us: int, limit: int) -> list[Row]:
+def rows_of(taken: PreemptionHistory, shard: int, offset_us: int, limit: int) -> list[Row]:
     """Return a record's rows, the latest stops first, as many as a value of ``limit`` bytes has.
 
     ``offset_us`` makes times of day of the steady clock's. What a full record leaves out is
@@ -151,7 +151,9 @@
     return rows
 
 
-def take_up(taken: Taken, rows: Iterable[Row], jobs: Mapping[str, Job], offset_us: int) -> None:
+def restore_rows(
+    taken: PreemptionHistory, rows: Iterable[Row], jobs: Mapping[str, Job], offset_us: int
+) -> None:
     """Take up a record that an earlier leader wrote: who is given back first, and where.
 
     Stopped tasks are the first of their job to start, the one that was stopped first before
@@ -162,5 +164,5 @@
         job = jobs.get(job_id)
         if job is None or index >= job.spec.tasks or not stops:
             continue
-        taken.enter(Loan(job_id, index, machine, [stop - offset_us for stop in stops]))
+        taken.enter(PreemptedTask(job_id, index, machine, [stop - offset_us for stop in stops]))
         job.give_back(index, machine)
--- a/weldhead/cluster_state/reclaim.py
+++ b/weldhead/cluster_state/reclaim.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from weldhead.cluster_state.jobs import Attempt
-from weldhead.cluster_state.preemption_history import Taken
+from weldhead.cluster_state.preemption_history import PreemptionHistory
 
 
 @dataclass
@@ -27,10 +27,10 @@
 class ReclaimLists:
     """The lists of all waiting jobs."""
 
-    def __init__(self, taken: Taken | None = None) -> None:
+    def __init__(self, taken: PreemptionHistory | None = None) -> None:
         self._lists: dict[str, list[Reclaim]] = {}
         #: Tasks that were stopped for others while they held cards.
-        self.taken = taken if taken is not None else Taken()
+        self.taken = taken if taken is not None else PreemptionHistory()
 
     def add(self, reclaim: Reclaim) -> None:
         """Enter a request."""
--- a/weldhead/cluster_state/records.py
+++ b/weldhead/cluster_state/records.py
@@ -29,7 +29,7 @@
 JOBS = "j/"
 PROGRESS = "p/"
 FINAL = "f/"
-HIRES = "h/"
+RENTALS = "h/"
 
 #: Tasks in one chunk of progress: 1 KiB of bits, well inside any value limit.
 CHUNK_TASKS = 8192
@@ -61,7 +61,7 @@
     from_us: int
 
 
-class Bound(msgspec.Struct, omit_defaults=True, frozen=True):
+class CalendarDeadline(msgspec.Struct, omit_defaults=True, frozen=True):
     """The instant that a calendar binds a job to (time of day, UTC)."""
 
     calendar: str
@@ -69,14 +69,14 @@
     due_us: int
 
 
-class Hold(msgspec.Struct, omit_defaults=True, frozen=True):
+class GateHold(msgspec.Struct, omit_defaults=True, frozen=True):
     """The gate that holds a job, and the edition of what it waits for."""
 
     gate: str
     edition: int
 
 
-class Deed(msgspec.Struct, omit_defaults=True, frozen=True):
+class GateAction(msgspec.Struct, omit_defaults=True, frozen=True):
     """What a job does to a gate: the act, and the edition that it is of if it names none.
 
     ``round``: how many approvals had been withdrawn when the job was accepted.
@@ -93,18 +93,18 @@
 GATE_NEED = "gate/"
 
 
-class Binding(msgspec.Struct, frozen=True):
+class AdmissionBinding(msgspec.Struct, frozen=True):
     """What documents say of a job at its acceptance, and on which marks that rests."""
 
-    bound: Bound | None = None
-    hold: Hold | None = None
-    deed: Deed | None = None
+    bound: CalendarDeadline | None = None
+    hold: GateHold | None = None
+    deed: GateAction | None = None
     conditions: tuple[Condition, ...] = ()
 
-    def joined(self, other: "Binding") -> "Binding":
+    def joined(self, other: "AdmissionBinding") -> "AdmissionBinding":
         """Return both; of two instants the earlier binds."""
         bounds = [bound for bound in (self.bound, other.bound) if bound is not None]
-        return Binding(
+        return AdmissionBinding(
             min(bounds, key=lambda bound: bound.due_us, default=None),
             self.hold or other.hold,
             self.deed or other.deed,
@@ -122,12 +122,12 @@
     spec: JobSpec
     submitted_us: int
     cancelled: bool = False
-    bound: Bound | None = None
-    hold: Hold | None = None
-    deed: Deed | None = None
+    bound: CalendarDeadline | None = None
+    hold: GateHold | None = None
+    deed: GateAction | None = None
 
 
-def bound_record(spec: JobSpec, submitted_us: int, binding: Binding) -> JobRecord:
+def admitted_record(spec: JobSpec, submitted_us: int, binding: AdmissionBinding) -> JobRecord:
     """Return a new job's record; what concerns a gate has a need that only older versions see."""
     gate = binding.hold or binding.deed
     if gate is not None:
@@ -156,7 +156,7 @@
     service: bool = False
 
 
-class HireRecord(msgspec.Struct, omit_defaults=True):
+class RentalRecord(msgspec.Struct, omit_defaults=True):
     """A rental: asked for under the name in its key, and the machines that came of it.
 
     One record holds many machines, so that hundreds of them can be entered and marked
@@ -174,7 +174,7 @@
     machines: dict[str, str | None] = {}
 
 
-def divide_machines(record: HireRecord, limit: int) -> list[dict[str, str | None]]:
+def divide_machines(record: RentalRecord, limit: int) -> list[dict[str, str | None]]:
     """Divide a rental's machines so that a record holds each part, with their addresses."""
     head = msgspec.structs.replace(record, settled=True, machines={"": None})
     room = limit - len(msgspec.json.encode(head))
--- a/weldhead/cluster_state/state_writer.py
+++ b/weldhead/cluster_state/state_writer.py
@@ -20,18 +20,23 @@
 
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY
-from weldhead.protocol.wire import Condition, Delete, Put
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Conflict, Refused, Rejected, StateClient
+from weldhead.protocol.wire import Condition, DeleteKey, PutKey
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import (
+    ConflictError,
+    RequestRefusedError,
+    StateClient,
+    TransactionRejectedError,
+)
 
 log = logging.getLogger(__name__)
 
 
-class Deposed(Exception):
+class LeadershipLostError(Exception):
     """Another leader has taken over, or this one's key is gone."""
 
 
-class _Write:
+class _QueuedWrite:
     __slots__ = ("changes", "future", "latest")
 
     def __init__(
@@ -47,17 +52,17 @@
         return {key: made() if callable(made) else made for key, made in self.changes.items()}
 
 
-class Ledger:
+class StateWriter:
     """A queue of changes; a value of None deletes a key, a callable makes the value in turn."""
 
     def __init__(self, state: StateClient, token: int) -> None:
         self._state = state
         self._token = token
         self._versions: dict[str, int] = {}
-        self._urgent: deque[_Write] = deque()
-        self._queue: deque[_Write] = deque()
+        self._urgent: deque[_QueuedWrite] = deque()
+        self._queue: deque[_QueuedWrite] = deque()
         #: Writes of newest values whose turn has not come, by key.
-        self._latest: dict[str, _Write] = {}
+        self._latest: dict[str, _QueuedWrite] = {}
         self._wake = asyncio.Event()
         self._closed = False
         #: Keys of which a creation was not answered: it may yet be applied, in this term.
@@ -74,7 +79,7 @@
         sent_us = now_us()
         leader = await self._state.get(LEADER_KEY, urgent=True)
         if leader is None or leader.version != self._token:
-            raise Deposed
+            raise LeadershipLostError
         self.proven_us = max(self.proven_us, sent_us)
 
     def learn(self, key: str, version: int) -> None:
@@ -107,10 +112,10 @@
         Deposed if we are, Rejected if the store will never take them.
         """
         if self._closed:
-            raise Deposed
+            raise LeadershipLostError
         if len(changes) > self._state.max_writes:
             raise ValueError(f"{len(changes)} changes in one transaction")
-        write = _Write(changes, asyncio.get_running_loop().create_future())
+        write = _QueuedWrite(changes, asyncio.get_running_loop().create_future())
         (self._urgent if urgent else self._queue).append(write)
         self._wake.set()
         return await write.future
@@ -124,10 +129,12 @@
         change a turn, however many changes it has seen.
         """
         if self._closed:
-            raise Deposed
+            raise LeadershipLostError
         write = self._latest.get(key)
         if write is None:
-            write = _Write({key: build}, asyncio.get_running_loop().create_future(), latest=True)
+            write = _QueuedWrite(
+                {key: build}, asyncio.get_running_loop().create_future(), latest=True
+            )
             self._latest[key] = write
             (self._urgent if urgent else self._queue).append(write)
             self._wake.set()
@@ -142,9 +149,9 @@
             self._queue.remove(write)
             self._urgent.append(write)
 
-    def _batch(self) -> list[tuple[_Write, dict[str, Any]]]:
+    def _batch(self) -> list[tuple[_QueuedWrite, dict[str, Any]]]:
         """Take writes from the queue, with their values: urgent ones first, no key twice."""
-        batch: list[tuple[_Write, dict[str, Any]]] = []
+        batch: list[tuple[_QueuedWrite, dict[str, Any]]] = []
         keys: set[str] = set()
         size = 0
         for queue in (self._urgent, self._queue):
@@ -176,7 +183,7 @@
             try:
                 await self._commit_batch(batch)
             except BaseException as error:
-                cause = error if isinstance(error, Exception) else Deposed()
+                cause = error if isinstance(error, Exception) else LeadershipLostError()
                 for write, _ in batch:
                     self._fail(write, cause)
                 raise
@@ -188,13 +195,13 @@
         self.doubted = frozenset(keys)
 
     @staticmethod
-    def _fail(write: _Write, cause: Exception) -> None:
+    def _fail(write: _QueuedWrite, cause: Exception) -> None:
         if not write.future.done():
             write.future.set_exception(cause)
             # Whoever asked may be gone; that it failed has been logged.
             write.future.exception()
 
-    async def _commit_batch(self, batch: list[tuple[_Write, dict[str, Any]]]) -> None:
+    async def _commit_batch(self, batch: list[tuple[_QueuedWrite, dict[str, Any]]]) -> None:
         """Commit writes together; if the store takes them not, each by itself.
 
         A write that it will never take fails alone. Retried unchanged, as any other failure
@@ -202,7 +209,7 @@
         """
         try:
             revision = await self._commit({k: v for _, values in batch for k, v in values.items()})
-        except Rejected as error:
+        except TransactionRejectedError as error:
             self.doubted = frozenset()
             if len(batch) > 1:
                 for one in batch:
@@ -224,8 +231,9 @@
         while True:
             conditions = [Condition(LEADER_KEY, self._token)]
             conditions += [Condition(key, self.version(key)) for key in changes]
-            writes: list[Put | Delete] = [
-                Delete(key) if value is None else Put(key, value) for key, value in changes.items()
+            writes: list[PutKey | DeleteKey] = [
+                DeleteKey(key) if value is None else PutKey(key, value)
+                for key, value in changes.items()
             ]
             sent_us = now_us()
             self._doubt(changes)
@@ -238,17 +246,17 @@
                     else:
                         self._versions[key] = revision
                 return revision
-            except Conflict as conflict:
+            except ConflictError as conflict:
                 log.info("conflict: %s", conflict)
                 if await self._refresh(changes):
                     return max(self.version(key) for key in changes)
-            except Refused as refused:
+            except RequestRefusedError as refused:
                 log.debug("write refused: %s", refused)
                 if not unanswered:
                     self.doubted = frozenset()
-            except Rejected:
+            except TransactionRejectedError:
                 raise
-            except CallFailed as failure:
+            except CallError as failure:
                 log.info("write unanswered: %s", failure)
                 self._in_doubt.update(
                     key for key, value in changes.items()
@@ -264,7 +272,7 @@
             try:
                 leader = await self._state.get(LEADER_KEY, urgent=True)
                 if leader is None or leader.version != self._token:
-                    raise Deposed
+                    raise LeadershipLostError
                 applied = True
                 for key, value in changes.items():
                     entry = await self._state.get(key, urgent=True)
@@ -277,7 +285,7 @@
                         stored = msgspec.json.decode(entry.value)
                         applied = applied and value is not None and wanted == stored
                 return applied
-            except CallFailed as failure:
+            except CallError as failure:
                 log.info("versions unknown: %s", failure)
                 await asyncio.sleep(0.2)
 
@@ -286,7 +294,7 @@
         self._closed = True
         for write in (*self._urgent, *self._queue):
             if not write.future.done():
-                write.future.set_exception(Deposed())
+                write.future.set_exception(LeadershipLostError())
                 write.future.exception()
         self._urgent.clear()
         self._queue.clear()
--- a/weldhead/controller/configuration/calendars.py
+++ b/weldhead/controller/configuration/calendars.py
@@ -9,7 +9,7 @@
 from weldhead.calendars.binding import (
     JUST_PAST_US,
     KIND,
-    NotComputed,
+    InstantsNotComputedError,
     bind,
     passed_us,
     state_of,
@@ -26,17 +26,25 @@
 from weldhead.calendars.formatting import utc
 from weldhead.clock import SECOND_US, now_us, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
-from weldhead.cluster_state.records import JOBS, Binding, JobRecord
-from weldhead.cluster_state.state_writer import Deposed
-from weldhead.controller.configuration.late_notifications import LateNotes
-from weldhead.controller.configuration.publisher import Documents, Publisher, Unready
-from weldhead.controller.configuration.run_time_history import History
-from weldhead.controller.term import Term, parts
-from weldhead.documents.records import HEAD_KEY, Offer, document_key, state_key
+from weldhead.cluster_state.records import JOBS, AdmissionBinding, JobRecord
+from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.configuration.late_notifications import LateNotifications
+from weldhead.controller.configuration.publisher import (
+    DocumentPublisher,
+    DocumentReplica,
+    DocumentsNotLoadedError,
+)
+from weldhead.controller.configuration.run_time_history import RunTimeHistory
+from weldhead.controller.term import Term, batches
+from weldhead.documents.records import HEAD_KEY, DocumentSet, document_key, state_key
 from weldhead.protocol.wire import JobSpec
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Compacted, Rejected, StateClient
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import (
+    RevisionCompactedError,
+    StateClient,
+    TransactionRejectedError,
+)
 
 log = logging.getLogger(__name__)
 
@@ -53,19 +61,19 @@
 class CalendarBinder:
     """Binds jobs at their acceptance; ``error_us`` is how far any time of day may be off."""
 
-    def __init__(self, documents: Documents, error_us: int) -> None:
+    def __init__(self, documents: DocumentReplica, error_us: int) -> None:
         self._documents = documents
         self._error_us = error_us
         documents.binders.append(self)
         documents.accepted.append(self.accepted)
 
-    def __call__(self, spec: JobSpec, wall_us: int) -> Binding:
+    def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
         """Return the instant that binds a job; Unready if it is not known yet."""
         try:
             return bind(self._documents.cache, spec, wall_us, self._error_us)
-        except NotComputed as error:
+        except InstantsNotComputedError as error:
             log.info("%s cannot be bound yet: no instants of calendar %s", spec.id, error)
-            raise Unready from error
+            raise DocumentsNotLoadedError from error
 
     def accepted(self, record: JobRecord) -> None:
         """Take up a job that this controller has accepted."""
@@ -81,10 +89,10 @@
             )  # fmt: skip
 
 
-class TableKeeper:
+class DeadlineTableFollower:
     """Follows what has to be finished by when, for when nobody leads and the store is down."""
 
-    def __init__(self, documents: Documents, state: StateClient) -> None:
+    def __init__(self, documents: DocumentReplica, state: StateClient) -> None:
         self._documents = documents
         self._state = state
         self._said_us = 0
@@ -99,10 +107,10 @@
             sent_us = now_us()
             try:
                 changes = await self._state.watch(JOBS, revision, 10 * SECOND_US)
-            except Compacted:
+            except RevisionCompactedError:
                 revision = await self._read()
                 continue
-            except CallFailed:
+            except CallError:
                 self._say(now_us())
                 await asyncio.sleep(TABLE_PAUSE_S)
                 continue
@@ -139,14 +147,14 @@
         log.warning("the state service is out of reach; %s", line)
 
 
-class Calendars:
+class CalendarKeeper:
     """A term's part: it computes the instants, commits them, and follows their changes.
 
     ``refresh`` is told of jobs that are due at another moment.
     """
 
     def __init__(
-        self, term: Term, publisher: Publisher, refresh: Callable[[Iterable[Job]], None]
+        self, term: Term, publisher: DocumentPublisher, refresh: Callable[[Iterable[Job]], None]
     ) -> None:
         self._term = term
         self._publisher = publisher
@@ -155,10 +163,10 @@
         publisher.cache.listeners.append(self._heard)
         publisher.vets.append(self.vet)
         term.dues.cache = publisher.cache
-        self.notes = LateNotes(term, publisher)
-        self.history = History(term, publisher)
+        self.notes = LateNotifications(term, publisher)
+        self.history = RunTimeHistory(term, publisher)
 
-    def start(self, duties: Duties) -> None:
+    def start(self, duties: BackgroundTasks) -> None:
         """Begin, once the term is loaded."""
         self.history.load()
         duties.start("calendars", self.keep)
@@ -170,17 +178,17 @@
             self._changed.set()
 
     @staticmethod
-    def vet(offer: Offer) -> str | None:
+    def vet(offer: DocumentSet) -> str | None:
         """Say why an edition's calendars cannot be used; None: they can."""
         for name, body in offer.documents.items():
             if not name.startswith(KIND + "/"):
                 continue
             # Only here, and below: the libraries are the leader's alone.
-            from weldhead.calendars.recurrence import Unusable, check
+            from weldhead.calendars.recurrence import UnusableCalendarError, check
 
             try:
                 check(msgspec.json.decode(bytes(body), type=Calendar))
-            except (Unusable, msgspec.DecodeError) as error:
+            except (UnusableCalendarError, msgspec.DecodeError) as error:
                 return f"{name}: {error}"
         return None
 
@@ -217,7 +225,7 @@
                 continue
             try:
                 await self._publisher.write({state_key(KIND, calendar.name): fresh}, urgent=True)
-            except (Deposed, Rejected, CallFailed) as error:
+            except (LeadershipLostError, TransactionRejectedError, CallError) as error:
                 log.info("calendar %s: instants not committed: %s", calendar.name, error)
                 return False
             await self._tell(calendar.name, fresh)
@@ -231,14 +239,14 @@
         same = former is not None and former.digest == digest_of(body)
         if same and former is not None and not former.runs_out(at_us):
             return None
-        from weldhead.calendars.recurrence import Unusable, compute
+        from weldhead.calendars.recurrence import UnusableCalendarError, compute
 
         # With what is just past: who comes after it is told so.
         begin_us = max(0, at_us - JUST_PAST_US - 3 * error_us)
         problem = ""
         try:
             instants, until_us = compute(calendar, begin_us, KEPT_INSTANTS)
-        except Unusable as error:
+        except UnusableCalendarError as error:
             # It was usable for who brought it into force: other releases of the zones' rules.
             problem, instants, until_us = str(error), (), None
             log.error("calendar %s binds nothing: %s", calendar.name, problem)
@@ -255,7 +263,7 @@
             name, state.edition, utc(due_us) if due_us is not None else "none", len(state.instants),
         )  # fmt: skip
         # Thousands at a time would keep the loop from its leases.
-        for jobs in parts(list(self._term.cluster.jobs.values())):
+        for jobs in batches(list(self._term.cluster.jobs.values())):
             changed = self._term.dues.rebind(jobs, name)
             for job, was_us in changed:
                 assert job.bound is not None
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -5,10 +5,10 @@
 
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.jobs import Job
-from weldhead.controller.requests.job_dependencies import Linking
+from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.term import Term
-from weldhead.gates.gate_tracker import Book, lent, opens_us, urgency
-from weldhead.scheduling.autoscaling.fleet import Upcoming
+from weldhead.gates.gate_tracker import GateTracker, lent, opens_us, urgency
+from weldhead.scheduling.autoscaling.fleet import ExpectedDemand
 from weldhead.scheduling.inherited_priority import MOST_BOUNDS
 
 #: Between two looks at what is expected of the acts under way.
@@ -19,10 +19,12 @@
 MOST_FORESEEN = 200
 
 
-class GateOutlook:
+class GateForecast:
     """Looks ahead of a term's gates."""
 
-    def __init__(self, term: Term, linking: Linking, books: Mapping[str, Book]) -> None:
+    def __init__(
+        self, term: Term, linking: JobDependencies, books: Mapping[str, GateTracker]
+    ) -> None:
         self._term = term
         self._linking = linking
         self._books = books
@@ -55,7 +57,7 @@
             return at_us + max(a.remaining_us(task_us, at_us) for a in job.active.values())
         return at_us + self._linking.stage_us(job)
 
-    def _lend(self, book: Book, acts: list[Job], at_us: int) -> None:
+    def _lend(self, book: GateTracker, acts: list[Job], at_us: int) -> None:
         """Let acts count with the priority and the deadlines of what waits for them."""
         chains, goals = self._term.chains, self._term.goals
         if book.left and at_us > book.lent_us + LENT_US:
@@ -80,13 +82,13 @@
                 chains.lent[act.id] = now
                 self._linking.refresh([act])
 
-    def upcoming(self, at_us: int, until_us: int) -> list[Upcoming]:
+    def upcoming(self, at_us: int, until_us: int) -> list[ExpectedDemand]:
         """Return held work that is expected to be released by then; machines may be rented.
 
         An act that takes longer than expected must not keep machines for ever: they are
         rented ahead for twice the time of foresight at most, until something changes.
         """
-        found: list[Upcoming] = []
+        found: list[ExpectedDemand] = []
         for book in self._books.values():
             starts_us = book.opening.starts_us
             if starts_us is None or starts_us > until_us:
@@ -96,10 +98,12 @@
                 continue
             teams = self._term.cluster.teams
             ready = (j for j in held(book) if j.team in teams and not j.blockers)
-            found += [Upcoming(j, starts_us) for j in nsmallest(MOST_FORESEEN, ready, key=urgency)]
+            found += [
+                ExpectedDemand(j, starts_us) for j in nsmallest(MOST_FORESEEN, ready, key=urgency)
+            ]
         return found
 
 
-def held(book: Book) -> Iterator[Job]:
+def held(book: GateTracker) -> Iterator[Job]:
     """Iterate over the jobs that a gate holds."""
     return (job for job in book.jobs.values() if job.held is not None)
--- a/weldhead/controller/configuration/gates.py
+++ b/weldhead/controller/configuration/gates.py
@@ -15,21 +15,28 @@
 
 from weldhead.clock import SECOND_US, now_us, wall_us
 from weldhead.cluster_state.jobs import Job
-from weldhead.cluster_state.records import Binding, Deed, FinalRecord, Hold, JobRecord, final_key
-from weldhead.cluster_state.state_writer import Deposed
-from weldhead.controller.configuration.gate_forecast import GateOutlook
-from weldhead.controller.configuration.publisher import Publisher, Unready
-from weldhead.controller.requests.job_dependencies import Linking
-from weldhead.controller.term import LOADED_AT_ONCE, Term, parts
-from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.cluster_state.records import (
+    AdmissionBinding,
+    FinalRecord,
+    GateAction,
+    GateHold,
+    JobRecord,
+    final_key,
+)
+from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.configuration.gate_forecast import GateForecast
+from weldhead.controller.configuration.publisher import DocumentPublisher, DocumentsNotLoadedError
+from weldhead.controller.requests.job_dependencies import JobDependencies
+from weldhead.controller.term import LOAD_BATCH_SIZE, Term, batches
+from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.heartbeat_reconciler import request_stop
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.records import HEAD_KEY, HeadRecord, document_key, state_key
 from weldhead.gates.gate_document import Gate
-from weldhead.gates.gate_state import Entered, GateState, deed_of, ended, enter, needed_now
-from weldhead.gates.gate_tracker import Book, unbegun
+from weldhead.gates.gate_state import ActionEntry, GateState, ended, enter, gate_action, needed_now
+from weldhead.gates.gate_tracker import GateTracker, unbegun
 from weldhead.protocol.wire import Condition, JobSpec
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import decode
 
 log = logging.getLogger(__name__)
@@ -72,49 +79,53 @@
     def __init__(self, cache: DocumentCache) -> None:
         self._cache = cache
 
-    def __call__(self, spec: JobSpec, wall_us: int) -> Binding:
+    def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
         """Return what a gate says of a job; Unready if its document cannot be read."""
         cache = self._cache
         # Whoever finds no gate for a job does so by this edition of the documents.
         conditions = [Condition(HEAD_KEY, cache.mark(HEAD_KEY))]
-        hold: Hold | None = None
-        deed: Deed | None = None
+        hold: GateHold | None = None
+        deed: GateAction | None = None
         for name, gate in _documents(cache, cache.head):
             if gate is None:
-                raise Unready
+                raise DocumentsNotLoadedError
             holds = gate.holds_job(spec.job_class, spec.team)
             act = gate.act_of(spec.job_class, spec.team)
             if not holds and not act:
                 continue
             state = _state(cache, name)
             if state is None:
-                raise Unready
+                raise DocumentsNotLoadedError
             key = state_key(KIND, name)
             conditions.append(Condition(key, cache.mark(key)))
             if holds:
-                hold = Hold(name, needed_now(state))
+                hold = GateHold(name, needed_now(state))
             else:
-                deed = deed_of(gate, state, act)
-        return Binding(hold=hold, deed=deed, conditions=tuple(conditions))
+                deed = gate_action(gate, state, act)
+        return AdmissionBinding(hold=hold, deed=deed, conditions=tuple(conditions))
 
 
-class Gates:
+class GateKeeper:
     """A term's gates."""
 
     def __init__(
-        self, term: Term, publisher: Publisher, linking: Linking, dispatcher: Dispatcher
+        self,
+        term: Term,
+        publisher: DocumentPublisher,
+        linking: JobDependencies,
+        dispatcher: CommandDispatcher,
     ) -> None:
         self._term = term
         self._publisher = publisher
         self._linking = linking
         self._dispatcher = dispatcher
-        self.books: dict[str, Book] = {}
+        self.books: dict[str, GateTracker] = {}
         #: Jobs that perform acts and are not entered yet: gate, act, and what was written
         #: at their acceptance.
-        self._acts: dict[str, tuple[Job, str, str, Deed | None]] = {}
+        self._acts: dict[str, tuple[Job, str, str, GateAction | None]] = {}
         #: Held jobs of which something may run.
         self._draining: dict[str, Job] = {}
-        self.outlook = GateOutlook(term, linking, self.books)
+        self.outlook = GateForecast(term, linking, self.books)
         #: One state is written at a time.
         self._lock = asyncio.Lock()
         self._wake = asyncio.Event()
@@ -161,10 +172,10 @@
         found.update(_documents(cache, cache.head))
         return found.items()
 
-    def _book(self, name: str) -> Book:
+    def _book(self, name: str) -> GateTracker:
         book = self.books.get(name)
         if book is None:
-            book = self.books[name] = Book(name)
+            book = self.books[name] = GateTracker(name)
             book.state = _state(self._publisher.cache, name)
             book.gone = not self._outdated and self._publisher.cache.head is not None
         return book
@@ -195,20 +206,20 @@
                 self._act(job, book.name, act, None)
                 return
 
-    def _hold(self, book: Book, job: Job) -> None:
+    def _hold(self, book: GateTracker, job: Job) -> None:
         book.enter(job)
         if job.held is not None:
             self.outlook.fresh.append(job)
         else:
             self._count_from_opening(book, job)
 
-    def _act(self, job: Job, gate: str, act: str, deed: Deed | None) -> None:
+    def _act(self, job: Job, gate: str, act: str, deed: GateAction | None) -> None:
         book = self._book(gate)
         job.held = book.opening
         self._acts[job.id] = job, gate, act, deed
         self._wake.set()
 
-    def _count_from_opening(self, book: Book, job: Job) -> None:
+    def _count_from_opening(self, book: GateTracker, job: Job) -> None:
         """Users' times but the deadline count from when the gate opened, whoever saw it."""
         opened_us = book.opened_us(job)
         if opened_us:
@@ -236,7 +247,7 @@
             since = f", since {moment:%Y-%m-%dT%H:%M:%SZ}"
         return f"{book.name}: {book.why()}{since}"
 
-    def _say(self, book: Book) -> None:
+    def _say(self, book: GateTracker) -> None:
         """Log what has become of a gate, once a change, when it is certain."""
         if not book.settled or book.state is None or book.gone:
             return
@@ -268,8 +279,8 @@
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._wake.wait(), LOOK_S)
                 self._wake.clear()
-        except Deposed as error:
-            raise CallFailed("another leader has taken over") from error
+        except LeadershipLostError as error:
+            raise CallError("another leader has taken over") from error
         finally:
             feed.close()
 
@@ -293,7 +304,7 @@
         """
         self._unjudged = False
         self._read()
-        for some in parts(list(self._term.cluster.jobs.values()), LOADED_AT_ONCE):
+        for some in batches(list(self._term.cluster.jobs.values()), LOAD_BATCH_SIZE):
             for job in some:
                 if job.hold is None and job.id not in self._acts and not job.cancelled:
                     if not any(self._is_entered(book, job.id) for book in self.books.values()):
@@ -305,7 +316,7 @@
             self._keep_back(book)
 
     @staticmethod
-    def _is_entered(book: Book, job_id: str) -> bool:
+    def _is_entered(book: GateTracker, job_id: str) -> bool:
         return book.state is not None and any(p.job == job_id for p in book.state.pending)
 
     async def _square(self) -> None:
@@ -324,7 +335,7 @@
         while True:
             try:
                 entry = await self._term.state.get(final_key(job_id))
-            except CallFailed as error:
+            except CallError as error:
                 log.info("act %s: %s", job_id, error)
                 await asyncio.sleep(0.2)
                 continue
@@ -351,7 +362,7 @@
             return
         async with self._lock:
             taken: dict[str, GateState] = {}
-            entered: list[tuple[Book, Job, str]] = []
+            entered: list[tuple[GateTracker, Job, str]] = []
             for job, gate, act, deed in sorted(self._acts.values(), key=lambda a: a[0].version):
                 book = self.books[gate]
                 if book.gone:
@@ -361,13 +372,13 @@
                 if before is None or not self._term.chains.unknown.isdisjoint(job.blockers):
                     continue
                 after, outcome = self._entry(before, job, act, deed)
-                if outcome is Entered.FULL:
+                if outcome is ActionEntry.FULL:
                     continue
-                if outcome is Entered.NOTHING:
+                if outcome is ActionEntry.NOTHING:
                     log.warning("gate %s: %s %s %s", gate, act, job.id, outcome.value)
                 if after is not before:
                     taken[gate] = after
-                entered.append((book, job, act if outcome is not Entered.NOTHING else ""))
+                entered.append((book, job, act if outcome is not ActionEntry.NOTHING else ""))
             for gate, state in taken.items():
                 await self._change(self.books[gate], state)
             for book, job, act in entered:
@@ -380,12 +391,12 @@
 
     @staticmethod
     def _entry(
-        state: GateState, job: Job, act: str, deed: Deed | None
-    ) -> tuple[GateState, Entered]:
+        state: GateState, job: Job, act: str, deed: GateAction | None
+    ) -> tuple[GateState, ActionEntry]:
         return enter(state, act, job.id, job.spec.needs or (), deed, wall_us())
 
     async def _change(
-        self, book: Book, state: GateState, also: dict[str, Any] | None = None
+        self, book: GateTracker, state: GateState, also: dict[str, Any] | None = None
     ) -> None:
         """Commit a gate's state, with what belongs to it; the lock is held.
 
@@ -402,7 +413,7 @@
         book.foreseen_us = self.outlook.looked_us = 0
         self._wake.set()
 
-    def _keep_back(self, book: Book) -> None:
+    def _keep_back(self, book: GateTracker) -> None:
         held = book.hold_back()
         if not held:
             return
@@ -482,7 +493,7 @@
         for book in [book for book in self.books.values() if book.changed]:
             book.changed = False
             found = book.releasable()
-            for some in parts(found, RELEASED_AT_ONCE):
+            for some in batches(found, RELEASED_AT_ONCE):
                 for job in some:
                     # It may have been closed, and the job be gone, since the last slice.
                     if book.jobs.get(job.id) is job and book.may_start(job):
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from weldhead.cluster_state.jobs import Job
-from weldhead.cluster_state.state_writer import Deposed
-from weldhead.controller.configuration.publisher import Publisher
+from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.configuration.publisher import DocumentPublisher
 from weldhead.controller.term import Term
 from weldhead.documents.records import STATES, state_key
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Rejected
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import TransactionRejectedError
 
 log = logging.getLogger(__name__)
 
@@ -27,10 +27,10 @@
 Chunk = dict[str, int]
 
 
-class LateNotes:
+class LateNotifications:
     """A term's notes of what was told: job ids, with the instant that each was told late for."""
 
-    def __init__(self, term: Term, publisher: Publisher) -> None:
+    def __init__(self, term: Term, publisher: DocumentPublisher) -> None:
         self._term = term
         self._publisher = publisher
         self._chunks: dict[str, Chunk] | None = None
@@ -78,11 +78,11 @@
         changes, noted = self._plan(self._publisher.max_changes, self._publisher.value_bytes)
         try:
             await self._publisher.write(dict(changes))
-        except (Deposed, CallFailed):
+        except (LeadershipLostError, CallError):
             # Its successor finds the same jobs late, and tells it.
             self._waiting.clear()
             return
-        except Rejected as error:
+        except TransactionRejectedError as error:
             log.error("lateness cannot be noted: %s", error)
         chunks = self._load()
         for key, chunk in changes.items():
--- a/weldhead/controller/configuration/publisher.py
+++ b/weldhead/controller/configuration/publisher.py
@@ -7,17 +7,21 @@
 
 import msgspec
 
-from weldhead.calendars.deadline_table import DueTable
+from weldhead.calendars.deadline_table import DeadlineTable
 from weldhead.clock import SECOND_US, now_us
-from weldhead.cluster_state.records import Binding, JobRecord
-from weldhead.cluster_state.state_writer import Deposed, Ledger
+from weldhead.cluster_state.records import AdmissionBinding, JobRecord
+from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
 from weldhead.documents.cache import DocumentCache
-from weldhead.documents.editions import Verdict, judge, leftovers, steps
-from weldhead.documents.records import HEAD_KEY, PREFIX, HeadRecord, Offer
+from weldhead.documents.editions import EditionVerdict, judge_edition, leftovers, steps
+from weldhead.documents.records import HEAD_KEY, PREFIX, DocumentSet, HeadRecord
 from weldhead.protocol.wire import JobSpec
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response, refusal
-from weldhead.transport.state_client import Compacted, Rejected, StateClient
+from weldhead.transport.state_client import (
+    RevisionCompactedError,
+    StateClient,
+    TransactionRejectedError,
+)
 
 log = logging.getLogger(__name__)
 
@@ -25,21 +29,21 @@
 OFFER_PAUSE_S = 2.0
 
 _encode = msgspec.json.Encoder().encode
-_offer_decoder = msgspec.json.Decoder(Offer)
+_offer_decoder = msgspec.json.Decoder(DocumentSet)
 
 
-class Unready(Exception):
+class DocumentsNotLoadedError(Exception):
     """What decides is not in memory yet; ask again later."""
 
 
-class Binder(Protocol):
+class AdmissionBinder(Protocol):
     """What a job is bound to when it is accepted; ``wall_us`` is the time of day."""
 
-    def __call__(self, spec: JobSpec, wall_us: int) -> Binding:
+    def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
         """Return it with the conditions on which it holds; Unready if that cannot be told."""
 
 
-class Documents:
+class DocumentReplica:
     """One controller's copy of the documents, and the edition that it brings itself.
 
     ``ask_leader`` has the leader take an edition up; None where it cannot be reached.
@@ -48,26 +52,26 @@
     def __init__(
         self,
         state: StateClient,
-        offer: Offer | None,
+        offer: DocumentSet | None,
         ask_leader: Callable[[str, str, bytes], Awaitable[Response | None]],
     ) -> None:
         self._state = state
         self._ask_leader = ask_leader
-        self._said: tuple[Verdict, int] | None = None
+        self._said: tuple[EditionVerdict, int] | None = None
         self.offer = offer
         self.cache = DocumentCache()
         #: What binds jobs at acceptance: the packages that use documents add theirs.
-        self.binders: list[Binder] = []
+        self.binders: list[AdmissionBinder] = []
         #: Called with the record of each bound or held job that this controller accepted.
         self.accepted: list[Callable[[JobRecord], None]] = []
         #: What has to be finished by when, as far as this controller knows.
-        self.table = DueTable()
+        self.table = DeadlineTable()
 
-    def bind(self, spec: JobSpec, wall_us: int) -> Binding:
+    def bind(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
         """Return all that a job is bound to by what is in memory; Unready if nothing is."""
         if not self.cache.loaded:
-            raise Unready
-        bound = Binding()
+            raise DocumentsNotLoadedError
+        bound = AdmissionBinding()
         for binder in self.binders:
             bound = bound.joined(binder(spec, wall_us))
         return bound
@@ -79,7 +83,7 @@
             sent_us = now_us()
             try:
                 changes = await self._state.watch(PREFIX, revision, 10 * SECOND_US)
-            except Compacted:
+            except RevisionCompactedError:
                 revision = await self._read()
                 continue
             for event in changes.events:
@@ -105,12 +109,12 @@
             await asyncio.sleep(OFFER_PAUSE_S)
             if self.offer is None or not self.cache.loaded:
                 continue
-            verdict = judge(self.cache.head, self.offer, self._state.limits.value_bytes)
+            verdict = judge_edition(self.cache.head, self.offer, self._state.limits.value_bytes)
             self._say(verdict, self.offer)
-            if verdict is Verdict.TAKEN:
+            if verdict is EditionVerdict.TAKEN:
                 await self._ask_leader("documents", "", _encode(self.offer))
 
-    def _say(self, verdict: Verdict, offer: Offer) -> None:
+    def _say(self, verdict: EditionVerdict, offer: DocumentSet) -> None:
         """Log what becomes of this controller's edition, when that changes."""
         head = self.cache.head
         said = verdict, head.edition if head is not None else 0
@@ -118,22 +122,22 @@
             return
         self._said = said
         match verdict:
-            case Verdict.SAME:
+            case EditionVerdict.SAME:
                 log.info("documents: edition %d is in force", offer.edition)
-            case Verdict.OLDER if head is not None:
+            case EditionVerdict.OLDER if head is not None:
                 log.warning("documents: edition %d is ignored: %d is in force", offer.edition,
                     head.edition)  # fmt: skip
-            case Verdict.CONTRADICTS if head is not None:
+            case EditionVerdict.CONTRADICTS if head is not None:
                 log.error(
                     "documents: edition %d is refused: its content is %s, and %s is in force",
                     offer.edition, offer.digest, head.digest,
                 )  # fmt: skip
-            case Verdict.TOO_LARGE:
+            case EditionVerdict.TOO_LARGE:
                 log.error("documents: edition %d has a document that no record takes",
                     offer.edition)  # fmt: skip
 
 
-class Publisher:
+class DocumentPublisher:
     """A term's part: it brings editions into force, on the condition of its token.
 
     ``load`` reads what is recorded once the token is won. From then on nobody else changes it,
@@ -142,23 +146,23 @@
 
     def __init__(
         self,
-        documents: Documents,
+        documents: DocumentReplica,
         state: StateClient,
-        ledger: Callable[[], Ledger],
+        ledger: Callable[[], StateWriter],
         valid: Callable[[], bool],
     ) -> None:
         self._documents = documents
         self._state = state
         self._ledger = ledger
         self._valid = valid
-        self._offers: asyncio.Queue[Offer] = asyncio.Queue()
+        self._offers: asyncio.Queue[DocumentSet] = asyncio.Queue()
         self.cache = DocumentCache()
         #: The head that is being written: until that is answered it may be in force for whoever
         #: reads the store, and bind what they accept.
         self.coming: HeadRecord | None = None
         self.loaded = False
         #: Say why an edition cannot be used; the packages that use documents add theirs.
-        self.vets: list[Callable[[Offer], str | None]] = []
+        self.vets: list[Callable[[DocumentSet], str | None]] = []
         self._unusable: set[str] = set()
 
     async def load(self) -> None:
@@ -205,8 +209,8 @@
             return refusal(400, str(error))
         if not self.loaded or not self._valid():
             return refusal(503, "not now", retry_after_s=1)
-        verdict = judge(self.cache.head, offer, self._state.limits.value_bytes)
-        if verdict is Verdict.TAKEN:
+        verdict = judge_edition(self.cache.head, offer, self._state.limits.value_bytes)
+        if verdict is EditionVerdict.TAKEN:
             self._offers.put_nowait(offer)
         return Response(200, _encode(verdict.value))
 
@@ -217,7 +221,10 @@
         while True:
             offer = await self._offers.get()
             head = self.cache.head
-            if judge(head, offer, self._state.limits.value_bytes) is not Verdict.TAKEN:
+            if (
+                judge_edition(head, offer, self._state.limits.value_bytes)
+                is not EditionVerdict.TAKEN
+            ):
                 continue
             if offer.digest in self._unusable:
                 # It is brought again and again, and was said once.
@@ -229,7 +236,7 @@
                 continue
             try:
                 await self._publish(offer)
-            except (Deposed, Rejected, CallFailed) as error:
+            except (LeadershipLostError, TransactionRejectedError, CallError) as error:
                 log.info("documents: edition %d not brought into force: %s", offer.edition, error)
                 continue
             log.info(
@@ -238,7 +245,7 @@
                 "there was none" if head is None else f"{head.edition}",
             )  # fmt: skip
 
-    async def _publish(self, offer: Offer) -> None:
+    async def _publish(self, offer: DocumentSet) -> None:
         most = self._state.max_writes
         for changes in steps(offer, self.cache.documents(), most):
             self.coming = changes.get(HEAD_KEY)
--- a/weldhead/controller/configuration/run_time_history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from weldhead.cluster_state.state_writer import Deposed
-from weldhead.controller.configuration.publisher import Publisher
+from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.configuration.publisher import DocumentPublisher
 from weldhead.controller.term import Term
 from weldhead.documents.records import state_key
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Rejected
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import TransactionRejectedError
 
 KEY = state_key("history", "classes")
 #: Between two writes, if there is anything new.
@@ -23,10 +23,10 @@
 Record = dict[str, tuple[float, float]]
 
 
-class History:
+class RunTimeHistory:
     """A term's part: it reads what its predecessors saw, and notes what it sees."""
 
-    def __init__(self, term: Term, publisher: Publisher) -> None:
+    def __init__(self, term: Term, publisher: DocumentPublisher) -> None:
         self._term = term
         self._publisher = publisher
         self._written: dict[str, int] = {}
@@ -48,7 +48,7 @@
                 continue
             try:
                 await self._publisher.write({KEY: record})
-            except (Deposed, Rejected, CallFailed):
+            except (LeadershipLostError, TransactionRejectedError, CallError):
                 continue
 
     def _news(self) -> Record | None:
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -4,27 +4,27 @@
 from typing import TYPE_CHECKING
 
 from weldhead.clock import SECOND_US, now_us, to_seconds
-from weldhead.cluster_state.jobs import Stop
-from weldhead.controller.fleet.rental_manager import Rentals
-from weldhead.controller.loop_budget import Rank
-from weldhead.controller.scheduling_loop.scheduling_loop import Deciding
+from weldhead.cluster_state.jobs import StopRequest
+from weldhead.controller.fleet.rental_manager import RentalManager
+from weldhead.controller.loop_budget import LoopPriority
+from weldhead.controller.scheduling_loop.scheduling_loop import SchedulingLoop
 from weldhead.controller.term import Term
-from weldhead.controller.workers.machine_monitor import MachineWatch
+from weldhead.controller.workers.machine_monitor import MachineMonitor
 from weldhead.scheduling.autoscaling.fleet import (
-    Move,
-    Upcoming,
+    ExpectedDemand,
+    MachineDrain,
+    choose_scale_in_candidates,
     endangered,
     movable,
-    plan_closings,
-    plan_hires,
-    plan_moves,
-    plan_returns,
+    plan_consolidation,
+    plan_scale_in,
+    plan_scale_out,
     replacements,
 )
 from weldhead.scheduling.placement.placement import plan_nothing
 
 if TYPE_CHECKING:
-    from weldhead.controller.configuration.gates import Gates
+    from weldhead.controller.configuration.gates import GateKeeper
 
 log = logging.getLogger(__name__)
 
@@ -35,16 +35,16 @@
 FLEET_LOG_US = 10 * SECOND_US
 
 
-class Sizing:
+class Autoscaler:
     """Keeps the fleet at the size that the work needs."""
 
     def __init__(
         self,
         term: Term,
-        deciding: Deciding,
-        rentals: Rentals,
-        watch: MachineWatch,
-        gates: "Gates | None" = None,
+        deciding: SchedulingLoop,
+        rentals: RentalManager,
+        watch: MachineMonitor,
+        gates: "GateKeeper | None" = None,
     ) -> None:
         self._term = term
         self._deciding = deciding
@@ -58,7 +58,7 @@
         said_us = 0
         while True:
             await self._deciding.pacer.rest(
-                "fleet", Rank.FLEET, self._term.tunables.fleet.period_us
+                "fleet", LoopPriority.FLEET, self._term.tunables.fleet.period_us
             )
             if not self._term.valid:
                 continue
@@ -93,7 +93,7 @@
         ]
         missing = sum(m.type.cpus for m in unknown) - sum(m.type.cpus for m in fresh)
         missing -= sum(item.type.cpus * item.count for item in self._rentals.coming())
-        hires = plan_hires(
+        hires = plan_scale_out(
             self._term.cluster, plan, self._term.market, self._term.estimates, self._term.goals,
             at_us, settings, self._rentals.coming(), self._term.demand,
             backlog=len(scene.backlog), silent={m.name for m in unknown},
@@ -129,10 +129,12 @@
         if self._gates is not None:
             upcoming += self._gates.outlook.upcoming(at_us, at_us + settings.foresight_us)
         upcoming += endangered(silent, at_us, self._term.lease_us)
-        closing = plan_closings(self._term.cluster, self._deciding.last_plan, settings, upcoming)
+        closing = choose_scale_in_candidates(
+            self._term.cluster, self._deciding.last_plan, settings, upcoming
+        )
         for machine in self._term.cluster.machines.values():
             machine.closing = machine.name in closing
-        for move in plan_moves(
+        for move in plan_consolidation(
             self._term.cluster, self._deciding.last_plan, self._term.estimates, at_us, settings,
             self._term.silence_us, self._term.goals,
         ):  # fmt: skip
@@ -140,14 +142,14 @@
         boots = self._term.boots.look(
             self._term.cluster.machines.values(), at_us, settings.boots, settings.minimum_charge_us
         )
-        returned = plan_returns(self._term.cluster, at_us, settings, boots)
+        returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
         hopeless = [machine.name for machine in returned if machine.booting]
         if hopeless:
             log.info("%d machines never came up: %s", len(hopeless), ", ".join(hopeless))
         self._rentals.delete({m.name: m for m in returned})
         if self._rentals.busy:
             return
-        hires = plan_hires(
+        hires = plan_scale_out(
             self._term.cluster,
             self._deciding.last_plan,
             self._term.market,
@@ -168,10 +170,10 @@
         for offer, count in hires.items():
             self._rentals.hire(offer, count)
 
-    def _upcoming(self, until_us: int) -> list[Upcoming]:
+    def _upcoming(self, until_us: int) -> list[ExpectedDemand]:
         """Return the jobs that are expected to wait for nothing more by then."""
         return [
-            Upcoming(job, job.starts_us)
+            ExpectedDemand(job, job.starts_us)
             for job in self._term.chains.blocked.values()
             if job.starts_us is not None
             and job.held is None
@@ -179,7 +181,7 @@
             and job.team in self._term.cluster.teams
         ]
 
-    def _empty(self, move: Move, at_us: int) -> None:
+    def _empty(self, move: MachineDrain, at_us: int) -> None:
         """Have a machine's tasks go on or begin anew elsewhere; it is returned when empty."""
         machine = move.machine
         log.info(
@@ -188,7 +190,7 @@
         )  # fmt: skip
         machine.draining = True
         for attempt in move.attempts:
-            stop = Stop.SOFT if movable(attempt) else Stop.HARD
+            stop = StopRequest.SOFT if movable(attempt) else StopRequest.HARD
             self._deciding.stop(attempt, stop, at_us, "moved")
 
     def _log_fleet(self) -> None:
