--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -12,13 +12,13 @@
 
 from weldhead.clock import now_us, seconds_us, wall_us
 from weldhead.cluster_state.machines import Machine
-from weldhead.cluster_state.records import HIRES, HireRecord, divide_machines
-from weldhead.cluster_state.state_writer import Deposed
+from weldhead.cluster_state.records import RENTALS, RentalRecord, divide_machines
+from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.controller.term import Term
-from weldhead.protocol.wire import ListedMachine, MachineType, RentalRequest, Report
-from weldhead.scheduling.autoscaling.fleet import Coming, Offer
-from weldhead.transport.cloud_client import BadRental, NoCapacity, NotAsked
-from weldhead.transport.http_client import CallFailed
+from weldhead.protocol.wire import Heartbeat, ListedMachine, MachineType, RentalRequest
+from weldhead.scheduling.autoscaling.fleet import PendingRental, RentalOffer
+from weldhead.transport.cloud_client import MalformedRentalError, NoCapacityError, NotSentError
+from weldhead.transport.http_client import CallError
 
 log = logging.getLogger(__name__)
 
@@ -31,13 +31,13 @@
 DELETE_GATHER_S = 0.1
 
 
-class Rentals:
+class RentalManager:
     """The term's rentals; ``gone`` is told of machines that are gone for good."""
 
     def __init__(self, term: Term, gone: Callable[[Machine], None]) -> None:
         self._term = term
         self._gone = gone
-        self._records: dict[str, HireRecord] = {}
+        self._records: dict[str, RentalRecord] = {}
         self._count = 0
         #: Read with machines that another record holds as well.
         self._untidy: set[str] = set()
@@ -52,7 +52,7 @@
 
     # -- the books -----------------------------------------------------------------------
 
-    def load(self, name: str, record: HireRecord, at_us: int, wall: int) -> None:
+    def load(self, name: str, record: RentalRecord, at_us: int, wall: int) -> None:
         """Take up a rental read from the store, at the start of a term."""
         self._records[name] = record
         for machine_name, address in list(record.machines.items()):
@@ -103,7 +103,7 @@
         for machines in rest:
             part = self._new_name()
             parts[part] = machines
-            self._records[part] = HireRecord(
+            self._records[part] = RentalRecord(
                 record.type, record.zone, record.spot, len(machines), record.hired_us, True,
                 dict(machines),
             )  # fmt: skip
@@ -116,7 +116,7 @@
                 for machine_name in machines:
                     record.machines.pop(machine_name, None)
             await self._write(name, urgent=True)
-        except Deposed:
+        except LeadershipLostError:
             return
         for written in (*parts, name):
             self._drop_if_empty(written)
@@ -125,14 +125,14 @@
         """Return the rentals of which it is not known what came of them."""
         return [name for name, record in self._records.items() if not record.settled]
 
-    def coming(self) -> list[Coming]:
+    def coming(self) -> list[PendingRental]:
         """Return what is being rented and not entered yet."""
         found = []
         for name in self._open():
             record = self._records[name]
             known = self._term.types.get(record.type)
             if known is not None:
-                found.append(Coming(known, record.count, record.zone))
+                found.append(PendingRental(known, record.count, record.zone))
         return found
 
     def _add_machine(self, name: str, hire: str, at_us: int, wall: int) -> Machine:
@@ -150,9 +150,9 @@
     async def _write(self, name: str, *, urgent: bool = False) -> None:
         """Commit a rental's record as it is when its turn comes; drop it once it is empty."""
         build = partial(self._value, name)
-        await self._term.ledger.write_latest(HIRES + name, build, urgent=urgent)
+        await self._term.ledger.write_latest(RENTALS + name, build, urgent=urgent)
 
-    def _value(self, name: str) -> HireRecord | None:
+    def _value(self, name: str) -> RentalRecord | None:
         """Return a rental's record as it is now; None once it holds nothing more.
 
         Whose creation may be under way stays, empty: it came back, and was rented once more.
@@ -160,7 +160,7 @@
         record = self._records.get(name)
         if record is None or self._is_dropped(name):
             return None
-        return HireRecord(
+        return RentalRecord(
             record.type, record.zone, record.spot, record.count, record.hired_us,
             record.settled, dict(record.machines),
         )  # fmt: skip
@@ -174,20 +174,20 @@
                 await self._write(machine.hire, urgent=True)
                 machine.up = True
                 self._term.place.set()
-        except Deposed:
+        except LeadershipLostError:
             pass
         finally:
             machine.up_pending = False
 
     # -- renting -------------------------------------------------------------------------
 
-    def hire(self, offer: Offer, count: int) -> None:
+    def hire(self, offer: RentalOffer, count: int) -> None:
         """Rent machines, in as many requests as it takes."""
         while count > 0:
             part = min(count, MOST_RENTED)
             count -= part
             name = self._new_name()
-            self._records[name] = HireRecord(
+            self._records[name] = RentalRecord(
                 offer.type.name, offer.zone, offer.spot, part, wall_us()
             )
             self._unsent.add(name)
@@ -207,7 +207,7 @@
         """Record a rental's name, then ask for it."""
         try:
             await self._write(name, urgent=True)
-        except Deposed:
+        except LeadershipLostError:
             return
         await self._settle(name)
 
@@ -231,15 +231,15 @@
             try:
                 names = await term.cloud.rent(request, partial(self._send, name))
                 log.info("rented %s in %s (spot: %s): %s", *offer, ", ".join(names))
-            except NotAsked:
+            except NotSentError:
                 continue
-            except NoCapacity:
+            except NoCapacityError:
                 names = []
                 log.info("no capacity for %s in %s (spot: %s)", *offer)
-            except BadRental as error:
+            except MalformedRentalError as error:
                 names = []
                 log.error("rental called malformed: %s", error)
-            except CallFailed as error:
+            except CallError as error:
                 log.info("rental unanswered: %s", error)
                 await asyncio.sleep(0.5)
         at_us = now_us()
@@ -279,7 +279,7 @@
     async def _write_or_drop(self, name: str) -> None:
         try:
             await self._write(name)
-        except Deposed:
+        except LeadershipLostError:
             return
         self._drop_if_empty(name)
 
@@ -287,7 +287,7 @@
         """Whether a rental's record holds nothing more, and can be deleted for good."""
         record = self._records.get(name)
         empty = record is not None and record.settled and not record.machines
-        return empty and not self._term.ledger.in_doubt(HIRES + name)
+        return empty and not self._term.ledger.in_doubt(RENTALS + name)
 
     def _drop_if_empty(self, name: str) -> None:
         if self._is_dropped(name):
@@ -295,13 +295,13 @@
 
     # -- machines that nobody expected -----------------------------------------------------
 
-    def unexpected(self, report: Report) -> None:
+    def unexpected(self, report: Heartbeat) -> None:
         """A machine that is not in the books and surely is: enter it, then use or return it."""
         if self.is_unexpected(report):
-            record = HireRecord(report.type, report.zone, report.spot, 1, wall_us())
+            record = RentalRecord(report.type, report.zone, report.spot, 1, wall_us())
             self._adopt_soon(report.machine, record)
 
-    def is_unexpected(self, report: Report) -> bool:
+    def is_unexpected(self, report: Heartbeat) -> bool:
         """Whether a machine that says it reports is one that nobody expects."""
         name = report.machine
         if name in self._adopting or name in self._returned or name in self._term.cluster.machines:
@@ -316,11 +316,11 @@
             (r.type, r.zone, r.spot) == offer for r in self._records.values() if not r.settled
         )
 
-    def _adopt_soon(self, name: str, record: HireRecord) -> None:
+    def _adopt_soon(self, name: str, record: RentalRecord) -> None:
         self._adopting.add(name)
         self._term.duties.once("adoption", self._adopt(name, record))
 
-    async def _adopt(self, name: str, record: HireRecord) -> None:
+    async def _adopt(self, name: str, record: RentalRecord) -> None:
         hire = self._new_name()
         record.settled = True
         record.machines = {name: None}
@@ -329,7 +329,7 @@
             await self._write(hire)
             self._add_machine(name, hire, now_us(), wall_us())
             log.info("machine %s was not expected; adopted", name)
-        except Deposed:
+        except LeadershipLostError:
             pass
         finally:
             self._adopting.discard(name)
@@ -363,9 +363,9 @@
                     continue
                 try:
                     await self._term.cloud.delete([m.name for m in batch], self._may_delete)
-                except NotAsked:
+                except NotSentError:
                     continue
-                except CallFailed as error:
+                except CallError as error:
                     log.info("deletion failed: %s", error)
                     await asyncio.sleep(0.5)
                     continue
@@ -420,7 +420,7 @@
                 # Gone ones are still listed for a while, new ones may be about to be entered.
                 hired_wall = wall_us() - seconds_us(item.age_s)
                 self._adopt_soon(
-                    item.id, HireRecord(item.type, item.zone, item.spot, 1, hired_wall)
+                    item.id, RentalRecord(item.type, item.zone, item.spot, 1, hired_wall)
                 )
         names = {item.id for item in listed}
         for machine in machines.values():
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -10,44 +10,44 @@
 from typing import TYPE_CHECKING
 
 from weldhead.calendars.formatting import utc
-from weldhead.calendars.lateness import Standing
+from weldhead.calendars.lateness import DeadlineStanding
 from weldhead.clock import SECOND_US, now_us, to_seconds, wall_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.records import JOBS, FinalRecord, JobRecord
-from weldhead.cluster_state.state_writer import Deposed, Ledger
-from weldhead.controller.configuration.publisher import Documents, Publisher
-from weldhead.controller.fleet.autoscaler import Sizing
-from weldhead.controller.fleet.rental_manager import Rentals
-from weldhead.controller.leadership.term_recovery import Recovery
-from weldhead.controller.loop_budget import Pacer
+from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
+from weldhead.controller.configuration.publisher import DocumentPublisher, DocumentReplica
+from weldhead.controller.fleet.autoscaler import Autoscaler
+from weldhead.controller.fleet.rental_manager import RentalManager
+from weldhead.controller.leadership.term_recovery import TermRecovery
+from weldhead.controller.loop_budget import EventLoopBudget
 from weldhead.controller.requests.completions import Completions
-from weldhead.controller.requests.job_dependencies import Linking
-from weldhead.controller.scheduling_loop.completion_forecaster import LookAhead
-from weldhead.controller.scheduling_loop.scheduling_loop import Deciding
-from weldhead.controller.term import Term, parts
-from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.requests.job_dependencies import JobDependencies
+from weldhead.controller.scheduling_loop.completion_forecaster import CompletionForecaster
+from weldhead.controller.scheduling_loop.scheduling_loop import SchedulingLoop
+from weldhead.controller.term import Term, batches
+from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.heartbeat_reconciler import (
-    Outcome,
+    HeartbeatEffect,
     apply_report,
     is_newer,
     kill_all,
     pending_commands,
     pending_kills,
 )
-from weldhead.controller.workers.machine_monitor import MachineWatch
+from weldhead.controller.workers.machine_monitor import MachineMonitor
 from weldhead.controller.workers.reachability_monitor import ReachabilityMonitor
-from weldhead.protocol.wire import JobStatus, MachineType, Report, ReportAnswer
+from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer, JobStatus, MachineType
 from weldhead.reachability.freshness import Freshness
-from weldhead.reconciliation.buffered_heartbeats import Early
+from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat
 from weldhead.scheduling.forecast.completion_times import due_us
-from weldhead.transport.state_client import Compacted, decode
+from weldhead.transport.state_client import RevisionCompactedError, decode
 
 if TYPE_CHECKING:
-    from weldhead.controller.configuration.calendars import Calendars
-    from weldhead.controller.configuration.gates import Gates
+    from weldhead.controller.configuration.calendars import CalendarKeeper
+    from weldhead.controller.configuration.gates import GateKeeper
 
 log = logging.getLogger(__name__)
 
@@ -57,50 +57,52 @@
 ACCOUNT_S = 15.0
 
 
-class NotReady(Exception):
+class NotReadyError(Exception):
     """The leader cannot answer this yet; ask again later."""
 
 
 class Leader:
     """One term of leadership."""
 
-    def __init__(self, term: Term, documents: Documents | None = None) -> None:
+    def __init__(self, term: Term, documents: DocumentReplica | None = None) -> None:
         self.term = term
         #: The term's part in calendars and gates; None: this node is given none.
-        self.publisher: Publisher | None = None
+        self.publisher: DocumentPublisher | None = None
         if documents is not None:
-            self.publisher = Publisher(
+            self.publisher = DocumentPublisher(
                 documents, term.state, lambda: term.ledger, lambda: term.valid
             )
         self.token = term.token
         self._duties = term.duties
-        self._dispatcher = Dispatcher(term, self._answered, self._unanswered)
-        self.linking = Linking(term, self._dispatcher, self.job_created)
+        self._dispatcher = CommandDispatcher(term, self._answered, self._unanswered)
+        self.linking = JobDependencies(term, self._dispatcher, self.job_created)
         self.completions = Completions(
             term, self._ended, self.linking.withdraw_with_followers, self.linking.stop_tasks
         )
         self.linking.start(self.completions)
-        self.pacer = Pacer(round(term.tunables.leadership.ttl_us * term.tunables.most_hold))
-        self.deciding = Deciding(term, self._dispatcher, self.pacer)
-        self.rentals = Rentals(term, self._gone)
-        self.watch = MachineWatch(term, self._dispatcher, self.rentals.delete, self._check_known)
+        self.pacer = EventLoopBudget(
+            round(term.tunables.leadership.ttl_us * term.tunables.most_hold)
+        )
+        self.deciding = SchedulingLoop(term, self._dispatcher, self.pacer)
+        self.rentals = RentalManager(term, self._gone)
+        self.watch = MachineMonitor(term, self._dispatcher, self.rentals.delete, self._check_known)
         #: The term's gates; None: this node is given no documents.
-        self.gates: Gates | None = None
+        self.gates: GateKeeper | None = None
         if self.publisher is not None:
             self.gates = self._open_gates(self.publisher)
             self.completions.with_gate = self.gates.commit_end
         self.reachability = ReachabilityMonitor(
             term, self._dispatcher, self._answered, self.rentals.delete, self.watch.silent_live
         )
-        self.recovery = Recovery(
+        self.recovery = TermRecovery(
             term, self.completions, self.rentals, self.linking, self.watch, self._dispatcher,
             self.pacer, self._apply_early, self.publisher, self.gates,
         )  # fmt: skip
         self.deciding.partial = self.recovery.partial
-        self.sizing = Sizing(term, self.deciding, self.rentals, self.watch, self.gates)
-        self.look_ahead = LookAhead(term, self.pacer, self.linking.stage_us)
+        self.sizing = Autoscaler(term, self.deciding, self.rentals, self.watch, self.gates)
+        self.look_ahead = CompletionForecaster(term, self.pacer, self.linking.stage_us)
         #: The term's calendars; None: this node is given no documents.
-        self.calendars: Calendars | None = None
+        self.calendars: CalendarKeeper | None = None
         if self.publisher is not None:
             self.calendars = self._open_calendars(self.publisher)
             self.look_ahead.notes = self.calendars.notes
@@ -108,17 +110,17 @@
         if self.gates is not None:
             self.look_ahead.held = self.gates.why
 
-    def _open_gates(self, publisher: Publisher) -> "Gates":
+    def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
         # Loaded by controllers that are given documents only.
-        from weldhead.controller.configuration.gates import Gates
+        from weldhead.controller.configuration.gates import GateKeeper
 
-        return Gates(self.term, publisher, self.linking, self._dispatcher)
+        return GateKeeper(self.term, publisher, self.linking, self._dispatcher)
 
-    def _open_calendars(self, publisher: Publisher) -> "Calendars":
+    def _open_calendars(self, publisher: DocumentPublisher) -> "CalendarKeeper":
         # Loaded by controllers that are given documents only.
-        from weldhead.controller.configuration.calendars import Calendars
+        from weldhead.controller.configuration.calendars import CalendarKeeper
 
-        return Calendars(self.term, publisher, self.linking.refresh)
+        return CalendarKeeper(self.term, publisher, self.linking.refresh)
 
     # -- the term's life ------------------------------------------------------------
 
@@ -138,12 +140,12 @@
         return self.term.cluster
 
     @property
-    def ledger(self) -> Ledger:
+    def ledger(self) -> StateWriter:
         """The term's writes."""
         return self.term.ledger
 
     @property
-    def chains(self) -> Chains:
+    def chains(self) -> DependencyGraph:
         """Which jobs wait for which."""
         return self.term.chains
 
@@ -164,7 +166,7 @@
     async def _run_ledger(self) -> None:
         try:
             await self.ledger.run()
-        except Deposed:
+        except LeadershipLostError:
             self.term.on_deposed("the leader's key is not ours any more")
         except Exception:
             # It kept its lease without writing anything more, and nobody else could lead.
@@ -262,11 +264,11 @@
         answer.forecast_s = round(to_seconds(job.forecast_us - job.first_seen_us), 1)
         due = due_us(job)
         stands = self.look_ahead.standing(job, now_us()) if job.bound is not None else None
-        if stands is Standing.UNKNOWN:
+        if stands is DeadlineStanding.UNKNOWN:
             # Nothing is guessed of a job of no history.
             return answer
         if due is not None:
-            answer.late = job.forecast_us > due or stands is Standing.LATE
+            answer.late = job.forecast_us > due or stands is DeadlineStanding.LATE
             if job.forecast_us > due:
                 answer.late_by_s = round(to_seconds(job.forecast_us - due), 1)
         return answer
@@ -274,12 +276,12 @@
     async def cancel(self, job_id: str) -> JobStatus | None:
         """Cancel a job; None if it is not known. NotReady if it cannot be decided now."""
         if not self.loaded or now_us() < self.term.predecessor_over_us:
-            raise NotReady
+            raise NotReadyError
         job = self.cluster.jobs.get(job_id)
         if job is None:
             return self.status(job_id)
         if not job.cancelled and not await self.completions.cancel(job, CANCEL_WAIT_US):
-            raise NotReady
+            raise NotReadyError
         return JobStatus(job_id, "withdrawn")
 
     # -- workers ----------------------------------------------------------------------
@@ -288,7 +290,7 @@
         """Machines that ought to have reported by now; their reports are to be relayed."""
         return self.watch.silent_machines(at_us)
 
-    def report(self, report: Report, at_us: int, *, relayed: bool) -> ReportAnswer | None:
+    def report(self, report: Heartbeat, at_us: int, *, relayed: bool) -> HeartbeatAnswer | None:
         """Handle a worker's report; None: it must not be answered 200."""
         if not self.valid:
             return None
@@ -297,12 +299,12 @@
             return None
         if not self.loaded:
             kept = self.recovery.answer_early(report, at_us, relayed=relayed)
-            return ReportAnswer(self.token, []) if kept else None
+            return HeartbeatAnswer(self.token, []) if kept else None
         machine = self.cluster.machines.get(report.machine)
         if machine is None:
             self._stranger(report)
             # The answer renews a lease, and what runs there counts for nobody: it has to go.
-            return ReportAnswer(self.token, kill_all(report))
+            return HeartbeatAnswer(self.token, kill_all(report))
         freshness = self.reachability.freshness(machine, report)
         if machine.deleting or freshness is Freshness.COPY:
             return None
@@ -311,7 +313,7 @@
                 return None
             machine.lease_from_us = max(machine.lease_from_us, machine.seen_us)
             # No answer renews a lease without the kills: a run may not be repeated, they may.
-            return ReportAnswer(self.token, pending_kills(machine))
+            return HeartbeatAnswer(self.token, pending_kills(machine))
         self.reachability.listen(machine, report, at_us, relayed=relayed)
         machine.relayed = relayed
         self._apply(machine, report, direct=False)
@@ -329,8 +331,8 @@
             may_start=machine.synced and machine.up and not machine.deaf,
             sequence=report.sequence,
         )
-        self.reachability.told(machine, report, commands, at_us, relayed=relayed)
-        return ReportAnswer(self.token, commands)
+        self.reachability.record_answer(machine, report, commands, at_us, relayed=relayed)
+        return HeartbeatAnswer(self.token, commands)
 
     def _count_answer(self, machine: Machine, freshness: Freshness, at_us: int) -> bool:
         """Enter that a report is about to be answered; false: it must not be."""
@@ -344,12 +346,12 @@
         machine.lease_from_us = max(machine.lease_from_us, at_us)
         return True
 
-    def _stranger(self, report: Report) -> None:
+    def _stranger(self, report: Heartbeat) -> None:
         """A report of a machine that no record names."""
         if self.rentals.is_unexpected(report):
             self.reachability.meet(report, self.rentals.unexpected)
 
-    def _answered(self, machine: Machine, report: Report) -> None:
+    def _answered(self, machine: Machine, report: Heartbeat) -> None:
         """Take a worker's answer to direct commands."""
         self._apply(machine, report, direct=True)
         self.reachability.answered(machine)
@@ -358,7 +360,7 @@
         """A worker did not answer direct commands."""
         self.reachability.unanswered(machine)
 
-    def _apply_early(self, early: Early) -> None:
+    def _apply_early(self, early: BufferedHeartbeat) -> None:
         """Take what a machine said before its records were loaded."""
         machine = self.cluster.machines.get(early.report.machine)
         if machine is None:
@@ -375,11 +377,11 @@
                 machine.lease_from_us = max(machine.lease_from_us, from_us)
             machine.relayed = early.relayed
             if early.answered:
-                self.reachability.told(
+                self.reachability.record_answer(
                     machine, early.report, [], early.answered_us, relayed=early.relayed
                 )
 
-    def _apply(self, machine: Machine, report: Report, *, direct: bool) -> None:
+    def _apply(self, machine: Machine, report: Heartbeat, *, direct: bool) -> None:
         if not is_newer(machine, report):
             return
         at_us = now_us()
@@ -394,7 +396,7 @@
             self.watch.noticed[machine.name] = machine
             self.watch.evacuate(machine, at_us)
 
-    def _digest(self, machine: Machine, outcome: Outcome, at_us: int) -> None:
+    def _digest(self, machine: Machine, outcome: HeartbeatEffect, at_us: int) -> None:
         self._check_known()
         if outcome.verdicts:
             self.term.tally.tasks.update(outcome.verdicts)
@@ -425,9 +427,9 @@
                 changes = await self.term.state.watch(
                     JOBS, self.recovery.jobs_revision, 10 * SECOND_US
                 )
-            except Compacted:
+            except RevisionCompactedError:
                 async for entries, revision in self.term.state.pages(JOBS):  # noqa: B007
-                    for part in parts(entries):
+                    for part in batches(entries):
                         for entry in part:
                             record = decode(bytes(entry.value), JobRecord)
                             self.job_created(record, entry.version)
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -24,33 +24,33 @@
     LeaderRecord,
     UnsettledRecord,
 )
-from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.configuration.publisher import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.leader_lease import (
-    Authority,
     Candidacy,
+    LeaderLease,
     default_timing,
     handicap_us,
     predecessor_over_us,
 )
-from weldhead.controller.leadership.lease_renewer import Renewal
-from weldhead.controller.leadership.peer_failure_detector import Judging
-from weldhead.controller.leadership.previous_leaders import Predecessors, missed_from_us
+from weldhead.controller.leadership.lease_renewer import LeaseRenewer
+from weldhead.controller.leadership.peer_failure_detector import PeerFailureDetector
+from weldhead.controller.leadership.previous_leaders import PreviousLeaders, missed_from_us
 from weldhead.controller.leadership.promises import ask_for_promises
 from weldhead.controller.term import Term
-from weldhead.protocol.peer import Held, Hold, Pong, Resigned
+from weldhead.protocol.peer import LeaderResigned, Pong, PromiseAnswer, PromiseRequest
 from weldhead.protocol.settings import Settings
-from weldhead.protocol.wire import Condition, MachineType, Put
+from weldhead.protocol.wire import Condition, MachineType, PutKey
 from weldhead.reconciliation.answer_window import answers_until_us, earliest_missed
-from weldhead.transport.background_tasks import Duties
+from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.cloud_client import CloudClient
-from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import (
-    Busy,
-    Compacted,
-    Conflict,
-    LeaseGone,
+    ConflictError,
+    LeaseNotFoundError,
+    RateLimitedError,
+    RevisionCompactedError,
     StateClient,
     decode,
 )
@@ -68,7 +68,7 @@
 RELEASE_S = 5.0
 
 
-class Campaign:
+class LeaderElection:
     """One controller's part in who leads; ``leader`` is its own term, if it has one."""
 
     def __init__(
@@ -76,7 +76,7 @@
         settings: Settings,
         tunables: Tunables,
         links: Mapping[str, PeerLink],
-        duties: Duties,
+        duties: BackgroundTasks,
         started_us: int,
     ) -> None:
         self.settings = settings
@@ -85,7 +85,7 @@
         self._duties = duties
         self._started_us = started_us
         self.timing = default_timing(tunables.leadership.ttl_us)
-        self.authority = Authority(self.timing, frozenset(links))
+        self.authority = LeaderLease(self.timing, frozenset(links))
         self.candidacy = Candidacy(self.timing, started_us)
         self.leader: Leader | None = None
         self.catalog: list[MachineType] = []
@@ -100,18 +100,20 @@
         self._vacant = asyncio.Event()
         #: One attempt at the key at a time: the end of an earlier one spoiled a later one's term.
         self._standing = asyncio.Lock()
-        self.predecessors = Predecessors(settings.name, self._life, len(links), self.timing.ttl_us)
+        self.predecessors = PreviousLeaders(
+            settings.name, self._life, len(links), self.timing.ttl_us
+        )
         #: The leader that this node last tried to replace.
         self._tried_token = 0
-        self._renewal: Renewal | None = None
-        self.judging = Judging(links, duties, self._judged_dead)
+        self._renewal: LeaseRenewer | None = None
+        self.judging = PeerFailureDetector(links, duties, self._judged_dead)
 
     def open(
         self,
         state: StateClient,
         cloud: CloudClient,
         worker_http: HttpClient,
-        documents: Documents | None = None,
+        documents: DocumentReplica | None = None,
     ) -> None:
         """Use these from now on."""
         self._documents = documents
@@ -142,7 +144,7 @@
         await self.read_leader()
         while True:
             # Compacted: it is begun anew at once.
-            with contextlib.suppress(Compacted):
+            with contextlib.suppress(RevisionCompactedError):
                 if await self.predecessors.follow(10 * SECOND_US):
                     await self.read_leader()
 
@@ -274,14 +276,14 @@
                 [Condition(LEADER_KEY, replaced)],
                 # On no condition of its own: applied late, it says what was so earlier, and
                 # whoever believes that is only more careful.
-                [Put(LEADER_KEY, record, lease), Put(UNSETTLED_KEY, unsettled)],
+                [PutKey(LEADER_KEY, record, lease), PutKey(UNSETTLED_KEY, unsettled)],
                 urgent=True,
             )
-        except (Conflict, LeaseGone):
+        except (ConflictError, LeaseNotFoundError):
             self._duties.once("lease returned", self._state.revoke(lease))
             await self.read_leader()
             return
-        except CallFailed:
+        except CallError:
             # It may have been applied: only the key itself can tell.
             entry = await self._state.get(LEADER_KEY, urgent=True)
             if entry is None or decode(bytes(entry.value), LeaderRecord).nonce != record.nonce:
@@ -331,7 +333,7 @@
         def unanswered() -> None:
             self._state.failed_us = now_us()
 
-        self._renewal = Renewal(
+        self._renewal = LeaseRenewer(
             self.timing, self.authority, lambda: self.leader is leader, attempt, self._hold_on,
             self.step_down, unanswered,
         )  # fmt: skip
@@ -346,7 +348,7 @@
         """Look whether the key is still ours; false if that cannot be seen now."""
         try:
             await self.read_leader(patience_us)
-        except CallFailed as error:
+        except CallError as error:
             log.debug("the leader's key is not read: %s", error)
             if self.leader is leader:
                 # Whatever it has written since is as good.
@@ -376,24 +378,24 @@
             return
         if self.leader is not None:
             self.step_down(f"the state service serves {denied.link.name} but not this node")
-            denied.link.send(Resigned(0, token))
+            denied.link.send(LeaderResigned(0, token))
 
-    async def answer_hold(self, name: str, hold: Hold) -> Held:
+    async def answer_hold(self, name: str, hold: PromiseRequest) -> PromiseAnswer:
         """Answer a leader that asks for a promise."""
         self.learn_token(name, hold.token)
         promised = await self.promise(hold)
         running_us = now_us() - self._started_us
-        return Held(hold.id, promised, self.highest_token, running_us)
+        return PromiseAnswer(hold.id, promised, self.highest_token, running_us)
 
-    async def promise(self, hold: Hold) -> bool:
+    async def promise(self, hold: PromiseRequest) -> bool:
         """Whether to promise the leader not to campaign: only if we are not served either."""
         try:
             await self._state.get(LEADER_KEY, urgent=True, timeout_us=self.timing.renew_us // 2)
             return False
-        except Busy:
+        except RateLimitedError:
             # The rate is used up, so the store is up: neither promised nor denied.
             raise
-        except CallFailed:
+        except CallError:
             if self.leader is not None or hold.duration_us > self.timing.promise_us:
                 raise
             if hold.token < self.highest_token:
@@ -403,7 +405,7 @@
             self.candidacy.promise(now_us())
             return True
 
-    async def succeed(self, message: Resigned) -> None:
+    async def succeed(self, message: LeaderResigned) -> None:
         """The leader says that it has stopped commanding: replace it at once."""
         self.highest_token = max(self.highest_token, message.token)
         if self.leader is None and self.catalog and self.candidacy.may_lead(now_us()):
--- a/weldhead/controller/leadership/leader_lease.py
+++ b/weldhead/controller/leadership/leader_lease.py
@@ -21,7 +21,7 @@
 * A promise shows that its giver's process has not replaced the asker: it compares tokens. A
   former process of the giver may have, and its memory is gone. So a promise counts only from
   a process that has run since the asker's key was last seen, or since a time at which an
-  earlier promise bound the giver; see ``Authority.unreplaced_until_us``.
+  earlier promise bound the giver; see ``LeaderLease.unreplaced_until_us``.
 """
 
 import logging
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Timing:
+class LeaseTiming:
     """The leadership's times."""
 
     ttl_us: int
@@ -41,10 +41,10 @@
     promise_us: int
 
 
-class Authority:
+class LeaderLease:
     """What a holder may still believe. No I/O; times are the steady clock's."""
 
-    def __init__(self, timing: Timing, peers: frozenset[str]) -> None:
+    def __init__(self, timing: LeaseTiming, peers: frozenset[str]) -> None:
         self._timing = timing
         self._peers = peers
         self.token = 0
@@ -141,7 +141,7 @@
 class Candidacy:
     """When a node may campaign. No I/O."""
 
-    def __init__(self, timing: Timing, started_us: int) -> None:
+    def __init__(self, timing: LeaseTiming, started_us: int) -> None:
         self._timing = timing
         self._promise_until_us = 0
         #: A promise given in a former life of this process may still be relied on.
@@ -188,6 +188,6 @@
     return min(unreached, 4) * 100 * MILLISECOND_US
 
 
-def default_timing(ttl_us: int = 3 * SECOND_US) -> Timing:
+def default_timing(ttl_us: int = 3 * SECOND_US) -> LeaseTiming:
     """Return the times that follow from the lease's length."""
-    return Timing(ttl_us=ttl_us, renew_us=ttl_us // 4, promise_us=ttl_us // 2)
+    return LeaseTiming(ttl_us=ttl_us, renew_us=ttl_us // 4, promise_us=ttl_us // 2)
--- a/weldhead/controller/leadership/lease_renewer.py
+++ b/weldhead/controller/leadership/lease_renewer.py
@@ -11,18 +11,22 @@
 from collections.abc import Awaitable, Callable
 
 from weldhead.clock import now_us, to_seconds
-from weldhead.controller.leadership.leader_lease import Authority, Timing
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Busy, LeaseGone, Refused
+from weldhead.controller.leadership.leader_lease import LeaderLease, LeaseTiming
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import (
+    LeaseNotFoundError,
+    RateLimitedError,
+    RequestRefusedError,
+)
 
 log = logging.getLogger(__name__)
 
 
-class NoAnswerYet(CallFailed):
+class RenewalTimeoutError(CallError):
     """An attempt is not answered in time, and goes on."""
 
 
-class Renewal:
+class LeaseRenewer:
     """The renewals of one term.
 
     ``leads`` says whether the term goes on; ``attempt`` extends the lease and reads the leader's
@@ -32,8 +36,8 @@
 
     def __init__(
         self,
-        timing: Timing,
-        authority: Authority,
+        timing: LeaseTiming,
+        authority: LeaderLease,
         leads: Callable[[], bool],
         attempt: Callable[[int], Awaitable[bool]],
         hold_on: Callable[[], Awaitable[None]],
@@ -84,12 +88,12 @@
         renew_us = self._timing.renew_us
         try:
             seen = await self._answer(renew_us if self._failing else self._patience_us)
-        except LeaseGone:
+        except LeaseNotFoundError:
             # A term of its own may have begun since this was asked for the one before.
             if self._leads():
                 self._step_down("the lease is gone")
             return 0
-        except CallFailed as error:
+        except CallError as error:
             return await self._failed(error)
         self._failing = False
         if self._leads() and not self._authority.valid(now_us()):
@@ -118,13 +122,13 @@
                     del self._attempts[: place + 1]
                     return attempt.result()
                 del self._attempts[place]
-                if attempt is newest or not isinstance(error, CallFailed):
+                if attempt is newest or not isinstance(error, CallError):
                     raise error
         if self._authority.lease_until_us > lease_until_us:
             # Extended, and the key seen by another request.
             return False
         self._unanswered()
-        raise NoAnswerYet("no answer yet")
+        raise RenewalTimeoutError("no answer yet")
 
     async def _timed(self) -> bool:
         """Make an attempt, and note how long a good answer took."""
@@ -133,15 +137,15 @@
         self._took_us = now_us() - sent_us
         return seen
 
-    async def _failed(self, error: CallFailed) -> int:
+    async def _failed(self, error: CallError) -> int:
         """An attempt has failed; return how long to wait before the next."""
         renew_us = self._timing.renew_us
         # Said once for each trouble, not at each of its many attempts.
         log.log(logging.DEBUG if self._failing else logging.INFO, "lease not renewed: %s", error)
-        lost = not self._failing and not isinstance(error, Refused)
+        lost = not self._failing and not isinstance(error, RequestRefusedError)
         self._failing = True
         left_us = self._authority.lease_until_us - now_us()
-        if isinstance(error, Busy) and left_us > 2 * renew_us:
+        if isinstance(error, RateLimitedError) and left_us > 2 * renew_us:
             # The store is well, and the others are served: no reason to hand over.
             return renew_us // 3
         if lost:
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -7,14 +7,14 @@
 
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
 from weldhead.cluster_state.records import LEADER_KEY
-from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.configuration.publisher import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
-from weldhead.controller.leadership.leader_election import Campaign
-from weldhead.membership.isolation import Contact, IsolationDetector
-from weldhead.protocol.peer import Answer, Ask
+from weldhead.controller.leadership.leader_election import LeaderElection
+from weldhead.membership.isolation import IsolationDetector, LastContact
+from weldhead.protocol.peer import ForwardedAnswer, ForwardedRequest
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import MachineType
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response, refusal
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import StateClient
@@ -33,7 +33,7 @@
     """What this node knows of the others, and what it has them answer."""
 
     def __init__(
-        self, name: str, links: Mapping[str, PeerLink], campaign: Campaign, started_us: int
+        self, name: str, links: Mapping[str, PeerLink], campaign: LeaderElection, started_us: int
     ) -> None:
         self._name = name
         self._links = links
@@ -41,7 +41,7 @@
         self._isolation = IsolationDetector(started_us)
         self._turn = 0
         #: Calendars and gates; None: this node is given none.
-        self.documents: Documents | None = None
+        self.documents: DocumentReplica | None = None
 
     def open(self, state: StateClient) -> None:
         """Use this from now on."""
@@ -73,14 +73,14 @@
                 # Nobody may have called the service for seconds: then nothing has failed.
                 try:
                     await self._state.get(LEADER_KEY, urgent=True, timeout_us=PROOF_US)
-                except CallFailed as error:
+                except CallError as error:
                     log.debug("all others are silent, and the state service: %s", error)
                 self._look()
         await asyncio.Event().wait()
 
     def _look(self) -> None:
         answered_us = max(link.heard_us for link in self._links.values())
-        contact = Contact(answered_us, self._state.served_us, self._state.failed_us)
+        contact = LastContact(answered_us, self._state.served_us, self._state.failed_us)
         if self._isolation.look(contact, now_us()):
             if self.alone:
                 log.info(
@@ -150,7 +150,7 @@
             return None
         answer = await self.forward(links[home], "read", job_id, b"")
         if answer is None:
-            raise CallFailed(f"{home} does not answer for {job_id}")
+            raise CallError(f"{home} does not answer for {job_id}")
         return answer
 
     def peers_know(self, least_format: int) -> bool:
@@ -175,8 +175,10 @@
             return None
         at_us = now_us()
         try:
-            answer = await link.ask(Ask(link.next_id(), kind, job_id, body), Answer, FORWARD_US)
-        except CallFailed:
+            answer = await link.ask(
+                ForwardedRequest(link.next_id(), kind, job_id, body), ForwardedAnswer, FORWARD_US
+            )
+        except CallError:
             return None
         if now_us() - at_us > FORWARD_US:
             # Read only after this process stood still: others may have answered newer since.
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -8,11 +8,17 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
-from weldhead.membership.peer_verdict import Observation, State, Verdict, View, judge
-from weldhead.protocol.peer import Look, Ping, Pong, Seen
+from weldhead.membership.peer_verdict import (
+    IndirectProbeResult,
+    MembershipView,
+    PeerState,
+    PeerVerdict,
+    judge_peer,
+)
+from weldhead.protocol.peer import IndirectProbe, IndirectProbeAnswer, Ping, Pong
 from weldhead.protocol.versions import LOOK_FORMAT
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import StateClient
 
@@ -24,19 +30,19 @@
 LOOK_AGAIN_US = 200 * MILLISECOND_US
 
 
-class Judging:
+class PeerFailureDetector:
     """This node's verdicts; ``dead`` acts on one, and says whether to come back to it."""
 
     def __init__(
         self,
         links: Mapping[str, PeerLink],
-        duties: Duties,
+        duties: BackgroundTasks,
         dead: Callable[[str], Awaitable[bool]],
     ) -> None:
         self._links = links
         self._duties = duties
         self._dead = dead
-        self.view = View()
+        self.view = MembershipView()
         self._under_way: set[str] = set()
 
     def start(self, state: StateClient, read_leader: Callable[[], Awaitable[None]]) -> None:
@@ -65,59 +71,64 @@
                 try:
                     # Again and again: promised to that leader just before it ended, or in an
                     # outage, this node waited for the whole lease after a single attempt.
-                    if verdict.state is State.DEAD and not await self._dead(name):
+                    if verdict.state is PeerState.DEAD and not await self._dead(name):
                         return
-                except CallFailed as error:
+                except CallError as error:
                     log.debug("%s is not replaced yet: %s", name, error)
                 await asyncio.sleep(to_seconds(LOOK_AGAIN_US))
-            if self.view.enter(name, Verdict(State.ALIVE, "")):
+            if self.view.enter(name, PeerVerdict(PeerState.ALIVE, "")):
                 log.info("%s: alive: connections are taken again", name)
         finally:
             self._under_way.discard(name)
 
-    async def _verdict(self, link: PeerLink) -> Verdict:
+    async def _verdict(self, link: PeerLink) -> PeerVerdict:
         observations = await self._observations(link.name)
         verdict = self._judge(link, observations)
-        if verdict.state is State.DEAD and not observations:
+        if verdict.state is PeerState.DEAD and not observations:
             # By this node's word alone: then it has to be served itself.
             try:
                 await self._read_leader()
-            except CallFailed as error:
+            except CallError as error:
                 log.debug("judging %s: %s", link.name, error)
             verdict = self._judge(link, observations)
         return verdict
 
-    def _judge(self, link: PeerLink, observations: list[tuple[str, Observation]]) -> Verdict:
+    def _judge(
+        self, link: PeerLink, observations: list[tuple[str, IndirectProbeResult]]
+    ) -> PeerVerdict:
         others = [other.observed() for other in self._links.values() if other is not link]
-        return judge(link.observed(), others, observations, now_us(), self._state.failed_us)
+        return judge_peer(link.observed(), others, observations, now_us(), self._state.failed_us)
 
-    async def _observations(self, name: str) -> list[tuple[str, Observation]]:
+    async def _observations(self, name: str) -> list[tuple[str, IndirectProbeResult]]:
         """Ask the others what they see of a controller."""
         at_us = now_us()
         asked = [
             link for link in self._links.values()
             if link.name != name and link.alive(at_us) and link.format >= LOOK_FORMAT
         ]  # fmt: skip
-        looks = [link.ask(Look(link.next_id(), name), Seen, LOOK_US) for link in asked]
+        looks = [
+            link.ask(IndirectProbe(link.next_id(), name), IndirectProbeAnswer, LOOK_US)
+            for link in asked
+        ]
         answers = await asyncio.gather(*looks, return_exceptions=True)
-        known = {observation.value: observation for observation in Observation}
+        known = {observation.value: observation for observation in IndirectProbeResult}
         return [
             (link.name, known[answer.observation])
             for link, answer in zip(asked, answers, strict=True)
-            if isinstance(answer, Seen) and answer.observation in known
+            if isinstance(answer, IndirectProbeAnswer) and answer.observation in known
         ]
 
-    async def look(self, name: str) -> Observation:
+    async def look(self, name: str) -> IndirectProbeResult:
         """Say for another controller whether this one reaches a third, asking it first."""
         link = self._links.get(name)
         if link is None:
-            return Observation.LOST
+            return IndirectProbeResult.LOST
         if link.connected:
             try:
                 ping = Ping(link.next_id(), 0, self._state.ok)
                 await link.ask(ping, Pong, LOOK_US // 2)
-                return Observation.HEARD
-            except CallFailed:
+                return IndirectProbeResult.HEARD
+            except CallError:
                 if link.connected:
-                    return Observation.CONNECTED
-        return Observation.REFUSED if link.refused_us else Observation.LOST
+                    return IndirectProbeResult.CONNECTED
+        return IndirectProbeResult.REFUSED if link.refused_us else IndirectProbeResult.LOST
--- a/weldhead/controller/leadership/previous_leaders.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -16,8 +16,8 @@
     UnsettledRecord,
 )
 from weldhead.protocol.peer import Pong
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import STAND_US, Compacted, StateClient, decode
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import STAND_US, RevisionCompactedError, StateClient, decode
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 JUST_ASKED_US = 500 * MILLISECOND_US
 
 
-class Predecessors:
+class PreviousLeaders:
     """What one controller knows of the leaders before the one that leads.
 
     ``life`` is how all nonces of this process begin; ``ttl_us`` bounds how long a leader may
@@ -90,7 +90,7 @@
         since = self._followed if self._followed is not None else await self._begin()
         try:
             changes = await self._state.watch(LEADER_KEY, since, wait_us)
-        except Compacted:
+        except RevisionCompactedError:
             self._followed = None
             raise
         # Somebody else may have asked meanwhile, and have taken some of it into account.
@@ -129,7 +129,7 @@
         try:
             async with asyncio.timeout(to_seconds(CATCH_UP_US)):
                 await self.follow(0)
-        except (CallFailed, Compacted, TimeoutError) as error:
+        except (CallError, RevisionCompactedError, TimeoutError) as error:
             log.info("it is not known who led before: %r", error)
             self._doubt()
 
@@ -144,6 +144,6 @@
         return None
     try:
         return decode(bytes(entry.value), UnsettledRecord).from_us
-    except CallFailed:
+    except CallError:
         # Not ours: anything may have been missed, and to lead is better than not to.
         return 0
--- a/weldhead/controller/leadership/promises.py
+++ b/weldhead/controller/leadership/promises.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass
 
 from weldhead.clock import now_us, surely_valid_us, to_seconds
-from weldhead.controller.leadership.leader_lease import Authority, Timing
-from weldhead.protocol.peer import Held, Hold
+from weldhead.controller.leadership.leader_lease import LeaderLease, LeaseTiming
+from weldhead.protocol.peer import PromiseAnswer, PromiseRequest
 from weldhead.transport.peer_links import PeerLink
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
-class Denied:
+class PromiseDenied:
     """A controller that did not promise, and the highest token that it has heard of (or 0)."""
 
     link: PeerLink
@@ -25,12 +25,14 @@
 
 
 async def ask_for_promises(
-    links: Sequence[PeerLink], authority: Authority, timing: Timing
-) -> Denied | None:
+    links: Sequence[PeerLink], authority: LeaderLease, timing: LeaseTiming
+) -> PromiseDenied | None:
     """Ask all for a promise and enter those that count; return who denied one, if anybody."""
     token, sent_us = authority.token, now_us()
     asked = [
-        link.ask(Hold(link.next_id(), token, timing.promise_us), Held, timing.renew_us)
+        link.ask(
+            PromiseRequest(link.next_id(), token, timing.promise_us), PromiseAnswer, timing.renew_us
+        )
         for link in links
     ]
     answers = await asyncio.gather(*asked, return_exceptions=True)
@@ -39,15 +41,15 @@
         # nobody who has said since that it knows of no term.
         return None
     for link, answer in zip(links, answers, strict=True):
-        if not isinstance(answer, Held):
+        if not isinstance(answer, PromiseAnswer):
             continue
         if not answer.promised or answer.known_token > token:
-            return Denied(link, answer.known_token)
+            return PromiseDenied(link, answer.known_token)
         _enter(link, answer, authority, sent_us)
     return None
 
 
-def _enter(link: PeerLink, answer: Held, authority: Authority, sent_us: int) -> None:
+def _enter(link: PeerLink, answer: PromiseAnswer, authority: LeaderLease, sent_us: int) -> None:
     """Enter a promise, unless a former process of its giver may have replaced this node."""
     at_us = now_us()
     began_us = began_by_us(link, answer, at_us)
@@ -61,7 +63,7 @@
         )  # fmt: skip
 
 
-def began_by_us(link: PeerLink, answer: Held, at_us: int) -> int:
+def began_by_us(link: PeerLink, answer: PromiseAnswer, at_us: int) -> int:
     """Return by when a peer's process had surely begun, by this node's clock.
 
     It says for how long it has run. Of a version that does not, it is known that its process is
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -10,43 +10,43 @@
 
 from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds, wall_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.dependency_graph import Chains
-from weldhead.cluster_state.jobs import UNKNOWN_OPENING, Job
+from weldhead.cluster_state.dependency_graph import DependencyGraph
+from weldhead.cluster_state.jobs import UNKNOWN_GATE_STATUS, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.records import (
     CHUNK_TASKS,
-    HIRES,
     JOBS,
     LEADER_KEY,
     PROGRESS,
+    RENTALS,
     UNSETTLED_KEY,
-    HireRecord,
     JobRecord,
+    RentalRecord,
     decode_progress,
     job_key,
     without_gate,
 )
-from weldhead.cluster_state.state_writer import Deposed
-from weldhead.controller.configuration.publisher import Publisher
-from weldhead.controller.fleet.rental_manager import Rentals
-from weldhead.controller.loop_budget import Pacer
+from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.configuration.publisher import DocumentPublisher
+from weldhead.controller.fleet.rental_manager import RentalManager
+from weldhead.controller.loop_budget import EventLoopBudget
 from weldhead.controller.requests.completions import Completions
-from weldhead.controller.requests.job_dependencies import Linking
-from weldhead.controller.scheduling_loop.preemption_recorder import read_taken
-from weldhead.controller.term import Term, parts
-from weldhead.controller.workers.command_dispatcher import Dispatcher
-from weldhead.controller.workers.machine_monitor import MachineWatch
-from weldhead.protocol.wire import Entry, Report, split_task
-from weldhead.reachability.silence import look_gone
-from weldhead.reconciliation.buffered_heartbeats import Early, EarlyReports
-from weldhead.reconciliation.partial_view import Partial, doubts, partial_of
-from weldhead.reconciliation.status_probes import Asking
-from weldhead.scheduling.autoscaling.arrival_rates import Demand
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Rejected, decode
+from weldhead.controller.requests.job_dependencies import JobDependencies
+from weldhead.controller.scheduling_loop.preemption_recorder import load_preemption_history
+from weldhead.controller.term import Term, batches
+from weldhead.controller.workers.command_dispatcher import CommandDispatcher
+from weldhead.controller.workers.machine_monitor import MachineMonitor
+from weldhead.protocol.wire import Heartbeat, KeyValue, split_task
+from weldhead.reachability.silence import look_lost
+from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat, HeartbeatBuffer
+from weldhead.reconciliation.partial_view import PartialView, partial_view_of, unverified_usage
+from weldhead.reconciliation.status_probes import StatusProbes
+from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import TransactionRejectedError, decode
 
 if TYPE_CHECKING:
-    from weldhead.controller.configuration.gates import Gates
+    from weldhead.controller.configuration.gates import GateKeeper
 
 log = logging.getLogger(__name__)
 
@@ -56,7 +56,7 @@
 ASK_PAUSE_US = 20 * MILLISECOND_US
 
 
-class Recovery:
+class TermRecovery:
     """Loads the term; ``known`` is set when nothing can run that this leader does not know of.
 
     ``apply`` takes what a machine said before its records were there.
@@ -66,14 +66,14 @@
         self,
         term: Term,
         completions: Completions,
-        rentals: Rentals,
-        linking: Linking,
-        watch: MachineWatch,
-        dispatcher: Dispatcher,
-        pacer: Pacer,
-        apply: Callable[[Early], None],
-        publisher: Publisher | None = None,
-        gates: "Gates | None" = None,
+        rentals: RentalManager,
+        linking: JobDependencies,
+        watch: MachineMonitor,
+        dispatcher: CommandDispatcher,
+        pacer: EventLoopBudget,
+        apply: Callable[[BufferedHeartbeat], None],
+        publisher: DocumentPublisher | None = None,
+        gates: "GateKeeper | None" = None,
     ) -> None:
         self._term = term
         self._completions = completions
@@ -88,11 +88,11 @@
         #: The revision from which jobs are watched.
         self.jobs_revision = 0
         self.known = asyncio.Event()
-        self.early = EarlyReports()
+        self.early = HeartbeatBuffer()
         #: Jobs that were read and are not cancelled: before the term is loaded nobody cancels one.
         self._wanted: set[str] = set()
         sockets = term.settings.facts.limits.sockets
-        self.asking = Asking(term.tunables.recovery.asking(sockets))
+        self.asking = StatusProbes(term.tunables.recovery.asking(sockets))
         #: Machines on record that have not been seen to be known or gone.
         self._unknown: dict[str, Machine] = {}
         self._said_mute = False
@@ -109,7 +109,7 @@
         while not term.loaded:
             try:
                 await self.load()
-            except CallFailed as error:
+            except CallError as error:
                 log.info("recovery: reading the store failed: %s", error)
                 await asyncio.sleep(0.2)
         log.info(
@@ -125,25 +125,25 @@
         term = self._term
         at_us, wall = now_us(), wall_us()
         term.cluster = Cluster(term.settings.facts.teams, term.token)
-        term.chains = Chains(term.cluster.jobs)
-        term.demand = Demand(term.tunables.fleet.demand_memory_us)
+        term.chains = DependencyGraph(term.cluster.jobs)
+        term.demand = ArrivalRates(term.tunables.fleet.demand_memory_us)
         if self._publisher is not None:
             # Before the jobs: whether they are held is judged by this term's own reading.
             await self._publisher.load()
         if self._gates is not None:
             self._gates.reset()
-        async for entries, _ in term.state.pages(HIRES):
+        async for entries, _ in term.state.pages(RENTALS):
             for entry in entries:
-                hire = decode(bytes(entry.value), HireRecord)
+                hire = decode(bytes(entry.value), RentalRecord)
                 term.ledger.learn(entry.key, entry.version)
-                self._rentals.load(entry.key.removeprefix(HIRES), hire, at_us, wall)
+                self._rentals.load(entry.key.removeprefix(RENTALS), hire, at_us, wall)
             await asyncio.sleep(0)
         self._unknown = {m.name: m for m in term.cluster.machines.values() if m.up}
         shown = (m for m in self._unknown if not self.early.showed(m, term.token))
         self.asking.add(shown)
         revision = 0
         async for entries, revision in term.state.pages(JOBS):  # noqa: B007
-            for part in parts(entries):
+            for part in batches(entries):
                 for entry in part:
                     record = decode(bytes(entry.value), JobRecord)
                     self.add_job(record, entry.version, at_us, wall)
@@ -151,15 +151,15 @@
                         self._wanted.add(record.spec.id)
                 await asyncio.sleep(0)
         jobs = list(term.cluster.jobs.values())
-        for loaded in parts(jobs):
+        for loaded in batches(jobs):
             for job in loaded:
                 self._linking.link(job)
             await asyncio.sleep(0)
         # All others have their own priority and deadline.
         self._linking.refresh(term.chains.blocked.values())
-        await read_taken(term, at_us, wall)
+        await load_preemption_history(term, at_us, wall)
         async for entries, _ in term.state.pages(PROGRESS):
-            for part in parts(entries):
+            for part in batches(entries):
                 for entry in part:
                     self._load_progress(entry)
                 await asyncio.sleep(0)
@@ -170,7 +170,7 @@
         for early in self.early.take():
             self._apply(early)
 
-    def _load_progress(self, entry: Entry) -> None:
+    def _load_progress(self, entry: KeyValue) -> None:
         term = self._term
         job_id, _, chunk = entry.key.removeprefix(PROGRESS).rpartition("/")
         term.ledger.learn(entry.key, entry.version)
@@ -193,7 +193,7 @@
         job.bound, job.hold = record.bound, record.hold
         if record.hold is not None or record.deed is not None:
             # Whoever is given no gates starts nothing that concerns one.
-            job.held = UNKNOWN_OPENING
+            job.held = UNKNOWN_GATE_STATUS
         if self._gates is not None:
             self._gates.enter(job, record)
         term.dues.enter(job, at_us, wall)
@@ -203,7 +203,7 @@
 
     # -- before it is loaded -----------------------------------------------------------------
 
-    def answer_early(self, report: Report, at_us: int, *, relayed: bool) -> bool:
+    def answer_early(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
         """Keep a report that comes before the records are read; whether to answer it.
 
         An answer renews the worker's lease. In an outage that began before the jobs were read
@@ -221,7 +221,7 @@
             )  # fmt: skip
         return False
 
-    def _runs_wanted_only(self, report: Report) -> bool:
+    def _runs_wanted_only(self, report: Heartbeat) -> bool:
         """Whether all that is on a machine was read in this term, and is not cancelled."""
         try:
             return all(
@@ -241,7 +241,7 @@
         over_us = surely_over_us(max(term.loaded_us, term.predecessor_over_us), term.lease_us)
         while now_us() < over_us and not (term.ready and self._clean()):  # noqa: ASYNC110
             await asyncio.sleep(to_seconds(SETTLE_LOOK_US))
-        with contextlib.suppress(Deposed, Rejected):
+        with contextlib.suppress(LeadershipLostError, TransactionRejectedError):
             await term.ledger.write({UNSETTLED_KEY: None})
 
     def _clean(self) -> bool:
@@ -280,7 +280,7 @@
             self.asking.known(name)
         # Its turn is another's at once, not at the next look.
         self._ask_some()
-        early = Early(report, True, 0, False)
+        early = BufferedHeartbeat(report, True, 0, False)
         if self._term.loaded:
             self._apply(early)
         else:
@@ -297,7 +297,7 @@
                 machine.asked_in_vain = True
         live = self._watch.live()
         unknown = [machine for machine in live if not machine.synced]
-        if unknown and all(m.asked_in_vain for m in unknown) and look_gone(unknown, live):
+        if unknown and all(m.asked_in_vain for m in unknown) and look_lost(unknown, live):
             self._rentals.delete({machine.name: machine for machine in unknown})
 
     def check_known(self) -> None:
@@ -346,13 +346,13 @@
             try:
                 async for _, revision in term.state.pages(LEADER_KEY):
                     self._safe_from = revision
-            except CallFailed as error:
+            except CallError as error:
                 log.info("recovery: the store's revision is not known: %s", error)
                 await asyncio.sleep(0.2)
 
-    def partial(self) -> Partial:
+    def partial(self) -> PartialView:
         """Return what is known so far, and draw its bounds on the teams."""
         cluster = self._term.cluster
-        partial = partial_of(cluster.machines.values(), self._safe_from)
-        cluster.doubts = doubts(cluster, partial)
+        partial = partial_view_of(cluster.machines.values(), self._safe_from)
+        cluster.doubts = unverified_usage(cluster, partial)
         return partial
--- a/weldhead/controller/loop_budget.py
+++ b/weldhead/controller/loop_budget.py
@@ -8,7 +8,7 @@
 2. placement; 3. the preemptor; 4. the fleet's size; 5. forecasts.
 
 Each of 2 to 5 gets a share of the time and pauses as long as its last run demands; 3 to 5
-are put off while the loop is late, though never for longer than ``MOST_PUT_OFF_US``.
+are put off while the loop is late, though never for longer than ``MAX_DEFERRAL_US``.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 #: How often it is looked how late the loop is.
 TICK_US = 200 * MILLISECOND_US
 #: Nothing is put off for longer.
-MOST_PUT_OFF_US = 5 * SECOND_US
+MAX_DEFERRAL_US = 5 * SECOND_US
 #: Said at most so often of each duty.
-SAID_EVERY_US = 10 * SECOND_US
+LOG_INTERVAL_US = 10 * SECOND_US
 
 
-class Rank(enum.IntEnum):
+class LoopPriority(enum.IntEnum):
     """What is put off first has the highest rank."""
 
     PLACEMENT = 0
@@ -39,18 +39,18 @@
 
 
 #: The share of the time that a duty may take, by rank.
-SHARES = {
-    Rank.PLACEMENT: 0.5,
-    Rank.PREEMPTOR: 0.25,
-    Rank.FLEET: 0.15,
-    Rank.FORECASTS: 0.1,
+LOOP_SHARES = {
+    LoopPriority.PLACEMENT: 0.5,
+    LoopPriority.PREEMPTOR: 0.25,
+    LoopPriority.FLEET: 0.15,
+    LoopPriority.FORECASTS: 0.1,
 }
 
 #: How late the loop is when a rank is put off, as a share of the longest hold that is allowed.
-LATE_SHARES = {Rank.PREEMPTOR: 1.0, Rank.FLEET: 0.5, Rank.FORECASTS: 0.25}
+LATE_SHARES = {LoopPriority.PREEMPTOR: 1.0, LoopPriority.FLEET: 0.5, LoopPriority.FORECASTS: 0.25}
 
 
-class Pacer:
+class EventLoopBudget:
     """Watches the loop and the duties on it. ``most_hold_us``: a longer hold is logged."""
 
     def __init__(
@@ -89,30 +89,30 @@
             return
         self.held[duty] = self.held.get(duty, 0) + 1
         said_us = self._said_us.get(duty)
-        if said_us is None or at_us - said_us >= SAID_EVERY_US:
+        if said_us is None or at_us - said_us >= LOG_INTERVAL_US:
             self._said_us[duty] = at_us
             log.warning(
                 "duty %s held the loop for %.3f s (over %.3f s; %d times so far)",
                 duty, to_seconds(took_us), to_seconds(self._most_hold_us), self.held[duty],
             )  # fmt: skip
 
-    def pause_us(self, duty: str, rank: Rank, period_us: int) -> int:
+    def pause_us(self, duty: str, rank: LoopPriority, period_us: int) -> int:
         """Return how long a duty pauses, so that it takes no more than its share."""
         took_us = self.last_us.get(duty, 0)
-        return max(period_us, round(took_us * (1 / SHARES[rank] - 1)))
+        return max(period_us, round(took_us * (1 / LOOP_SHARES[rank] - 1)))
 
-    def must_wait(self, rank: Rank) -> bool:
+    def must_wait(self, rank: LoopPriority) -> bool:
         """Whether the loop is too late for duties of that rank."""
         share = LATE_SHARES.get(rank)
         return share is not None and self.late_us > share * self._most_hold_us
 
-    async def rest(self, duty: str, rank: Rank, period_us: int) -> None:
+    async def rest(self, duty: str, rank: LoopPriority, period_us: int) -> None:
         """Pause between two runs of a duty, longer while the loop is late."""
         await self._sleep(to_seconds(self.pause_us(duty, rank, period_us)))
         since_us = self._clock()
         if self.must_wait(rank):
             self.put_off[duty] = self.put_off.get(duty, 0) + 1
-        while self.must_wait(rank) and self._clock() - since_us < MOST_PUT_OFF_US:
+        while self.must_wait(rank) and self._clock() - since_us < MAX_DEFERRAL_US:
             await self._sleep(to_seconds(TICK_US))
 
     async def watch(self) -> None:
--- a/weldhead/controller/memory_monitor.py
+++ b/weldhead/controller/memory_monitor.py
@@ -3,7 +3,7 @@
 import logging
 from collections.abc import Callable
 
-from weldhead.admission.memory_gate import ACCEPT_SHARE, Change, MemoryGate
+from weldhead.admission.memory_gate import ACCEPT_SHARE, MemoryGate, MemoryTransition
 from weldhead.clock import MILLISECOND_US
 from weldhead.transport.process_memory import own_bytes
 
@@ -14,7 +14,7 @@
 READING_US = 250 * MILLISECOND_US
 
 
-class MemoryWatch:
+class MemoryMonitor:
     """Readings of one process; ``limit_mb`` 0: none are taken, and all work is."""
 
     def __init__(self, limit_mb: float, read: Callable[[], int | None] = own_bytes) -> None:
@@ -45,15 +45,15 @@
         if used is None:
             return
         match gate.read(used):
-            case Change.FULL:
+            case MemoryTransition.FULL:
                 log.warning(
                     "memory: %.0f of %.0f MB are used; new jobs are refused until it is below %.0f",
                     used / MIB, gate.limit / MIB, gate.limit * ACCEPT_SHARE / MIB,
                 )  # fmt: skip
-            case Change.ROOM:
+            case MemoryTransition.ROOM:
                 log.warning(
                     "memory: %.0f of %.0f MB are used; new jobs are taken again",
                     used / MIB, gate.limit / MIB,
                 )  # fmt: skip
-            case Change.NONE:
+            case MemoryTransition.NONE:
                 pass
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -8,33 +8,33 @@
 import msgspec
 
 from weldhead.clock import MILLISECOND_US, PROCESS_STARTED_US, SECOND_US, now_us, seconds_us
-from weldhead.controller.configuration.publisher import Documents
+from weldhead.controller.configuration.publisher import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
-from weldhead.controller.leadership.leader_election import Campaign
+from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.peer_directory import PeerDirectory
-from weldhead.controller.memory_monitor import MemoryWatch
-from weldhead.controller.requests.request_handler import FrontDesk
-from weldhead.controller.workers.heartbeat_forwarding import Relays
-from weldhead.documents.records import Offer
+from weldhead.controller.memory_monitor import MemoryMonitor
+from weldhead.controller.requests.request_handler import RequestHandler
+from weldhead.controller.workers.heartbeat_forwarding import HeartbeatForwarding
+from weldhead.documents.records import DocumentSet
 from weldhead.protocol.peer import (
-    Answer,
-    Ask,
-    Hold,
-    Look,
+    ForwardedAnswer,
+    ForwardedRequest,
+    IndirectProbe,
+    IndirectProbeAnswer,
+    LeaderResigned,
     Message,
     Ping,
     Pong,
-    Resigned,
-    Seen,
+    PromiseRequest,
 )
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.versions import FORMAT
-from weldhead.protocol.wire import MachineType, Redirect, Report
+from weldhead.protocol.wire import Heartbeat, LeaderRedirect, MachineType
 from weldhead.reconciliation.answer_window import shortfall
-from weldhead.transport.background_tasks import Duties
+from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.cloud_client import CloudClient
-from weldhead.transport.http_client import CallFailed, HttpClient
-from weldhead.transport.http_server import Handler, HttpServer, Listening, Response, refusal
+from weldhead.transport.http_client import CallError, HttpClient
+from weldhead.transport.http_server import Handler, HttpListener, HttpServer, Response, refusal
 from weldhead.transport.peer_links import PeerLink, PeerServer
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
@@ -42,7 +42,7 @@
 log = logging.getLogger(__name__)
 
 _encode = msgspec.json.Encoder().encode
-_report_decoder = msgspec.json.Decoder(Report)
+_report_decoder = msgspec.json.Decoder(Heartbeat)
 
 #: A peer that has not answered a ping by then has its connection made anew.
 PONG_US = 2 * SECOND_US
@@ -52,7 +52,7 @@
 PING_S = 0.4
 
 
-class Node:
+class ControllerProcess:
     """One controller process."""
 
     def __init__(
@@ -61,20 +61,20 @@
         tunables: Tunables,
         *,
         client: Callable[..., HttpClient] = HttpClient,
-        server: Callable[[Handler], Listening] = HttpServer,
+        server: Callable[[Handler], HttpListener] = HttpServer,
         started_us: int = PROCESS_STARTED_US,
-        offer: Offer | None = None,
+        offer: DocumentSet | None = None,
     ) -> None:
         self.settings = settings
         self.tunables = tunables
         self._client = client
         self._serve = server
-        self._duties = Duties()
+        self._duties = BackgroundTasks()
         self._links = {p.name: PeerLink(p, settings.name) for p in settings.peers}
-        self._relays = Relays()
+        self._relays = HeartbeatForwarding()
         self._offer = offer
-        self.memory = MemoryWatch(settings.facts.limits.memory_mb)
-        self.campaign = Campaign(settings, tunables, self._links, self._duties, started_us)
+        self.memory = MemoryMonitor(settings.facts.limits.memory_mb)
+        self.campaign = LeaderElection(settings, tunables, self._links, self._duties, started_us)
         self.peers = PeerDirectory(settings.name, self._links, self.campaign, started_us)
 
     def _say_shortfall(self) -> None:
@@ -112,7 +112,9 @@
         self.campaign.open(self._state, self._cloud, self._worker_http, self.peers.documents)
         self.peers.open(self._state)
         teams = self.settings.facts.teams
-        self._desk = FrontDesk(self.peers, self._state, teams, 1 + len(self._links), self.memory)
+        self._desk = RequestHandler(
+            self.peers, self._state, teams, 1 + len(self._links), self.memory
+        )
         server = self._serve(self._handle)
         peer_server = PeerServer(self._peer_request, self._duties, set(self._links))
         try:
@@ -135,18 +137,21 @@
             await self._http.close()
             await self._worker_http.close()
 
-    def _follow_documents(self, offer: Offer) -> Documents:
+    def _follow_documents(self, offer: DocumentSet) -> DocumentReplica:
         """Begin what a node does that is given documents."""
         # Loaded by controllers that are given documents only.
-        from weldhead.controller.configuration.calendars import CalendarBinder, TableKeeper
+        from weldhead.controller.configuration.calendars import (
+            CalendarBinder,
+            DeadlineTableFollower,
+        )
         from weldhead.controller.configuration.gates import GateBinder
 
-        documents = Documents(self._state, offer, self.peers.ask_leader)
+        documents = DocumentReplica(self._state, offer, self.peers.ask_leader)
         self._duties.start("documents", documents.follow)
         self._duties.start("edition", documents.bring)
         documents.binders.append(GateBinder(documents.cache))
         CalendarBinder(documents, round(self.settings.facts.clock_error_ms * MILLISECOND_US))
-        self._duties.start("due table", TableKeeper(documents, self._state).follow)
+        self._duties.start("due table", DeadlineTableFollower(documents, self._state).follow)
         return documents
 
     # -- leadership -------------------------------------------------------------------
@@ -169,7 +174,7 @@
             try:
                 pong = await link.ask(ping, Pong, PONG_US)
                 self.campaign.heard_pong(link.name, pong, at_us)
-            except CallFailed:
+            except CallError:
                 # Where this process stood still, the silence was its own: what the peer has
                 # sent meanwhile is read next.
                 if now_us() - at_us < PONG_US + STOOD_STILL_US:
@@ -188,21 +193,23 @@
                     self._relays.leader_misses(message.silent, at_us)
                 leads, known = self.leader is not None, self.campaign.highest_token
                 return Pong(message.id, self._state.ok, FORMAT, leads, known)
-            case Ask():
+            case ForwardedRequest():
                 answer = await self._answer_peer(message)
-                return Answer(message.id, answer.status, answer.body)
-            case Hold():
+                return ForwardedAnswer(message.id, answer.status, answer.body)
+            case PromiseRequest():
                 return await self.campaign.answer_hold(name, message)
-            case Look():
-                return Seen(message.id, (await self.campaign.judging.look(message.name)).value)
-            case Resigned():
+            case IndirectProbe():
+                return IndirectProbeAnswer(
+                    message.id, (await self.campaign.judging.look(message.name)).value
+                )
+            case LeaderResigned():
                 self._duties.once("succession", self.campaign.succeed(message))
                 return None
             case _:
                 log.error("peer %s asked with an answer", name)
                 return None
 
-    async def _answer_peer(self, ask: Ask) -> Response:
+    async def _answer_peer(self, ask: ForwardedRequest) -> Response:
         match ask.kind:
             case "submit":
                 return await self._desk.submit(ask.body, forwarded=True)
@@ -258,7 +265,7 @@
         self.campaign.learn_token(report.machine, report.token)
         record = self.campaign.known_leader
         if record is None or record.name not in self._links:
-            return Response(421, _encode(Redirect()))
+            return Response(421, _encode(LeaderRedirect()))
         return await self._pass_on(report.machine, body, record.name, at_us, relayed=relayed)
 
     async def _pass_on(
@@ -274,7 +281,7 @@
             if relayed:
                 return refusal(503, "not now")
             self._relays.redirected(machine, at_us)
-            return Response(421, _encode(Redirect(leader)))
+            return Response(421, _encode(LeaderRedirect(leader)))
         if not relayed:
             # A worker sent to a leader that is cut off from this zone would lose seconds
             # of its lease: another node may reach that leader.
@@ -283,4 +290,4 @@
                     answer = await self.peers.forward(other, "report", "", body)
                     if answer is not None and answer.status == 200:
                         return answer
-        return Response(421, _encode(Redirect()))
+        return Response(421, _encode(LeaderRedirect()))
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from weldhead.admission.team_rate_limiter import in_turns
+from weldhead.admission.team_rate_limiter import round_robin
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job, TaskState
 from weldhead.cluster_state.records import (
@@ -17,10 +17,10 @@
     job_key,
     progress_key,
 )
-from weldhead.cluster_state.state_writer import Deposed
+from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.controller.term import Term
 from weldhead.protocol.wire import split_task
-from weldhead.transport.state_client import Rejected
+from weldhead.transport.state_client import TransactionRejectedError
 
 log = logging.getLogger(__name__)
 
@@ -88,7 +88,7 @@
         try:
             for key in keys:
                 await self._term.ledger.write({key: None})
-        except (Deposed, Rejected):
+        except (LeadershipLostError, TransactionRejectedError):
             pass
 
     def remember_final(self, job_id: str, final: FinalRecord) -> None:
@@ -144,7 +144,7 @@
             # What takes longer than a second is not begun at once: ends of other teams' jobs
             # that come meanwhile waited behind hundreds of one team's (found in the emulator).
             most = max(term.state.max_writes, round(term.settings.facts.state.write_rps / 2))
-            turn = in_turns(over, lambda job: job.team)[:most]
+            turn = round_robin(over, lambda job: job.team)[:most]
             for job in turn:
                 # Claimed before anything else may run: a cancellation that was about to be
                 # written came in between, was told, and the job then ended as done.
@@ -186,7 +186,7 @@
         try:
             for chunk in sorted(job.dirty):
                 await self._save_chunk(job, chunk)
-        except (Deposed, Rejected):
+        except (LeadershipLostError, TransactionRejectedError):
             # What was rejected is on the workers until the job ends, or goes with the next.
             pass
         finally:
@@ -206,7 +206,7 @@
 
         try:
             await self._term.ledger.write_latest(progress_key(job.id, chunk), build)
-        except Deposed:
+        except LeadershipLostError:
             job.dirty.add(chunk)
             raise
         self._written_chunks.setdefault(job.id, set()).add(chunk)
@@ -215,7 +215,7 @@
     async def _end(self, job: Job) -> None:
         try:
             await self._finish(job)
-        except (Deposed, Rejected):
+        except (LeadershipLostError, TransactionRejectedError):
             pass
         finally:
             job.finishing = False
@@ -278,7 +278,7 @@
             job.cancelled = True
             log.info("%s cancelled", job.id)
             self._withdrawn(job)
-        except Deposed:
+        except LeadershipLostError:
             pass
         finally:
             self.cancelling.pop(job.id, None)
--- a/weldhead/controller/requests/job_dependencies.py
+++ b/weldhead/controller/requests/job_dependencies.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable, Iterable
 
 from weldhead.clock import SECOND_US, now_us, wall_us
-from weldhead.cluster_state.jobs import Job, Stop
+from weldhead.cluster_state.jobs import Job, StopRequest
 from weldhead.cluster_state.records import FINAL, JOBS, FinalRecord, JobRecord, final_key, job_key
 from weldhead.controller.requests.completions import Completions
 from weldhead.controller.term import Term
-from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.heartbeat_reconciler import request_stop
 from weldhead.scheduling.inherited_priority import fetch_rate, refresh, stage_us
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import decode
 
 log = logging.getLogger(__name__)
@@ -26,11 +26,11 @@
 DOUBT_US = 80 * SECOND_US
 
 
-class Linking:
+class JobDependencies:
     """Keeps the term's chains; ``take_up`` is told of jobs that the store knows."""
 
     def __init__(
-        self, term: Term, dispatcher: Dispatcher, take_up: Callable[[JobRecord, int], None]
+        self, term: Term, dispatcher: CommandDispatcher, take_up: Callable[[JobRecord, int], None]
     ) -> None:
         self._term = term
         self._dispatcher = dispatcher
@@ -146,7 +146,7 @@
                 self.over(job_id, outcome)
                 return
             entry = await self._term.state.get(job_key(job_id))
-        except CallFailed as error:
+        except CallError as error:
             log.info("needed job %s: %s", job_id, error)
             await asyncio.sleep(0.2)
             return
@@ -161,7 +161,7 @@
         at_us = now_us()
         for attempt in list(job.active.values()):
             machine = self._term.cluster.machines[attempt.machine]
-            if not request_stop(self._term.cluster, attempt, Stop.HARD, at_us, "cancelled"):
+            if not request_stop(self._term.cluster, attempt, StopRequest.HARD, at_us, "cancelled"):
                 self._dispatcher.post_soon(machine)
         self._term.flush.set()
         self._term.place.set()
--- a/weldhead/controller/requests/request_handler.py
+++ b/weldhead/controller/requests/request_handler.py
@@ -13,27 +13,27 @@
 
 import msgspec
 
-from weldhead.admission.fair_rate_limiter import Turns
+from weldhead.admission.fair_rate_limiter import FairRateLimiter
 from weldhead.admission.memory_gate import COME_BACK_S
-from weldhead.admission.team_rate_limiter import Shares
+from weldhead.admission.team_rate_limiter import TeamRateLimiter
 from weldhead.calendars.binding import moved
 from weldhead.calendars.formatting import utc
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, to_seconds, wall_us
 from weldhead.cluster_state.records import (
-    Binding,
+    AdmissionBinding,
     FinalRecord,
     JobRecord,
-    bound_record,
+    admitted_record,
     final_key,
     job_key,
     without_gate,
 )
-from weldhead.controller.configuration.publisher import Documents, Unready
-from weldhead.controller.leadership.leader import Leader, NotReady
-from weldhead.controller.memory_monitor import MemoryWatch
+from weldhead.controller.configuration.publisher import DocumentReplica, DocumentsNotLoadedError
+from weldhead.controller.leadership.leader import Leader, NotReadyError
+from weldhead.controller.memory_monitor import MemoryMonitor
 from weldhead.protocol.settings import Team
 from weldhead.protocol.validation import (
-    Refusal,
+    SubmissionRefusedError,
     check_feasible,
     check_size,
     is_job_id,
@@ -41,10 +41,16 @@
     refuse_need,
 )
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
-from weldhead.protocol.wire import Condition, JobSpec, JobStatus, MachineType, Put
-from weldhead.transport.http_client import CallFailed
+from weldhead.protocol.wire import Condition, JobSpec, JobStatus, MachineType, PutKey
+from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response, refusal
-from weldhead.transport.state_client import Busy, Conflict, Rejected, StateClient, decode
+from weldhead.transport.state_client import (
+    ConflictError,
+    RateLimitedError,
+    StateClient,
+    TransactionRejectedError,
+    decode,
+)
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +98,7 @@
 _ALONE = _alone()
 
 
-class NodeView(Protocol):
+class ControllerView(Protocol):
     """What the front desk needs of its node."""
 
     @property
@@ -108,7 +114,7 @@
         """The machine types, as far as they are known."""
 
     @property
-    def documents(self) -> Documents | None:
+    def documents(self) -> DocumentReplica | None:
         """The calendars and gates; None: this node is given none."""
 
     async def ask_leader(self, kind: str, job_id: str, body: bytes) -> Response | None:
@@ -136,30 +142,30 @@
         del kept[next(iter(kept))]
 
 
-class FrontDesk:
+class RequestHandler:
     """Answers users."""
 
     def __init__(
         self,
-        node: NodeView,
+        node: ControllerView,
         state: StateClient,
         teams: list[Team],
         controllers: int = 1,
-        memory: MemoryWatch | None = None,
+        memory: MemoryMonitor | None = None,
     ) -> None:
         self._node = node
-        self._memory = memory or MemoryWatch(0.0)
+        self._memory = memory or MemoryMonitor(0.0)
         self._state = state
         self._teams = {team.name: team for team in teams}
         # All controllers' polls together leave the store to its leader and to submissions:
         # in a storm of polls without a leader it refused both (found on an own day).
         rate, at_us = state.limits.rps * POLL_SHARE / controllers, now_us()
-        self._turns = Turns(rate, 2 * rate, at_us)
-        self._chain_turns = Turns(rate * CHAIN_SHARE, 2 * rate * CHAIN_SHARE, at_us)
+        self._turns = FairRateLimiter(rate, 2 * rate, at_us)
+        self._chain_turns = FairRateLimiter(rate * CHAIN_SHARE, 2 * rate * CHAIN_SHARE, at_us)
         #: How jobs ended, and whether accepted ones are services, as the store said.
         self._finals: dict[str, FinalRecord] = {}
         self._services: dict[str, bool] = {}
-        self._shares = Shares(state.limits.write_rps * 0.4)
+        self._shares = TeamRateLimiter(state.limits.write_rps * 0.4)
         #: How many polls the leader is being asked just now.
         self._at_leader = 0
 
@@ -167,7 +173,7 @@
         """Accept a job: 201 only when it is in the store."""
         try:
             spec = parse_submission(body)
-        except Refusal as error:
+        except SubmissionRefusedError as error:
             return refusal(error.status, error.reason, error.field)
         known = self._in_memory(spec.id)
         if known is not None:
@@ -185,12 +191,12 @@
             return await self._turn_away(spec.id, wait_s, forwarded)
         try:
             return await self._accept(spec)
-        except Busy as busy:
+        except RateLimitedError as busy:
             # Another controller uses the same rate: passed on, it would cost two.
             log.debug("submission of %s: %s", spec.id, busy)
             wait_s = self._shares.turned_away(now_us())
             return await self._turn_away(spec.id, wait_s, forwarded)
-        except CallFailed as error:
+        except CallError as error:
             log.info("submission of %s not committed: %s", spec.id, error)
             if not forwarded:
                 answer = await self._node.ask_served_peer(
@@ -222,42 +228,42 @@
 
     async def _accept(self, spec: JobSpec) -> Response:
         """Judge a job by what the store says, and create it."""
-        trouble: Refusal | CallFailed
+        trouble: SubmissionRefusedError | CallError
         try:
             record, binding = self._bound(spec, wall_us())
             check_feasible(spec, self._teams, self._node.catalog)
             size = len(_encode(record))
             check_size(spec, size, self._state.limits.value_bytes)
             await self._check_needs(spec)
-        except (Refusal, CallFailed) as error:
+        except (SubmissionRefusedError, CallError) as error:
             trouble = error
         else:
             try:
                 return await self._create(record, size, binding.conditions)
-            except Refusal as error:
+            except SubmissionRefusedError as error:
                 trouble = error
         # An accepted job stays accepted, whatever has changed since, and whatever cannot be
         # told just now of what it needs or is bound to.
         stored = await self._from_store(spec.id)
         if stored is not None:
             return Response(200, _encode(stored))
-        if isinstance(trouble, CallFailed):
+        if isinstance(trouble, CallError):
             raise trouble
         return refusal(trouble.status, trouble.reason, trouble.field)
 
-    def _bound(self, spec: JobSpec, at_us: int) -> tuple[JobRecord, Binding]:
+    def _bound(self, spec: JobSpec, at_us: int) -> tuple[JobRecord, AdmissionBinding]:
         """Return a job's record with what calendars and gates say; CallFailed if unknown."""
         documents = self._node.documents
         if documents is None:
-            return JobRecord(spec, at_us), Binding()
+            return JobRecord(spec, at_us), AdmissionBinding()
         try:
             binding = documents.bind(spec, at_us)
-        except Unready:
-            raise CallFailed("calendars and gates are not known yet") from None
+        except DocumentsNotLoadedError:
+            raise CallError("calendars and gates are not known yet") from None
         gate = binding.hold or binding.deed
         if gate is not None and not self._node.peers_know(DOCUMENTS_FORMAT):
-            raise CallFailed("a peer's version would start a job that a gate holds")
-        return bound_record(spec, at_us, binding), binding
+            raise CallError("a peer's version would start a job that a gate holds")
+        return admitted_record(spec, at_us, binding), binding
 
     async def _check_needs(self, spec: JobSpec) -> None:
         """Refusal(422) if a job is named that cannot be waited for.
@@ -270,7 +276,7 @@
         if spec.id in spec.needs:
             raise refuse_need(spec.id, "cannot wait for itself")
         if not self._node.peers_know(CHAINS_FORMAT):
-            raise CallFailed("a peer's version does not know job chains yet")
+            raise CallError("a peer's version does not know job chains yet")
         found = await asyncio.gather(*(self._is_service(name) for name in spec.needs))
         for name, service in zip(spec.needs, found, strict=True):
             if service is None:
@@ -304,17 +310,19 @@
         leader = self._node.leader
         try:
             version = await self._state.transact(
-                conditions, [Put(job_key(spec.id), record)], timeout_us=1_000_000,
+                conditions, [PutKey(job_key(spec.id), record)], timeout_us=1_000_000,
                 patience_us=CREATE_WAIT_US,
             )  # fmt: skip
-        except Rejected as error:
+        except TransactionRejectedError as error:
             # Lower limits than were announced: no promise that cannot be kept.
             log.error("submission of %s is never taken: %s", spec.id, error)
-            raise Refusal(422, f"the state service takes no record of {size} bytes") from error
-        except Conflict:
+            raise SubmissionRefusedError(
+                422, f"the state service takes no record of {size} bytes"
+            ) from error
+        except ConflictError:
             stored = self._in_memory(spec.id) or await self._from_store(spec.id)
             if stored is None:
-                raise CallFailed("job is neither new nor known") from None
+                raise CallError("job is neither new nor known") from None
             return Response(200, _encode(stored))
         if leader is not None:
             leader.job_created(record, version)
@@ -366,10 +374,10 @@
                 ):
                     return JobStatus(job_id, "withdrawn")
         except TimeoutError as error:
-            raise CallFailed("the store takes too long") from error
+            raise CallError("the store takes too long") from error
         # What is over stays over; anything else may have changed since.
         if now_us() - at_us > STALE_US:
-            raise CallFailed("what the store said may be old by now")
+            raise CallError("what the store said may be old by now")
         if stored is None:
             return None
         return JobStatus(job_id, "pending", due_at=self._due_at(stored))
@@ -406,7 +414,7 @@
         job_id, seen = record.spec.id, set(without_gate(record.spec).needs or ())
         names = list(seen)
         if names and not self._chain_turns.take(job_id, min(len(names), NEEDS_AT_ONCE), now_us()):
-            raise CallFailed("too many needed jobs are to be read at once")
+            raise CallError("too many needed jobs are to be read at once")
         # It has had its turn: a chain that is too long each time must not go first each time.
         self._chain_turns.answered(job_id)
         while names:
@@ -455,7 +463,7 @@
             # answered again and again, and others waited for over 120 s.
             try:
                 answer = await self._node.ask_home(job_id)
-            except CallFailed:
+            except CallError:
                 answer, lost = None, True
             if answer is not None and answer.status in (200, 404):
                 self._turns.answered(job_id)
@@ -466,7 +474,7 @@
         if taken or self._turns.take(job_id, POLL_REQUESTS, at_us, lost=lost):
             try:
                 stored = await self._from_store(job_id, urgent=waited)
-            except CallFailed as error:
+            except CallError as error:
                 log.debug("poll of %s: %s", job_id, error)
                 why, waited = "state service unavailable", True
             else:
@@ -519,7 +527,7 @@
             if answer_now is not None:
                 return Response(200, _encode(answer_now))
             stored = await self._from_store(job_id)
-        except (CallFailed, NotReady):
+        except (CallError, NotReadyError):
             return refusal(503, "cannot be decided yet", retry_after_s=1)
         if stored is None:
             return refusal(404, "no such job")
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -7,18 +7,18 @@
 from weldhead.calendars import lateness
 from weldhead.calendars.formatting import due as due_words
 from weldhead.calendars.formatting import span
-from weldhead.calendars.lateness import Standing
+from weldhead.calendars.lateness import DeadlineStanding
 from weldhead.clock import now_us, seconds_us, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
-from weldhead.controller.loop_budget import Pacer, Rank
+from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
 from weldhead.controller.term import Term
 from weldhead.scheduling.forecast.completion_times import due_us, holding_up, looks_unable
-from weldhead.scheduling.forecast.job_forecasts import Outlook
+from weldhead.scheduling.forecast.job_forecasts import JobForecasts
 
 log = logging.getLogger(__name__)
 
 
-class Notes(Protocol):
+class LateNotices(Protocol):
     """What was told of bound jobs, by any term."""
 
     def told(self, job: Job) -> bool:
@@ -28,29 +28,29 @@
         """Have it said that a job will be late."""
 
 
-class LookAhead:
+class CompletionForecaster:
     """Keeps the forecasts; ``stage_us`` estimates a job's own part of its chain."""
 
-    def __init__(self, term: Term, pacer: Pacer, stage_us: Callable[[Job], int]) -> None:
+    def __init__(self, term: Term, pacer: EventLoopBudget, stage_us: Callable[[Job], int]) -> None:
         self._term = term
         self._pacer = pacer
         self._stage_us = stage_us
         #: What was told of bound jobs, and who follows the clocks; None: no calendars here.
-        self.notes: Notes | None = None
+        self.notes: LateNotices | None = None
         self.keep_time: Callable[[int, int], None] | None = None
         #: Says why a job is held; "": no gate holds it.
         self.held: Callable[[Job], str] = lambda job: ""
         #: Made when first needed, and made anew after a failure.
-        self._outlook: Outlook | None = None
+        self._outlook: JobForecasts | None = None
 
     def tell(self, job: Job) -> None:
         """Bring a job's forecast up to date for somebody who asks."""
         self._kept_outlook().tell(job, now_us())
 
-    def _kept_outlook(self) -> Outlook:
+    def _kept_outlook(self) -> JobForecasts:
         if self._outlook is None:
             tunables = self._term.tunables
-            self._outlook = Outlook(
+            self._outlook = JobForecasts(
                 self._term.cluster, self._term.chains, self._term.estimates, self._stage_us,
                 tunables.forecast_period_us, tunables.forecast_recheck_us, tunables.most_forecasts,
             )  # fmt: skip
@@ -60,7 +60,7 @@
         """Forecast each job's finish, and say when one turns late."""
         while True:
             await self._pacer.rest(
-                "forecasts", Rank.FORECASTS, self._term.tunables.forecast_period_us
+                "forecasts", LoopPriority.FORECASTS, self._term.tunables.forecast_period_us
             )
             with self._pacer.hold("forecasts"):
                 self.look_ahead(now_us())
@@ -114,7 +114,7 @@
 
     # -- bound jobs ------------------------------------------------------------------------
 
-    def standing(self, job: Job, at_us: int) -> Standing:
+    def standing(self, job: Job, at_us: int) -> DeadlineStanding:
         """Say how a bound job stands, by its latest forecast, or as it was told last.
 
         A successor of no history called those unknown that its predecessor had told late.
@@ -123,14 +123,14 @@
         known = self._term.ready and self._term.estimates.knows(job)
         least_us = self._stage_us(job) if job.held is not None else 0
         stands = lateness.standing(job, at_us, has_history=known, least_us=least_us)
-        if stands is Standing.UNKNOWN and self.notes is not None and self.notes.told(job):
-            return Standing.LATE
+        if stands is DeadlineStanding.UNKNOWN and self.notes is not None and self.notes.told(job):
+            return DeadlineStanding.LATE
         return stands
 
     def _say_of_bound(self, job: Job, at_us: int) -> None:
         """Have it said once, by whichever term, that a bound job will be late."""
         notes, due_us = self.notes, job.bound_due_us
-        if due_us is None or self.standing(job, at_us) is not Standing.LATE:
+        if due_us is None or self.standing(job, at_us) is not DeadlineStanding.LATE:
             return
         if not self._term.ready or not self._term.valid:
             return
--- a/weldhead/controller/scheduling_loop/preemption_recorder.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -11,41 +11,41 @@
 import msgspec
 
 from weldhead.clock import SECOND_US, now_us, wall_us
-from weldhead.cluster_state.jobs import Attempt, Phase
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase
 from weldhead.cluster_state.preemption_history import (
-    TAKEN,
+    PREEMPTED,
     Row,
+    preempted_key,
+    restore_rows,
     rows_of,
     shard_of,
-    take_up,
-    taken_key,
 )
-from weldhead.cluster_state.state_writer import Deposed
+from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.controller.term import Term
-from weldhead.transport.state_client import Rejected, decode
+from weldhead.transport.state_client import TransactionRejectedError, decode
 
 #: A task that saves when it is found was stopped no longer ago than this, or is about to end.
 INHERITED_US = SECOND_US
 
 
-class TakenRecord(msgspec.Struct, omit_defaults=True):
+class PreemptedRecord(msgspec.Struct, omit_defaults=True):
     """Part of what was taken."""
 
     rows: list[Row] = []
 
 
-async def read_taken(term: Term, at_us: int, wall: int) -> None:
+async def load_preemption_history(term: Term, at_us: int, wall: int) -> None:
     """Read what earlier leaders took and did not see given back; as often as it takes."""
     term.taken.clear()
-    async for entries, _ in term.state.pages(TAKEN):
+    async for entries, _ in term.state.pages(PREEMPTED):
         for entry in entries:
             term.ledger.learn(entry.key, entry.version)
-            record = decode(bytes(entry.value), TakenRecord)
-            take_up(term.taken, record.rows, term.cluster.jobs, wall - at_us)
+            record = decode(bytes(entry.value), PreemptedRecord)
+            restore_rows(term.taken, record.rows, term.cluster.jobs, wall - at_us)
     term.taken.expire(at_us, term.cluster.jobs)
 
 
-class Lending:
+class PreemptionRecorder:
     """Keeps what is taken on record."""
 
     def __init__(self, term: Term) -> None:
@@ -65,7 +65,7 @@
             if attempt.job.spec.gpus <= 0 or attempt.job.unwanted or not attempt.adopted:
                 continue
             known = self._term.taken.of(attempt.job.id).get(attempt.index)
-            if attempt.phase is Phase.SAVING and known is None:
+            if attempt.phase is AttemptPhase.SAVING and known is None:
                 self.took(attempt, at_us - INHERITED_US)
 
     def _write_soon(self, shard: int) -> None:
@@ -75,15 +75,15 @@
 
     async def _write(self, shard: int) -> None:
         """Write a record once, with what has been taken until its turn comes."""
-        with contextlib.suppress(Deposed, Rejected):
+        with contextlib.suppress(LeadershipLostError, TransactionRejectedError):
             await self._term.ledger.write_latest(
-                taken_key(shard), lambda: self._record(shard), urgent=True
+                preempted_key(shard), lambda: self._record(shard), urgent=True
             )
 
-    def _record(self, shard: int) -> TakenRecord:
+    def _record(self, shard: int) -> PreemptedRecord:
         self._asked.discard(shard)
         self.writes += 1
         at_us = now_us()
         self._term.taken.expire(at_us, self._term.cluster.jobs)
         limit = self._term.settings.facts.state.tightest().value_bytes - 32
-        return TakenRecord(rows_of(self._term.taken, shard, wall_us() - at_us, limit))
+        return PreemptedRecord(rows_of(self._term.taken, shard, wall_us() - at_us, limit))
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -5,20 +5,24 @@
 from collections.abc import Callable, Iterable
 
 from weldhead.clock import MILLISECOND_US, now_us
-from weldhead.cluster_state.jobs import Attempt, Stop
+from weldhead.cluster_state.jobs import Attempt, StopRequest
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
-from weldhead.controller.loop_budget import Pacer, Rank
-from weldhead.controller.scheduling_loop.preemption_recorder import Lending
-from weldhead.controller.term import LOADED_AT_ONCE, Term
-from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
+from weldhead.controller.scheduling_loop.preemption_recorder import PreemptionRecorder
+from weldhead.controller.term import LOAD_BATCH_SIZE, Term
+from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.heartbeat_reconciler import request_stop
 from weldhead.protocol.wire import MachineType
-from weldhead.reconciliation.partial_view import Partial
-from weldhead.reconciliation.preemption_rate_limit import StopPace
-from weldhead.scheduling.placement.placement import Plan, Scene, plan_pass, usable
-from weldhead.scheduling.preemption.preemptor import overdue, plan_reclaims, stop_for
-from weldhead.scheduling.reservations.holding import Ahead, Holding, Holds
+from weldhead.reconciliation.partial_view import PartialView
+from weldhead.reconciliation.preemption_rate_limit import PreemptionRateLimit
+from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass, usable
+from weldhead.scheduling.preemption.preemptor import overdue, plan_preemptions, stop_for
+from weldhead.scheduling.reservations.holding import (
+    CapacityReserver,
+    Reservations,
+    WideTaskForecast,
+)
 
 log = logging.getLogger(__name__)
 
@@ -26,46 +30,46 @@
 PARTIAL_PAUSE_US = 200 * MILLISECOND_US
 
 
-class Deciding:
+class SchedulingLoop:
     """Places tasks and makes room for them."""
 
-    def __init__(self, term: Term, dispatcher: Dispatcher, pacer: Pacer) -> None:
+    def __init__(self, term: Term, dispatcher: CommandDispatcher, pacer: EventLoopBudget) -> None:
         self._term = term
         self._dispatcher = dispatcher
         self.pacer = pacer
         self.reclaims = ReclaimLists(term.taken)
-        self.lending = Lending(term)
-        self._pace = StopPace(term.tunables.recovery.pace())
-        self.last_plan = Plan()
+        self.lending = PreemptionRecorder(term)
+        self._pace = PreemptionRateLimit(term.tunables.recovery.pace())
+        self.last_plan = PlacementPlan()
         #: What placement and forecasts keep in order; made when first needed, and made anew
         #: after a failure.
-        self.scene: Scene | None = None
-        self._holding: Holding | None = None
+        self.scene: PlacementInput | None = None
+        self._holding: CapacityReserver | None = None
         #: What is known while recovery goes on.
-        self.partial: Callable[[], Partial] | None = None
+        self.partial: Callable[[], PartialView] | None = None
 
-    def kept_scene(self) -> Scene:
+    def kept_scene(self) -> PlacementInput:
         """Return what placement keeps in order."""
         if self.scene is None:
-            self.scene = Scene(
+            self.scene = PlacementInput(
                 self._term.cluster, self._term.estimates, self._term.goals,
                 self._term.tunables.preemptor.patience_us,
             )  # fmt: skip
             if self._holding is not None:
                 self._holding.close()
-            self._holding = Holding(
+            self._holding = CapacityReserver(
                 self._term.cluster, self.scene.backlog, self._term.estimates,
                 self._term.tunables.holding.settings(),
             )  # fmt: skip
         return self.scene
 
-    def ahead(self, coming: Iterable[tuple[MachineType, int]], up_us: int) -> Ahead:
+    def ahead(self, coming: Iterable[tuple[MachineType, int]], up_us: int) -> WideTaskForecast:
         """Return which wide tasks will find machines by a time."""
-        holds = self.scene.holds if self.scene is not None else Holds()
+        holds = self.scene.holds if self.scene is not None else Reservations()
         least = self._term.tunables.holding.least
-        return Ahead(self._term.cluster.machines.values(), coming, holds, least, up_us)
+        return WideTaskForecast(self._term.cluster.machines.values(), coming, holds, least, up_us)
 
-    def _hold(self, scene: Scene, at_us: int) -> None:
+    def _hold(self, scene: PlacementInput, at_us: int) -> None:
         """Decide what is kept free for wide work; nothing while machines are unknown."""
         if self._holding is None or not self._term.ready:
             return
@@ -85,7 +89,7 @@
         backlog = self.kept_scene().backlog
         more = True
         while more:
-            more = backlog.fill(now_us(), LOADED_AT_ONCE)
+            more = backlog.fill(now_us(), LOAD_BATCH_SIZE)
             await asyncio.sleep(0)
 
     async def place_tasks(self) -> None:
@@ -97,7 +101,7 @@
             pause_us = self._term.tunables.placement_pause_us
             if not self._term.ready:
                 pause_us = max(pause_us, PARTIAL_PAUSE_US)
-            await self.pacer.rest("placement", Rank.PLACEMENT, pause_us)
+            await self.pacer.rest("placement", LoopPriority.PLACEMENT, pause_us)
 
     def _place_now(self) -> None:
         with self.pacer.hold("placement"):
@@ -143,7 +147,7 @@
         self.lending.inherit(now_us())
         while True:
             await self.pacer.rest(
-                "preemptor", Rank.PREEMPTOR, self._term.tunables.preemptor.period_us
+                "preemptor", LoopPriority.PREEMPTOR, self._term.tunables.preemptor.period_us
             )
             if not self._term.valid:
                 continue
@@ -162,8 +166,8 @@
             entry.hard_us = at_us
             for victim in entry.victims:
                 if victim.job.active.get(victim.index) is victim:
-                    self.stop(victim, Stop.HARD, at_us, "room, overdue")
-        planned = plan_reclaims(
+                    self.stop(victim, StopRequest.HARD, at_us, "room, overdue")
+        planned = plan_preemptions(
             self._term.cluster,
             self.reclaims,
             self.last_plan,
@@ -214,7 +218,7 @@
         job = self._term.cluster.jobs[job_id]
         return f"{job.spec.priority}, {job.team}"
 
-    def stop(self, attempt: Attempt, stop: Stop, at_us: int, reason: str) -> None:
+    def stop(self, attempt: Attempt, stop: StopRequest, at_us: int, reason: str) -> None:
         """Ask an attempt to stop, and tell its worker."""
         machine = self._term.cluster.machines[attempt.machine]
         if request_stop(self._term.cluster, attempt, stop, at_us, reason):
--- a/weldhead/controller/term.py
+++ b/weldhead/controller/term.py
@@ -4,22 +4,22 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import TypeVar
 
-from weldhead.calendars.job_deadlines import Dues
+from weldhead.calendars.job_deadlines import JobDeadlines
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.dependency_graph import Chains
-from weldhead.cluster_state.preemption_history import Taken
-from weldhead.cluster_state.state_writer import Ledger
-from weldhead.controller.leadership.leader_lease import Authority
+from weldhead.cluster_state.dependency_graph import DependencyGraph
+from weldhead.cluster_state.preemption_history import PreemptionHistory
+from weldhead.cluster_state.state_writer import StateWriter
+from weldhead.controller.leadership.leader_lease import LeaderLease
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.wire import MachineType
-from weldhead.provisioning.boot_times import Boots
-from weldhead.reconciliation.attempt_verdicts import Tally
-from weldhead.scheduling.autoscaling.arrival_rates import Demand
-from weldhead.scheduling.autoscaling.fleet import Market
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
-from weldhead.transport.background_tasks import Duties
+from weldhead.provisioning.boot_times import BootHistory
+from weldhead.reconciliation.attempt_verdicts import ReconciliationCounts
+from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
+from weldhead.scheduling.autoscaling.fleet import RentalOffers
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
+from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.cloud_client import CloudClient
 from weldhead.transport.http_client import HttpClient
 from weldhead.transport.state_client import StateClient
@@ -28,10 +28,10 @@
 T = TypeVar("T")
 
 #: How many records are taken up before the loop gets its turn.
-LOADED_AT_ONCE = 250
+LOAD_BATCH_SIZE = 250
 
 
-def parts(items: Sequence[T], size: int = LOADED_AT_ONCE) -> Iterator[Sequence[T]]:
+def batches(items: Sequence[T], size: int = LOAD_BATCH_SIZE) -> Iterator[Sequence[T]]:
     """Cut a sequence into parts of that many."""
     return (items[start : start + size] for start in range(0, len(items), size))
 
@@ -43,7 +43,7 @@
         self,
         settings: Settings,
         tunables: Tunables,
-        authority: Authority,
+        authority: LeaderLease,
         state: StateClient,
         cloud: CloudClient,
         worker_http: HttpClient,
@@ -66,18 +66,18 @@
         self.on_deposed = on_deposed
         self.token = authority.token
         self.cluster = Cluster(settings.facts.teams, self.token)
-        self.chains = Chains(self.cluster.jobs)
-        self.ledger = Ledger(state, self.token)
-        self.estimates = Estimates()
-        self.demand = Demand(tunables.fleet.demand_memory_us)
-        self.goals = Goals(settings.facts.objectives)
-        self.market = Market(types=types)
-        self.boots = Boots()
-        self.tally = Tally()
-        self.dues = Dues(round(settings.facts.clock_error_ms * MILLISECOND_US))
+        self.chains = DependencyGraph(self.cluster.jobs)
+        self.ledger = StateWriter(state, self.token)
+        self.estimates = RunTimeEstimates()
+        self.demand = ArrivalRates(tunables.fleet.demand_memory_us)
+        self.goals = ServiceLevelObjectives(settings.facts.objectives)
+        self.market = RentalOffers(types=types)
+        self.boots = BootHistory()
+        self.tally = ReconciliationCounts()
+        self.dues = JobDeadlines(round(settings.facts.clock_error_ms * MILLISECOND_US))
         #: What was taken from whom, to be given back.
-        self.taken = Taken()
-        self.duties = Duties()
+        self.taken = PreemptionHistory()
+        self.duties = BackgroundTasks()
         workers = settings.facts.workers
         self.lease_us = seconds_us(workers.lease_s)
         self.cancel_us = seconds_us(workers.cancel_s)
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -8,10 +8,10 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.term import Term
 from weldhead.controller.workers.heartbeat_reconciler import pending_commands
-from weldhead.protocol.wire import Command, Report
-from weldhead.reconciliation.command_queue import Outbox, rank
+from weldhead.protocol.wire import Command, Heartbeat
+from weldhead.reconciliation.command_queue import CommandQueue, queue_position
 from weldhead.transport import worker_commands as workers
-from weldhead.transport.http_client import CallFailed, NotConnected
+from weldhead.transport.http_client import CallError, NotConnectedError
 
 log = logging.getLogger(__name__)
 
@@ -22,19 +22,19 @@
 TURN_US = 300 * MILLISECOND_US
 
 
-class Dispatcher:
+class CommandDispatcher:
     """Sends direct commands; ``apply`` takes what the workers answer."""
 
     def __init__(
         self,
         term: Term,
-        apply: Callable[[Machine, Report], None],
+        apply: Callable[[Machine, Heartbeat], None],
         unanswered: Callable[[Machine], None],
     ) -> None:
         self._term = term
         self._apply = apply
         self._unanswered = unanswered
-        self._outbox = Outbox()
+        self._outbox = CommandQueue()
         #: Turns that have begun and count.
         self._turns: set[int] = set()
         self._count = 0
@@ -47,7 +47,7 @@
 
     async def _send(
         self, machine: Machine, session: int, commands: list[Command], timeout_us: int
-    ) -> Report:
+    ) -> Heartbeat:
         term = self._term
         _, report = await workers.command(
             term.worker_http, machine.address, term.token, session, commands, timeout_us,
@@ -55,13 +55,13 @@
         )  # fmt: skip
         return report
 
-    def _deposed_by(self, name: str, report: Report) -> bool:
+    def _deposed_by(self, name: str, report: Heartbeat) -> bool:
         if report.token <= self._term.token:
             return False
         self._term.on_deposed(f"{name} has seen token {report.token}")
         return True
 
-    async def question(self, name: str, address: str, session: int) -> Report | None:
+    async def question(self, name: str, address: str, session: int) -> Heartbeat | None:
         """Show a worker our token and hear what it runs; None if it does not answer.
 
         Once its own message carries our token, it obeys no earlier leader any more.
@@ -71,7 +71,7 @@
             _, report = await workers.command(
                 term.worker_http, address, term.token, session, [], ASK_US, close=self._crowded()
             )
-        except CallFailed:
+        except CallError:
             return None
         return None if self._deposed_by(name, report) else report
 
@@ -84,7 +84,7 @@
         if machine.posting and machine.name not in self._outbox:
             return
         machine.posting = True
-        self._outbox.put(machine.name, rank(self._term.cluster, machine))
+        self._outbox.put(machine.name, queue_position(self._term.cluster, machine))
         self._pump()
 
     def _pump(self) -> None:
@@ -126,12 +126,12 @@
                 started = [machine.attempts[c.task] for c in commands if c.op == "run"]
                 try:
                     report = await self._send(machine, machine.session, commands, term.lease_us)
-                except NotConnected:
+                except NotConnectedError:
                     for attempt in started:
                         attempt.posted = False
                     self._unanswered(machine)
                     return
-                except CallFailed as error:
+                except CallError as error:
                     at_us = now_us()
                     for attempt in started:
                         if attempt.posted:
--- a/weldhead/controller/workers/heartbeat_forwarding.py
+++ b/weldhead/controller/workers/heartbeat_forwarding.py
@@ -15,7 +15,7 @@
 MOST_REMEMBERED = 4_096
 
 
-class Relays:
+class HeartbeatForwarding:
     """What is known of workers that the leader does not hear."""
 
     def __init__(self) -> None:
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -11,23 +11,32 @@
 
 from weldhead.clock import seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
 from weldhead.cluster_state.machines import Machine
-from weldhead.protocol.wire import Command, Report, TaskReport
-from weldhead.reconciliation.attempt_verdicts import Verdict, judge, locate
+from weldhead.protocol.wire import Command, Heartbeat, ReportedTask
+from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, judge_attempt, locate
 
 log = logging.getLogger(__name__)
 
-_PHASES = {"pulling": Phase.PULLING, "running": Phase.RUNNING, "saving": Phase.SAVING}
+_PHASES = {
+    "pulling": AttemptPhase.PULLING,
+    "running": AttemptPhase.RUNNING,
+    "saving": AttemptPhase.SAVING,
+}
 
 #: Verdicts that rest on what runs now, and where: only a report that shows this term's token
 #: says so. One from before may be a copy of any age: counted, it took the place of the attempt
 #: that ran, and that one was killed while its task was free to start elsewhere.
-_WAIT_FOR_TOKEN = {Verdict.ADOPTED, Verdict.OVER_LIMIT, Verdict.SECOND, Verdict.CROWDED}
+_WAIT_FOR_TOKEN = {
+    AttemptVerdict.ADOPTED,
+    AttemptVerdict.OVER_LIMIT,
+    AttemptVerdict.SECOND,
+    AttemptVerdict.CROWDED,
+}
 
 
 @dataclass(slots=True)
-class Outcome:
+class HeartbeatEffect:
     """What a report changed."""
 
     #: Tasks completed, to be committed before they are forgotten.
@@ -41,12 +50,12 @@
     #: Attempts that failed by themselves.
     failed: list[Attempt] = field(default_factory=list)
     #: What attempts were judged that this term has not started.
-    verdicts: dict[Verdict, int] = field(default_factory=dict)
+    verdicts: dict[AttemptVerdict, int] = field(default_factory=dict)
     #: Room has become free, or something else that placement should look at.
     room: bool = False
 
 
-def is_newer(machine: Machine, report: Report) -> bool:
+def is_newer(machine: Machine, report: Heartbeat) -> bool:
     """Whether the report is newer than everything seen, and of a live session."""
     return (
         report.session,
@@ -55,15 +64,15 @@
 
 
 def apply_report(
-    cluster: Cluster, machine: Machine, report: Report, at_us: int, *, direct: bool
-) -> Outcome:
+    cluster: Cluster, machine: Machine, report: Heartbeat, at_us: int, *, direct: bool
+) -> HeartbeatEffect:
     """Bring the picture of a machine up to date with a newer report.
 
     ``direct``: the report is the body of a direct command's answer. A task missing there
     does not show that a ``run`` sent in a report's answer was lost: that answer may still
     be on its way to the worker, who only drops it before it sends its next report.
     """
-    outcome = Outcome()
+    outcome = HeartbeatEffect()
     if report.session > machine.session and machine.session:
         machine.listing = None
         machine.report_sequence = 0
@@ -132,9 +141,9 @@
     for attempt in unseen:
         if attempt.task in seen or attempt.posted or attempt.unconfirmed_us:
             continue
-        if attempt.phase is Phase.ASSIGNED:
+        if attempt.phase is AttemptPhase.ASSIGNED:
             if attempt.sent_sequence is None:
-                if attempt.stop is not Stop.NO:
+                if attempt.stop is not StopRequest.NO:
                     # Asked to stop while a direct request was being connected, in vain. Nothing
                     # is on its way, and neither ``run`` nor ``kill`` would ever be sent.
                     cluster.release(attempt)
@@ -144,7 +153,7 @@
                 # A worker has one report in flight: its next report shows that the answer
                 # to the last one was either executed or dropped for good.
                 attempt.sent_sequence = None
-                if attempt.stop is not Stop.NO:
+                if attempt.stop is not StopRequest.NO:
                     cluster.release(attempt)
                     outcome.lost.append((attempt, "withdrawn before it was started"))
         elif was_synced:
@@ -167,14 +176,17 @@
     cluster: Cluster,
     machine: Machine,
     attempt: Attempt,
-    task: TaskReport,
+    task: ReportedTask,
     at_us: int,
-    outcome: Outcome,
+    outcome: HeartbeatEffect,
 ) -> None:
     """Take up that an attempt of ours is in another phase than before, or has ended."""
     if task.state != "ended":
         phase = _PHASES[task.state]
-        if phase is Phase.RUNNING and attempt.phase in (Phase.ASSIGNED, Phase.PULLING):
+        if phase is AttemptPhase.RUNNING and attempt.phase in (
+            AttemptPhase.ASSIGNED,
+            AttemptPhase.PULLING,
+        ):
             attempt.running_us = at_us
             machine.note_image(attempt.job.spec.image, attempt.job.spec.image_gb)
         attempt.phase = phase
@@ -187,9 +199,9 @@
     cluster: Cluster,
     machine: Machine,
     attempt: Attempt,
-    task: TaskReport,
+    task: ReportedTask,
     at_us: int,
-    outcome: Outcome,
+    outcome: HeartbeatEffect,
 ) -> None:
     job = attempt.job
     if task.why == "done":
@@ -222,16 +234,16 @@
 def _unknown(
     cluster: Cluster,
     machine: Machine,
-    task: TaskReport,
+    task: ReportedTask,
     at_us: int,
-    outcome: Outcome,
+    outcome: HeartbeatEffect,
     shows_token: bool,
 ) -> Attempt | None:
     """Deal with an attempt that this leader has not started here, as its verdict says."""
     key = (task.task, task.attempt)
     if key in machine.forget:
         return None
-    verdict = judge(cluster, machine, task)
+    verdict = judge_attempt(cluster, machine, task)
     job, index = locate(cluster, task)
     if verdict in _WAIT_FOR_TOKEN and not shows_token and not (job is not None and job.unwanted):
         # What is cancelled has to go wherever it is: no answer renews its lease without a kill.
@@ -239,26 +251,29 @@
     if key not in machine.ghosts:
         outcome.verdicts[verdict] = outcome.verdicts.get(verdict, 0) + 1
     match verdict:
-        case Verdict.FINISHED | Verdict.ENDED:
+        case AttemptVerdict.FINISHED | AttemptVerdict.ENDED:
             machine.forget.add(key)
             cluster.lay(machine, {key} & machine.ghosts)
-            if verdict is Verdict.FINISHED and job is not None:
+            if verdict is AttemptVerdict.FINISHED and job is not None:
                 job.complete_waiting(index)
                 outcome.completed.append(job)
             elif job is not None and task.why == "halted":
                 # Stopped by an earlier leader that may have had no time to write it down.
                 job.give_back(index, machine.name)
             return None
-        case Verdict.ADOPTED | Verdict.CANCELLED | Verdict.OVER_LIMIT | Verdict.CROWDED if (
-            job is not None
-        ):
+        case (
+            AttemptVerdict.ADOPTED
+            | AttemptVerdict.CANCELLED
+            | AttemptVerdict.OVER_LIMIT
+            | AttemptVerdict.CROWDED
+        ) if job is not None:
             # It may have been a second attempt until the first was gone.
             cluster.lay(machine, {key} & machine.ghosts)
             attempt = _adopt(cluster, machine, job, index, task, at_us)
-            if verdict is Verdict.CROWDED:
-                cluster.stop(attempt, Stop.HARD, at_us, "no room by the books")
+            if verdict is AttemptVerdict.CROWDED:
+                cluster.stop(attempt, StopRequest.HARD, at_us, "no room by the books")
             return attempt
-    if verdict is Verdict.UNRECORDED and key not in machine.ghosts:
+    if verdict is AttemptVerdict.UNRECORDED and key not in machine.ghosts:
         log.info("%s reports %s, which nothing on record names", machine.name, task.task)
     # It must go, and until then nothing new is placed on this machine.
     cluster.haunt(machine, key, job, at_us)
@@ -266,29 +281,31 @@
 
 
 def _adopt(
-    cluster: Cluster, machine: Machine, job: Job, index: int, task: TaskReport, at_us: int
+    cluster: Cluster, machine: Machine, job: Job, index: int, task: ReportedTask, at_us: int
 ) -> Attempt:
     """Count an attempt that an earlier leader started."""
     attempt = Attempt(job, index, task.attempt, machine.name, at_us)
     attempt.phase = _PHASES[task.state]
-    attempt.adopted = attempt.phase is not Phase.PULLING
-    if attempt.phase is not Phase.PULLING:
+    attempt.adopted = attempt.phase is not AttemptPhase.PULLING
+    if attempt.phase is not AttemptPhase.PULLING:
         attempt.running_us = at_us
         machine.note_image(job.spec.image, job.spec.image_gb)
     cluster.adopt(attempt, machine)
     if job.unwanted:
-        cluster.stop(attempt, Stop.HARD, at_us, "cancelled")
-    elif attempt.phase is Phase.SAVING:
+        cluster.stop(attempt, StopRequest.HARD, at_us, "cancelled")
+    elif attempt.phase is AttemptPhase.SAVING:
         # Whoever led before has stopped it: it goes, and what it holds is being freed. Taken
         # for one that runs, its team could lose as much once more in the first pass.
-        cluster.stop(attempt, Stop.SOFT, at_us, "stopped by an earlier leader")
+        cluster.stop(attempt, StopRequest.SOFT, at_us, "stopped by an earlier leader")
     return attempt
 
 
-def request_stop(cluster: Cluster, attempt: Attempt, stop: Stop, at_us: int, reason: str) -> bool:
+def request_stop(
+    cluster: Cluster, attempt: Attempt, stop: StopRequest, at_us: int, reason: str
+) -> bool:
     """Ask an attempt to stop; true if it is gone at once because it was never sent."""
     if (
-        attempt.phase is Phase.ASSIGNED
+        attempt.phase is AttemptPhase.ASSIGNED
         and attempt.sent_sequence is None
         and not attempt.posted
         and not attempt.unconfirmed_us
@@ -308,7 +325,7 @@
     gone = [
         attempt
         for attempt in machine.attempts.values()
-        if attempt.phase is Phase.ASSIGNED
+        if attempt.phase is AttemptPhase.ASSIGNED
         and attempt.sent_sequence is None
         and not attempt.posted
         and not attempt.unconfirmed_us
@@ -318,7 +335,7 @@
     return len(gone)
 
 
-def kill_all(report: Report) -> list[Command]:
+def kill_all(report: Heartbeat) -> list[Command]:
     """Return what ends everything that a worker says is on its machine."""
     return [
         Command("kill", task.task, task.attempt, 0.0)
@@ -331,12 +348,12 @@
     """Return the kills that the machine still has to carry out; repeated, they do no harm."""
     kills = [Command("kill", task, number, 0.0) for task, number in machine.ghosts]
     for attempt in machine.attempts.values():
-        if attempt.stop is Stop.NO:
+        if attempt.stop is StopRequest.NO:
             continue
-        if attempt.phase is not Phase.ASSIGNED or attempt.unconfirmed_us or attempt.posted:
+        if attempt.phase is not AttemptPhase.ASSIGNED or attempt.unconfirmed_us or attempt.posted:
             grace_s = 0.0
-            if attempt.stop is Stop.SOFT:
-                if attempt.phase is Phase.SAVING:
+            if attempt.stop is StopRequest.SOFT:
+                if attempt.phase is AttemptPhase.SAVING:
                     continue
                 grace_s = attempt.job.spec.save_s + 1.0
             kills.append(Command("kill", attempt.task, attempt.number, grace_s))
@@ -361,7 +378,7 @@
     # Where its worker lists all that is on it, nothing is left to be begun.
     unbegun = machine.attempts.values() if may_start and machine.listing is None else ()
     for attempt in unbegun:
-        if attempt.stop is Stop.NO and attempt.phase is Phase.ASSIGNED:
+        if attempt.stop is StopRequest.NO and attempt.phase is AttemptPhase.ASSIGNED:
             if attempt.posted or attempt.unconfirmed_us:
                 continue
             if sequence is None:
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.cluster_state.change_feed import Feed
-from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.change_feed import ChangeFeed
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
 from weldhead.cluster_state.machines import Machine
-from weldhead.cluster_state.state_writer import Deposed
+from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.controller.term import Term
-from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.heartbeat_reconciler import request_stop
-from weldhead.failure_attribution.failure_tracker import Failures
-from weldhead.failure_attribution.judgement import Standing
-from weldhead.reachability.silence import look_gone
+from weldhead.failure_attribution.failure_tracker import FailureTracker
+from weldhead.failure_attribution.judgement import JobHealth
+from weldhead.reachability.silence import look_lost
 from weldhead.reconciliation.answer_window import span_us
 from weldhead.scheduling.objectives import FOR_EVER_US
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 
 log = logging.getLogger(__name__)
 
@@ -30,16 +30,16 @@
     return bool(machine.attempts or machine.ghosts) or not machine.synced
 
 
-class MachineWatch:
+class MachineMonitor:
     """Follows the term's machines; ``on_known`` is told when one more is known or gone."""
 
     #: The machines that came and went since it was last asked; set once they are loaded.
-    changed: Feed[Machine]
+    changed: ChangeFeed[Machine]
 
     def __init__(
         self,
         term: Term,
-        dispatcher: Dispatcher,
+        dispatcher: CommandDispatcher,
         give_back: Callable[[dict[str, Machine]], None],
         on_known: Callable[[], None],
     ) -> None:
@@ -51,7 +51,7 @@
         self.heard: dict[str, Machine] = {}
         #: Those that the cloud has given notice of.
         self.noticed: dict[str, Machine] = {}
-        self.failures = Failures()
+        self.failures = FailureTracker()
         #: Jobs that are tried one task at a time.
         self._tried: dict[str, Job] = {}
 
@@ -139,9 +139,9 @@
     async def _prove(self) -> None:
         try:
             await self._term.ledger.prove()
-        except CallFailed as error:
+        except CallError as error:
             log.info("leases are over, but not whether this node still leads: %s", error)
-        except Deposed:
+        except LeadershipLostError:
             self._term.on_deposed("the leader's key is not ours any more")
 
     def expired_or_silent(self, at_us: int, proven_us: int = FOR_EVER_US) -> list[Machine]:
@@ -163,7 +163,7 @@
             return []
         live = self.live()
         limit_us = at_us - self._term.lease_us * 2 // 3
-        gone = look_gone(silent, live)
+        gone = look_lost(silent, live)
         found = []
         for machine in silent:
             speaks = machine.deaf and at_us - machine.seen_us <= self._term.silence_us
@@ -185,7 +185,7 @@
         """Return machines that hear nothing, and silent ones while their leases last."""
         deaf = [m for m in self.heard.values() if m.deaf and not m.deleting]
         silent = [machine for machine in self.silent_live(at_us) if not machine.deaf]
-        if not silent or look_gone(silent, self.live()):
+        if not silent or look_lost(silent, self.live()):
             return deaf
         return silent + deaf
 
@@ -212,7 +212,7 @@
         found += [
             attempt
             for attempt in cluster.stopping.values()
-            if attempt.stop is Stop.HARD and at_us - attempt.stop_us > stop_us
+            if attempt.stop is StopRequest.HARD and at_us - attempt.stop_us > stop_us
         ]
         machines = {a.machine: cluster.machines[a.machine] for a in found}
         return [m for m in machines.values() if m.up and not m.deleting]
@@ -272,8 +272,8 @@
             machine.touch()
             log.info("machine %s is drained: tasks fail on it that succeed elsewhere", machine.name)
         for job, standing in review.changed:
-            job.broken = standing is Standing.BROKEN
-            job.probing = standing is not Standing.SOUND
+            job.broken = standing is JobHealth.BROKEN
+            job.probing = standing is not JobHealth.SOUND
             job.touch()
             log.info("%s is %s: failed %d times, on %d machines", job.id, standing.value,
                 job.failures, len(job.failed_on))  # fmt: skip
@@ -289,9 +289,13 @@
         for attempt in list(machine.attempts.values()):
             saves = attempt.job.spec.checkpoint_s > 0
             if not saves and self._term.estimates.remaining_us(attempt, at_us) < left_us:
-                if attempt.phase is Phase.RUNNING:
+                if attempt.phase is AttemptPhase.RUNNING:
                     continue
             request_stop(
-                self._term.cluster, attempt, Stop.SOFT if saves else Stop.HARD, at_us, "notice"
+                self._term.cluster,
+                attempt,
+                StopRequest.SOFT if saves else StopRequest.HARD,
+                at_us,
+                "notice",
             )
         self._dispatcher.post_soon(machine)
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -7,12 +7,12 @@
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, to_seconds
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.term import Term
-from weldhead.controller.workers.command_dispatcher import Dispatcher
+from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.heartbeat_reconciler import withdraw_unbegun
-from weldhead.protocol.wire import Command, Report
-from weldhead.reachability.evidence import DeliveryEvidence, Sign, told
+from weldhead.protocol.wire import Command, Heartbeat
+from weldhead.reachability.evidence import DeliveryEvidence, DeliverySignal, sent_answer
 from weldhead.reachability.freshness import Freshness, answerable, freshness_of
-from weldhead.reachability.replacement import to_return
+from weldhead.reachability.replacement import machines_to_replace
 
 log = logging.getLogger(__name__)
 
@@ -33,8 +33,8 @@
     def __init__(
         self,
         term: Term,
-        dispatcher: Dispatcher,
-        apply: Callable[[Machine, Report], None],
+        dispatcher: CommandDispatcher,
+        apply: Callable[[Machine, Heartbeat], None],
         give_back: Callable[[dict[str, Machine]], None],
         silent: Callable[[int], Iterable[Machine]],
     ) -> None:
@@ -52,30 +52,30 @@
 
     # -- reports -----------------------------------------------------------------------------
 
-    def freshness(self, machine: Machine, report: Report) -> Freshness:
+    def freshness(self, machine: Machine, report: Heartbeat) -> Freshness:
         """Say what a report is worth, before it is applied."""
         return freshness_of(machine, report, self._term.token)
 
-    def listen(self, machine: Machine, report: Report, at_us: int, *, relayed: bool) -> None:
+    def listen(self, machine: Machine, report: Heartbeat, at_us: int, *, relayed: bool) -> None:
         """Hold a report that is newer than all seen against what its machine was told."""
         evidence = self._evidence.get(machine.name)
         if evidence is None:
             return
         sign = evidence.listen(report, machine.order[1], at_us, relayed=relayed)
-        if sign is not Sign.NOTHING:
+        if sign is not DeliverySignal.NOTHING:
             self._note(machine, evidence, sign, at_us)
 
-    def told(
+    def record_answer(
         self,
         machine: Machine,
-        report: Report,
+        report: Heartbeat,
         commands: Iterable[Command],
         at_us: int,
         *,
         relayed: bool,
     ) -> None:
         """Its report is answered so."""
-        said = told(report, self._term.token, commands, at_us, relayed=relayed)
+        said = sent_answer(report, self._term.token, commands, at_us, relayed=relayed)
         evidence = self._evidence.get(machine.name)
         if evidence is None:
             self._evidence[machine.name] = DeliveryEvidence(self._term.lease_us, said, at_us)
@@ -90,7 +90,7 @@
         """It answered a direct request: it hears."""
         evidence = self._evidence.get(machine.name)
         if evidence is not None and evidence.doubted:
-            self._note(machine, evidence, Sign.HEARD, now_us())
+            self._note(machine, evidence, DeliverySignal.HEARD, now_us())
 
     def unanswered(self, machine: Machine) -> None:
         """It did not answer a direct request.
@@ -102,14 +102,16 @@
             return
         at_us = now_us()
         if at_us - machine.seen_us <= self._term.silence_us:
-            self._note(machine, evidence, Sign.UNANSWERED, at_us)
+            self._note(machine, evidence, DeliverySignal.UNANSWERED, at_us)
 
     def gone(self, machine: Machine) -> None:
         """A machine is gone for good."""
         self._evidence.pop(machine.name, None)
         self._doubted.pop(machine.name, None)
 
-    def _note(self, machine: Machine, evidence: DeliveryEvidence, sign: Sign, at_us: int) -> None:
+    def _note(
+        self, machine: Machine, evidence: DeliveryEvidence, sign: DeliverySignal, at_us: int
+    ) -> None:
         since_us = evidence.deaf_us
         changed = evidence.note(sign, at_us)
         if evidence.doubted:
@@ -154,7 +156,7 @@
         for name, machine in list(self._doubted.items()):
             evidence = self._evidence[name]
             if not evidence.deaf_us and at_us - evidence.evidence_us > 2 * self._term.lease_us:
-                evidence.note(Sign.HEARD, at_us)
+                evidence.note(DeliverySignal.HEARD, at_us)
                 del self._doubted[name]
                 continue
             if machine.deaf:
@@ -194,7 +196,7 @@
             return
         # Whatever is recorded and not being returned: also those that never got as far as ``up``.
         live = [m for m in self._term.cluster.machines.values() if m.session and not m.deleting]
-        found = to_return(
+        found = machines_to_replace(
             deaf, live, list(self._silent(at_us)), at_us, self._term.lease_us,
             self._term.tunables.fleet.minimum_charge_us,
         )  # fmt: skip
@@ -207,7 +209,7 @@
 
     # -- machines on no record ---------------------------------------------------------------
 
-    def meet(self, report: Report, enter: Callable[[Report], None]) -> None:
+    def meet(self, report: Heartbeat, enter: Callable[[Heartbeat], None]) -> None:
         """Ask a machine that no record names whether it is there; only then is it entered.
 
         Its report may be a copy from before it was deleted, in an earlier term even: entered by
@@ -220,7 +222,7 @@
         self._meeting.add(name)
         self._term.duties.once("stranger", self._meet(report, enter))
 
-    async def _meet(self, report: Report, enter: Callable[[Report], None]) -> None:
+    async def _meet(self, report: Heartbeat, enter: Callable[[Heartbeat], None]) -> None:
         try:
             shown = await self._dispatcher.question(
                 report.machine, report.address, max(1, report.session)
--- a/weldhead/documents/cache.py
+++ b/weldhead/documents/cache.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Kept(Generic[T]):
+class CacheEntry(Generic[T]):
     """A value, its mark (0: there is none in the store), and as of when it was current."""
 
     value: T
@@ -74,7 +74,7 @@
         for listener in self.listeners:
             listener(key)
 
-    def kept(self, key: str, kind: type[T]) -> Kept[T] | None:
+    def kept(self, key: str, kind: type[T]) -> CacheEntry[T] | None:
         """Return a key's value, decoded; None: it is not there, or cannot be read."""
         entry = self._entries.get(key)
         if entry is None:
@@ -86,7 +86,7 @@
                 # Written by a version with another format: as good as not there.
                 self._decoded[key, kind] = None
         value = self._decoded[key, kind]
-        return None if value is None else Kept(value, entry[1], self.as_of_us)
+        return None if value is None else CacheEntry(value, entry[1], self.as_of_us)
 
     def mark(self, key: str) -> int:
         """Return a key's mark; 0: it is not there."""
@@ -99,7 +99,7 @@
         kept = self.kept(HEAD_KEY, HeadRecord)
         return kept.value if kept is not None else None
 
-    def in_force(self, kind: str, structure: type[T]) -> Iterator[Kept[T]]:
+    def in_force(self, kind: str, structure: type[T]) -> Iterator[CacheEntry[T]]:
         """Iterate over the documents of a kind of the edition in force."""
         head = self.head
         if head is None:
--- a/weldhead/documents/editions.py
+++ b/weldhead/documents/editions.py
@@ -10,14 +10,14 @@
 
 from weldhead.documents.records import (
     HEAD_KEY,
+    DocumentSet,
     HeadRecord,
-    Offer,
     document_key,
     edition_of,
 )
 
 
-class Verdict(enum.Enum):
+class EditionVerdict(enum.Enum):
     """What becomes of an edition that is brought."""
 
     TAKEN = "taken"
@@ -31,18 +31,18 @@
     TOO_LARGE = "too large"
 
 
-def judge(head: HeadRecord | None, offer: Offer, value_bytes: int) -> Verdict:
+def judge_edition(head: HeadRecord | None, offer: DocumentSet, value_bytes: int) -> EditionVerdict:
     """Say what becomes of an edition, given the one in force."""
     if any(len(bytes(body)) > value_bytes for body in offer.documents.values()):
-        return Verdict.TOO_LARGE
+        return EditionVerdict.TOO_LARGE
     if head is None or offer.edition > head.edition:
-        return Verdict.TAKEN
+        return EditionVerdict.TAKEN
     if offer.edition < head.edition:
-        return Verdict.OLDER
-    return Verdict.SAME if offer.digest == head.digest else Verdict.CONTRADICTS
+        return EditionVerdict.OLDER
+    return EditionVerdict.SAME if offer.digest == head.digest else EditionVerdict.CONTRADICTS
 
 
-def steps(offer: Offer, present: Collection[str], most: int) -> list[dict[str, Any]]:
+def steps(offer: DocumentSet, present: Collection[str], most: int) -> list[dict[str, Any]]:
     """Return the transactions that bring an edition into force; the head is the last.
 
     ``present`` are the keys that are there: what an earlier leader left of this edition when
--- a/weldhead/documents/records.py
+++ b/weldhead/documents/records.py
@@ -32,7 +32,7 @@
     documents: tuple[str, ...] = ()
 
 
-class Offer(msgspec.Struct, frozen=True):
+class DocumentSet(msgspec.Struct, frozen=True):
     """An edition that a controller brings: documents as JSON, by ``KIND/NAME``."""
 
     edition: int
--- a/weldhead/documents/source.py
+++ b/weldhead/documents/source.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from weldhead.calendars.calendar_document import Calendar
-from weldhead.documents.records import Offer
+from weldhead.documents.records import DocumentSet
 from weldhead.gates.gate_document import Gate, clashes
 from weldhead.tomlfiles import parse, problem_at, read_text
 
@@ -35,12 +35,12 @@
             yield "gate", number, gate
 
 
-def read_source(path: Path, value_bytes: int) -> Offer:
+def read_source(path: Path, value_bytes: int) -> DocumentSet:
     """Read and check a file; FileProblem names the line and the field of what is wrong."""
     return parse_source(str(path), read_text(path), value_bytes)
 
 
-def parse_source(name: str, text: str, value_bytes: int) -> Offer:
+def parse_source(name: str, text: str, value_bytes: int) -> DocumentSet:
     """Read an edition from its text; ``value_bytes`` is the most that a document may take."""
     source = parse(name, text, Source)
     if not 0 < source.edition < 1 << 53:
@@ -66,4 +66,4 @@
         raise problem_at(name, text, ["gate", number, *field], reason)
     if sum(len(bytes(body)) for body in found.values()) > EDITION_BYTES:
         raise problem_at(name, text, [], f"an edition takes {EDITION_BYTES} bytes at most")
-    return Offer(source.edition, found)
+    return DocumentSet(source.edition, found)
--- a/weldhead/emulator/arrivals.py
+++ b/weldhead/emulator/arrivals.py
@@ -12,10 +12,10 @@
 
 from weldhead.cluster_state.records import LEADER_KEY, LeaderRecord
 from weldhead.controller.leadership.leader import Leader
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.machines import Machine
-from weldhead.protocol.wire import DirectCommands, Entry, Report, ReportAnswer
+from weldhead.protocol.wire import DirectCommands, Heartbeat, HeartbeatAnswer, KeyValue
 from weldhead.transport.http_server import Response
 from weldhead.transport.state_client import decode
 
@@ -75,13 +75,13 @@
         """A request leaves its sender; copies do not."""
         if path != "v1/report":
             return
-        report = msgspec.json.decode(body, type=Report)
+        report = msgspec.json.decode(body, type=Heartbeat)
         stamp = (report.session, report.sequence)
         self._newest[report.machine] = max(self._newest.get(report.machine, (0, 0)), stamp)
         for task in report.tasks:
             self._attempts[task.task] = max(self._attempts.get(task.task, 0), task.attempt)
 
-    def ages(self, report: Report) -> set[Age]:
+    def ages(self, report: Heartbeat) -> set[Age]:
         """Say what makes a report old; nothing if it is the newest of a machine that is there."""
         machine = self.experiment.cloud.machines.get(report.machine)
         newest = self._newest.get(report.machine, (0, 0))
@@ -94,9 +94,9 @@
         }
         return {age for age, so in found.items() if so}
 
-    def arrived(self, node: Node, body: bytes) -> None:
+    def arrived(self, node: ControllerProcess, body: bytes) -> None:
         """A worker's report reaches a controller."""
-        ages = self.ages(msgspec.json.decode(body, type=Report))
+        ages = self.ages(msgspec.json.decode(body, type=Heartbeat))
         if not ages:
             return
         name, at_s = node.settings.name, self.experiment.loop.true_s
@@ -119,7 +119,7 @@
     def answered(self, leader: Leader, answer: Response) -> None:
         """A leader has answered a report."""
         self._answered.add(leader.token)
-        if msgspec.json.decode(answer.body, type=ReportAnswer).commands:
+        if msgspec.json.decode(answer.body, type=HeartbeatAnswer).commands:
             self._acted.add(leader.token)
 
     def _see_term(self) -> int:
@@ -139,7 +139,7 @@
             self._waiting.clear()
         return entry.version
 
-    def _moments(self, node: Node, token: int) -> list[Moment]:
+    def _moments(self, node: ControllerProcess, token: int) -> list[Moment]:
         """Say how far a controller's term is; nothing: it has none."""
         leader = node.leader
         if leader is None:
@@ -155,7 +155,7 @@
         return [moment for moment, so in found.items() if so]
 
     @staticmethod
-    def _winner(entry: Entry) -> str:
+    def _winner(entry: KeyValue) -> str:
         return decode(bytes(entry.value), LeaderRecord).name
 
     def commanded(self, machine: Machine, body: bytes) -> None:
--- a/weldhead/emulator/controller.py
+++ b/weldhead/emulator/controller.py
@@ -5,8 +5,8 @@
 from functools import partial
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.controller.process import Node
-from weldhead.documents.records import Offer
+from weldhead.controller.process import ControllerProcess
+from weldhead.documents.records import DocumentSet
 from weldhead.emulator.loop import Life, VirtualLoop
 from weldhead.emulator.network import Network, SimulatedHttp, SimulatedServer
 from weldhead.emulator.processor import START_US
@@ -25,7 +25,7 @@
         settings: Settings,
         tunables: Tunables,
         clock: tuple[float, int],
-        offer: Offer | None,
+        offer: DocumentSet | None,
         answered: Callable[["Controller", str], None],
         core_share: float = 0.0,
     ) -> None:
@@ -37,7 +37,7 @@
         self.life: Life | None = None
         #: All its processes so far.
         self.lives: list[Life] = []
-        self.node: Node | None = None
+        self.node: ControllerProcess | None = None
 
     def start(self) -> None:
         """Start the process, unless it runs."""
@@ -51,7 +51,7 @@
             if self._core_share and len(self.lives) > 1:
                 # The first ones were started before the run began.
                 await asyncio.sleep(START_US / SECOND_US / self._core_share)
-            node = self.node = Node(
+            node = self.node = ControllerProcess(
                 self.settings,
                 self._tunables,
                 client=lambda *_: SimulatedHttp(network),
--- a/weldhead/emulator/events.py
+++ b/weldhead/emulator/events.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from weldhead.cluster_state.preemption_history import TAKEN
+from weldhead.cluster_state.preemption_history import PREEMPTED
 from weldhead.cluster_state.records import (
     FINAL,
-    HIRES,
     JOBS,
     LEADER_KEY,
     PROGRESS,
+    RENTALS,
     LeaderRecord,
 )
 from weldhead.documents.records import PREFIX as DOCUMENTS
@@ -26,7 +26,7 @@
 from weldhead.emulator.loop import VirtualLoop
 from weldhead.emulator.network import Network
 from weldhead.emulator.scenario import Event, WriteKind
-from weldhead.protocol.wire import Command, DirectCommands, ReportAnswer
+from weldhead.protocol.wire import Command, DirectCommands, HeartbeatAnswer
 from weldhead.site.store.model import Batch, Store, Write
 from weldhead.transport.http_server import Response
 from weldhead.transport.state_client import decode
@@ -37,8 +37,8 @@
 _KINDS: dict[str, WriteKind] = {
     FINAL: "completion",
     PROGRESS: "progress",
-    HIRES: "rental",
-    TAKEN: "taken",
+    RENTALS: "rental",
+    PREEMPTED: "taken",
     DOCUMENTS: "document",
 }
 
@@ -196,7 +196,7 @@
 
     def _answered(self, source: str, target: str, path: str, answer: Response) -> None:
         if path == "v1/report" and answer.status == 200:
-            told = msgspec.json.decode(answer.body, type=ReportAnswer)
+            told = msgspec.json.decode(answer.body, type=HeartbeatAnswer)
             self._commanded(source, target, told.token, told.commands)
 
     def _commanded(
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -11,7 +11,7 @@
 from weldhead.clock import SECOND_US, now_us
 from weldhead.controller.configuration import late_notifications as lateness
 from weldhead.controller.leadership.leader import Leader
-from weldhead.documents.records import Offer
+from weldhead.documents.records import DocumentSet
 from weldhead.documents.source import parse_source
 from weldhead.emulator.calendars import CalendarRules
 from weldhead.emulator.cards import CardRules, Holding
@@ -45,9 +45,9 @@
     Team,
     WorkerLimits,
 )
-from weldhead.protocol.settings import Node as Peer
+from weldhead.protocol.settings import PeerSettings as Peer
 from weldhead.protocol.wire import JobSpec, MachineType, split_task
-from weldhead.reconciliation.attempt_verdicts import Tally, Verdict
+from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, ReconciliationCounts
 from weldhead.site.pool import Machine as PoolMachine
 from weldhead.tunables.defaults import Tunables
 
@@ -79,7 +79,7 @@
     #: What crossed the network in the first 10 s of each of those terms, by whom it was for.
     first_calls: list[Counter[str]] = field(default_factory=list)
     #: What attempts were judged that the term had not started, over all terms.
-    verdicts: Counter[Verdict] = field(default_factory=Counter)
+    verdicts: Counter[AttemptVerdict] = field(default_factory=Counter)
     #: The most tasks stopped in any 2 s of the first 10 s after a term was ready.
     stopped_then: int = 0
     #: By class: jobs accepted and not cancelled, and how many of them were told done.
@@ -128,7 +128,7 @@
             loop, self.network, kinds, scenario.cloud_rps, self._machine,
             random.Random(rng.random()),
         )  # fmt: skip
-        self.offer: Offer | None = None
+        self.offer: DocumentSet | None = None
         if scenario.documents:
             self.offer = parse_source(scenario.name, scenario.documents, limits.value_bytes)
         self.controllers = self._make_controllers(teams, limits)
@@ -161,7 +161,7 @@
         self.led_s: dict[int, float] = {}
         self.ready_s: dict[int, float] = {}
         self.first_calls: list[Counter[str]] = []
-        self._tallies: dict[int, Tally] = {}
+        self._tallies: dict[int, ReconciliationCounts] = {}
         self._blamed: set[str] = set()
         self._assigned: set[tuple[str, int]] = set()
         self._counting: list[asyncio.Task[None]] = []
@@ -312,9 +312,9 @@
                 if self.loop.true_s > bound_s:
                     self.checker.breaks("sent_to_deaf", f"{attempt.task} is assigned to {name}")
 
-    def verdicts(self) -> Counter[Verdict]:
+    def verdicts(self) -> Counter[AttemptVerdict]:
         """Return how often each verdict was given, over all terms."""
-        return sum((tally.tasks for tally in self._tallies.values()), Counter[Verdict]())
+        return sum((tally.tasks for tally in self._tallies.values()), Counter[AttemptVerdict]())
 
     def _calls(self) -> Counter[str]:
         """What the controllers have sent so far, by whom it was for."""
--- a/weldhead/emulator/gates.py
+++ b/weldhead/emulator/gates.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass, field
 
-from weldhead.documents.records import Offer, state_key
+from weldhead.documents.records import DocumentSet, state_key
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.users import Users
 from weldhead.gates.gate_document import Gate
@@ -37,7 +37,9 @@
 class GateKeeper:
     """Those who act on one gate, and what is known of its editions."""
 
-    def __init__(self, offer: Offer, users: Users, checker: Checker, rng: random.Random) -> None:
+    def __init__(
+        self, offer: DocumentSet, users: Users, checker: Checker, rng: random.Random
+    ) -> None:
         name, body = next((n, b) for n, b in offer.documents.items() if n.startswith("gate/"))
         self._gate = decode(bytes(body), Gate)
         self._key = state_key(*name.split("/"))
--- a/weldhead/emulator/machines.py
+++ b/weldhead/emulator/machines.py
@@ -13,7 +13,13 @@
 from weldhead.emulator.checker import Checker, Site
 from weldhead.emulator.loop import Life, VirtualLoop
 from weldhead.emulator.network import Network
-from weldhead.protocol.wire import DirectCommands, JobSpec, MachineType, Redirect, ReportAnswer
+from weldhead.protocol.wire import (
+    DirectCommands,
+    HeartbeatAnswer,
+    JobSpec,
+    LeaderRedirect,
+    MachineType,
+)
 from weldhead.site.worker import (
     SAVED_CODE,
     Action,
@@ -26,7 +32,7 @@
     Work,
     Worker,
 )
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response
 
 ANSWER_US = 4 * SECOND_US
@@ -163,16 +169,16 @@
             answer = await self._network.request(
                 "POST", f"http://{address}/v1/report", body, ANSWER_US
             )
-        except CallFailed:
+        except CallError:
             self._checker.counts["reports unanswered"] += 1
             return self._next()
         if answer.status == 200:
-            told = msgspec.json.decode(answer.body, type=ReportAnswer)
+            told = msgspec.json.decode(answer.body, type=HeartbeatAnswer)
             self._do(self.worker.answered(session, sent_us, told.token, told.commands, now_us()))
             return None
         self._checker.counts[f"reports {answer.status}"] += 1
         if answer.status == 421:
-            leader = msgspec.json.decode(answer.body, type=Redirect).leader
+            leader = msgspec.json.decode(answer.body, type=LeaderRedirect).leader
             names = [known for known, _ in self._nodes]
             if leader in names and leader != name:
                 self._at = names.index(leader)
--- a/weldhead/emulator/network.py
+++ b/weldhead/emulator/network.py
@@ -18,7 +18,7 @@
 from weldhead.clock import SECOND_US
 from weldhead.emulator.loop import Life, VirtualLoop, current_life
 from weldhead.emulator.processor import packet_us, request_us
-from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
+from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 from weldhead.transport.http_server import Handler, Response
 
 #: ``deaf``: connections come about, and of what is sent on them half arrives after the cut.
@@ -216,8 +216,8 @@
                 return await self._exchange(life, listener, method, "/" + path, body or b"")
         except asyncio.TimeoutError as error:
             self._give_up(life, machine, path, body, sent=sent)
-            raise CallFailed(f"{method} {url}: no answer in time") from error
-        except CallFailed:
+            raise CallError(f"{method} {url}: no answer in time") from error
+        except CallError:
             self._give_up(life, machine, path, body, sent=sent)
             raise
 
@@ -235,7 +235,7 @@
         until_s = self._loop.true_s + connect_us / SECOND_US if connect_us else 0.0
         while True:
             if life.ended:
-                raise CallFailed("the caller has ended")
+                raise CallError("the caller has ended")
             mode = self._path(life.machine, machine)
             listener = self._listener(address)
             if mode is None:
@@ -245,9 +245,9 @@
                     return listener
             if mode in ("reset", "refuse") or (mode is None and listener is None):
                 await asyncio.sleep(self.weather.delay_s)
-                raise NotConnected(f"{address}: refused")
+                raise NotConnectedError(f"{address}: refused")
             if until_s and self._loop.true_s >= until_s:
-                raise NotConnected(f"{address}: no connection in time")
+                raise NotConnectedError(f"{address}: no connection in time")
             await asyncio.sleep(0.05)
 
     def _copy(self, machine: str, address: str, body: bytes) -> None:
@@ -288,7 +288,7 @@
 
         def fail() -> None:
             if not answered.done():
-                answered.set_exception(CallFailed(f"{method} {path}: connection reset"))
+                answered.set_exception(CallError(f"{method} {path}: connection reset"))
 
         def arrive() -> None:
             if target.ended:
@@ -317,7 +317,7 @@
                 answered.set_result(answer)
 
         if life.ended:
-            raise CallFailed("the caller has ended")
+            raise CallError("the caller has ended")
         held = self.commands_held_up.get(life.machine) if path == "/commands" else None
         if held is not None and self._rng.random() < held.share:
             self.commands_held += 1
@@ -350,7 +350,7 @@
         machine = self._machines.get(address, address)
         try:
             listener = await self._connected(life, machine, address, 0)
-        except CallFailed as error:
+        except CallError as error:
             raise ConnectionRefusedError(str(error)) from error
         assert listener.factory is not None
         near, far = _Stream(self, life, factory()), _Stream(self, listener.life, None)
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/planted.py
@@ -13,52 +13,56 @@
 from msgspec import structs
 
 from weldhead.calendars.binding import state_of
-from weldhead.calendars.job_deadlines import Dues
+from weldhead.calendars.job_deadlines import JobDeadlines
 from weldhead.clock import SECOND_US, now_us
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
-from weldhead.cluster_state.records import LEADER_KEY, Bound, FinalRecord, JobRecord
+from weldhead.cluster_state.records import LEADER_KEY, CalendarDeadline, FinalRecord, JobRecord
 from weldhead.controller.configuration import gates
-from weldhead.controller.fleet.rental_manager import Rentals
+from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.leadership import leader, leader_election
 from weldhead.controller.leadership.leader import Leader
-from weldhead.controller.leadership.leader_election import Campaign
-from weldhead.controller.leadership.leader_lease import Authority
-from weldhead.controller.leadership.term_recovery import Recovery
+from weldhead.controller.leadership.leader_election import LeaderElection
+from weldhead.controller.leadership.leader_lease import LeaderLease
+from weldhead.controller.leadership.term_recovery import TermRecovery
 from weldhead.controller.requests import request_handler
-from weldhead.controller.requests.job_dependencies import Linking
-from weldhead.controller.requests.request_handler import FrontDesk
+from weldhead.controller.requests.job_dependencies import JobDependencies
+from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.controller.workers import heartbeat_reconciler, reachability_monitor
-from weldhead.controller.workers.machine_monitor import MachineWatch
+from weldhead.controller.workers.machine_monitor import MachineMonitor
 from weldhead.documents.cache import DocumentCache
 from weldhead.failure_attribution import failure_tracker
 from weldhead.failure_attribution.judgement import FailureEvidence
 from weldhead.gates.gate_state import GateState
-from weldhead.protocol.peer import Held, Hold
-from weldhead.protocol.wire import Condition, Delete, JobStatus, Put, Report
-from weldhead.quota.teams import Account
+from weldhead.protocol.peer import PromiseAnswer, PromiseRequest
+from weldhead.protocol.wire import Condition, DeleteKey, Heartbeat, JobStatus, PutKey
+from weldhead.quota.teams import QuotaAccount
 from weldhead.reachability.evidence import DeliveryEvidence
 from weldhead.reachability.freshness import Freshness
 from weldhead.reconciliation import buffered_heartbeats as early_reports
-from weldhead.reconciliation.buffered_heartbeats import Early
-from weldhead.reconciliation.partial_view import Partial
+from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat
+from weldhead.reconciliation.partial_view import PartialView
 from weldhead.scheduling.preemption import preemptor
-from weldhead.transport.http_client import CallFailed
-from weldhead.transport.state_client import Refused, Rejected, StateClient
+from weldhead.transport.http_client import CallError
+from weldhead.transport.state_client import (
+    RequestRefusedError,
+    StateClient,
+    TransactionRejectedError,
+)
 
 
 def _lease_from_the_answer() -> Iterator[Any]:
     """A leader counts its lease from when the renewal, or what shows its key, was answered."""
-    renewed, kept = Authority.renewed, Authority.kept
+    renewed, kept = LeaderLease.renewed, LeaderLease.kept
 
-    def late(self: Authority, sent_us: int) -> None:
+    def late(self: LeaderLease, sent_us: int) -> None:
         # What shows nothing new was answered long ago.
         if sent_us > self._kept_us:
             kept(self, now_us())
 
-    yield patch.object(Authority, "renewed", lambda self, sent_us: renewed(self, now_us()))
-    yield patch.object(Authority, "kept", late)
+    yield patch.object(LeaderLease, "renewed", lambda self, sent_us: renewed(self, now_us()))
+    yield patch.object(LeaderLease, "kept", late)
 
 
 def _attempt_used_twice() -> Iterator[Any]:
@@ -85,12 +89,12 @@
 
 def _does_not_wait() -> Iterator[Any]:
     """A new leader starts work before it knows what runs."""
-    yield patch.object(Recovery, "check_known", lambda self: self.known.set())
+    yield patch.object(TermRecovery, "check_known", lambda self: self.known.set())
 
 
 def _everything_settled() -> Iterator[Any]:
     """While machines are unknown, any waiting task is taken to run nowhere."""
-    yield patch.object(Partial, "settled", lambda self, job: True)
+    yield patch.object(PartialView, "settled", lambda self, job: True)
 
 
 def _in_flight_not_counted() -> Iterator[Any]:
@@ -133,7 +137,7 @@
 def _below_a_guarantee() -> Iterator[Any]:
     """Whatever a team runs counts as borrowed."""
     yield patch.object(preemptor, "over_guarantee", lambda *_: True)
-    yield patch.object(Account, "may_lose_cards", lambda *_: True)
+    yield patch.object(QuotaAccount, "may_lose_cards", lambda *_: True)
 
 
 def _deaf_as_healthy() -> Iterator[Any]:
@@ -143,16 +147,16 @@
 
 def _calendar_of_the_term() -> Iterator[Any]:
     """A new term binds the jobs that it finds anew, to the instants that come then."""
-    enter = Dues.enter
+    enter = JobDeadlines.enter
 
-    def anew(self: Dues, job: Job, at_us: int, wall_us: int) -> None:
+    def anew(self: JobDeadlines, job: Job, at_us: int, wall_us: int) -> None:
         kept = state_of(self.cache, job.bound.calendar) if self.cache and job.bound else None
         due_us = kept.value.after(wall_us) if kept is not None else None
         if job.bound is not None and due_us is not None:
-            job.bound = Bound(job.bound.calendar, job.bound.edition, due_us)
+            job.bound = CalendarDeadline(job.bound.calendar, job.bound.edition, due_us)
         enter(self, job, at_us, wall_us)
 
-    yield patch.object(Dues, "enter", anew)
+    yield patch.object(JobDeadlines, "enter", anew)
 
 
 def _gate_from_memory() -> Iterator[Any]:
@@ -173,7 +177,10 @@
     transact = StateClient.transact
 
     async def anyhow(
-        self: StateClient, conditions: list[Condition], writes: list[Put | Delete], **more: Any
+        self: StateClient,
+        conditions: list[Condition],
+        writes: list[PutKey | DeleteKey],
+        **more: Any,
     ) -> int:
         if any(write.key.startswith("d/state/gate/") for write in writes):
             conditions = []
@@ -187,7 +194,10 @@
     transact = StateClient.transact
 
     async def blindly(
-        self: StateClient, conditions: list[Condition], writes: list[Put | Delete], **more: Any
+        self: StateClient,
+        conditions: list[Condition],
+        writes: list[PutKey | DeleteKey],
+        **more: Any,
     ) -> int:
         if any(condition.key == LEADER_KEY and condition.version for condition in conditions):
             conditions = [condition for condition in conditions if condition.key == LEADER_KEY]
@@ -215,21 +225,21 @@
 def _lease_kept_by_an_unloaded_leader() -> Iterator[Any]:
     """A leader that has not read the jobs keeps all workers, for as long as that takes."""
 
-    def answer(self: Recovery, report: Report, at_us: int, *, relayed: bool) -> bool:
+    def answer(self: TermRecovery, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
         return self.early.answer(report, at_us, relayed=relayed)
 
-    yield patch.object(Recovery, "answer_early", answer)
+    yield patch.object(TermRecovery, "answer_early", answer)
 
 
 def _cancelled_only_when_answered() -> Iterator[Any]:
     """Tasks are stopped once the cancellation's write was answered, whatever came of it."""
-    stop_tasks = Linking.stop_tasks
+    stop_tasks = JobDependencies.stop_tasks
 
-    def stop(self: Linking, job: Job) -> None:
+    def stop(self: JobDependencies, job: Job) -> None:
         if job.cancelled:
             stop_tasks(self, job)
 
-    yield patch.object(Linking, "stop_tasks", stop)
+    yield patch.object(JobDependencies, "stop_tasks", stop)
     yield patch.object(Job, "cancel_asked", property(lambda _: False, lambda *_: None))
 
 
@@ -244,11 +254,11 @@
 
 def _follower_answers_from_an_old_read() -> Iterator[Any]:
     """A follower remembers the jobs that it has read, as if they could not change."""
-    read = FrontDesk._read
-    remembered: WeakKeyDictionary[FrontDesk, dict[str, JobRecord]] = WeakKeyDictionary()
+    read = RequestHandler._read
+    remembered: WeakKeyDictionary[RequestHandler, dict[str, JobRecord]] = WeakKeyDictionary()
 
     async def from_memory(
-        self: FrontDesk, job_id: str, *, urgent: bool = False
+        self: RequestHandler, job_id: str, *, urgent: bool = False
     ) -> JobRecord | FinalRecord | None:
         records = remembered.setdefault(self, {})
         if self._node.leader is None and job_id in records:
@@ -258,7 +268,7 @@
             records[job_id] = stored
         return stored
 
-    yield patch.object(FrontDesk, "_read", from_memory)
+    yield patch.object(RequestHandler, "_read", from_memory)
 
 
 def _lost_answer_as_a_refusal() -> Iterator[Any]:
@@ -268,30 +278,30 @@
     async def refused(self: StateClient, *args: Any, **more: Any) -> int:
         try:
             return await transact(self, *args, **more)
-        except (Refused, Rejected):
+        except (RequestRefusedError, TransactionRejectedError):
             raise
-        except CallFailed as lost:
-            raise Refused(str(lost)) from lost
+        except CallError as lost:
+            raise RequestRefusedError(str(lost)) from lost
 
     yield patch.object(StateClient, "transact", refused)
 
 
 def _work_on_an_unrecorded_machine() -> Iterator[Any]:
     """Tasks are sent to a machine before the store says that something may run there."""
-    mark_up = Rentals.mark_up
+    mark_up = RentalManager.mark_up
 
-    async def at_once(self: Rentals, machine: Machine) -> None:
+    async def at_once(self: RentalManager, machine: Machine) -> None:
         machine.up = True
         await mark_up(self, machine)
 
-    yield patch.object(Rentals, "mark_up", at_once)
+    yield patch.object(RentalManager, "mark_up", at_once)
 
 
 def _old_report_taken_before_the_load() -> Iterator[Any]:
     """What a leader hears before it is loaded is taken for what runs then, however old it is."""
     apply = Leader._apply_early
 
-    def take(self: Leader, early: Early) -> None:
+    def take(self: Leader, early: BufferedHeartbeat) -> None:
         shown = structs.replace(early.report, token=self.token)
         apply(self, replace(early, report=shown))
 
@@ -303,20 +313,22 @@
 def _promise_to_the_replaced() -> Iterator[Any]:
     """A promise is given and counts whoever has led since the asker began."""
 
-    async def promise_anyhow(self: Campaign, name: str, hold: Hold) -> Held:
+    async def promise_anyhow(
+        self: LeaderElection, name: str, hold: PromiseRequest
+    ) -> PromiseAnswer:
         hold = structs.replace(hold, token=max(hold.token, self.highest_token))
-        return Held(hold.id, await self.promise(hold))
+        return PromiseAnswer(hold.id, await self.promise(hold))
 
-    yield patch.object(Campaign, "answer_hold", promise_anyhow)
-    yield patch.object(Campaign, "learn_token", lambda *_: None)
-    yield patch.object(Authority, "unreplaced_until_us", lambda *_: now_us())
+    yield patch.object(LeaderElection, "answer_hold", promise_anyhow)
+    yield patch.object(LeaderElection, "learn_token", lambda *_: None)
+    yield patch.object(LeaderLease, "unreplaced_until_us", lambda *_: now_us())
 
 
 def _room_given_away_at_a_hung_machine() -> Iterator[Any]:
     """What was told to go, on a machine that has been silent since, is taken for gone."""
-    in_trouble = MachineWatch.in_trouble
+    in_trouble = MachineMonitor.in_trouble
 
-    def given(self: MachineWatch, at_us: int) -> list[Machine]:
+    def given(self: MachineMonitor, at_us: int) -> list[Machine]:
         cluster, silence_us = self._term.cluster, self._term.silence_us
         for attempt in list(cluster.stopping.values()):
             machine = cluster.machines[attempt.machine]
@@ -324,22 +336,22 @@
                 cluster.release(attempt)
         return in_trouble(self, at_us)
 
-    yield patch.object(MachineWatch, "in_trouble", given)
+    yield patch.object(MachineMonitor, "in_trouble", given)
 
 
 def _answer_from_an_old_read() -> Iterator[Any]:
     """A controller tells for two seconds what the store said once."""
-    from_store = FrontDesk._from_store
-    kept: dict[tuple[FrontDesk, str], tuple[int, JobStatus | None]] = {}
+    from_store = RequestHandler._from_store
+    kept: dict[tuple[RequestHandler, str], tuple[int, JobStatus | None]] = {}
 
-    async def old(self: FrontDesk, job_id: str, *, urgent: bool = False) -> JobStatus | None:
+    async def old(self: RequestHandler, job_id: str, *, urgent: bool = False) -> JobStatus | None:
         at_us, read = kept.get((self, job_id), (0, None))
         if now_us() - at_us > 2 * SECOND_US:
             at_us, read = now_us(), await from_store(self, job_id, urgent=urgent)
             kept[self, job_id] = at_us, read
         return read
 
-    yield patch.object(FrontDesk, "_from_store", old)
+    yield patch.object(RequestHandler, "_from_store", old)
 
 
 def _any_job_accepted() -> Iterator[Any]:
--- a/weldhead/emulator/processor.py
+++ b/weldhead/emulator/processor.py
@@ -11,10 +11,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from weldhead.controller.fleet.autoscaler import Sizing
-from weldhead.controller.scheduling_loop.scheduling_loop import Deciding
+from weldhead.controller.fleet.autoscaler import Autoscaler
+from weldhead.controller.scheduling_loop.scheduling_loop import SchedulingLoop
 from weldhead.emulator.loop import VirtualLoop
-from weldhead.scheduling.forecast.job_forecasts import Outlook
+from weldhead.scheduling.forecast.job_forecasts import JobForecasts
 
 #: A controller's start: interpreter and modules.
 START_US = 700_000.0
@@ -46,17 +46,17 @@
     return PACKET_US + BYTE_US * len(data)
 
 
-def _placement_us(deciding: Deciding, _: Any) -> float:
+def _placement_us(deciding: SchedulingLoop, _: Any) -> float:
     """Return the charge of a placement pass."""
     return PASS_US + STARTED_TASK_US * len(deciding.last_plan.starts)
 
 
-def _preemptor_us(deciding: Deciding, _: Any) -> float:
+def _preemptor_us(deciding: SchedulingLoop, _: Any) -> float:
     """Return the charge of a run of the preemptor."""
     return PASS_US + MACHINE_US * len(deciding._term.cluster.machines)
 
 
-def _fleet_us(sizing: Sizing, _: Any) -> float:
+def _fleet_us(sizing: Autoscaler, _: Any) -> float:
     """Return the charge of a look at the fleet's size."""
     deciding, scene = sizing._deciding, sizing._deciding.scene
     waiting = len(scene.backlog) if scene is not None else 0
@@ -64,18 +64,18 @@
     return _preemptor_us(deciding, None) + SIZED_JOB_US * considered
 
 
-def _forecasts_us(_: Outlook, looked: list[Any]) -> float:
+def _forecasts_us(_: JobForecasts, looked: list[Any]) -> float:
     """Return the charge of a look at the forecasts."""
     return PASS_US + FORECAST_JOB_US * len(looked)
 
 
 #: Whose methods are charged after they have returned, and how much.
 _METERS: tuple[tuple[type, str, Callable[[Any, Any], float]], ...] = (
-    (Deciding, "place", _placement_us),
-    (Deciding, "_make_room", _preemptor_us),
-    (Sizing, "_size_now", _fleet_us),
-    (Sizing, "hire_ahead", _fleet_us),
-    (Outlook, "look", _forecasts_us),
+    (SchedulingLoop, "place", _placement_us),
+    (SchedulingLoop, "_make_room", _preemptor_us),
+    (Autoscaler, "_size_now", _fleet_us),
+    (Autoscaler, "hire_ahead", _fleet_us),
+    (JobForecasts, "look", _forecasts_us),
 )
 
 
--- a/weldhead/emulator/rental_records.py
+++ b/weldhead/emulator/rental_records.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from weldhead.clock import SECOND_US
-from weldhead.cluster_state.records import HIRES, LEADER_KEY, HireRecord
+from weldhead.cluster_state.records import LEADER_KEY, RENTALS, RentalRecord
 from weldhead.emulator.experiment import Experiment
-from weldhead.protocol.wire import Command, DirectCommands, ReportAnswer
+from weldhead.protocol.wire import Command, DirectCommands, HeartbeatAnswer
 from weldhead.site.store.model import Batch
 from weldhead.transport.http_server import Response
 
@@ -43,7 +43,7 @@
 
     def _answered(self, source: str, target: str, path: str, answer: Response) -> None:
         if path == "v1/report" and answer.status == 200:
-            told = msgspec.json.decode(answer.body, type=ReportAnswer)
+            told = msgspec.json.decode(answer.body, type=HeartbeatAnswer)
             self._commanded(told.token, target, told.commands)
 
     def _given_up(self, source: str, target: str, path: str, body: bytes) -> None:
@@ -52,8 +52,8 @@
         batch = msgspec.json.decode(body, type=Batch)
         token = next((c.version for c in batch.conditions if c.key == LEADER_KEY), 0)
         for write in batch.writes:
-            if (write.set or "").startswith(HIRES):
-                record = msgspec.json.decode(write.value, type=HireRecord)
+            if (write.set or "").startswith(RENTALS):
+                record = msgspec.json.decode(write.value, type=RentalRecord)
                 for name, address in record.machines.items():
                     if address is not None and name not in self.first:
                         self.unanswered[name] = token
@@ -74,6 +74,6 @@
             self.taken_over.add(machine)
 
     def _on_record(self, machine: str) -> bool:
-        page = self.experiment.store.service.store.page(HIRES, "", 1_000)
-        records = (msgspec.json.decode(entry.value, type=HireRecord) for entry in page.items)
+        page = self.experiment.store.service.store.page(RENTALS, "", 1_000)
+        records = (msgspec.json.decode(entry.value, type=RentalRecord) for entry in page.items)
         return any(record.machines.get(machine) for record in records)
--- a/weldhead/emulator/services.py
+++ b/weldhead/emulator/services.py
@@ -20,9 +20,9 @@
 from weldhead.site.pool import Pool, PoolError
 from weldhead.site.store.model import Batch
 from weldhead.site.store.server import StateService
-from weldhead.transport.background_tasks import Duties
+from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.http_server import Response, refusal
-from weldhead.transport.token_bucket import Budget
+from weldhead.transport.token_bucket import TokenBucket
 
 STATE_ADDRESS = "10.2.0.1:2379"
 CLOUD_ADDRESS = "10.2.0.2:8443"
@@ -82,7 +82,7 @@
         self._network = network
 
         async def run() -> None:
-            self.service.start(Duties())
+            self.service.start(BackgroundTasks())
 
         loop.spawn(self.life, run)
 
@@ -138,7 +138,7 @@
         #: How many times longer boots take, and how many machines never come up.
         self.boot_factor, self.boots_fail = 1.0, 0.0
         self._loop, self._make, self._rng = loop, make, rng
-        self._budget = self.life.context.run(Budget, rps, 2 * rps)
+        self._budget = self.life.context.run(TokenBucket, rps, 2 * rps)
         network.listen(self.life, CLOUD_ADDRESS, self._serve)
 
     def up(self) -> list[Machine]:
--- a/weldhead/emulator/starts.py
+++ b/weldhead/emulator/starts.py
@@ -11,7 +11,7 @@
 from weldhead.cluster_state.records import LEADER_KEY
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.network import Network
-from weldhead.protocol.wire import Command, DirectCommands, ReportAnswer, split_task
+from weldhead.protocol.wire import Command, DirectCommands, HeartbeatAnswer, split_task
 from weldhead.site.store.model import Store
 from weldhead.transport.http_server import Response
 
@@ -36,7 +36,7 @@
 
     def _answered(self, controller: str, machine: str, path: str, answer: Response) -> None:
         if path == "v1/report" and answer.status == 200 and _RUN in answer.body:
-            told = msgspec.json.decode(answer.body, type=ReportAnswer)
+            told = msgspec.json.decode(answer.body, type=HeartbeatAnswer)
             self._see(controller, told.token, told.commands)
 
     def _see(self, controller: str, token: int, commands: list[Command]) -> None:
--- a/weldhead/emulator/users.py
+++ b/weldhead/emulator/users.py
@@ -14,7 +14,7 @@
 from weldhead.emulator.scenario import JobClass, Scenario
 from weldhead.protocol.wire import JobSpec, JobStatus
 from weldhead.site.store.model import Batch, Store, Write
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response
 
 #: The connections of a controller that is unhealthy for so long are reset.
@@ -78,7 +78,7 @@
             return await self._network.request(
                 method, f"http://{address}{path}", body, round(limit_s * SECOND_US), 500_000
             )
-        except CallFailed:
+        except CallError:
             return None
 
     async def _ask(
--- a/weldhead/emulator/watched.py
+++ b/weldhead/emulator/watched.py
@@ -5,7 +5,7 @@
 from unittest.mock import patch
 
 from weldhead.clock import SECOND_US, surely_over_us
-from weldhead.controller.process import Node
+from weldhead.controller.process import ControllerProcess
 from weldhead.emulator.arrivals import Arrivals
 from weldhead.emulator.controller import Controller
 from weldhead.emulator.experiment import Experiment, Result, _result
@@ -44,9 +44,9 @@
 
 @contextmanager
 def _watched(arrivals: Arrivals) -> Iterator[None]:
-    report, serve = Node._report, Machine._serve
+    report, serve = ControllerProcess._report, Machine._serve
 
-    async def reported(self: Node, body: bytes, *, relayed: bool) -> Response:
+    async def reported(self: ControllerProcess, body: bytes, *, relayed: bool) -> Response:
         if not relayed:
             arrivals.arrived(self, body)
         leader = self.leader
@@ -60,7 +60,10 @@
             arrivals.commanded(self, body)
         return await serve(self, method, path, body)
 
-    with patch.object(Node, "_report", reported), patch.object(Machine, "_serve", served):
+    with (
+        patch.object(ControllerProcess, "_report", reported),
+        patch.object(Machine, "_serve", served),
+    ):
         yield
 
 
--- a/weldhead/failure_attribution/failure_tracker.py
+++ b/weldhead/failure_attribution/failure_tracker.py
@@ -1,6 +1,6 @@
 """What is kept of failures, and the look that judges by it. No I/O.
 
-``Failures`` belongs to a leader's term; a new leader begins with none, and learns from the
+``FailureTracker`` belongs to a leader's term; a new leader begins with none, and learns from the
 next failures.
 """
 
@@ -8,13 +8,13 @@
 
 from weldhead.clock import MILLISECOND_US, SECOND_US
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, Phase
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.failure_attribution.judgement import (
     FailureEvidence,
-    Standing,
+    JobHealth,
     is_faulty,
-    standing_of,
+    job_health,
     survived_us,
 )
 
@@ -43,7 +43,7 @@
     """A job of which tasks have failed."""
 
     job: Job
-    standing: Standing = Standing.SOUND
+    standing: JobHealth = JobHealth.SOUND
     tries: int = 0
     last_us: int = 0
     longest_us: int = 0
@@ -52,16 +52,16 @@
 
 
 @dataclass
-class Review:
+class FailureReview:
     """What a look came to."""
 
     #: Machines that are faulty, and were not called so before.
     faulty: list[Machine] = field(default_factory=list)
     #: Jobs whose standing has changed.
-    changed: list[tuple[Job, Standing]] = field(default_factory=list)
+    changed: list[tuple[Job, JobHealth]] = field(default_factory=list)
 
 
-class Failures:
+class FailureTracker:
     """Who has failed where."""
 
     def __init__(self) -> None:
@@ -89,7 +89,7 @@
         against.last_us = suspect.last_us = at_us
         against.longest_us = max(against.longest_us, ran_us)
         suspect.longest_us = max(suspect.longest_us, ran_us)
-        if suspect.standing is Standing.BROKEN:
+        if suspect.standing is JobHealth.BROKEN:
             pause_us = min(MOST_PAUSE_US, SECOND_US << min(6, suspect.tries))
             suspect.tries += 1
             job.not_before_us = max(job.not_before_us, at_us + pause_us)
@@ -110,9 +110,9 @@
         if not against:
             del self._machines[machine.name]
 
-    def review(self, cluster: Cluster) -> Review:
+    def review(self, cluster: Cluster) -> FailureReview:
         """Judge everybody of whom something is kept, by what is there now."""
-        found = Review()
+        found = FailureReview()
         for name in list(self._machines):
             machine = cluster.machines.get(name)
             if machine is None:
@@ -124,7 +124,7 @@
             if cluster.jobs.get(job_id) is not suspect.job:
                 del self._suspects[job_id]
                 continue
-            standing = standing_of(
+            standing = job_health(
                 succeeds=_succeeds(cluster, suspect),
                 failed_on=len(suspect.job.failed_on - self._faulty),
                 on_proven=len(suspect.on_proven - self._faulty),
@@ -140,11 +140,11 @@
         Rented for at once where nobody can tell yet; rarely where it has failed everywhere.
         """
         suspect = self._suspects.get(job.id)
-        if suspect is None or suspect.standing is Standing.SOUND:
+        if suspect is None or suspect.standing is JobHealth.SOUND:
             return False
-        if suspect.standing is Standing.BROKEN and at_us < suspect.last_us + RENT_PAUSE_US:
+        if suspect.standing is JobHealth.BROKEN and at_us < suspect.last_us + RENT_PAUSE_US:
             return False
-        tried = job.failed_on if suspect.standing is Standing.OPEN else frozenset[str]()
+        tried = job.failed_on if suspect.standing is JobHealth.OPEN else frozenset[str]()
         return not any(
             machine.name not in tried
             and not machine.draining
@@ -160,7 +160,7 @@
         for attempt in machine.attempts.values():
             # What a silent machine runs may have failed long ago.
             if (
-                attempt.phase is Phase.RUNNING
+                attempt.phase is AttemptPhase.RUNNING
                 and not attempt.adopted
                 and machine.heard_us - attempt.running_us >= least_us
             ):
@@ -168,7 +168,7 @@
                 if machine.name not in self._machines:
                     return
 
-    def _review_machines(self, cluster: Cluster, found: Review) -> None:
+    def _review_machines(self, cluster: Cluster, found: FailureReview) -> None:
         alone = sum(not machine.deleting for machine in cluster.machines.values()) == 1
         for name, against in self._machines.items():
             if name in self._faulty:
@@ -183,7 +183,7 @@
                     FailureEvidence(
                         failures.count,
                         _succeeds(cluster, suspect, but_on=name),
-                        bool(others) or suspect.standing is Standing.BROKEN,
+                        bool(others) or suspect.standing is JobHealth.BROKEN,
                     )
                 )
             if is_faulty(evidence, alone=alone):
@@ -197,7 +197,7 @@
         return True
     least_us = survived_us(suspect.longest_us)
     return any(
-        attempt.phase in (Phase.RUNNING, Phase.SAVING)
+        attempt.phase in (AttemptPhase.RUNNING, AttemptPhase.SAVING)
         and attempt.machine != but_on
         and cluster.machines[attempt.machine].heard_us - attempt.running_us >= least_us
         for attempt in suspect.job.active.values()
--- a/weldhead/failure_attribution/judgement.py
+++ b/weldhead/failure_attribution/judgement.py
@@ -23,7 +23,7 @@
 SURVIVED_US = 5 * SECOND_US
 
 
-class Standing(enum.Enum):
+class JobHealth(enum.Enum):
     """What is thought of a job of which tasks have failed."""
 
     #: It succeeds somewhere: its failures are its machines'.
@@ -58,17 +58,17 @@
     return alone and sum(not a.succeeds and not a.elsewhere for a in evidence) >= OPEN_JOBS
 
 
-def standing_of(*, succeeds: bool, failed_on: int, on_proven: int) -> Standing:
+def job_health(*, succeeds: bool, failed_on: int, on_proven: int) -> JobHealth:
     """Judge a job that has failed.
 
     ``failed_on`` counts the machines on which it failed that are not faulty; ``on_proven``
     those of them on which others have succeeded since.
     """
     if succeeds:
-        return Standing.SOUND
+        return JobHealth.SOUND
     if on_proven or failed_on >= MACHINES_FAILED:
-        return Standing.BROKEN
-    return Standing.OPEN
+        return JobHealth.BROKEN
+    return JobHealth.OPEN
 
 
 def survived_us(longest_failed_us: int) -> int:
--- a/weldhead/gates/gate_document.py
+++ b/weldhead/gates/gate_document.py
@@ -6,10 +6,12 @@
 import msgspec
 
 #: What the jobs that work on a gate do, in the order in which an edition needs them.
-ACTS = ("rebuild", "approval", "publication", "withdrawal")
+GATE_ACTIONS = ("rebuild", "approval", "publication", "withdrawal")
 
 
-class Act(msgspec.Struct, forbid_unknown_fields=True, rename="kebab", omit_defaults=True):
+class GateActionRule(
+    msgspec.Struct, forbid_unknown_fields=True, rename="kebab", omit_defaults=True
+):
     """The jobs that perform an act: of this class and, if one is named, of this team."""
 
     job_class: str
@@ -19,7 +21,7 @@
         """Whether a job of that class and team performs it."""
         return self.job_class == job_class and self.team in ("", team)
 
-    def overlaps(self, other: "Act") -> bool:
+    def overlaps(self, other: "GateActionRule") -> bool:
         """Whether some job would perform both."""
         teams = {self.team, other.team}
         return self.job_class == other.job_class and (len(teams) == 1 or "" in teams)
@@ -40,10 +42,10 @@
 
     name: str
     holds: list[str]
-    rebuild: Act
-    approval: Act
-    publication: Act
-    withdrawal: Act | None = None
+    rebuild: GateActionRule
+    approval: GateActionRule
+    publication: GateActionRule
+    withdrawal: GateActionRule | None = None
     teams: list[str] = []
     former: Literal["finish", "stop"] = "finish"
 
@@ -55,14 +57,14 @@
         for field, act in acts.items():
             if act.job_class in self.holds:
                 yield [field], "a job that opens the gate would wait for it"
-            for other in ACTS[: ACTS.index(field)]:
+            for other in GATE_ACTIONS[: GATE_ACTIONS.index(field)]:
                 if other in acts and act.overlaps(acts[other]):
                     yield [field], f"the same jobs as its {other}"
 
-    def acts(self) -> Iterator[tuple[str, Act]]:
+    def acts(self) -> Iterator[tuple[str, GateActionRule]]:
         """Iterate over its acts and who performs them."""
-        for name in ACTS:
-            act: Act | None = getattr(self, name)
+        for name in GATE_ACTIONS:
+            act: GateActionRule | None = getattr(self, name)
             if act is not None:
                 yield name, act
 
