--- a/weldhead/gates/gate_state.py
+++ b/weldhead/gates/gate_state.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from weldhead.cluster_state.records import Deed
+from weldhead.cluster_state.records import GateAction
 from weldhead.gates.gate_document import Gate
 
 #: How many editions are kept besides the newest that is open.
@@ -31,7 +31,7 @@
 MOST_PENDING = 12
 
 
-class Edition(msgspec.Struct, array_like=True, frozen=True):
+class GateEdition(msgspec.Struct, array_like=True, frozen=True):
     """One edition: the jobs that made it, as far as they are done; "": not yet."""
 
     number: int
@@ -51,7 +51,7 @@
         return self.rebuilt and bool(self.approved_by) and bool(self.published_by)
 
 
-class Pending(msgspec.Struct, array_like=True, frozen=True):
+class PendingAction(msgspec.Struct, array_like=True, frozen=True):
     """An act that is entered and whose job is not over."""
 
     job: str
@@ -64,16 +64,16 @@
 
     edition: int = 0
     round: int = 0
-    editions: tuple[Edition, ...] = ()
-    pending: tuple[Pending, ...] = ()
+    editions: tuple[GateEdition, ...] = ()
+    pending: tuple[PendingAction, ...] = ()
     since_us: int = 0
 
     @property
-    def newest(self) -> Edition | None:
+    def newest(self) -> GateEdition | None:
         """The newest edition; None: none was ever begun."""
         return self.editions[-1] if self.editions else None
 
-    def find(self, number: int) -> Edition | None:
+    def find(self, number: int) -> GateEdition | None:
         """Return an edition; None: it is not kept any more."""
         return next((e for e in self.editions if e.number == number), None)
 
@@ -82,7 +82,7 @@
         return [p.job for p in self.pending if (p.act, p.edition) == (act, edition)]
 
 
-class Entered(Enum):
+class ActionEntry(Enum):
     """What came of an act's entry."""
 
     TAKEN = "taken"
@@ -116,10 +116,10 @@
     return max((e.number for e in state.editions if e.rebuilt), default=0)
 
 
-def deed_of(gate: Gate, state: GateState, act: str) -> Deed:
+def gate_action(gate: Gate, state: GateState, act: str) -> GateAction:
     """Return what is written at its acceptance in the record of a job that performs an act."""
     edition = 0 if act == "rebuild" else newest_rebuilt(state)
-    return Deed(gate.name, act, edition, state.round)
+    return GateAction(gate.name, act, edition, state.round)
 
 
 def _named(state: GateState, needs: Iterable[str]) -> int:
@@ -132,7 +132,7 @@
     return max(found, default=0)
 
 
-def _put(state: GateState, edition: Edition, at_us: int) -> GateState:
+def _put(state: GateState, edition: GateEdition, at_us: int) -> GateState:
     """Replace an edition, or add it, and drop what is too old."""
     if not edition.open:
         edition = msgspec.structs.replace(edition, opened_us=0)
@@ -148,37 +148,42 @@
 
 
 def enter(
-    state: GateState, act: str, job_id: str, needs: Iterable[str], deed: Deed | None, at_us: int
-) -> tuple[GateState, Entered]:
+    state: GateState,
+    act: str,
+    job_id: str,
+    needs: Iterable[str],
+    deed: GateAction | None,
+    at_us: int,
+) -> tuple[GateState, ActionEntry]:
     """Take up an accepted job that performs an act; without a deed only ``needs`` tells of what.
 
     ``at_us`` is the time of day.
     """
     if any(p.job == job_id for p in state.pending):
-        return state, Entered.KNOWN
+        return state, ActionEntry.KNOWN
     if len(state.pending) >= MOST_PENDING:
-        return state, Entered.FULL
+        return state, ActionEntry.FULL
     if act == "rebuild":
         number = state.edition + 1
-        state = _put(state, Edition(number, job_id), at_us)
-        pending = (*state.pending, Pending(job_id, act, number))
-        return msgspec.structs.replace(state, edition=number, pending=pending), Entered.TAKEN
+        state = _put(state, GateEdition(number, job_id), at_us)
+        pending = (*state.pending, PendingAction(job_id, act, number))
+        return msgspec.structs.replace(state, edition=number, pending=pending), ActionEntry.TAKEN
     number = _named(state, needs) or (deed.edition if deed is not None else 0)
     if act == "withdrawal" and not number:
         # Nobody says of which edition: to close is safe.
         number = newest_rebuilt(state)
     edition = state.find(number)
     if edition is None:
-        return state, Entered.NOTHING
+        return state, ActionEntry.NOTHING
     if act == "approval" and (deed.round if deed is not None else 0) < edition.revoked:
-        return state, Entered.NOTHING
-    pending = (*state.pending, Pending(job_id, act, number))
+        return state, ActionEntry.NOTHING
+    pending = (*state.pending, PendingAction(job_id, act, number))
     if act == "withdrawal":
         # With it goes every approval that was accepted before.
         pending = tuple(p for p in pending if (p.act, p.edition) != ("approval", number))
         revoked = msgspec.structs.replace(edition, approved_by="", revoked=state.round + 1)
         state = msgspec.structs.replace(_put(state, revoked, at_us), round=state.round + 1)
-    return msgspec.structs.replace(state, pending=pending), Entered.TAKEN
+    return msgspec.structs.replace(state, pending=pending), ActionEntry.TAKEN
 
 
 def ended(state: GateState, job_id: str, at_us: int, *, done: bool) -> GateState:
--- a/weldhead/gates/gate_tracker.py
+++ b/weldhead/gates/gate_tracker.py
@@ -7,16 +7,16 @@
 
 from collections.abc import Iterable, Iterator
 
-from weldhead.cluster_state.jobs import Attempt, Job, Opening, Phase, Stop
-from weldhead.cluster_state.records import Hold
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, GateStatus, Job, StopRequest
+from weldhead.cluster_state.records import GateHold
 from weldhead.gates.gate_document import Gate
 from weldhead.gates.gate_state import GateState, needed_now, permits, waits_for
 
 #: Attempts that have not begun, as far as is known.
-UNBEGUN = (Phase.ASSIGNED, Phase.PULLING)
+UNBEGUN = (AttemptPhase.ASSIGNED, AttemptPhase.PULLING)
 
 
-class Book:
+class GateTracker:
     """One gate in a term."""
 
     def __init__(self, name: str) -> None:
@@ -32,7 +32,7 @@
         self.changed = True
         #: All jobs that are bound to it, held or not.
         self.jobs: dict[str, Job] = {}
-        self.opening = Opening(name)
+        self.opening = GateStatus(name)
         #: Acts that are entered and wait until it is surely closed.
         self.waiting: dict[str, Job] = {}
         #: No task of a job that it holds can begin any more.
@@ -60,7 +60,7 @@
         """Take up a job that is bound to it; one whose record does not say so by what holds now."""
         if job.hold is None:
             known = self.coming or self.state
-            job.hold = Hold(self.name, needed_now(known) if known is not None else 1)
+            job.hold = GateHold(self.name, needed_now(known) if known is not None else 1)
         self.jobs[job.id] = job
         job.held = None if self.may_start(job) else self.opening
 
@@ -88,15 +88,15 @@
         """How many jobs it holds."""
         return sum(1 for job in self.jobs.values() if job.held is not None)
 
-    def stops(self, job: Job) -> Iterator[tuple[Attempt, Stop]]:
+    def stops(self, job: Job) -> Iterator[tuple[Attempt, StopRequest]]:
         """Iterate over what has to be stopped of a job that is held, and how."""
         stop_running = self.document is not None and self.document.former == "stop"
         for attempt in job.active.values():
-            wanted = Stop.NO
+            wanted = StopRequest.NO
             if attempt.phase in UNBEGUN:
-                wanted = Stop.HARD
-            elif attempt.phase is Phase.RUNNING and stop_running:
-                wanted = Stop.SOFT
+                wanted = StopRequest.HARD
+            elif attempt.phase is AttemptPhase.RUNNING and stop_running:
+                wanted = StopRequest.SOFT
             if wanted.value > attempt.stop.value:
                 yield attempt, wanted
 
@@ -120,7 +120,7 @@
     return -job.level, due_us, job.first_seen_us
 
 
-def opens_us(book: Book, ends_us: dict[str, int | None]) -> int | None:
+def opens_us(book: GateTracker, ends_us: dict[str, int | None]) -> int | None:
     """Return when a gate is expected to open for what it holds; None: it cannot be told.
 
     ``ends_us`` are the expected ends of the acts under way. While somebody still has to submit
--- a/weldhead/membership/isolation.py
+++ b/weldhead/membership/isolation.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Contact:
+class LastContact:
     """When this node last reached what; 0: never."""
 
     #: When another controller last answered it. That one can be heard is not enough: where
@@ -43,7 +43,7 @@
         #: Whether the state service has to be asked to tell.
         self.ask = False
 
-    def look(self, contact: Contact, at_us: int) -> bool:
+    def look(self, contact: LastContact, at_us: int) -> bool:
         """Look again; whether that has changed."""
         if at_us - self._looked_us > STOOD_STILL_US and not self.alone:
             self._since_us = at_us
--- a/weldhead/membership/peer_verdict.py
+++ b/weldhead/membership/peer_verdict.py
@@ -27,7 +27,7 @@
 UNSERVED_US = 600 * MILLISECOND_US
 
 
-class State(enum.Enum):
+class PeerState(enum.Enum):
     """What another controller is taken to be."""
 
     ALIVE = "alive"
@@ -35,7 +35,7 @@
     DEAD = "judged dead"
 
 
-class Observation(enum.Enum):
+class IndirectProbeResult(enum.Enum):
     """What a third controller sees of one, having asked it just now."""
 
     #: It has answered.
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Observed:
+class PeerObservation:
     """What this node has of another one; times are 0 for never."""
 
     name: str
@@ -64,72 +64,74 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class PeerVerdict:
     """A state, and the evidence in words."""
 
-    state: State
+    state: PeerState
     evidence: str
 
 
-def judge(
-    suspect: Observed,
-    others: Sequence[Observed],
-    observations: Sequence[tuple[str, Observation]],
+def judge_peer(
+    suspect: PeerObservation,
+    others: Sequence[PeerObservation],
+    observations: Sequence[tuple[str, IndirectProbeResult]],
     at_us: int,
     unserved_us: int = 0,
-) -> Verdict:
+) -> PeerVerdict:
     """Judge one controller by what this node has of all, and what the others see of it.
 
     ``unserved_us``: when the state service last failed this node.
     """
     if suspect.connected:
-        return Verdict(State.ALIVE, "connected")
+        return PeerVerdict(PeerState.ALIVE, "connected")
     if suspect.heard_us > max(suspect.refused_us, suspect.lost_us, at_us - SPOKE_US):
-        return Verdict(State.ALIVE, "it has spoken since")
+        return PeerVerdict(PeerState.ALIVE, "it has spoken since")
     if not suspect.refused_us:
-        return Verdict(State.SUSPECTED, "no connection, and none is refused")
+        return PeerVerdict(PeerState.SUSPECTED, "no connection, and none is refused")
     since_s = to_seconds(at_us - suspect.refused_us)
     said = f"refused for {since_s:.2f} s"
     holding = [
         name
         for name, observation in observations
-        if observation in (Observation.HEARD, Observation.CONNECTED)
+        if observation in (IndirectProbeResult.HEARD, IndirectProbeResult.CONNECTED)
     ]
     if holding:
-        return Verdict(State.SUSPECTED, f"{said}, but {', '.join(holding)} still reach it")
+        return PeerVerdict(PeerState.SUSPECTED, f"{said}, but {', '.join(holding)} still reach it")
     if not observations:
         lost = [o.name for o in others if _lost_with(o, suspect)]
         if lost and not any(o.connected for o in others):
-            return Verdict(
-                State.SUSPECTED, f"{said}, and {', '.join(lost)} with it: it may be this node"
+            return PeerVerdict(
+                PeerState.SUSPECTED, f"{said}, and {', '.join(lost)} with it: it may be this node"
             )
         if not suspect.lost_us:
-            return Verdict(State.SUSPECTED, f"{said}, and never reached since this node started")
+            return PeerVerdict(
+                PeerState.SUSPECTED, f"{said}, and never reached since this node started"
+            )
         if unserved_us and at_us - unserved_us < UNSERVED_US:
-            return Verdict(State.SUSPECTED, f"{said}, as is this node by the state service")
-        return Verdict(State.DEAD, f"{said}, and nobody else can be asked")
+            return PeerVerdict(PeerState.SUSPECTED, f"{said}, as is this node by the state service")
+        return PeerVerdict(PeerState.DEAD, f"{said}, and nobody else can be asked")
     seen = ", ".join(f"{name}: {observation.value}" for name, observation in observations)
-    return Verdict(State.DEAD, f"{said}; {seen}")
+    return PeerVerdict(PeerState.DEAD, f"{said}; {seen}")
 
 
-def _lost_with(other: Observed, suspect: Observed) -> bool:
+def _lost_with(other: PeerObservation, suspect: PeerObservation) -> bool:
     """Whether another link was lost at the same moment."""
     if other.connected or not other.lost_us:
         return False
     return abs(other.lost_us - suspect.lost_us) <= AT_ONCE_US
 
 
-class View:
+class MembershipView:
     """The other controllers' states; tells of changes once."""
 
     def __init__(self) -> None:
-        self._states: dict[str, State] = {}
+        self._states: dict[str, PeerState] = {}
 
-    def state(self, name: str) -> State:
+    def state(self, name: str) -> PeerState:
         """Return what a controller is taken to be."""
-        return self._states.get(name, State.ALIVE)
+        return self._states.get(name, PeerState.ALIVE)
 
-    def enter(self, name: str, verdict: Verdict) -> bool:
+    def enter(self, name: str, verdict: PeerVerdict) -> bool:
         """Take up a verdict; whether it is another state than before."""
         if self.state(name) is verdict.state:
             return False
--- a/weldhead/protocol/peer.py
+++ b/weldhead/protocol/peer.py
@@ -50,7 +50,7 @@
     known_token: int = 0
 
 
-class Ask(msgspec.Struct, array_like=True, tag="ask"):
+class ForwardedRequest(msgspec.Struct, array_like=True, tag="ask"):
     """A user's or worker's request that another node shall answer.
 
     ``kind`` is ``submit``, ``poll``, ``cancel`` or ``report``.
@@ -62,7 +62,7 @@
     body: bytes
 
 
-class Answer(msgspec.Struct, array_like=True, tag="answer"):
+class ForwardedAnswer(msgspec.Struct, array_like=True, tag="answer"):
     """The answer to an ask: an HTTP status and body."""
 
     id: int
@@ -70,7 +70,7 @@
     body: bytes
 
 
-class Hold(msgspec.Struct, array_like=True, tag="hold"):
+class PromiseRequest(msgspec.Struct, array_like=True, tag="hold"):
     """A leader that the state service refuses asks for a promise.
 
     Whoever promises does not become leader for ``duration_us`` from receiving this.
@@ -81,7 +81,7 @@
     duration_us: int
 
 
-class Held(msgspec.Struct, array_like=True, tag="held"):
+class PromiseAnswer(msgspec.Struct, array_like=True, tag="held"):
     """The answer to a hold; false: the state service serves this node, hand over.
 
     ``known_token``: the highest token that the answerer has heard of, or 0; above the asker's own,
@@ -95,28 +95,39 @@
     running_us: int = 0
 
 
-class Look(msgspec.Struct, array_like=True, tag="look"):
+class IndirectProbe(msgspec.Struct, array_like=True, tag="look"):
     """Whether the answerer reaches another controller; it asks it before it answers."""
 
     id: int
     name: str
 
 
-class Seen(msgspec.Struct, array_like=True, tag="seen"):
+class IndirectProbeAnswer(msgspec.Struct, array_like=True, tag="seen"):
     """The answer to a look: ``heard``, ``connected``, ``refused`` or ``lost``."""
 
     id: int
     observation: str
 
 
-class Resigned(msgspec.Struct, array_like=True, tag="resigned"):
+class LeaderResigned(msgspec.Struct, array_like=True, tag="resigned"):
     """The leader has stopped commanding; whoever gets this may take over at once."""
 
     id: int
     token: int
 
 
-Message = Hello | Ping | Pong | Ask | Answer | Hold | Held | Resigned | Look | Seen
+Message = (
+    Hello
+    | Ping
+    | Pong
+    | ForwardedRequest
+    | ForwardedAnswer
+    | PromiseRequest
+    | PromiseAnswer
+    | LeaderResigned
+    | IndirectProbe
+    | IndirectProbeAnswer
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
--- a/weldhead/protocol/settings.py
+++ b/weldhead/protocol/settings.py
@@ -13,7 +13,9 @@
     """The settings file cannot be used."""
 
 
-class Node(msgspec.Struct, rename={"name": "label", "zone": "domain", "address": "endpoint"}):
+class PeerSettings(
+    msgspec.Struct, rename={"name": "label", "zone": "domain", "address": "endpoint"}
+):
     """Another controller."""
 
     name: str
@@ -71,7 +73,7 @@
     cancel_s: float
 
 
-class ComingLimits(msgspec.Struct):
+class UpcomingStateLimits(msgspec.Struct):
     """Limits that the state service will have from some moment on; None: unchanged."""
 
     rps: float | None = None
@@ -88,11 +90,11 @@
     value_kb: float
     txn_ops: int
     #: They come without notice, so whoever calls the service keeps to ``tightest``.
-    next: ComingLimits | None = None
+    next: UpcomingStateLimits | None = None
 
     def tightest(self) -> "StateLimits":
         """Return the limits that hold now and after the change alike."""
-        coming = self.next or ComingLimits()
+        coming = self.next or UpcomingStateLimits()
         return StateLimits(
             rps=min(self.rps, coming.rps or self.rps),
             write_rps=min(self.write_rps, coming.write_rps or self.write_rps),
@@ -157,7 +159,7 @@
     zone: str
     listen: str
     peer_listen: str
-    peers: list[Node]
+    peers: list[PeerSettings]
     services: Services
     facts: Facts
 
--- a/weldhead/protocol/validation.py
+++ b/weldhead/protocol/validation.py
@@ -8,7 +8,7 @@
 
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import MAX_TASKS, JobSpec, MachineType
-from weldhead.quota.amounts import need
+from weldhead.quota.amounts import required_units
 from weldhead.quota.teams import bounds_of
 
 #: The one form of job ids.
@@ -25,7 +25,7 @@
 _decoder = msgspec.json.Decoder(JobSpec, strict=True)
 
 
-class Refusal(Exception):
+class SubmissionRefusedError(Exception):
     """A submission that is refused for good."""
 
     def __init__(self, status: int, reason: str, field: str | None = None) -> None:
@@ -40,9 +40,9 @@
     return JOB_ID.fullmatch(text) is not None
 
 
-def _malformed(field: str, reason: str) -> Refusal:
+def _malformed(field: str, reason: str) -> SubmissionRefusedError:
     wire = _WIRE_NAMES[field]
-    return Refusal(400, f"{wire}: {reason}", wire)
+    return SubmissionRefusedError(400, f"{wire}: {reason}", wire)
 
 
 def parse_submission(body: bytes) -> JobSpec:
@@ -52,7 +52,9 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         text = str(error)
         found = _MISSING.search(text) or _PATH.search(text)
-        raise Refusal(400, text, found.group(1) or None if found else None) from error
+        raise SubmissionRefusedError(
+            400, text, found.group(1) or None if found else None
+        ) from error
     if not is_job_id(spec.id):
         raise _malformed("id", "not a job id")
     if not 1 <= spec.tasks <= MAX_TASKS:
@@ -83,10 +85,10 @@
     return spec
 
 
-def refuse_need(job_id: str, reason: str) -> Refusal:
+def refuse_need(job_id: str, reason: str) -> SubmissionRefusedError:
     """Return the refusal of a submission for one of the jobs that it names."""
     wire = _WIRE_NAMES["needs"]
-    return Refusal(422, f"{wire}: {job_id} {reason}", wire)
+    return SubmissionRefusedError(422, f"{wire}: {job_id} {reason}", wire)
 
 
 def check_size(spec: JobSpec, size: int, limit: int) -> None:
@@ -97,7 +99,7 @@
     if size > limit:
         field = _WIRE_NAMES["needs"] if spec.needs else _WIRE_NAMES["id"]
         reason = f"the job's record takes {size} bytes, and a value has at most {limit}"
-        raise Refusal(422, f"{field}: {reason}", field)
+        raise SubmissionRefusedError(422, f"{field}: {reason}", field)
 
 
 def check_feasible(
@@ -106,11 +108,15 @@
     """Refusal(422) if the job can never run."""
     team = teams.get(spec.team)
     if team is None:
-        raise Refusal(422, "unknown team", _WIRE_NAMES["team"])
+        raise SubmissionRefusedError(422, "unknown team", _WIRE_NAMES["team"])
     if not any(machine_type.fits(spec) for machine_type in catalog):
-        raise Refusal(422, "a task fits no allowed machine type", _WIRE_NAMES["types"])
+        raise SubmissionRefusedError(
+            422, "a task fits no allowed machine type", _WIRE_NAMES["types"]
+        )
     at_once = spec.tasks if spec.is_service else 1
     for field, limit in zip(("cpus", "gpus"), bounds_of(team).limit, strict=True):
         # Exact: 0.1 times 3 is no more than a limit of 0.3.
-        if need(getattr(spec, field)) * at_once > limit:
-            raise Refusal(422, "needs more than the team's limit", _WIRE_NAMES[field])
+        if required_units(getattr(spec, field)) * at_once > limit:
+            raise SubmissionRefusedError(
+                422, "needs more than the team's limit", _WIRE_NAMES[field]
+            )
--- a/weldhead/protocol/wire.py
+++ b/weldhead/protocol/wire.py
@@ -12,7 +12,7 @@
 
 Shape = Literal["batch", "standing"]
 Urgency = Literal["production", "high", "normal", "idle"]
-TaskState = Literal["pulling", "running", "saving", "ended"]
+ReportedTaskState = Literal["pulling", "running", "saving", "ended"]
 
 #: Larger is more important.
 PRIORITY_LEVELS: dict[str, int] = {"idle": 0, "normal": 1, "high": 2, "production": 3}
@@ -112,7 +112,7 @@
     field: str | None = None
 
 
-class TaskReport(
+class ReportedTask(
     msgspec.Struct,
     rename={"task": "piece", "attempt": "pass", "state": "status", "why": "cause", "saved": "kept"},
     # Thousands come in a second and refer to nothing: the collector need not look at them.
@@ -122,12 +122,12 @@
 
     task: str
     attempt: int
-    state: TaskState
+    state: ReportedTaskState
     why: str | None = None
     saved: bool | None = None
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     rename={
         "machine": "welder",
@@ -152,7 +152,7 @@
     session: int
     sequence: int
     token: int
-    tasks: list[TaskReport]
+    tasks: list[ReportedTask]
     notice_s: float | None = None
 
 
@@ -170,7 +170,7 @@
     grace_s: float | None = None
 
 
-class ReportAnswer(msgspec.Struct, rename={"token": "torch", "commands": "orders"}):
+class HeartbeatAnswer(msgspec.Struct, rename={"token": "torch", "commands": "orders"}):
     """The answer to a report."""
 
     token: int
@@ -187,7 +187,7 @@
     commands: list[Command]
 
 
-class Redirect(msgspec.Struct, rename={"leader": "foreman"}, omit_defaults=True):
+class LeaderRedirect(msgspec.Struct, rename={"leader": "foreman"}, omit_defaults=True):
     """The body of a 421."""
 
     leader: str | None = None
@@ -290,7 +290,7 @@
     more: bool
 
 
-class Entry(msgspec.Struct, rename={"version": "mark", "lease": "permit"}):
+class KeyValue(msgspec.Struct, rename={"version": "mark", "lease": "permit"}):
     """A key of the state service."""
 
     key: str
@@ -299,10 +299,10 @@
     lease: int | None = None
 
 
-class Page(msgspec.Struct, rename={"more": "has_next", "revision": "ledger"}):
+class KeyValuePage(msgspec.Struct, rename={"more": "has_next", "revision": "ledger"}):
     """One page of keys."""
 
-    items: list[Entry]
+    items: list[KeyValue]
     more: bool
     revision: int
 
@@ -314,7 +314,7 @@
     version: int
 
 
-class Put(msgspec.Struct, rename={"key": "set", "lease": "permit"}, omit_defaults=True):
+class PutKey(msgspec.Struct, rename={"key": "set", "lease": "permit"}, omit_defaults=True):
     """Write a key."""
 
     key: str
@@ -322,7 +322,7 @@
     lease: int | None = None
 
 
-class Delete(msgspec.Struct, rename={"key": "delete"}):
+class DeleteKey(msgspec.Struct, rename={"key": "delete"}):
     """Remove a key."""
 
     key: str
@@ -334,28 +334,28 @@
     """Writes that happen together, if every condition holds."""
 
     conditions: list[Condition]
-    writes: list[Put | Delete] = []
+    writes: list[PutKey | DeleteKey] = []
 
 
-class Committed(msgspec.Struct, rename={"revision": "ledger"}):
+class CommittedRevision(msgspec.Struct, rename={"revision": "ledger"}):
     """A transaction's revision."""
 
     revision: int
 
 
-class Grant(msgspec.Struct, rename={"lease": "permit"}):
+class GrantedLease(msgspec.Struct, rename={"lease": "permit"}):
     """A lease of the state service."""
 
     lease: int
 
 
-class GrantRequest(msgspec.Struct, rename={"ttl_ms": "life_ms"}):
+class LeaseRequest(msgspec.Struct, rename={"ttl_ms": "life_ms"}):
     """A request for a lease."""
 
     ttl_ms: int
 
 
-class Event(msgspec.Struct, rename={"put": "set", "version": "mark"}):
+class KeyEvent(msgspec.Struct, rename={"put": "set", "version": "mark"}):
     """A change; ``put`` or ``delete`` holds the key."""
 
     version: int
@@ -364,11 +364,11 @@
     value: msgspec.Raw = msgspec.Raw(b"null")
 
 
-class Changes(msgspec.Struct, rename={"revision": "ledger"}):
+class KeyChanges(msgspec.Struct, rename={"revision": "ledger"}):
     """The changes after a revision."""
 
     revision: int
-    events: list[Event]
+    events: list[KeyEvent]
 
 
 def task_name(job_id: str, index: int) -> str:
--- a/weldhead/provisioning/boot_times.py
+++ b/weldhead/provisioning/boot_times.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Expected:
+class BootExpectation:
     """What is expected of a machine, in times of its type's stated boot."""
 
     #: It is counted on from then on.
@@ -53,7 +53,7 @@
     ratio: float
 
 
-def expected_of(came: list[float], waiting: list[float], usual: Expected) -> Expected:
+def expected_of(came: list[float], waiting: list[float], usual: BootExpectation) -> BootExpectation:
     """Judge machines hired together by those hired with them or later.
 
     ``came`` are the boots of those that came up, in order; ``waiting`` the ages of the others.
@@ -65,27 +65,30 @@
         # Whatever holds them up holds up what would replace them: none is given up on
         # before it has waited twice as long as usual.
         slowest = max(waiting)
-        return Expected(max(usual.ready, slowest), 2 * usual.late, 2 * usual.give_up)
+        return BootExpectation(max(usual.ready, slowest), 2 * usual.late, 2 * usual.give_up)
     # A new one would come sooner than one that takes clearly longer than nearly all others.
     # Waited for in proportion to slow boots, those that never come kept their places for so
     # long that a day of both got worse (0.55 -> 0.50): never longer than usual.
     most = came[min(len(came) - 1, len(came) * 19 // 20)]
     late = min(usual.give_up, max(usual.late, CLEARLY * most))
     give_up = min(usual.give_up, BESIDE_OTHERS * late)
-    return Expected(max(usual.ready, came[len(came) // 2]), late, give_up)
+    return BootExpectation(max(usual.ready, came[len(came) // 2]), late, give_up)
 
 
-class Expectations:
+class BootExpectations:
     """What is expected of each machine that boots, as of one look."""
 
     def __init__(
-        self, usual: Expected, minimum_charge_us: int, found: dict[str, Expected] | None = None
+        self,
+        usual: BootExpectation,
+        minimum_charge_us: int,
+        found: dict[str, BootExpectation] | None = None,
     ) -> None:
         self._usual = usual
         self._minimum_charge_us = minimum_charge_us
         self._found = found or {}
 
-    def of(self, machine: Machine) -> Expected:
+    def of(self, machine: Machine) -> BootExpectation:
         """Return what is expected of a machine."""
         return self._found.get(machine.name, self._usual)
 
@@ -112,7 +115,7 @@
         return at_us - machine.hired_us > limit_us
 
 
-class Boots:
+class BootHistory:
     """The boots of late, by zone."""
 
     def __init__(self) -> None:
@@ -125,18 +128,22 @@
             self._came[machine.zone].append(_Boot(machine.hired_us, ratio))
 
     def look(
-        self, machines: Iterable[Machine], at_us: int, usual: Expected, minimum_charge_us: int
-    ) -> Expectations:
+        self,
+        machines: Iterable[Machine],
+        at_us: int,
+        usual: BootExpectation,
+        minimum_charge_us: int,
+    ) -> BootExpectations:
         """Return what is expected of the machines that boot now."""
         waiting: dict[str, list[Machine]] = defaultdict(list)
         for machine in machines:
             if machine.booting and not machine.deleting and machine.type.boot_s > 0:
                 waiting[machine.zone].append(machine)
-        found: dict[str, Expected] = {}
+        found: dict[str, BootExpectation] = {}
         for zone, booting in waiting.items():
             self._forget(zone, at_us)
             found.update(_judge(booting, self._came[zone], at_us, usual))
-        return Expectations(usual, minimum_charge_us, found)
+        return BootExpectations(usual, minimum_charge_us, found)
 
     def _forget(self, zone: str, at_us: int) -> None:
         came = self._came[zone]
@@ -145,12 +152,12 @@
 
 
 def _judge(
-    booting: list[Machine], came: Iterable[_Boot], at_us: int, usual: Expected
-) -> dict[str, Expected]:
+    booting: list[Machine], came: Iterable[_Boot], at_us: int, usual: BootExpectation
+) -> dict[str, BootExpectation]:
     """Judge a zone's machines, the latest hires first."""
     boots = sorted(came, key=lambda boot: -boot.hired_us)
     booting = sorted(booting, key=lambda machine: -machine.hired_us)
-    found: dict[str, Expected] = {}
+    found: dict[str, BootExpectation] = {}
     ratios: list[float] = []
     waiting: list[float] = []
     next_boot = next_waiting = 0
--- a/weldhead/quota/amounts.py
+++ b/weldhead/quota/amounts.py
@@ -33,7 +33,7 @@
 
 
 @lru_cache(maxsize=4096)
-def need(amount: float) -> int:
+def required_units(amount: float) -> int:
     """Return what a task takes, in units; what is finer than a unit counts as one."""
     if math.isinf(amount):
         return UNBOUNDED
@@ -42,7 +42,7 @@
 
 
 @lru_cache(maxsize=4096)
-def bound(amount: float) -> int:
+def allowed_units(amount: float) -> int:
     """Return a guarantee or a limit in units; what is finer than a unit is left out."""
     if math.isinf(amount):
         return UNBOUNDED
@@ -50,9 +50,9 @@
     return units - 1 if units - amount * UNITS > _NOISE else units
 
 
-def needs(spec: JobSpec) -> Amount:
+def required_amounts(spec: JobSpec) -> Amount:
     """Return what one task of a job takes."""
-    return need(spec.cpus), need(spec.gpus)
+    return required_units(spec.cpus), required_units(spec.gpus)
 
 
 def claimed_resource(spec: JobSpec) -> Resource:
--- a/weldhead/quota/teams.py
+++ b/weldhead/quota/teams.py
@@ -26,15 +26,15 @@
     UNITS,
     Amount,
     Resource,
-    bound,
+    allowed_units,
     claimed_resource,
-    need,
-    needs,
+    required_amounts,
+    required_units,
     times_in,
 )
 
 
-class Use:
+class ResourceUsage:
     """What a team's attempts take, by evidence."""
 
     __slots__ = ("units",)
@@ -45,8 +45,8 @@
 
     def add(self, spec: JobSpec, sign: int = 1) -> None:
         """Count one task of a job; ``sign`` -1: no longer."""
-        self.units[0] += sign * need(spec.cpus)
-        self.units[1] += sign * need(spec.gpus)
+        self.units[0] += sign * required_units(spec.cpus)
+        self.units[1] += sign * required_units(spec.gpus)
 
     @property
     def cpus(self) -> float:
@@ -55,7 +55,7 @@
 
     @cpus.setter
     def cpus(self, amount: float) -> None:
-        self.units[0] = need(amount)
+        self.units[0] = required_units(amount)
 
     @property
     def gpus(self) -> float:
@@ -64,10 +64,10 @@
 
     @gpus.setter
     def gpus(self, amount: float) -> None:
-        self.units[1] = need(amount)
+        self.units[1] = required_units(amount)
 
 
-class Bounds(NamedTuple):
+class QuotaBounds(NamedTuple):
     """What a team is guaranteed and may take at most."""
 
     guarantee: Amount
@@ -75,14 +75,15 @@
 
 
 @lru_cache(maxsize=4096)
-def bounds_of(team: Team) -> Bounds:
+def bounds_of(team: Team) -> QuotaBounds:
     """Return a team's bounds in units."""
-    return Bounds(
-        (bound(team.cpus), bound(team.gpus)), (bound(team.cpus_max), bound(team.gpus_max))
+    return QuotaBounds(
+        (allowed_units(team.cpus), allowed_units(team.gpus)),
+        (allowed_units(team.cpus_max), allowed_units(team.gpus_max)),
     )
 
 
-class Position(NamedTuple):
+class QuotaPosition(NamedTuple):
     """Where a team stands in one resource, in units."""
 
     guarantee: int
@@ -111,7 +112,7 @@
     """How many tasks of a job, at most ``most``, a team's limit allows beside what it uses."""
     limit = bounds_of(team).limit
     rest = left(limit[0], used[0]), left(limit[1], used[1])
-    return times_in(rest, needs(spec), most)
+    return times_in(rest, required_amounts(spec), most)
 
 
 def within_guarantee(team: Team, used: Amount, spec: JobSpec, most: int) -> int:
@@ -120,20 +121,20 @@
     Judged in the resource that the tasks claim.
     """
     resource = claimed_resource(spec)
-    each = need(spec.gpus if resource is Resource.CARDS else spec.cpus)
+    each = required_units(spec.gpus if resource is Resource.CARDS else spec.cpus)
     if each == 0:
         return most
     rest = bounds_of(team).guarantee[resource] - used[resource]
     return max(0, min(most, rest // each))
 
 
-class Account:
+class QuotaAccount:
     """The teams' account while a pass decides: what is used, and what the pass adds to it.
 
     ``used`` is followed, not copied: it may change between two questions.
     """
 
-    def __init__(self, teams: Mapping[str, Team], used: Mapping[str, Use]) -> None:
+    def __init__(self, teams: Mapping[str, Team], used: Mapping[str, ResourceUsage]) -> None:
         self._teams = teams
         self._used = used
         self._freed: dict[str, list[int]] = {}
@@ -147,14 +148,14 @@
         """Note that room is made for a task of a team."""
         _add(self._claimed, team, spec)
 
-    def position(self, team: str, resource: Resource) -> Position | None:
+    def position(self, team: str, resource: Resource) -> QuotaPosition | None:
         """Return where a team stands; None: there is no such team."""
         known = self._teams.get(team)
         if known is None:
             return None
         bounds = bounds_of(known)
         use = self._used.get(team)
-        return Position(
+        return QuotaPosition(
             bounds.guarantee[resource],
             bounds.limit[resource],
             use.units[resource] if use is not None else 0,
@@ -178,11 +179,11 @@
         position = self.position(team, resource)
         if position is None:
             return False
-        each = needs(spec)[resource]
+        each = required_amounts(spec)[resource]
         return position.used + position.claimed + each <= position.guarantee
 
 
 def _add(to: dict[str, list[int]], team: str, spec: JobSpec) -> None:
     held = to.setdefault(team, [0, 0])
-    held[0] += need(spec.cpus)
-    held[1] += need(spec.gpus)
+    held[0] += required_units(spec.cpus)
+    held[1] += required_units(spec.gpus)
--- a/weldhead/reachability/evidence.py
+++ b/weldhead/reachability/evidence.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from weldhead.clock import MILLISECOND_US, SECOND_US, surely_over_us
-from weldhead.protocol.wire import Command, Report
+from weldhead.protocol.wire import Command, Heartbeat
 
 #: Evidence that makes a suspect.
 ENOUGH = 2
@@ -20,7 +20,7 @@
 TRANSIT_US = 2 * SECOND_US
 
 
-class Sign(enum.Enum):
+class DeliverySignal(enum.Enum):
     """What a report, or a direct request, shows of a machine's hearing."""
 
     NOTHING = "nothing"
@@ -32,11 +32,16 @@
     UNANSWERED = "direct requests unanswered while its reports come"
 
 
-_WEIGHT = {Sign.UNSHOWN: 1, Sign.MOVED: 1, Sign.UNANSWERED: 1, Sign.NEW_SESSION: 2}
+_WEIGHT = {
+    DeliverySignal.UNSHOWN: 1,
+    DeliverySignal.MOVED: 1,
+    DeliverySignal.UNANSWERED: 1,
+    DeliverySignal.NEW_SESSION: 2,
+}
 
 
 @dataclass(slots=True)
-class Told:
+class SentAnswer:
     """What a report's answer said, and which report that was; never changed.
 
     One is made for each report: a frozen one takes three times as long to make.
@@ -52,9 +57,9 @@
     forgets: tuple[tuple[str, int], ...] = ()
 
 
-def told(
-    report: Report, token: int, commands: Iterable[Command], at_us: int, *, relayed: bool
-) -> Told:
+def sent_answer(
+    report: Heartbeat, token: int, commands: Iterable[Command], at_us: int, *, relayed: bool
+) -> SentAnswer:
     """Note what a report is answered."""
     runs, forgets = [], []
     for command in commands:
@@ -62,38 +67,38 @@
             runs.append((command.task, command.attempt))
         elif command.op == "forget":
             forgets.append((command.task, command.attempt))
-    return Told(
+    return SentAnswer(
         (report.session, report.sequence), report.token, token, relayed, at_us,
         tuple(runs), tuple(forgets),
     )  # fmt: skip
 
 
-def sign_of(
-    last: Told, report: Report, seen: int, at_us: int, lease_us: int, *, relayed: bool
-) -> Sign:
+def delivery_signal(
+    last: SentAnswer, report: Heartbeat, seen: int, at_us: int, lease_us: int, *, relayed: bool
+) -> DeliverySignal:
     """Hold a newer report against what the last one was told.
 
     ``seen`` is the newest stamp seen before it: a worker that took the answer stays where it is,
     so the next stamp comes next. A kill shows nothing: what is stopped may run on for a while.
     """
     if last.shown < last.token <= report.token:
-        return Sign.HEARD
+        return DeliverySignal.HEARD
     if report.session != last.order[0]:
         if report.token < last.shown or at_us > last.at_us + lease_us * 3 // 4:
             # A process that began anew without its memory; or its lease could run out.
-            return Sign.NOTHING
-        return Sign.NEW_SESSION
+            return DeliverySignal.NOTHING
+        return DeliverySignal.NEW_SESSION
     if last.runs or last.forgets:
         listed = {(task.task, task.attempt) for task in report.tasks}
         if any(run in listed for run in last.runs) or any(f not in listed for f in last.forgets):
-            return Sign.HEARD
+            return DeliverySignal.HEARD
     if at_us - last.at_us < SOON_US:
-        return Sign.NOTHING
+        return DeliverySignal.NOTHING
     if last.runs or last.forgets or report.token < last.token:
-        return Sign.UNSHOWN
+        return DeliverySignal.UNSHOWN
     if relayed != last.relayed or report.sequence > seen + 1:
-        return Sign.MOVED
-    return Sign.NOTHING
+        return DeliverySignal.MOVED
+    return DeliverySignal.NOTHING
 
 
 @dataclass(slots=True)
@@ -101,7 +106,7 @@
     """The evidence on one machine."""
 
     lease_us: int
-    last: Told
+    last: SentAnswer
     #: When its present session was first seen.
     session_us: int
     score: int = 0
@@ -113,36 +118,36 @@
     deaf_us: int = 0
     #: When the last evidence came, and what there was.
     evidence_us: int = 0
-    evidence: set[Sign] = field(default_factory=set)
+    evidence: set[DeliverySignal] = field(default_factory=set)
     #: A report came since a direct request was last unanswered.
     spoke: bool = True
     #: It is asked again from then on.
     ask_us: int = 0
 
-    def listen(self, report: Report, seen: int, at_us: int, *, relayed: bool) -> Sign:
+    def listen(self, report: Heartbeat, seen: int, at_us: int, *, relayed: bool) -> DeliverySignal:
         """Take a report that is newer than all seen; return what it shows."""
-        sign = sign_of(self.last, report, seen, at_us, self.lease_us, relayed=relayed)
+        sign = delivery_signal(self.last, report, seen, at_us, self.lease_us, relayed=relayed)
         self.spoke = True
         if report.session != self.last.order[0]:
             self.session_us = at_us
-        elif self.deaf_us and sign is not Sign.HEARD:
+        elif self.deaf_us and sign is not DeliverySignal.HEARD:
             since_us = max(self.deaf_us, self.session_us)
             if at_us > surely_over_us(since_us, self.lease_us) + TRANSIT_US:
                 # Its session would be over if no answer had arrived.
-                sign = Sign.HEARD
-        if sign is Sign.NOTHING:
+                sign = DeliverySignal.HEARD
+        if sign is DeliverySignal.NOTHING:
             self.moves = 0
         return sign
 
-    def note(self, sign: Sign, at_us: int) -> bool:
+    def note(self, sign: DeliverySignal, at_us: int) -> bool:
         """Take a sign; whether that changes what the machine is taken for."""
-        if sign is Sign.HEARD:
+        if sign is DeliverySignal.HEARD:
             changed = self.deaf_us > 0
             self.score = self.moves = self.refusals = self.deaf_us = 0
             self.evidence.clear()
             return changed
         weight = _WEIGHT.get(sign, 0)
-        if sign is Sign.UNANSWERED:
+        if sign is DeliverySignal.UNANSWERED:
             if not self.spoke:
                 return False
             self.spoke = False
@@ -154,9 +159,9 @@
             self.evidence.clear()
         self.evidence_us = at_us
         self.evidence.add(sign)
-        if sign is Sign.MOVED:
+        if sign is DeliverySignal.MOVED:
             self.moves += weight
-        elif sign is Sign.UNANSWERED:
+        elif sign is DeliverySignal.UNANSWERED:
             self.refusals = weight
         else:
             self.score += weight
--- a/weldhead/reachability/freshness.py
+++ b/weldhead/reachability/freshness.py
@@ -9,7 +9,7 @@
 import enum
 
 from weldhead.cluster_state.machines import Machine
-from weldhead.protocol.wire import Report
+from weldhead.protocol.wire import Heartbeat
 
 #: Answers to reports of an earlier token after which a machine on which something may run is not
 #: answered any more until it shows this term's: its lease is to end. One more where another
@@ -33,7 +33,7 @@
     COPY = "copy"
 
 
-def freshness_of(machine: Machine, report: Report, token: int) -> Freshness:
+def freshness_of(machine: Machine, report: Heartbeat, token: int) -> Freshness:
     """Judge a report of a machine on record before anything of it is used."""
     if report.session <= machine.expired_session:
         return Freshness.COPY
--- a/weldhead/reachability/replacement.py
+++ b/weldhead/reachability/replacement.py
@@ -10,17 +10,17 @@
 
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.machines import Machine
-from weldhead.reachability.silence import look_gone
+from weldhead.reachability.silence import look_lost
 
 
-def replacing_us(machine: Machine) -> int:
+def replacement_cost_us(machine: Machine) -> int:
     """Return what replacing a machine costs, in time of its price: a boot, a fetch."""
     rate = machine.type.fetch_gb_per_s or 1.0
     largest_gb = max(machine.images.values(), default=0.0)
     return seconds_us(machine.type.boot_s) + round(largest_gb / rate * SECOND_US)
 
 
-def to_return(
+def machines_to_replace(
     deaf: Mapping[str, int],
     live: Collection[Machine],
     silent: Collection[Machine],
@@ -35,7 +35,7 @@
     """
     away = {machine.name: machine for machine in silent}
     away.update((machine.name, machine) for machine in live if machine.name in deaf)
-    if not look_gone(away.values(), live):
+    if not look_lost(away.values(), live):
         return []
     return [
         machine
@@ -43,6 +43,6 @@
         if machine.name in deaf
         and not machine.attempts
         and not machine.posting
-        and at_us - deaf[machine.name] >= max(lease_us, replacing_us(machine))
+        and at_us - deaf[machine.name] >= max(lease_us, replacement_cost_us(machine))
         and at_us - machine.hired_us >= minimum_charge_us
     ]
--- a/weldhead/reachability/silence.py
+++ b/weldhead/reachability/silence.py
@@ -5,7 +5,7 @@
 from weldhead.cluster_state.machines import Machine
 
 
-def look_gone(silent: Collection[Machine], live: Collection[Machine]) -> bool:
+def look_lost(silent: Collection[Machine], live: Collection[Machine]) -> bool:
     """Whether the silent ones among the live machines look gone rather than cut off.
 
     A few are: a cut silences a zone, or everything. Many are if all of them are spot
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -12,12 +12,12 @@
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Job, TaskState
 from weldhead.cluster_state.machines import Machine
-from weldhead.protocol.wire import TaskReport, split_task
+from weldhead.protocol.wire import ReportedTask, split_task
 
 K = TypeVar("K", bound=enum.Enum)
 
 
-class Verdict(enum.Enum):
+class AttemptVerdict(enum.Enum):
     """What a reported attempt is, and so what is ordered."""
 
     #: Runs, and is wanted: it goes on and counts.
@@ -41,7 +41,7 @@
     CROWDED = "without room"
 
 
-class Standing(enum.Enum):
+class MachineStanding(enum.Enum):
     """What a machine on record, or a machine that reports, is."""
 
     #: It has shown the new token: what runs there is known.
@@ -58,7 +58,7 @@
     UNKNOWN = "unknown"
 
 
-def locate(cluster: Cluster, task: TaskReport) -> tuple[Job | None, int]:
+def locate(cluster: Cluster, task: ReportedTask) -> tuple[Job | None, int]:
     """Return the job on record that an attempt belongs to, and the task's index."""
     try:
         job_id, index = split_task(task.task)
@@ -68,54 +68,54 @@
     return (job, index) if job is not None and index < job.spec.tasks else (None, 0)
 
 
-def judge(cluster: Cluster, machine: Machine, task: TaskReport) -> Verdict:
+def judge_attempt(cluster: Cluster, machine: Machine, task: ReportedTask) -> AttemptVerdict:
     """Judge an attempt that this term has not started on the machine."""
     job, index = locate(cluster, task)
     if task.state == "ended":
         unknown = job is not None and job.states[index] == TaskState.WAITING
         if task.why == "done" and job is not None and unknown and not job.cancelled:
-            return Verdict.FINISHED
-        return Verdict.ENDED
+            return AttemptVerdict.FINISHED
+        return AttemptVerdict.ENDED
     if job is None:
-        return Verdict.UNRECORDED
+        return AttemptVerdict.UNRECORDED
     state = job.states[index]
     if state in (TaskState.COMPLETED, TaskState.COMMITTED):
-        return Verdict.OVER
+        return AttemptVerdict.OVER
     if state == TaskState.ACTIVE or task.task in machine.attempts:
-        return Verdict.SECOND
+        return AttemptVerdict.SECOND
     # A type that left the catalog has no amounts: what runs there has its room.
     if machine.fits(job) < 1 and not machine.boundless:
-        return Verdict.CROWDED
+        return AttemptVerdict.CROWDED
     if job.unwanted:
-        return Verdict.CANCELLED
+        return AttemptVerdict.CANCELLED
     if cluster.within_limit(job) < 1 or job.team not in cluster.teams:
-        return Verdict.OVER_LIMIT
-    return Verdict.ADOPTED
+        return AttemptVerdict.OVER_LIMIT
+    return AttemptVerdict.ADOPTED
 
 
-def standing(machine: Machine | None) -> Standing:
+def machine_standing(machine: Machine | None) -> MachineStanding:
     """Say what a machine is to the books; None: it reports and is on no record."""
     if machine is None:
-        return Standing.UNKNOWN
+        return MachineStanding.UNKNOWN
     if machine.deleting:
-        return Standing.LEAVING
+        return MachineStanding.LEAVING
     if machine.synced:
         gone = machine.expired_session and machine.expired_session >= machine.session
-        return Standing.GONE if gone else Standing.KNOWN
-    return Standing.SILENT if machine.up else Standing.UNUSED
+        return MachineStanding.GONE if gone else MachineStanding.KNOWN
+    return MachineStanding.SILENT if machine.up else MachineStanding.UNUSED
 
 
-class Tally:
+class ReconciliationCounts:
     """How often each verdict was given since the term began."""
 
     def __init__(self) -> None:
-        self.tasks: Counter[Verdict] = Counter()
+        self.tasks: Counter[AttemptVerdict] = Counter()
 
     def line(self, cluster: Cluster) -> str:
         """Say in one line how the start went."""
-        machines = Counter(standing(machine) for machine in cluster.machines.values())
-        said = [f"{count} {kind.value}" for kind, count in _in_order(machines, Standing)]
-        found = [f"{count} {kind.value}" for kind, count in _in_order(self.tasks, Verdict)]
+        machines = Counter(machine_standing(machine) for machine in cluster.machines.values())
+        said = [f"{count} {kind.value}" for kind, count in _in_order(machines, MachineStanding)]
+        found = [f"{count} {kind.value}" for kind, count in _in_order(self.tasks, AttemptVerdict)]
         return f"machines: {', '.join(said) or 'none'}; attempts: {', '.join(found) or 'none'}"
 
 
--- a/weldhead/reconciliation/buffered_heartbeats.py
+++ b/weldhead/reconciliation/buffered_heartbeats.py
@@ -7,14 +7,14 @@
 
 from dataclasses import dataclass
 
-from weldhead.protocol.wire import Report
+from weldhead.protocol.wire import Heartbeat
 
 
 @dataclass
-class Early:
+class BufferedHeartbeat:
     """The newest message of a machine, and when its last report was answered (0: never)."""
 
-    report: Report
+    report: Heartbeat
     #: It was the body of a direct command's answer.
     direct: bool
     answered_us: int
@@ -23,11 +23,11 @@
     answered: bool = False
 
 
-class EarlyReports:
+class HeartbeatBuffer:
     """What machines said before their records were known."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, Early] = {}
+        self._kept: dict[str, BufferedHeartbeat] = {}
 
     def __len__(self) -> int:
         return len(self._kept)
@@ -37,7 +37,7 @@
         kept = self._kept.get(machine)
         return kept is not None and kept.report.token >= token
 
-    def answer(self, report: Report, at_us: int, *, relayed: bool) -> bool:
+    def answer(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
         """Keep a report; whether to answer it.
 
         One that is older than what was seen was held back on the way: its sender has given
@@ -45,7 +45,7 @@
         """
         kept = self._kept.get(report.machine)
         if kept is None:
-            self._kept[report.machine] = Early(report, False, at_us, relayed, True)
+            self._kept[report.machine] = BufferedHeartbeat(report, False, at_us, relayed, True)
             return True
         if _order(report) < _order(kept.report):
             return False
@@ -56,28 +56,28 @@
         kept.answered_us, kept.relayed = at_us, relayed
         return True
 
-    def shown(self, report: Report) -> None:
+    def shown(self, report: Heartbeat) -> None:
         """Keep what a machine answered to a direct request, unless something newer is here."""
         kept = self._kept.get(report.machine)
         if kept is None:
-            self._kept[report.machine] = Early(report, True, 0, False)
+            self._kept[report.machine] = BufferedHeartbeat(report, True, 0, False)
         elif _order(report) > _order(kept.report):
             kept.report, kept.direct, kept.answered = report, True, False
 
-    def unanswered(self, report: Report, *, relayed: bool) -> None:
+    def unanswered(self, report: Heartbeat, *, relayed: bool) -> None:
         """Keep a report that is not answered, unless something newer is here."""
         kept = self._kept.get(report.machine)
         if kept is None:
-            self._kept[report.machine] = Early(report, False, 0, relayed)
+            self._kept[report.machine] = BufferedHeartbeat(report, False, 0, relayed)
         elif _order(report) > _order(kept.report):
             kept.report, kept.direct, kept.answered = report, False, False
 
-    def take(self) -> list[Early]:
+    def take(self) -> list[BufferedHeartbeat]:
         """Return everything, and keep nothing."""
         kept = list(self._kept.values())
         self._kept.clear()
         return kept
 
 
-def _order(report: Report) -> tuple[int, int]:
+def _order(report: Heartbeat) -> tuple[int, int]:
     return report.session, report.sequence
--- a/weldhead/reconciliation/partial_view.py
+++ b/weldhead/reconciliation/partial_view.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from weldhead.cluster_state.cluster import Cluster, Doubt
+from weldhead.cluster_state.cluster import Cluster, UnverifiedUsage
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 
 
 @dataclass(frozen=True)
-class Partial:
+class PartialView:
     """What is known of a cluster of which not all machines are.
 
     ``safe_from`` is a revision of the store at which every earlier leader had surely stopped:
@@ -57,9 +57,9 @@
         return {}
 
 
-def partial_of(machines: Iterable[Machine], safe_from: int | None) -> Partial:
+def partial_view_of(machines: Iterable[Machine], safe_from: int | None) -> PartialView:
     """Return what is known while some machines on record have not shown themselves."""
-    return Partial(safe_from, tuple(m for m in machines if m.up and not m.synced))
+    return PartialView(safe_from, tuple(m for m in machines if m.up and not m.synced))
 
 
 def _could_hold(machine: Machine, job: Job) -> bool:
@@ -76,7 +76,7 @@
     return spec.cpus <= kind.cpus and spec.gpus <= kind.gpus and spec.memory_gb <= kind.memory_gb
 
 
-def doubts(cluster: Cluster, partial: Partial) -> dict[str, Doubt]:
+def unverified_usage(cluster: Cluster, partial: PartialView) -> dict[str, UnverifiedUsage]:
     """Return, for each team, the most that its work on unknown machines may use.
 
     No more than those machines have, and no more than the team's unsettled tasks would take
@@ -96,6 +96,6 @@
             amounts[0] += left * job.spec.cpus
             amounts[1] += left * job.spec.gpus
     return {
-        team: Doubt(min(cpus, amounts[0]), min(gpus, amounts[1]))
+        team: UnverifiedUsage(min(cpus, amounts[0]), min(gpus, amounts[1]))
         for team, amounts in wanted.items()
     }
--- a/weldhead/reconciliation/preemption_rate_limit.py
+++ b/weldhead/reconciliation/preemption_rate_limit.py
@@ -15,17 +15,17 @@
 
 
 @dataclass(frozen=True)
-class PaceSettings:
+class PreemptionRateSettings:
     """For how long a start is paced, and the share of the running tasks a second."""
 
     settle_us: int = 10 * SECOND_US
     stop_share: float = 0.001
 
 
-class StopPace:
+class PreemptionRateLimit:
     """The stops that a new leader may still make."""
 
-    def __init__(self, settings: PaceSettings) -> None:
+    def __init__(self, settings: PreemptionRateSettings) -> None:
         self._settings = settings
         self._level = 0.0
         self._filled_us = 0
--- a/weldhead/reconciliation/status_probes.py
+++ b/weldhead/reconciliation/status_probes.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class AskSettings:
+class ProbeSettings:
     """How workers are asked."""
 
     #: Questions under way at most.
@@ -29,20 +29,20 @@
 
 
 @dataclass
-class _Asked:
+class _Probe:
     first_us: int
     last_us: int
     times: int = 1
     open: int = 1
 
 
-class Asking:
+class StatusProbes:
     """Who was asked when; one for each term."""
 
-    def __init__(self, settings: AskSettings) -> None:
+    def __init__(self, settings: ProbeSettings) -> None:
         self._settings = settings
         self._waiting: deque[str] = deque()
-        self._asked: dict[str, _Asked] = {}
+        self._asked: dict[str, _Probe] = {}
         self._done: set[str] = set()
         self._answer_us = 0
         self.under_way = 0
@@ -67,7 +67,7 @@
         while self._waiting and len(found) < room:
             name = self._waiting.popleft()
             if name not in self._done:
-                self._asked[name] = _Asked(at_us, at_us)
+                self._asked[name] = _Probe(at_us, at_us)
                 found.append(name)
         if len(found) < room:
             # Who was asked least comes first: in the order of asking, those that are gone
@@ -85,7 +85,7 @@
         self.sent += len(found)
         return found
 
-    def _due(self, asked: _Asked, at_us: int) -> bool:
+    def _due(self, asked: _Probe, at_us: int) -> bool:
         if asked.times == 1:
             return at_us - asked.last_us >= self._settings.again_us
         return asked.open == 0 and at_us - asked.last_us >= self._settings.pause_us
--- a/weldhead/scheduling/autoscaling/arrival_rates.py
+++ b/weldhead/scheduling/autoscaling/arrival_rates.py
@@ -10,7 +10,7 @@
 LEAST_SHARE = 0.25
 
 
-class Demand:
+class ArrivalRates:
     """Fading rates of arriving work, in CPUs that it would keep busy."""
 
     def __init__(self, memory_us: int) -> None:
--- a/weldhead/scheduling/autoscaling/fleet.py
+++ b/weldhead/scheduling/autoscaling/fleet.py
@@ -13,16 +13,16 @@
 
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop, TaskState
-from weldhead.cluster_state.machines import EPSILON, Machine, how_many
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest, TaskState
+from weldhead.cluster_state.machines import EPSILON, Machine, tasks_that_fit
 from weldhead.protocol.wire import MachineType, split_task
-from weldhead.provisioning.boot_times import Expectations, Expected
+from weldhead.provisioning.boot_times import BootExpectation, BootExpectations
 from weldhead.quota.teams import within_guarantee
-from weldhead.scheduling.autoscaling.arrival_rates import Demand
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals, slack_us
-from weldhead.scheduling.placement.placement import Plan, usable
-from weldhead.scheduling.reservations.holding import Ahead
+from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives, slack_us
+from weldhead.scheduling.placement.placement import PlacementPlan, usable
+from weldhead.scheduling.reservations.holding import WideTaskForecast
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     goal_margin: float
     reserve: float
     minimum_charge_us: int
-    boots: Expected
+    boots: BootExpectation
     most_per_look: int
     move_worth_us: int
     move_loss: float
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Offer:
+class RentalOffer:
     """Something that can be rented."""
 
     type: MachineType
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Coming:
+class PendingRental:
     """Machines that are being rented and have no names yet."""
 
     type: MachineType
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class Upcoming:
+class ExpectedDemand:
     """Work that does not wait for room yet, and when it is expected to.
 
     A job that waits for others, until those are done; or tasks on machines that are silent
@@ -87,18 +87,18 @@
         if self.lost:
             return self.lost
         team = cluster.teams[self.job.team]
-        return how_many(self.job.spec, team.cpus_max, team.gpus_max)
+        return tasks_that_fit(self.job.spec, team.cpus_max, team.gpus_max)
 
 
 @dataclass
-class Market:
+class RentalOffers:
     """What the cloud has said of late."""
 
     types: list[MachineType] = field(default_factory=list)
     #: Until when an offer is not asked for again, because it was refused.
     refused_until_us: dict[tuple[str, str, bool], int] = field(default_factory=dict)
 
-    def offers(self, at_us: int) -> list[Offer]:
+    def offers(self, at_us: int) -> list[RentalOffer]:
         """Return what may be asked for now."""
         found = []
         for machine_type in self.types:
@@ -106,11 +106,11 @@
                 for spot in (True, False):
                     key = (machine_type.name, zone, spot)
                     if self.refused_until_us.get(key, 0) <= at_us:
-                        found.append(Offer(machine_type, zone, spot))
+                        found.append(RentalOffer(machine_type, zone, spot))
         return found
 
 
-def offer_allows(offer: Offer, job: Job) -> bool:
+def offer_allows(offer: RentalOffer, job: Job) -> bool:
     """Whether a task of the job may run on such a machine."""
     return (
         offer.type.fits(job.spec)
@@ -121,7 +121,7 @@
     )
 
 
-def endangered(silent: Iterable[Machine], at_us: int, lease_us: int) -> list[Upcoming]:
+def endangered(silent: Iterable[Machine], at_us: int, lease_us: int) -> list[ExpectedDemand]:
     """Return the tasks on silent machines, as work that will want room if they stay silent.
 
     Where many machines fall silent at once nothing is given up on before their leases are
@@ -137,12 +137,12 @@
             if not job.cancelled and not job.spec.is_service:
                 _, count, latest_us = lost.get(job.id, (job, 0, 0))
                 lost[job.id] = job, count + 1, max(latest_us, over_us)
-    return [Upcoming(job, over_us, count) for job, count, over_us in lost.values()]
+    return [ExpectedDemand(job, over_us, count) for job, count, over_us in lost.values()]
 
 
-def replacements(hires: dict[Offer, int], cpus: float) -> dict[Offer, int]:
+def replacements(hires: dict[RentalOffer, int], cpus: float) -> dict[RentalOffer, int]:
     """Return as many of the machines, the first ones first, as replace so many CPUs."""
-    found: dict[Offer, int] = {}
+    found: dict[RentalOffer, int] = {}
     for offer, count in hires.items():
         taken = min(count, int(cpus / offer.type.cpus)) if offer.type.cpus else 0
         if taken > 0:
@@ -151,9 +151,9 @@
     return found
 
 
-def usual_boots(settings: FleetSettings) -> Expectations:
+def usual_boots(settings: FleetSettings) -> BootExpectations:
     """Return what is expected of machines that boot while nothing is known of others."""
-    return Expectations(settings.boots, settings.minimum_charge_us)
+    return BootExpectations(settings.boots, settings.minimum_charge_us)
 
 
 #: How much sooner, in times of the fetch, a machine must go for a move that costs a fetch.
@@ -162,16 +162,16 @@
 ANEW_US = 15 * SECOND_US
 
 
-class _Queue:
+class CapacityForecast:
     """A coarse forecast: waiting tasks take CPUs in order, as running ones give them back."""
 
     def __init__(
         self,
         cluster: Cluster,
-        coming: Iterable[Coming],
-        estimates: Estimates,
+        coming: Iterable[PendingRental],
+        estimates: RunTimeEstimates,
         at_us: int,
-        boots: Expectations,
+        boots: BootExpectations,
         silent: Collection[str] = (),
         *,
         cards: bool = False,
@@ -241,7 +241,7 @@
 
 
 @dataclass
-class Missing:
+class UnmetDemand:
     """Waiting tasks that want machines, as many of each job as are to run side by side."""
 
     #: Those that would wait for long.
@@ -252,22 +252,22 @@
     backlog_us: float = 0.0
 
 
-def forecast_missing(
+def forecast_unmet_demand(
     cluster: Cluster,
-    plan: Plan,
-    queue: _Queue,
-    estimates: Estimates,
-    goals: Goals,
+    plan: PlacementPlan,
+    queue: CapacityForecast,
+    estimates: RunTimeEstimates,
+    goals: ServiceLevelObjectives,
     at_us: int,
     boot_us: int,
     stretches: Callable[[Job], float],
     settings: FleetSettings,
-    upcoming: Sequence[Upcoming] = (),
+    upcoming: Sequence[ExpectedDemand] = (),
     backlog: int = 0,
-    cards: Callable[[], _Queue] | None = None,
-    ahead: Ahead | None = None,
-    in_zone: Callable[[str], _Queue] | None = None,
-) -> Missing:
+    cards: Callable[[], CapacityForecast] | None = None,
+    ahead: WideTaskForecast | None = None,
+    in_zone: Callable[[str], CapacityForecast] | None = None,
+) -> UnmetDemand:
     """Forecast what waits too long if nothing more is rented.
 
     ``backlog`` is how many jobs wait; of very many only the foremost are looked at. ``cards``
@@ -275,8 +275,8 @@
     elsewhere are no room for it, and nothing was rented for it while there were some.
     ``in_zone`` makes the queue of one zone, for the same reason.
     """
-    of_cards: _Queue | None = None
-    missing = Missing()
+    of_cards: CapacityForecast | None = None
+    missing = UnmetDemand()
     boot_up_us = at_us + boot_us
     held = defaultdict(float, {team: usage.cpus for team, usage in cluster.usage.items()})
     waiting = ((job, count, at_us) for job, count in plan.unplaced)
@@ -298,7 +298,7 @@
         # What a team is guaranteed need not wait for others, however patient the job is.
         # (A job that still waits for others has no waiting tasks by which to count.)
         team = cluster.teams[job.team]
-        guaranteed = how_many(job.spec, team.cpus - held[job.team], team.gpus) >= count
+        guaranteed = tasks_that_fit(job.spec, team.cpus - held[job.team], team.gpus) >= count
         if job.spec.gpus > 0:
             cpus, used = cluster.usage[job.team].units
             guaranteed = within_guarantee(team, (cpus, used), job.spec, count) >= count
@@ -347,22 +347,22 @@
     return max((math.inf if at_us is None else at_us for at_us, _ in starts), default=0.0)
 
 
-def plan_hires(
+def plan_scale_out(
     cluster: Cluster,
-    plan: Plan,
-    market: Market,
-    estimates: Estimates,
-    goals: Goals,
+    plan: PlacementPlan,
+    market: RentalOffers,
+    estimates: RunTimeEstimates,
+    goals: ServiceLevelObjectives,
     at_us: int,
     settings: FleetSettings,
-    coming: Sequence[Coming] = (),
-    demand: Demand | None = None,
-    upcoming: Sequence[Upcoming] = (),
+    coming: Sequence[PendingRental] = (),
+    demand: ArrivalRates | None = None,
+    upcoming: Sequence[ExpectedDemand] = (),
     backlog: int = 0,
     silent: Collection[str] = (),
-    boots: Expectations | None = None,
-    ahead: Callable[[int], Ahead] | None = None,
-) -> dict[Offer, int]:
+    boots: BootExpectations | None = None,
+    ahead: Callable[[int], WideTaskForecast] | None = None,
+) -> dict[RentalOffer, int]:
     """Decide how many of which machines to rent.
 
     Two patiences: cheap machines are rented as soon as work would wait longer than
@@ -387,13 +387,13 @@
 
     boot_us = seconds_us(min(offer.type.boot_s for offer in offers))
     boots = boots or usual_boots(settings)
-    queue = _Queue(cluster, coming, estimates, at_us, boots, silent)
+    queue = CapacityForecast(cluster, coming, estimates, at_us, boots, silent)
 
     @cache
-    def in_zone(zone: str) -> _Queue:
-        return _Queue(cluster, coming, estimates, at_us, boots, silent, zone=zone)
+    def in_zone(zone: str) -> CapacityForecast:
+        return CapacityForecast(cluster, coming, estimates, at_us, boots, silent, zone=zone)
 
-    missing = forecast_missing(
+    missing = forecast_unmet_demand(
         cluster,
         plan,
         queue,
@@ -405,29 +405,29 @@
         settings,
         upcoming,
         backlog,
-        lambda: _Queue(cluster, coming, estimates, at_us, boots, silent, cards=True),
+        lambda: CapacityForecast(cluster, coming, estimates, at_us, boots, silent, cards=True),
         ahead(at_us + boot_us) if ahead is not None else None,
         in_zone,
     )
-    hires: dict[Offer, int] = defaultdict(int)
+    hires: dict[RentalOffer, int] = defaultdict(int)
     cheap = [offer for offer in offers if offer.spot]
-    rooms = _hire_for(missing.patient, cheap, hires, [], settings)
+    rooms = _rent_for(missing.patient, cheap, hires, [], settings)
     # More dear machines than this would share the backlog so thinly that they are idle
     # before they have been paid for; one is always allowed.
     capacity = owned + sum(offer.type.cpus * number for offer, number in hires.items())
     worthwhile = missing.backlog_us / settings.payback_us - capacity
-    _hire_for(missing.pressing, offers, hires, rooms, settings, worthwhile)
+    _rent_for(missing.pressing, offers, hires, rooms, settings, worthwhile)
     return dict(hires)
 
 
-def _hire_for(
+def _rent_for(
     missing: list[tuple[Job, int]],
-    offers: list[Offer],
-    hires: dict[Offer, int],
-    rooms: list[tuple[Offer, list[float]]],
+    offers: list[RentalOffer],
+    hires: dict[RentalOffer, int],
+    rooms: list[tuple[RentalOffer, list[float]]],
     settings: FleetSettings,
     dear_cpus: float = 0.0,
-) -> list[tuple[Offer, list[float]]]:
+) -> list[tuple[RentalOffer, list[float]]]:
     """Add machines for the missing tasks; ``rooms`` are those hired already this time."""
     rooms = [
         (offer, [offer.type.cpus, offer.type.gpus, offer.type.memory_gb]) for offer, _ in rooms
@@ -456,7 +456,7 @@
 
 def _fill(room: list[float], job: Job, most: int) -> int:
     spec = job.spec
-    most = min(most, how_many(spec, *room))
+    most = min(most, tasks_that_fit(spec, *room))
     room[0] -= spec.cpus * most
     room[1] -= spec.gpus * most
     room[2] -= spec.memory_gb * most
@@ -464,11 +464,11 @@
 
 
 def _best_offer(
-    job: Job, count: int, missing: list[tuple[Job, int]], offers: list[Offer]
-) -> Offer | None:
+    job: Job, count: int, missing: list[tuple[Job, int]], offers: list[RentalOffer]
+) -> RentalOffer | None:
     """Return the offer that costs least for what would run on it."""
     demand = sum(other.spec.cpus * number for other, number in missing)
-    best: tuple[float, float, Offer] | None = None
+    best: tuple[float, float, RentalOffer] | None = None
     for offer in offers:
         if not offer_allows(offer, job):
             continue
@@ -484,11 +484,11 @@
     return best[2] if best else None
 
 
-def plan_closings(
+def choose_scale_in_candidates(
     cluster: Cluster,
-    plan: Plan,
+    plan: PlacementPlan,
     settings: FleetSettings,
-    upcoming: Sequence[Upcoming] = (),
+    upcoming: Sequence[ExpectedDemand] = (),
 ) -> set[str]:
     """Choose machines that are no longer needed, so that they are filled last.
 
@@ -520,7 +520,7 @@
 
 
 @dataclass(frozen=True)
-class Move:
+class MachineDrain:
     """A machine to be emptied, and which of its tasks go on or begin anew elsewhere."""
 
     machine: Machine
@@ -529,15 +529,15 @@
     gain_us: int
 
 
-def plan_moves(
+def plan_consolidation(
     cluster: Cluster,
-    plan: Plan,
-    estimates: Estimates,
+    plan: PlacementPlan,
+    estimates: RunTimeEstimates,
     at_us: int,
     settings: FleetSettings,
     silence_us: int,
-    goals: Goals | None = None,
-) -> list[Move]:
+    goals: ServiceLevelObjectives | None = None,
+) -> list[MachineDrain]:
     """Choose closing machines to be emptied by moving their tasks, the dearest first.
 
     Only while nothing waits; only to machines that stay; and only if the machine can go
@@ -548,7 +548,7 @@
     """
     if plan.unplaced:
         return []
-    closing: list[tuple[float, Move]] = []
+    closing: list[tuple[float, MachineDrain]] = []
     targets: list[tuple[Machine, list[float]]] = []
     for machine in cluster.machines.values():
         if not usable(machine, at_us, silence_us):
@@ -582,7 +582,9 @@
     return free and not spec.is_service and not spec.one_zone and not spec.spread
 
 
-def _may_begin_anew(attempt: Attempt, estimates: Estimates, goals: Goals, at_us: int) -> bool:
+def _may_begin_anew(
+    attempt: Attempt, estimates: RunTimeEstimates, goals: ServiceLevelObjectives, at_us: int
+) -> bool:
     """Whether a task that saves nothing may begin anew elsewhere now, and be in time.
 
     Only idle work that nobody waits for: where tasks with deadlines and of chains began anew
@@ -600,8 +602,12 @@
 
 
 def _unloading(
-    machine: Machine, estimates: Estimates, goals: Goals | None, at_us: int, most_loss: float
-) -> Move | None:
+    machine: Machine,
+    estimates: RunTimeEstimates,
+    goals: ServiceLevelObjectives | None,
+    at_us: int,
+    most_loss: float,
+) -> MachineDrain | None:
     """Return which tasks would have to leave a machine for it to go sooner; None: nothing helps.
 
     A task that saves nothing loses what it has run. Where that is a small part of what the
@@ -613,7 +619,7 @@
     saving_us = staying_us = leaving_us = anew_us = 0
     lost = 0.0
     for attempt in machine.attempts.values():
-        if attempt.phase is not Phase.RUNNING or attempt.stop is not Stop.NO:
+        if attempt.phase is not AttemptPhase.RUNNING or attempt.stop is not StopRequest.NO:
             return None
         remaining_us = estimates.remaining_us(attempt, at_us)
         if movable(attempt):
@@ -628,19 +634,21 @@
             staying_us = max(staying_us, remaining_us)
     gain_us = max(leaving_us, anew_us) - max(staying_us, saving_us)
     if anew and lost <= most_loss * machine.type.cpus * gain_us:
-        return Move(machine, leaving + anew, gain_us)
+        return MachineDrain(machine, leaving + anew, gain_us)
     staying_us = max(staying_us, anew_us, saving_us)
-    return Move(machine, leaving, leaving_us - staying_us) if leaving else None
+    return MachineDrain(machine, leaving, leaving_us - staying_us) if leaving else None
 
 
-def _find_places(move: Move, targets: list[tuple[Machine, list[float]]], worth_us: int) -> bool:
+def _find_places(
+    move: MachineDrain, targets: list[tuple[Machine, list[float]]], worth_us: int
+) -> bool:
     """Whether all that is to leave fits elsewhere; if so its room is taken there."""
     taken: list[tuple[list[float], Job]] = []
     for attempt in move.attempts:
         job = attempt.job
         best: tuple[int, int] | None = None
         for number, (target, room) in enumerate(targets):
-            if not target.allows(job) or how_many(job.spec, *room) < 1:
+            if not target.allows(job) or tasks_that_fit(job.spec, *room) < 1:
                 continue
             if job.spec.image in target.images:
                 best = (0, number)
@@ -662,8 +670,8 @@
     return True
 
 
-def plan_returns(
-    cluster: Cluster, at_us: int, settings: FleetSettings, boots: Expectations | None = None
+def plan_scale_in(
+    cluster: Cluster, at_us: int, settings: FleetSettings, boots: BootExpectations | None = None
 ) -> list[Machine]:
     """Decide which machines to return: idle ones, and those that never came up.
 
--- a/weldhead/scheduling/forecast/completion_times.py
+++ b/weldhead/scheduling/forecast/completion_times.py
@@ -6,26 +6,26 @@
 
 from weldhead.clock import seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
-from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 
 
 @dataclass(frozen=True)
-class Boots:
+class BootForecast:
     """When the next machine comes up (None: none boots), and the longest usual boot."""
 
     next_us: int | None
     usual_us: int
 
 
-def boots_of(machines: Iterable[Machine]) -> Boots:
+def boot_forecast_of(machines: Iterable[Machine]) -> BootForecast:
     """Return what a forecast has to know of the machines."""
     machines = list(machines)
     boots = [m.hired_us + seconds_us(m.type.boot_s) for m in machines if m.booting]
     usual_us = max((seconds_us(m.type.boot_s) for m in machines), default=0)
-    return Boots(min(boots, default=None), usual_us)
+    return BootForecast(min(boots, default=None), usual_us)
 
 
 def looks_unable(job: Job) -> bool:
@@ -34,7 +34,7 @@
 
 
 def forecast_us(
-    cluster: Cluster, job: Job, estimates: Estimates, at_us: int, boots: Boots
+    cluster: Cluster, job: Job, estimates: RunTimeEstimates, at_us: int, boots: BootForecast
 ) -> int | None:
     """Return when the job is expected to finish, on the steady clock.
 
@@ -64,7 +64,7 @@
 
 
 def forecast_chains(
-    chains: Chains, cluster: Cluster, stage_us: Callable[[Job], int], at_us: int
+    chains: DependencyGraph, cluster: Cluster, stage_us: Callable[[Job], int], at_us: int
 ) -> None:
     """Forecast the jobs that wait for others, from the forecasts of those; in place.
 
--- a/weldhead/scheduling/forecast/job_forecasts.py
+++ b/weldhead/scheduling/forecast/job_forecasts.py
@@ -13,18 +13,18 @@
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.change_feed import Registry
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.deadline_heap import Timers
-from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.deadline_heap import DeadlineHeap
+from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.scheduling.forecast.completion_times import (
-    Boots,
+    BootForecast,
     due_us,
     forecast_chains,
     forecast_us,
     looks_unable,
 )
-from weldhead.scheduling.forecast.run_times import Estimates
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 
 #: How old a forecast may be that a poll is answered with.
 FRESH_US = SECOND_US
@@ -32,7 +32,7 @@
 FAR_US = 60 * SECOND_US
 
 
-class BootWatch:
+class BootTracker:
     """When the next machine comes up, and how long boots take; follows the machines."""
 
     def __init__(self, machines: Registry[Machine]) -> None:
@@ -40,7 +40,7 @@
         self._feed = machines.feeds.subscribe()
         self._types: Counter[float] = Counter()
         self._known: dict[str, float] = {}
-        self._booting = Timers()
+        self._booting = DeadlineHeap()
         for machine in machines.values():
             self._enter(machine)
 
@@ -64,21 +64,21 @@
             up_us = machine.hired_us + seconds_us(machine.type.boot_s)
             self._booting.set(name, machine.serial, up_us)
 
-    def boots(self) -> Boots:
+    def boots(self) -> BootForecast:
         """Return what a forecast has to know of them."""
         for machine in self._feed.take():
             self._enter(machine)
-        return Boots(self._booting.first_us(), seconds_us(max(self._types, default=0.0)))
+        return BootForecast(self._booting.first_us(), seconds_us(max(self._types, default=0.0)))
 
 
-class Outlook:
+class JobForecasts:
     """Forecasts and lateness of all jobs; follows them."""
 
     def __init__(
         self,
         cluster: Cluster,
-        chains: Chains,
-        estimates: Estimates,
+        chains: DependencyGraph,
+        estimates: RunTimeEstimates,
         stage_us: Callable[[Job], int],
         period_us: int,
         recheck_us: int,
@@ -92,9 +92,9 @@
         self._recheck_us = recheck_us
         self._most = most
         self._feed = cluster.jobs.feeds.subscribe()
-        self._boots = BootWatch(cluster.machines)
+        self._boots = BootTracker(cluster.machines)
         #: When each job is looked at next.
-        self._next = Timers()
+        self._next = DeadlineHeap()
         for job in cluster.jobs.values():
             self._plan(job, 0)
         #: How many looks left somebody to the next.
@@ -111,7 +111,7 @@
         if planned_us is None or planned_us > at_us:
             self._next.set(job.id, job.serial, at_us)
 
-    def boots(self) -> Boots:
+    def boots(self) -> BootForecast:
         """Return what is to be expected of machines that boot."""
         return self._boots.boots()
 
@@ -121,7 +121,7 @@
             return
         self._forecast(job, at_us, self._boots.boots())
 
-    def _forecast(self, job: Job, at_us: int, boots: Boots) -> None:
+    def _forecast(self, job: Job, at_us: int, boots: BootForecast) -> None:
         if job.held is None or job.cancelled:
             job.forecast_us = forecast_us(self._cluster, job, self._estimates, at_us, boots)
         elif job.held.starts_us is None or job.spec.is_service:
--- a/weldhead/scheduling/forecast/run_times.py
+++ b/weldhead/scheduling/forecast/run_times.py
@@ -44,7 +44,7 @@
         return self._cached[1]
 
 
-class Estimates:
+class RunTimeEstimates:
     """Observed run times against estimates."""
 
     def __init__(self) -> None:
--- a/weldhead/scheduling/inherited_priority.py
+++ b/weldhead/scheduling/inherited_priority.py
@@ -10,12 +10,12 @@
 
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.dependency_graph import Chains
+from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
-from weldhead.cluster_state.machines import how_many
+from weldhead.cluster_state.machines import tasks_that_fit
 from weldhead.protocol.wire import MachineType
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
 
 #: How many inherited bounds a job keeps.
 MOST_BOUNDS = 4
@@ -25,7 +25,7 @@
 
 
 def stage_us(
-    cluster: Cluster, job: Job, estimates: Estimates, fetch_gb_per_s: float, margin: float
+    cluster: Cluster, job: Job, estimates: RunTimeEstimates, fetch_gb_per_s: float, margin: float
 ) -> int:
     """Estimate how long a waiting job takes from its release to its end.
 
@@ -33,7 +33,7 @@
     """
     spec = job.spec
     team = cluster.teams.get(job.team)
-    at_once = how_many(spec, team.cpus_max, team.gpus_max) if team is not None else spec.tasks
+    at_once = tasks_that_fit(spec, team.cpus_max, team.gpus_max) if team is not None else spec.tasks
     waves = -(-spec.tasks // max(1, at_once))
     run_us = round(waves * estimates.task_us(job) * (1 + margin))
     return HANDOVER_US + seconds_us(spec.image_gb / fetch_gb_per_s) + run_us
@@ -45,9 +45,9 @@
 
 
 def refresh(
-    chains: Chains,
+    chains: DependencyGraph,
     jobs: Iterable[Job],
-    goals: Goals,
+    goals: ServiceLevelObjectives,
     path_us: Callable[[Job], int],
     at_us: int,
 ) -> None:
--- a/weldhead/scheduling/objectives.py
+++ b/weldhead/scheduling/objectives.py
@@ -13,7 +13,7 @@
 FOR_EVER_US = 1 << 62
 
 
-class Press(enum.IntEnum):
+class Urgency(enum.IntEnum):
     """How urgently a job's waiting tasks need room, most urgent first."""
 
     PRESSING = 0
@@ -21,7 +21,7 @@
     PATIENT = 2
 
 
-class Goals:
+class ServiceLevelObjectives:
     """The users' expectations, as the settings state them.
 
     Several may be stated of a class: a share of it by one bound, and more by a later one.
@@ -55,7 +55,7 @@
         """Return how long the job's tasks could still wait and be in time."""
         return self.target_us(job, task_us, at_us) - at_us - task_us
 
-    def press(self, job: Job, task_us: int, at_us: int, patience_us: int) -> Press:
+    def press(self, job: Job, task_us: int, at_us: int, patience_us: int) -> Urgency:
         """Say how urgent it is that the job's tasks get room.
 
         The paper's laxity (Natjam-R), used by placement and preemptor alike: if one gave
@@ -63,19 +63,19 @@
         """
         return self._press_by(job, task_us, self.laxity_us(job, task_us, at_us), patience_us)
 
-    def _press_by(self, job: Job, task_us: int, laxity_us: int, patience_us: int) -> Press:
+    def _press_by(self, job: Job, task_us: int, laxity_us: int, patience_us: int) -> Urgency:
         """Say the same of a job that could still wait for so long."""
         wait_us = self.wait_us(job)
         if wait_us is not None and wait_us <= patience_us:
-            return Press.PRESSING
+            return Urgency.PRESSING
         if laxity_us >= patience_us:
-            return Press.PATIENT
+            return Urgency.PATIENT
         # Estimates are rough: only what is clearly late gives way to what can be in time.
-        return Press.PRESSING if laxity_us >= -slack_us(task_us) else Press.LATE
+        return Urgency.PRESSING if laxity_us >= -slack_us(task_us) else Urgency.LATE
 
     def standing(
         self, job: Job, task_us: int, at_us: int, patience_us: int
-    ) -> tuple[Press, int, int]:
+    ) -> tuple[Urgency, int, int]:
         """Return the press, the latest start that is in time, and until when both stay so.
 
         While they do, the job's laxity shrinks as time passes, as everybody's does: so the
@@ -85,7 +85,7 @@
         start_us = target_us - task_us
         press = self._press_by(job, task_us, start_us - at_us, patience_us)
         missed_us = start_us + slack_us(task_us)
-        if press is Press.PATIENT:
+        if press is Urgency.PATIENT:
             return press, start_us, min(start_us - patience_us, missed_us)
         return press, start_us, missed_us if at_us <= missed_us else FOR_EVER_US
 
--- a/weldhead/scheduling/placement/backlog.py
+++ b/weldhead/scheduling/placement/backlog.py
@@ -16,20 +16,20 @@
 from itertools import islice
 from typing import NamedTuple
 
-from weldhead.cluster_state.cluster import CERTAIN, Cluster, Doubt
-from weldhead.cluster_state.deadline_heap import Timers
+from weldhead.cluster_state.cluster import NO_UNVERIFIED_USAGE, Cluster, UnverifiedUsage
+from weldhead.cluster_state.deadline_heap import DeadlineHeap
 from weldhead.cluster_state.jobs import Job
-from weldhead.quota.amounts import NOTHING, Amount, need, needs, times_in
+from weldhead.quota.amounts import NOTHING, Amount, required_amounts, required_units, times_in
 from weldhead.quota.teams import bounds_of, left, within_guarantee
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import FOR_EVER_US, Goals, Press
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import FOR_EVER_US, ServiceLevelObjectives, Urgency
 
 #: How many jobs of a class whose estimate has changed are put in place anew in one look.
 #: Until its turn a job stands where the last estimate put it.
-MOST_RENEWED = 500
+MAX_REORDERED_JOBS = 500
 
 
-class Shape(NamedTuple):
+class TaskShape(NamedTuple):
     """What decides where a task fits, whoever's it is."""
 
     cpus: float
@@ -40,32 +40,32 @@
     spot: bool
 
     @classmethod
-    def of(cls, job: Job) -> "Shape":
+    def of(cls, job: Job) -> "TaskShape":
         """Return the shape of a job's tasks."""
         spec = job.spec
         return cls(spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
 
 
-class Kind(NamedTuple):
+class JobKind(NamedTuple):
     """Jobs whose tasks are looked for room alike."""
 
     team: str
     level: int
     job_class: str
     service: bool
-    shape: Shape
+    shape: TaskShape
     #: The job alone, where its own tasks limit or move where others may go.
     own: str
 
     @classmethod
-    def of(cls, job: Job) -> "Kind":
+    def of(cls, job: Job) -> "JobKind":
         """Return a job's kind."""
         spec = job.spec
         own = job.id if spec.one_zone or spec.spread or job.failed_on else ""
-        return cls(job.team, job.level, spec.job_class, spec.is_service, Shape.of(job), own)
+        return cls(job.team, job.level, spec.job_class, spec.is_service, TaskShape.of(job), own)
 
 
-class Entry(NamedTuple):
+class BacklogEntry(NamedTuple):
     """A job's place in the order; the first differing field decides, the serial at last."""
 
     press: int
@@ -78,14 +78,18 @@
 
 
 def entry_of(
-    job: Job, estimates: Estimates, goals: Goals, at_us: int, patience_us: int
-) -> tuple[Entry, int]:
+    job: Job,
+    estimates: RunTimeEstimates,
+    goals: ServiceLevelObjectives,
+    at_us: int,
+    patience_us: int,
+) -> tuple[BacklogEntry, int]:
     """Return a job's place in the order, and until when it is that."""
     task_us = estimates.order_us(job)
     press, start_us, until_us = goals.standing(job, task_us, at_us, patience_us)
-    return Entry(
+    return BacklogEntry(
         int(press),
-        -job.level if press is not Press.PATIENT else 0,
+        -job.level if press is not Urgency.PATIENT else 0,
         1 if job.spec.is_service else 0,
         start_us,
         job.first_seen_us,
@@ -98,16 +102,20 @@
     """The queues of waiting jobs, by kind."""
 
     def __init__(
-        self, cluster: Cluster, estimates: Estimates, goals: Goals, patience_us: int
+        self,
+        cluster: Cluster,
+        estimates: RunTimeEstimates,
+        goals: ServiceLevelObjectives,
+        patience_us: int,
     ) -> None:
         self._cluster = cluster
         self._estimates = estimates
         self._goals = goals
         self._patience_us = patience_us
-        self.queues: dict[Kind, list[Entry]] = {}
-        self._places: dict[str, tuple[Kind, Entry]] = {}
+        self.queues: dict[JobKind, list[BacklogEntry]] = {}
+        self._places: dict[str, tuple[JobKind, BacklogEntry]] = {}
         #: Until when a job's place stays as it is.
-        self._timers = Timers()
+        self._timers = DeadlineHeap()
         self._classes: dict[str, dict[str, Job]] = {}
         self._editions: dict[str, int] = {}
         self._stale: dict[str, Job] = {}
@@ -140,7 +148,7 @@
             if self._editions.get(name) != edition:
                 self._editions[name] = edition
                 self._stale.update(self._classes.get(name, {}))
-        for job in list(islice(self._stale.values(), MOST_RENEWED)):
+        for job in list(islice(self._stale.values(), MAX_REORDERED_JOBS)):
             self._put(job, at_us)
         while (job_id := self._timers.pop(at_us - 1)) is not None:
             self._put(self._cluster.jobs[job_id], at_us)
@@ -175,7 +183,7 @@
             self._timers.set(job.id, job.serial, job.not_before_us - 1)
             return
         entry, until_us = entry_of(job, self._estimates, self._goals, at_us, self._patience_us)
-        kind = Kind.of(job)
+        kind = JobKind.of(job)
         insort(self.queues.setdefault(kind, []), entry)
         self._places[job.id] = kind, entry
         self._classes.setdefault(job.spec.job_class, {})[job.id] = job
@@ -197,7 +205,7 @@
         kept = self._places.keys() | (self._timers.names() & expected)
         return sorted(expected ^ kept)
 
-    def place_of(self, job_id: str) -> tuple[Kind, Entry] | None:
+    def place_of(self, job_id: str) -> tuple[JobKind, BacklogEntry] | None:
         """Return where a job stands; None: nothing of it waits for room."""
         return self._places.get(job_id)
 
@@ -214,29 +222,31 @@
                 heappop(heap)
 
 
-class Reserve:
+class TeamAllowance:
     """What a plan has given to a team so far, and when in the order it was given."""
 
     __slots__ = ("_given", "_left", "_marks", "_team", "_used", "given")
 
-    def __init__(self, cluster: Cluster, team: str, doubt: Doubt = CERTAIN) -> None:
+    def __init__(
+        self, cluster: Cluster, team: str, doubt: UnverifiedUsage = NO_UNVERIFIED_USAGE
+    ) -> None:
         self._team = cluster.teams[team]
         cpus, cards = cluster.usage[team].units
         self._used: Amount = cpus, cards
         limit = bounds_of(self._team).limit
         # While machines are unknown, what they may hold of the team counts as used.
         self._left: Amount = (
-            left(limit[0], cpus, need(doubt.cpus)),
-            left(limit[1], cards, need(doubt.gpus)),
+            left(limit[0], cpus, required_units(doubt.cpus)),
+            left(limit[1], cards, required_units(doubt.gpus)),
         )
         #: What was given so far, in units.
         self.given: Amount = NOTHING
-        self._marks: list[Entry] = []
+        self._marks: list[BacklogEntry] = []
         self._given: list[Amount] = [NOTHING]
 
     def give(self, job: Job, count: int) -> None:
         """Reserve room for tasks."""
-        cpus, cards = needs(job.spec)
+        cpus, cards = required_amounts(job.spec)
         self.given = self.given[0] + cpus * count, self.given[1] + cards * count
 
     def within_limit(self, job: Job) -> int:
@@ -250,13 +260,16 @@
 
     def withhold(self, cpus: float, gpus: float) -> None:
         """Keep some of the limit out of reach for the rest of the pass."""
-        self._left = left(self._left[0], need(cpus)), left(self._left[1], need(gpus))
+        self._left = (
+            left(self._left[0], required_units(cpus)),
+            left(self._left[1], required_units(gpus)),
+        )
 
     def _left_beside(self, job: Job, given: Amount) -> int:
         rest = left(self._left[0], given[0]), left(self._left[1], given[1])
-        return times_in(rest, needs(job.spec), job.spec.tasks)
+        return times_in(rest, required_amounts(job.spec), job.spec.tasks)
 
-    def mark(self, entry: Entry | None) -> None:
+    def mark(self, entry: BacklogEntry | None) -> None:
         """Note that all so far was given up to that place in the order (None: before it)."""
         if entry is None:
             self._given[0] = self.given
@@ -264,13 +277,13 @@
         self._marks.append(entry)
         self._given.append(self.given)
 
-    def left_at(self, entry: Entry) -> int:
+    def left_at(self, entry: BacklogEntry) -> int:
         """How many tasks of a job the limit allows, by what was given before its place."""
         number = bisect_left(self._marks, entry)
         return self._left_beside(entry.job, self._given[number])
 
 
-class Unplaced:
+class UnplacedTasks:
     """Jobs whose tasks found no room, with how many of them the limits would allow.
 
     In the order of placement. What a pass has left a whole queue of is not listed but
@@ -279,24 +292,26 @@
     """
 
     def __init__(self, listed: list[tuple[Job, int]] | None = None) -> None:
-        self._entries: list[Entry] = []
+        self._entries: list[BacklogEntry] = []
         self._counts: list[int] = []
-        self._tails: list[tuple[list[Entry], Reserve]] = []
+        self._tails: list[tuple[list[BacklogEntry], TeamAllowance]] = []
         #: By kind: the tail of its queue.
-        self._kinds: dict[Kind, int] = {}
+        self._kinds: dict[JobKind, int] = {}
         self._listed: dict[str, int] = {}
         #: How many tasks of a job that was given room still wait.
         self._waiting: dict[str, int] = {}
         for number, (job, count) in enumerate(listed or ()):
-            self.add(Entry(0, 0, 0, 0, 0, number, job), count)
+            self.add(BacklogEntry(0, 0, 0, 0, 0, number, job), count)
 
-    def add(self, entry: Entry, count: int) -> None:
+    def add(self, entry: BacklogEntry, count: int) -> None:
         """List a job; jobs are listed in order."""
         self._entries.append(entry)
         self._counts.append(count)
         self._listed[entry.job.id] = count
 
-    def add_tail(self, kind: Kind, queue: list[Entry], number: int, reserve: Reserve) -> None:
+    def add_tail(
+        self, kind: JobKind, queue: list[BacklogEntry], number: int, reserve: TeamAllowance
+    ) -> None:
         """Enter what stands in a queue from that place on."""
         self._kinds[kind] = len(self._tails)
         self._tails.append((queue[number:], reserve))
@@ -305,7 +320,7 @@
         """Note that the plan gives room to so many tasks of a job."""
         self._waiting[job.id] = job.waiting - count
 
-    def count_of(self, job: Job, place: tuple[Kind, Entry] | None) -> int:
+    def count_of(self, job: Job, place: tuple[JobKind, BacklogEntry] | None) -> int:
         """Return how many of a job's tasks found no room, by its place at the time."""
         if job.id in self._listed:
             return self._listed[job.id]
@@ -316,7 +331,7 @@
             return 0
         return self.count_at(place[1], reserve)
 
-    def count_at(self, entry: Entry, reserve: Reserve) -> int:
+    def count_at(self, entry: BacklogEntry, reserve: TeamAllowance) -> int:
         """Return how many tasks found no room of a job that a pass did not come to."""
         job = entry.job
         if job.finishing:
@@ -324,9 +339,9 @@
         waiting = min(job.waiting, self._waiting.get(job.id, job.spec.tasks))
         return max(0, min(waiting, reserve.left_at(entry)))
 
-    def walk(self) -> "Walk":
+    def walk(self) -> "QueueScan":
         """Return a walk over them in order."""
-        return Walk(self, self._entries, self._counts, self._tails)
+        return QueueScan(self, self._entries, self._counts, self._tails)
 
     def __iter__(self) -> Iterator[tuple[Job, int]]:
         walk = self.walk()
@@ -340,15 +355,15 @@
         return sum(1 for _ in self)
 
 
-class Walk:
+class QueueScan:
     """A walk over what found no room, in which queues can be left."""
 
     def __init__(
         self,
-        unplaced: Unplaced,
-        entries: list[Entry],
+        unplaced: UnplacedTasks,
+        entries: list[BacklogEntry],
         counts: list[int],
-        tails: list[tuple[list[Entry], Reserve]],
+        tails: list[tuple[list[BacklogEntry], TeamAllowance]],
     ) -> None:
         self._unplaced = unplaced
         self._counts = counts
@@ -357,7 +372,7 @@
         self._heap = [(tail[0], 0, n) for n, tail in enumerate(self._tails) if tail]
         heapify(self._heap)
         #: The job that was given last: its place, and which queue's.
-        self._at: tuple[Entry, int] | None = None
+        self._at: tuple[BacklogEntry, int] | None = None
         self._left: dict[int, int] = {}
 
     def next(self) -> tuple[Job, int] | None:
@@ -395,7 +410,7 @@
                     heapify(self._heap)
                     return
 
-    def skip_to(self, press: Press) -> None:
+    def skip_to(self, press: Urgency) -> None:
         """Leave out what stands behind the last job in its queue and presses otherwise.
 
         ``press`` comes later in the order than the last job's own.
--- a/weldhead/scheduling/placement/placement.py
+++ b/weldhead/scheduling/placement/placement.py
@@ -14,16 +14,22 @@
 from itertools import islice
 
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.cluster_state.capacity_index import FreeRooms
-from weldhead.cluster_state.cluster import CERTAIN, Cluster
-from weldhead.cluster_state.jobs import Job, Phase
-from weldhead.cluster_state.machines import Machine, how_many
+from weldhead.cluster_state.capacity_index import CapacityIndex
+from weldhead.cluster_state.cluster import NO_UNVERIFIED_USAGE, Cluster
+from weldhead.cluster_state.jobs import AttemptPhase, Job
+from weldhead.cluster_state.machines import Machine, tasks_that_fit
 from weldhead.protocol.wire import JobSpec
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals
-from weldhead.scheduling.placement.backlog import Backlog, Entry, Reserve, Shape, Unplaced
-from weldhead.scheduling.preemption.gpu_claims import KeptCards
-from weldhead.scheduling.reservations.holding import Holds
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives
+from weldhead.scheduling.placement.backlog import (
+    Backlog,
+    BacklogEntry,
+    TaskShape,
+    TeamAllowance,
+    UnplacedTasks,
+)
+from weldhead.scheduling.preemption.gpu_claims import GpuReservation
+from weldhead.scheduling.reservations.holding import Reservations
 
 #: Seconds of image fetching that are worth not starting on an idle machine, and on one that
 #: is rented at the ordinary price: those are to fall idle and be returned.
@@ -43,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Start:
+class TaskStart:
     """A decision to start a task on a machine."""
 
     job: Job
@@ -52,24 +58,24 @@
 
 
 @dataclass
-class Plan:
+class PlacementPlan:
     """The decisions of one pass, and what is left over."""
 
-    starts: list[Start] = field(default_factory=list)
+    starts: list[TaskStart] = field(default_factory=list)
     #: Jobs whose tasks found no room, with how many of them the limits would allow.
-    unplaced: Unplaced = field(default_factory=Unplaced)
+    unplaced: UnplacedTasks = field(default_factory=UnplacedTasks)
     #: Work that takes cards waits: from whom what free cards need beside them was kept.
-    kept: KeptCards | None = None
+    kept: GpuReservation | None = None
 
 
-class Room:
+class FreeCapacity:
     """A machine's free amounts while a plan is made."""
 
     __slots__ = (
         "_pulls", "cpus", "gpus", "images", "keep", "machine", "memory_gb", "used",
     )  # fmt: skip
 
-    def __init__(self, machine: Machine, keep: KeptCards | None = None) -> None:
+    def __init__(self, machine: Machine, keep: GpuReservation | None = None) -> None:
         self.machine = machine
         #: Free cards keep their share of the CPUs and the memory for work that takes cards.
         self.keep = keep if machine.type.gpus > 0 else None
@@ -87,8 +93,8 @@
             share = self.gpus / self.machine.type.gpus
             cpus = self.cpus - self.machine.type.cpus * share
             memory_gb = self.memory_gb - self.machine.type.memory_gb * share
-            return how_many(job.spec, max(0.0, cpus), self.gpus, max(0.0, memory_gb))
-        return how_many(job.spec, self.cpus, self.gpus, self.memory_gb)
+            return tasks_that_fit(job.spec, max(0.0, cpus), self.gpus, max(0.0, memory_gb))
+        return tasks_that_fit(job.spec, self.cpus, self.gpus, self.memory_gb)
 
     def take(self, job: Job, count: int) -> None:
         """Reserve room for tasks of the job."""
@@ -119,25 +125,25 @@
 
 def coming_images(machine: Machine) -> int:
     """How many images a machine fetches or is about to fetch."""
-    before = (Phase.ASSIGNED, Phase.PULLING)
+    before = (AttemptPhase.ASSIGNED, AttemptPhase.PULLING)
     images = {a.job.spec.image for a in machine.attempts.values() if a.phase in before}
     return len(images - machine.images.keys())
 
 
-class Rooms:
+class PassCapacity:
     """The machines that may take work in this pass.
 
     In a pass room only shrinks, so a shape that found none is not looked for again, and
-    between passes not before some appears (``FreeRooms``).
+    between passes not before some appears (``CapacityIndex``).
     """
 
     def __init__(
         self,
-        free: FreeRooms,
+        free: CapacityIndex,
         at_us: int,
         silence_us: int,
-        holds: Holds | None = None,
-        estimates: Estimates | None = None,
+        holds: Reservations | None = None,
+        estimates: RunTimeEstimates | None = None,
     ) -> None:
         self._free = free
         #: Machines that are held for others' work, and until when that cannot begin there.
@@ -146,23 +152,23 @@
         self._estimates = estimates
         self._at_us = at_us
         self._silence_us = silence_us
-        self._rooms: dict[str, Room] = {}
-        self._hopeless: set[Shape] = set()
-        #: Set before the first job is placed: cards are wanted (``Room.keep``).
-        self.keep: KeptCards | None = None
+        self._rooms: dict[str, FreeCapacity] = {}
+        self._hopeless: set[TaskShape] = set()
+        #: Set before the first job is placed: cards are wanted (``FreeCapacity.keep``).
+        self.keep: GpuReservation | None = None
 
     def hopeless(self, job: Job) -> bool:
         """Whether it is known that no machine has room for the job's tasks."""
-        return Shape.of(job) in self._hopeless
+        return TaskShape.of(job) in self._hopeless
 
-    def room_of(self, machine: Machine) -> Room:
+    def room_of(self, machine: Machine) -> FreeCapacity:
         """Return what is left of a machine in this pass."""
         room = self._rooms.get(machine.name)
         if room is None:
-            room = self._rooms[machine.name] = Room(machine, self.keep)
+            room = self._rooms[machine.name] = FreeCapacity(machine, self.keep)
         return room
 
-    def _may_fill(self, job: Job, room: Room) -> bool:
+    def _may_fill(self, job: Job, room: FreeCapacity) -> bool:
         """Whether a task surely ends before a held machine can be used as it is to be."""
         until_us, _ = self._until_us.get(room.machine.name, (0, 0))
         if until_us <= self._at_us or self._estimates is None or job.spec.is_service:
@@ -173,9 +179,9 @@
             self._at_us + fetch_delay_us(job, room) + FILL_FACTOR * task_us <= until_us
         )
 
-    def for_job(self, job: Job) -> list[Room]:
+    def for_job(self, job: Job) -> list[FreeCapacity]:
         """Return the machines with room for the job's tasks."""
-        shape = Shape.of(job)
+        shape = TaskShape.of(job)
         if shape in self._hopeless:
             return []
         fitting = []
@@ -201,13 +207,13 @@
         return fitting
 
 
-class HeldRoom:
+class ReservedCapacity:
     """A machine that is held, for the job that it is held for."""
 
-    def __init__(self, room: Room) -> None:
+    def __init__(self, room: FreeCapacity) -> None:
         self._room = room
 
-    def for_job(self, job: Job) -> list[Room]:
+    def for_job(self, job: Job) -> list[FreeCapacity]:
         """Return the machine if it has room for the job's tasks."""
         return [self._room] if self._room.fits(job) > 0 else []
 
@@ -225,7 +231,7 @@
     )
 
 
-def fetch_delay_us(job: Job, room: Room) -> int:
+def fetch_delay_us(job: Job, room: FreeCapacity) -> int:
     """Estimate how long the image takes to arrive on a machine."""
     spec = job.spec
     machine = room.machine
@@ -243,7 +249,7 @@
     return spec.gpus > 0 and spec.image_gb > machine.type.cache_gb
 
 
-def score(job: Job, room: Room, fetch_weight: float) -> float:
+def score(job: Job, room: FreeCapacity, fetch_weight: float) -> float:
     """Rank machines for a job, lower first: image at hand, price, tightest fit.
 
     Work without cards goes where there are none; work with cards where they are left over.
@@ -263,18 +269,22 @@
     return delay_s + idle + dear + left
 
 
-class Scene:
+class PlacementInput:
     """What placement is decided by: the cluster, and what is kept in order about it."""
 
     def __init__(
-        self, cluster: Cluster, estimates: Estimates, goals: Goals, patience_us: int
+        self,
+        cluster: Cluster,
+        estimates: RunTimeEstimates,
+        goals: ServiceLevelObjectives,
+        patience_us: int,
     ) -> None:
         self.cluster = cluster
         self.estimates = estimates
         self.backlog = Backlog(cluster, estimates, goals, patience_us)
-        self.free = FreeRooms(cluster.machines)
+        self.free = CapacityIndex(cluster.machines)
         #: What is kept free for wide work; nothing unless somebody decides it.
-        self.holds = Holds()
+        self.holds = Reservations()
 
     def refresh(self, at_us: int) -> None:
         """Take up what has changed, and what time has brought."""
@@ -287,36 +297,36 @@
         self.free.close()
 
 
-def plan_nothing(scene: Scene, at_us: int, most: int) -> Plan:
+def plan_nothing(scene: PlacementInput, at_us: int, most: int) -> PlacementPlan:
     """Return a plan that starts nothing: up to that many waiting jobs, in order, are left over.
 
     For what is decided while nothing may be started yet: what unknown machines may hold does
     not count here, as those that are to be replaced are among them.
     """
     scene.refresh(at_us)
-    plan, given = Plan(), dict[str, Reserve]()
+    plan, given = PlacementPlan(), dict[str, TeamAllowance]()
     for number, job in enumerate(islice(scene.backlog, most)):
         if job.team not in given:
-            given[job.team] = Reserve(scene.cluster, job.team)
+            given[job.team] = TeamAllowance(scene.cluster, job.team)
         reserve = given[job.team]
         count = min(job.waiting, reserve.within_limit(job))
         if count > 0 and (not job.probing or job.stranded):
             reserve.give(job, count)
-            plan.unplaced.add(Entry(0, 0, 0, 0, 0, number, job), count)
+            plan.unplaced.add(BacklogEntry(0, 0, 0, 0, 0, number, job), count)
     return plan
 
 
 def plan_starts(
     cluster: Cluster,
-    estimates: Estimates,
-    goals: Goals,
+    estimates: RunTimeEstimates,
+    goals: ServiceLevelObjectives,
     at_us: int,
     silence_us: int,
     patience_us: int,
     fetch_weight: float = 1.0,
-) -> Plan:
+) -> PlacementPlan:
     """Decide which waiting tasks start where, of a cluster that nobody follows yet."""
-    scene = Scene(cluster, estimates, goals, patience_us)
+    scene = PlacementInput(cluster, estimates, goals, patience_us)
     try:
         return plan_pass(scene, at_us, silence_us, fetch_weight)
     finally:
@@ -324,12 +334,12 @@
 
 
 def plan_pass(
-    scene: Scene,
+    scene: PlacementInput,
     at_us: int,
     silence_us: int,
     fetch_weight: float = 1.0,
     may_start: Callable[[Job], bool] | None = None,
-) -> Plan:
+) -> PlacementPlan:
     """Decide which waiting tasks start where; ``may_start`` leaves jobs out (None: none).
 
     The same plan as one that looks at all waiting jobs, each in its turn; but a queue of
@@ -337,10 +347,10 @@
     guarantee of its team has none.
     """
     scene.refresh(at_us)
-    plan = Plan()
+    plan = PlacementPlan()
     if not scene.backlog.queues:
         return plan
-    rooms = Rooms(scene.free, at_us, silence_us, scene.holds, scene.estimates)
+    rooms = PassCapacity(scene.free, at_us, silence_us, scene.holds, scene.estimates)
     run = _PlacementPass(scene, plan, rooms, fetch_weight, may_start)
     if scene.holds.machines or scene.holds.limits:
         run.give_held(scene, at_us, silence_us, may_start)
@@ -355,9 +365,9 @@
 
     def __init__(
         self,
-        scene: Scene,
-        plan: Plan,
-        rooms: Rooms,
+        scene: PlacementInput,
+        plan: PlacementPlan,
+        rooms: PassCapacity,
         fetch_weight: float,
         may_start: Callable[[Job], bool] | None,
     ) -> None:
@@ -374,20 +384,20 @@
         self._fetch_weight = fetch_weight
         doubts = scene.cluster.doubts
         self._reserves = {
-            team: Reserve(scene.cluster, team, doubts.get(team, CERTAIN))
+            team: TeamAllowance(scene.cluster, team, doubts.get(team, NO_UNVERIFIED_USAGE))
             for team in {kind.team for kind in self._queues}
         }
         if any(
             kind.shape.gpus > 0 and self._reserves[kind.team].within_limit(queue[0].job) > 0
             for kind, queue in self._queues.items()
         ):
-            plan.kept = rooms.keep = KeptCards(scene.cluster.machines.values())
+            plan.kept = rooms.keep = GpuReservation(scene.cluster.machines.values())
         self._planned: dict[str, int] = defaultdict(int)
         self._zones: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
 
     def give_held(
         self,
-        scene: Scene,
+        scene: PlacementInput,
         at_us: int,
         silence_us: int,
         may_start: Callable[[Job], bool] | None,
@@ -410,7 +420,9 @@
             )
             if allowed <= 0:
                 continue
-            placed = self._place(job, allowed, reserve, HeldRoom(self._rooms.room_of(machine)))
+            placed = self._place(
+                job, allowed, reserve, ReservedCapacity(self._rooms.room_of(machine))
+            )
             if job.team in kept:
                 kept[job.team][0] -= placed * job.spec.cpus
                 kept[job.team][1] -= placed * job.spec.gpus
@@ -452,13 +464,17 @@
             else:
                 heappop(heap)
 
-    def _most(self, job: Job, reserve: Reserve, *, guaranteed: bool) -> int:
+    def _most(self, job: Job, reserve: TeamAllowance, *, guaranteed: bool) -> int:
         """How many tasks of a job its team may be given more."""
         most = reserve.within_limit(job)
         return min(most, reserve.within_guarantee(job)) if guaranteed else most
 
     def _place(
-        self, job: Job, allowed: int, reserve: Reserve, rooms: Rooms | HeldRoom | None = None
+        self,
+        job: Job,
+        allowed: int,
+        reserve: TeamAllowance,
+        rooms: PassCapacity | ReservedCapacity | None = None,
     ) -> int:
         placed = _place(
             self._plan, job, allowed, rooms or self._rooms, self._planned[job.id],
@@ -471,7 +487,7 @@
         return placed
 
 
-def _most_in(rooms: Iterable[Room], job: Job, most: int) -> int:
+def _most_in(rooms: Iterable[FreeCapacity], job: Job, most: int) -> int:
     """How many of so many tasks of a job find room; no more rooms are looked at than it takes."""
     found = 0
     for room in rooms:
@@ -482,10 +498,10 @@
 
 
 def _place(
-    plan: Plan,
+    plan: PlacementPlan,
     job: Job,
     most: int,
-    rooms: Rooms | HeldRoom,
+    rooms: PassCapacity | ReservedCapacity,
     skip: int,
     zones: dict[str, int],
     fetch_weight: float,
@@ -503,7 +519,7 @@
     count = 0
     by_name = {r.machine.name: r for r in fitting}
 
-    def room_for(room: Room) -> int:
+    def room_for(room: FreeCapacity) -> int:
         zone = room.machine.zone
         if job.spec.one_zone and any(n for z, n in zones.items() if z != zone):
             return 0
@@ -515,7 +531,7 @@
         if last is not None and room_for(last) > 0:
             last.take(job, 1)
             zones[last.machine.zone] = zones.get(last.machine.zone, 0) + 1
-            plan.starts.append(Start(job, index, last.machine))
+            plan.starts.append(TaskStart(job, index, last.machine))
             count += 1
         else:
             rest.append(index)
@@ -538,7 +554,7 @@
         room.take(job, number)
         zone = room.machine.zone
         zones[zone] = zones.get(zone, 0) + number
-        plan.starts += [Start(job, index, room.machine) for index in rest[:number]]
+        plan.starts += [TaskStart(job, index, room.machine) for index in rest[:number]]
         rest = rest[number:]
         count += number
     return count
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -21,22 +21,22 @@
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.protocol.wire import JobSpec
-from weldhead.quota.amounts import need
-from weldhead.scheduling.placement.backlog import Shape
+from weldhead.quota.amounts import required_units
+from weldhead.scheduling.placement.backlog import TaskShape
 
 if TYPE_CHECKING:
-    from weldhead.scheduling.preemption.preemptor import Pass
+    from weldhead.scheduling.preemption.preemptor import PreemptionPass
 
 
 #: Machines on which the claimant's image takes about as long to fetch are equals.
 FETCH_STEP_US = 5 * SECOND_US
 
 
-#: By what sets are compared, the least stops first: the first fields of ``Victims``.
+#: By what sets are compared, the least stops first: the first fields of ``VictimSet``.
 Order = tuple[int, bool, int, int, int, int]
 
 
-class Victims(NamedTuple):
+class VictimSet(NamedTuple):
     """A set of victims on one machine; compared by the first fields, the least stops first."""
 
     level: int
@@ -65,7 +65,7 @@
     return seconds_us(spec.image_gb / (machine.type.fetch_gb_per_s or 1.0))
 
 
-class CardClaims:
+class GpuClaims:
     """Claims on cards within one pass.
 
     Each kind of claimant keeps the machines in order of what it would stop there: at first of
@@ -74,9 +74,9 @@
     otherwise the machine is put in its place anew.
     """
 
-    def __init__(self, run: "Pass") -> None:
+    def __init__(self, run: "PreemptionPass") -> None:
         self._run = run
-        holders = sorted(run.cluster.holders.values(), key=cards_key)
+        holders = sorted(run.cluster.holders.values(), key=gpu_holder_key)
         self._rank = {job.id: number for number, job in enumerate(holders)}
         #: The lowest level and the first place of a job on each machine that has cards.
         self._least: dict[str, tuple[int, int]] = {}
@@ -87,7 +87,7 @@
                 self._least[machine.name] = least
         self._kinds: dict[tuple[object, ...], list[tuple[Order, Machine]]] = {}
 
-    def choose(self, claimant: Job, kind: tuple[object, ...], guaranteed: bool) -> Victims | None:
+    def choose(self, claimant: Job, kind: tuple[object, ...], guaranteed: bool) -> VictimSet | None:
         """Return whom to stop for one task of the claimant; None: nobody may be stopped."""
         kind = (*kind, claimant.spec.image)
         heap = self._kinds.get(kind)
@@ -110,7 +110,7 @@
                 heapreplace(heap, (now.order, machine))
         return None
 
-    def _on(self, claimant: Job, machine: Machine, guaranteed: bool) -> Victims | None:
+    def _on(self, claimant: Job, machine: Machine, guaranteed: bool) -> VictimSet | None:
         """Return the least set on a machine that makes room for one task, if there is any."""
         run, spec = self._run, claimant.spec
         if not machine.type.fits(spec) or not run.may_be_on(claimant, machine):
@@ -153,7 +153,7 @@
         if not chosen:
             return None
         cost_us = sum(key[-1] for key, _ in chosen)
-        return Victims(
+        return VictimSet(
             max(key[0] for key, _ in chosen), any(key[1] for key, _ in chosen),
             fetch_us(spec, machine) // FETCH_STEP_US, max(key[2] for key, _ in chosen), cost_us,
             machine.serial, machine, [attempt for _, attempt in chosen],
@@ -162,14 +162,14 @@
     def _may_lose(self, claimant: Job, attempt: Attempt, lost: dict[str, int]) -> bool:
         """Whether the victim's team keeps what it is guaranteed, with what the set takes of it."""
         team = attempt.job.team
-        units = lost.get(team, 0) + need(attempt.job.spec.gpus)
+        units = lost.get(team, 0) + required_units(attempt.job.spec.gpus)
         if team != claimant.team and not self._run.account.may_lose_cards(team, units):
             return False
         lost[team] = units
         return True
 
 
-class KeptCards:
+class GpuReservation:
     """From whom free cards keep their CPUs while work with cards waits.
 
     From work without cards that has somewhere else to run. Where all machines have cards it
@@ -185,13 +185,13 @@
                 if m.type.gpus <= 0 and not m.draining and not m.deleting
             }.values()
         )
-        self._known: dict[Shape, bool] = {}
+        self._known: dict[TaskShape, bool] = {}
 
     def keep_from(self, job: Job) -> bool:
         """Whether a job's tasks get nothing that free cards need beside them."""
         if job.spec.gpus > 0:
             return False
-        shape = Shape.of(job)
+        shape = TaskShape.of(job)
         kept = self._known.get(shape)
         if kept is None:
             kept = any(m.allows(job) and m.type.fits(job.spec) for m in self._plain)
@@ -199,7 +199,7 @@
         return kept
 
 
-def cards_key(job: Job) -> tuple[float, ...]:
+def gpu_holder_key(job: Job) -> tuple[float, ...]:
     """Sort the jobs that hold room: in each level first the one that holds the most cards."""
     return (
         job.level, job.spec.is_service, -len(job.active) * job.spec.gpus, -job.first_seen_us,
--- a/weldhead/scheduling/preemption/preemptor.py
+++ b/weldhead/scheduling/preemption/preemptor.py
@@ -17,18 +17,18 @@
 from dataclasses import dataclass
 
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.cluster_state.capacity_index import FreeRooms
+from weldhead.cluster_state.capacity_index import CapacityIndex
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, Phase, Stop
+from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
 from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
-from weldhead.quota.amounts import Resource, claimed_resource, need
-from weldhead.quota.teams import Account
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.objectives import Goals, Press
-from weldhead.scheduling.placement.backlog import Walk
-from weldhead.scheduling.placement.placement import Plan, usable
-from weldhead.scheduling.preemption.gpu_claims import CardClaims, KeptCards
+from weldhead.quota.amounts import Resource, claimed_resource, required_units
+from weldhead.quota.teams import QuotaAccount
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
+from weldhead.scheduling.placement.backlog import QueueScan
+from weldhead.scheduling.placement.placement import PlacementPlan, usable
+from weldhead.scheduling.preemption.gpu_claims import GpuClaims, GpuReservation
 
 #: The first task of a job that waited for so long is not stopped for higher priorities' sake
 #: (a guarantee's apart) before it has run for so long.
@@ -46,14 +46,14 @@
     silence_us: int
 
 
-def over_guarantee(account: Account, team: str, resource: Resource) -> bool:
+def over_guarantee(account: QuotaAccount, team: str, resource: Resource) -> bool:
     """Whether a team runs more of a resource than it is guaranteed."""
     return account.borrows(team, resource)
 
 
-def victim_key(attempt: Attempt, estimates: Estimates, at_us: int) -> tuple[int, ...]:
+def victim_key(attempt: Attempt, estimates: RunTimeEstimates, at_us: int) -> tuple[int, ...]:
     """Sort a job's tasks, the first one stops first."""
-    if attempt.phase in (Phase.ASSIGNED, Phase.PULLING):
+    if attempt.phase in (AttemptPhase.ASSIGNED, AttemptPhase.PULLING):
         return (0, 0)
     if attempt.job.spec.checkpoint_s > 0:
         return (1, estimates.remaining_us(attempt, at_us))
@@ -73,7 +73,7 @@
     return at_us - begun_us < BEGUN_US and begun_us - job.ready_us >= WAITED_US
 
 
-class _Claim:
+class _ClaimProgress:
     """How far the claimants of one kind have looked in this pass.
 
     Within a pass room for a claimant only shrinks (but where victims leave more than was
@@ -91,19 +91,19 @@
         self.attempt = 0
 
 
-class Pass:
+class PreemptionPass:
     """One run of the reclaim algorithm."""
 
     def __init__(
         self,
         cluster: Cluster,
         lists: ReclaimLists,
-        estimates: Estimates,
+        estimates: RunTimeEstimates,
         at_us: int,
         settings: PreemptorSettings,
-        free: FreeRooms,
+        free: CapacityIndex,
         *,
-        kept: KeptCards | None = None,
+        kept: GpuReservation | None = None,
         held: Mapping[str, str] | None = None,
     ) -> None:
         #: Machines that are held, and the job that each is held for.
@@ -121,7 +121,7 @@
         self._free: dict[str, list[float] | None] = {}
         #: How that differs from what is free, where it does.
         self._moved: dict[str, list[float]] = {}
-        self.account = Account(cluster.teams, cluster.usage)
+        self.account = QuotaAccount(cluster.teams, cluster.usage)
         self._taken = lists.taken
         for attempt in cluster.stopping.values():
             self._move(attempt.machine, attempt.job, 1)
@@ -132,12 +132,12 @@
                 continue
             self._move(entry.machine, job, -1)
             self.account.claim(job.team, job.spec)
-        self._cards: CardClaims | None = None
+        self._cards: GpuClaims | None = None
         self._order: list[Job] | None = None
         self._rank: dict[str, int] = {}
         self._holders: set[tuple[int, str]] | None = None
         self._attempts: dict[str, list[Attempt]] = {}
-        self._claims: dict[tuple[object, ...], _Claim] = {}
+        self._claims: dict[tuple[object, ...], _ClaimProgress] = {}
         #: Room beyond what was asked for has appeared: claimants that found none look again.
         self.reopened = False
 
@@ -236,7 +236,7 @@
 
     def may_stop(self, claimant: Job, victim: Attempt, guaranteed: bool) -> bool:
         """Whether the rules let the claimant stop this task."""
-        if victim.stop is not Stop.NO or id(victim) in self.taken or victim.job is claimant:
+        if victim.stop is not StopRequest.NO or id(victim) in self.taken or victim.job is claimant:
             return False
         if not guaranteed and just_begun(victim, self.at_us):
             return False
@@ -262,15 +262,15 @@
         team = victim.job.team
         if team == claimant.team:
             return True
-        units = need(spec.gpus)
-        units += sum(need(a.job.spec.gpus) for a in others if a.job.team == team)
+        units = required_units(spec.gpus)
+        units += sum(required_units(a.job.spec.gpus) for a in others if a.job.team == team)
         return self.account.may_lose_cards(team, units)
 
     def key_of(self, attempt: Attempt) -> tuple[int, ...]:
         """Sort the tasks of a job, the first one stops first."""
         return victim_key(attempt, self.estimates, self.at_us)
 
-    def press(self, claimant: Job, goals: Goals) -> Press:
+    def press(self, claimant: Job, goals: ServiceLevelObjectives) -> Urgency:
         """Say how urgently a claimant needs room: the patient claim none by themselves."""
         task_us = self.estimates.order_us(claimant)
         return goals.press(claimant, task_us, self.at_us, self._settings.claim_patience_us)
@@ -285,12 +285,12 @@
             claimant.id if spec.one_zone or spec.spread else None,
         )  # fmt: skip
 
-    def _claim(self, claimant: Job, kind: tuple[object, ...]) -> _Claim:
+    def _claim(self, claimant: Job, kind: tuple[object, ...]) -> _ClaimProgress:
         """Return what claimants of the same kind share."""
         claim = self._claims.get(kind)
         if claim is None:
             rooms = self._rooms_for(claimant)
-            claim = self._claims[kind] = _Claim(rooms)
+            claim = self._claims[kind] = _ClaimProgress(rooms)
         return claim
 
     def _rooms_for(self, claimant: Job) -> list[str]:
@@ -340,7 +340,7 @@
                 while claim.attempt < len(attempts):
                     attempt = attempts[claim.attempt]
                     claim.attempt += 1
-                    if attempt.stop is not Stop.NO or id(attempt) in self.taken:
+                    if attempt.stop is not StopRequest.NO or id(attempt) in self.taken:
                         continue
                     if not guaranteed and just_begun(attempt, self.at_us):
                         continue
@@ -378,7 +378,7 @@
     ) -> Reclaim | None:
         """Choose victims for one task that takes cards."""
         if self._cards is None:
-            self._cards = CardClaims(self)
+            self._cards = GpuClaims(self)
         victims = self._cards.choose(claimant, kind, guaranteed)
         if victims is None:
             return None
@@ -443,25 +443,25 @@
         return Reclaim(claimant.id, machine, victims, self.at_us)
 
 
-def plan_reclaims(
+def plan_preemptions(
     cluster: Cluster,
     lists: ReclaimLists,
-    plan: Plan,
-    estimates: Estimates,
+    plan: PlacementPlan,
+    estimates: RunTimeEstimates,
     at_us: int,
     settings: PreemptorSettings,
-    goals: Goals,
+    goals: ServiceLevelObjectives,
     most: int = 64,
-    free: FreeRooms | None = None,
+    free: CapacityIndex | None = None,
     held: Mapping[str, str] | None = None,
 ) -> list[Reclaim]:
     """Return the new requests of one run; ``plan`` says who found no room."""
     walk = plan.unplaced.walk()
-    following = free if free is not None else FreeRooms(cluster.machines)
+    following = free if free is not None else CapacityIndex(cluster.machines)
     try:
         following.refresh()
         return _reclaims(
-            Pass(
+            PreemptionPass(
                 cluster, lists, estimates, at_us, settings, following,
                 kept=plan.kept, held=held,
             ),
@@ -472,7 +472,13 @@
             following.close()
 
 
-def _reclaims(run: Pass, walk: Walk, lists: ReclaimLists, goals: Goals, most: int) -> list[Reclaim]:
+def _reclaims(
+    run: PreemptionPass,
+    walk: QueueScan,
+    lists: ReclaimLists,
+    goals: ServiceLevelObjectives,
+    most: int,
+) -> list[Reclaim]:
     """Choose victims for those who found no room, in order.
 
     A queue of claimants of one kind is left where the next of them could not claim, or
@@ -483,10 +489,10 @@
     while (found := walk.next()) is not None:
         job, unplaced = found
         press = run.press(job, goals)
-        if press is Press.PATIENT and not run.within(job):
+        if press is Urgency.PATIENT and not run.within(job):
             # They stand in the order of their laxity: those behind have more of it. What is
             # late already claims, and comes after what can be in time.
-            walk.skip_to(Press.LATE)
+            walk.skip_to(Urgency.LATE)
             continue
         for _ in range(max(0, unplaced - lists.count(job.id) - held.get(job.id, 0))):
             if len(reclaims) >= most:
@@ -503,7 +509,7 @@
 
 
 def _empty_held(
-    run: Pass, lists: ReclaimLists, reclaims: list[Reclaim], most: int
+    run: PreemptionPass, lists: ReclaimLists, reclaims: list[Reclaim], most: int
 ) -> dict[str, int]:
     """Empty held machines as far as the rules let; return by job how many are not asked for yet.
 
@@ -521,14 +527,14 @@
     return held
 
 
-def stop_for(claimant: Job, victim: Job, goals: Goals) -> Stop:
+def stop_for(claimant: Job, victim: Job, goals: ServiceLevelObjectives) -> StopRequest:
     """Whether a victim may save first: not if the claimant's start cannot wait for that."""
     wait_us = goals.wait_us(claimant)
     if victim.spec.checkpoint_s <= 0 or (
         wait_us is not None and seconds_us(victim.spec.save_s) >= wait_us
     ):
-        return Stop.HARD
-    return Stop.SOFT
+        return StopRequest.HARD
+    return StopRequest.SOFT
 
 
 def overdue(
--- a/weldhead/scheduling/reservations/holding.py
+++ b/weldhead/scheduling/reservations/holding.py
@@ -21,13 +21,13 @@
 
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.deadline_heap import Timers
-from weldhead.cluster_state.jobs import Attempt, Job, Stop
-from weldhead.cluster_state.machines import EPSILON, Machine, how_many
+from weldhead.cluster_state.deadline_heap import DeadlineHeap
+from weldhead.cluster_state.jobs import Attempt, Job, StopRequest
+from weldhead.cluster_state.machines import EPSILON, Machine, tasks_that_fit
 from weldhead.protocol.wire import JobSpec, MachineType
-from weldhead.quota.amounts import need
-from weldhead.scheduling.forecast.run_times import Estimates
-from weldhead.scheduling.placement.backlog import Backlog, Shape
+from weldhead.quota.amounts import required_units
+from weldhead.scheduling.forecast.run_times import RunTimeEstimates
+from weldhead.scheduling.placement.backlog import Backlog, TaskShape
 
 #: How often it is decided anew which machines are held.
 LOOK_US = 500_000
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class HoldingSettings:
+class ReservationSettings:
     """The operators' choices."""
 
     #: How long a job waits before machines are held for it.
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class Holds:
+class Reservations:
     """What is kept free, and for whom."""
 
     #: By machine: the job.
@@ -86,8 +86,8 @@
 def portion(spec: JobSpec, machine_type: MachineType) -> float:
     """Return which part of a machine a task takes, of what it takes most of; 1 or less fits."""
     return max(
-        need / have if have > 0 else (float("inf") if need > 0 else 0.0)
-        for need, have in (
+        required_units / have if have > 0 else (float("inf") if required_units > 0 else 0.0)
+        for required_units, have in (
             (spec.cpus, machine_type.cpus),
             (spec.gpus, machine_type.gpus),
             (spec.memory_gb, machine_type.memory_gb),
@@ -101,7 +101,7 @@
     return bool(portions) and min(portions) > least + EPSILON
 
 
-class Unbegun:
+class UnstartedJobs:
     """Jobs none of whose tasks has ever started, from a stated age on; follows the jobs.
 
     Where work that presses keeps arriving, what is late already never has its turn: such a
@@ -112,7 +112,7 @@
         self._jobs = cluster.jobs
         self._age_us = age_us
         self._feed = cluster.jobs.feeds.subscribe()
-        self._ages = Timers()
+        self._ages = DeadlineHeap()
         #: Those that are of age, by their tasks.
         self._aged: list[tuple[int, int, str]] = []
         self._places: dict[str, tuple[int, int, str]] = {}
@@ -144,32 +144,32 @@
         return [self._jobs[name] for _, _, name in self._aged[:most]]
 
 
-class Holding:
+class CapacityReserver:
     """Chooses the machines that are held; follows the machines."""
 
     def __init__(
         self,
         cluster: Cluster,
         backlog: Backlog,
-        estimates: Estimates,
-        settings: HoldingSettings,
+        estimates: RunTimeEstimates,
+        settings: ReservationSettings,
     ) -> None:
         self._cluster = cluster
         self._backlog = backlog
         self._estimates = estimates
         self._settings = settings
-        self._unbegun = Unbegun(cluster, settings.within_us)
+        self._unbegun = UnstartedJobs(cluster, settings.within_us)
         self._feed = cluster.machines.feeds.subscribe()
         self._types: dict[str, MachineType] = {}
         self._by_type: dict[str, dict[str, Machine]] = {}
         self._entered: dict[str, Machine] = {}
         self._cpus = 0.0
-        self._wide: dict[Shape, bool] = {}
+        self._wide: dict[TaskShape, bool] = {}
         #: When a machine will have room, while nothing changes there: by machine, shape, level.
-        self._soon: dict[str, dict[tuple[Shape, int], int | None]] = {}
+        self._soon: dict[str, dict[tuple[TaskShape, int], int | None]] = {}
         self._looked_us: int | None = None
         self._reckoned = 0
-        self.holds = Holds()
+        self.holds = Reservations()
         for machine in cluster.machines.values():
             self._enter(machine)
 
@@ -177,7 +177,7 @@
         """Stop following the machines, and hold none."""
         self._feed.close()
         self._unbegun.close()
-        self._replace(Holds())
+        self._replace(Reservations())
 
     def _enter(self, machine: Machine) -> None:
         name = machine.name
@@ -204,7 +204,7 @@
 
     def wide(self, job: Job) -> bool:
         """Whether a task takes a large part of each machine of ours that it may run on."""
-        shape = Shape.of(job)
+        shape = TaskShape.of(job)
         found = self._wide.get(shape)
         if found is None:
             types = self._types.values()
@@ -216,7 +216,7 @@
         at_us: int,
         usable: Callable[[Machine], bool],
         claims: Iterable[tuple[str, str]] = (),
-    ) -> Holds:
+    ) -> Reservations:
         """Decide what is held, if it is time to; ``claims`` are machines that are freed for jobs.
 
         (machine and job of each). What is given up is told of as room that may have appeared.
@@ -229,7 +229,7 @@
         self._replace(self._choose(at_us, usable, claims))
         return self.holds
 
-    def _replace(self, holds: Holds) -> None:
+    def _replace(self, holds: Reservations) -> None:
         """Hold these instead; what is held no longer is room that may have appeared."""
         for name in self.holds.machines.keys() - holds.machines.keys():
             machine = self._cluster.machines.get(name)
@@ -258,8 +258,8 @@
         at_us: int,
         usable: Callable[[Machine], bool],
         claims: Iterable[tuple[str, str]],
-    ) -> Holds:
-        holds = Holds()
+    ) -> Reservations:
+        holds = Reservations()
         waiting = self._waiting(at_us)
         claimed: dict[str, str] = {}
         for name, job_id in claims:
@@ -273,7 +273,7 @@
         ]
         if not waiting and not claimed and not first:
             return holds
-        choice = _Choice(self, holds, at_us, usable, claimed)
+        choice = _ReservationPass(self, holds, at_us, usable, claimed)
         for job in waiting:
             choice.hold_for(job, job.waiting)
         for job in first:
@@ -285,7 +285,7 @@
         if machine.booting:
             return max(at_us, machine.hired_us + seconds_us(machine.type.boot_s))
         known = self._soon.setdefault(machine.name, {})
-        key = Shape.of(job), job.level
+        key = TaskShape.of(job), job.level
         if key not in known:
             if self._reckoned >= MOST_RECKONED:
                 return None
@@ -295,7 +295,7 @@
         return None if found is None else max(at_us, found)
 
 
-class Ahead:
+class WideTaskForecast:
     """Which wide tasks will find a machine by the time at which one rented now would be up.
 
     A forecast that counts CPUs takes a hundred pieces on as many machines for room, and
@@ -306,7 +306,7 @@
         self,
         machines: Iterable[Machine],
         coming: Iterable[tuple[MachineType, int]],
-        holds: Holds,
+        holds: Reservations,
         least: float,
         up_us: int,
     ) -> None:
@@ -339,7 +339,7 @@
                 continue
             if machine is not None and not machine.allows(job):
                 continue
-            taken = min(count, how_many(spec, *left))
+            taken = min(count, tasks_that_fit(spec, *left))
             left[0] -= spec.cpus * taken
             left[1] -= spec.gpus * taken
             left[2] -= spec.memory_gb * taken
@@ -351,14 +351,14 @@
     return [kind.cpus, kind.gpus, kind.memory_gb]
 
 
-def room_us(machine: Machine, job: Job, estimates: Estimates, at_us: int) -> int | None:
+def room_us(machine: Machine, job: Job, estimates: RunTimeEstimates, at_us: int) -> int | None:
     """Estimate when what runs on a machine leaves room for a task of the job; None: never.
 
     Nothing else starts there. Work of a lower priority gives way at once.
     """
     spec = job.spec
     cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
-    if how_many(spec, cpus, gpus, memory_gb):
+    if tasks_that_fit(spec, cpus, gpus, memory_gb):
         return at_us
     ends = [
         (end_us, number, attempt)
@@ -370,28 +370,28 @@
         cpus += attempt.job.spec.cpus
         gpus += attempt.job.spec.gpus
         memory_gb += attempt.job.spec.memory_gb
-        if how_many(spec, cpus, gpus, memory_gb):
+        if tasks_that_fit(spec, cpus, gpus, memory_gb):
             return end_us
     return None
 
 
-def _end_us(attempt: Attempt, job: Job, estimates: Estimates, at_us: int) -> int | None:
+def _end_us(attempt: Attempt, job: Job, estimates: RunTimeEstimates, at_us: int) -> int | None:
     """Estimate when an attempt leaves its machine to the job; None: it does not by itself."""
     spec = attempt.job.spec
-    if attempt.stop is not Stop.NO or attempt.job.level < job.level:
+    if attempt.stop is not StopRequest.NO or attempt.job.level < job.level:
         return at_us + seconds_us(spec.save_s)
     if spec.is_service:
         return None
     return at_us + estimates.remaining_us(attempt, at_us)
 
 
-class _Choice:
+class _ReservationPass:
     """One choice of all that is held."""
 
     def __init__(
         self,
-        holding: Holding,
-        holds: Holds,
+        holding: CapacityReserver,
+        holds: Reservations,
         at_us: int,
         usable: Callable[[Machine], bool],
         claimed: dict[str, str],
@@ -405,7 +405,7 @@
         for name, job_id in self._before.items():
             self._earlier[job_id].append(name)
         #: By kind of task: machines by when they have room, as far as they were not looked at.
-        self._ranked: dict[tuple[Shape, int, str], list[tuple[int, int, Machine]]] = {}
+        self._ranked: dict[tuple[TaskShape, int, str], list[tuple[int, int, Machine]]] = {}
         self._left = holding._settings.share * holding._cpus
         self._given: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
         self._emptying = 0
@@ -428,7 +428,9 @@
             # It has changed since it was put in its place.
             return
         given = self._given[job.team]
-        allowed = min(most, cluster.within_limit(job, (need(given[0]), need(given[1]))))
+        allowed = min(
+            most, cluster.within_limit(job, (required_units(given[0]), required_units(given[1])))
+        )
         if allowed <= 0:
             self._hold_limit(job)
             return
@@ -480,12 +482,12 @@
         ]
         cpus = team.cpus_max - sum(len(other.active) * other.spec.cpus for other in services)
         gpus = team.gpus_max - sum(len(other.active) * other.spec.gpus for other in services)
-        if how_many(spec, cpus, gpus):
+        if tasks_that_fit(spec, cpus, gpus):
             self._holds.limits[job.team] = spec.cpus, spec.gpus
 
     def _fitting(self, machine: Machine, job: Job) -> int:
         kind = machine.type
-        return max(1, how_many(job.spec, kind.cpus, kind.gpus, kind.memory_gb))
+        return max(1, tasks_that_fit(job.spec, kind.cpus, kind.gpus, kind.memory_gb))
 
     def _is_emptied(self, machine: Machine, job: Job) -> bool:
         """Whether holding a machine keeps room free that others would use.
@@ -510,7 +512,7 @@
         """Return the machine that has room for a task of the job soonest."""
         spec = job.spec
         own = job.id if spec.one_zone or spec.spread or job.failed_on else ""
-        key = Shape.of(job), job.level, own
+        key = TaskShape.of(job), job.level, own
         ranked = self._ranked.get(key)
         if ranked is None:
             if len(self._ranked) >= MOST_RANKED:
--- a/weldhead/serving.py
+++ b/weldhead/serving.py
@@ -63,7 +63,7 @@
     import uvloop
 
     with no_certificates():
-        from weldhead.controller.process import Node
+        from weldhead.controller.process import ControllerProcess
     from weldhead.protocol.settings import SettingsError, load_settings
     from weldhead.tunables.defaults import Tunables
 
@@ -86,17 +86,17 @@
     offer = None
     if documents_file is not None:
         from weldhead.documents.source import read_source
-        from weldhead.tomlfiles import FileProblem
+        from weldhead.tomlfiles import FileProblemError
 
         try:
             offer = read_source(documents_file, settings.facts.state.tightest().value_bytes)
-        except FileProblem as error:
+        except FileProblemError as error:
             raise StartError(str(error)) from error
 
     async def run() -> None:
         # What was loaded so far lives for ever; the collector need not look at it again.
         gc.freeze()
-        await Node(settings, tunables, offer=offer).run()
+        await ControllerProcess(settings, tunables, offer=offer).run()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run())
--- a/weldhead/site/description.py
+++ b/weldhead/site/description.py
@@ -7,21 +7,21 @@
 
 from weldhead.protocol.settings import (
     CloudLimits,
-    ComingLimits,
     Facts,
     MachineLimits,
-    Node,
     Objective,
+    PeerSettings,
     Services,
     Settings,
     SettingsError,
     StateLimits,
     Team,
+    UpcomingStateLimits,
     WorkerLimits,
     parse_settings,
 )
 from weldhead.protocol.wire import MachineType
-from weldhead.tomlfiles import FileProblem, parse, problem_at, read_text
+from weldhead.tomlfiles import FileProblemError, parse, problem_at, read_text
 
 #: What is written for "as many as this machine has".
 ALL = "all"
@@ -134,7 +134,9 @@
         coming = None
         if part.next is not None:
             change = part.next
-            coming = ComingLimits(change.rps, change.write_rps, change.value_kb, change.txn_ops)
+            coming = UpcomingStateLimits(
+                change.rps, change.write_rps, change.value_kb, change.txn_ops
+            )
         return StateLimits(part.rps, part.write_rps, part.value_kb, part.txn_ops, coming)
 
     def catalog(self) -> list[MachineType]:
@@ -189,7 +191,7 @@
 
 
 def _check(description: Description, source: str, text: str) -> None:
-    def problem(reason: str, *path: str | int) -> FileProblem:
+    def problem(reason: str, *path: str | int) -> FileProblemError:
         return problem_at(source, text, list(path), reason)
 
     total = description.total_cores
@@ -260,7 +262,8 @@
     count = len(addresses)
     zones = [description.zones[index % len(description.zones)] for index in range(count)]
     nodes = [
-        Node(f"controller-{index}", zones[index], peer_addresses[index]) for index in range(count)
+        PeerSettings(f"controller-{index}", zones[index], peer_addresses[index])
+        for index in range(count)
     ]
     return [
         Settings(
--- a/weldhead/site/front.py
+++ b/weldhead/site/front.py
@@ -19,8 +19,8 @@
 from weldhead.site.parts import FrontSettings
 from weldhead.site.routing import PROBE_US, Backend, Balancer
 from weldhead.site.worker import Work
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed, HttpClient, NotConnected
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
 log = logging.getLogger(__name__)
 
@@ -75,7 +75,7 @@
         self._probes = HttpClient(32)
         self.balancer = Balancer(Backend(name, address) for name, address in settings.nodes.items())
 
-    def start(self, duties: Duties) -> None:
+    def start(self, duties: BackgroundTasks) -> None:
         """Start probing."""
         for backend in self.balancer.backends:
             duties.start(f"probe {backend.name}", lambda backend=backend: self._probe(backend))  # type: ignore[misc]
@@ -91,7 +91,7 @@
             began_us = now_us()
             try:
                 status, _ = await self._probes.call("GET", url, None, SECOND_US)
-            except CallFailed:
+            except CallError:
                 status = 0
             backend.probed(status == 200, now_us())
             # A controller that has never been up is waited for: somebody starts a site.
@@ -127,10 +127,10 @@
                 status, answer = await self._http.call(
                     method, f"http://{backend.address}{path}", body or None, _ANSWER_US, _CONNECT_US
                 )
-            except NotConnected:
+            except NotConnectedError:
                 backend.connected(False, now_us())
                 continue
-            except CallFailed as failed:
+            except CallError as failed:
                 # It may have been carried out: the user asks again, with the same id.
                 log.info("%s %s: %s", method, path, failed)
                 return error(504, "no answer from the controller", 1)
--- a/weldhead/site/http.py
+++ b/weldhead/site/http.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from weldhead.protocol.wire import MAX_BODY_BYTES
-from weldhead.transport.http_server import BodyTooLarge, read_body
+from weldhead.transport.http_server import BodyTooLargeError, read_body
 
 log = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
         try:
             body = await read_body(request)
             answer = await self._handler(request, body)
-        except BodyTooLarge:
+        except BodyTooLargeError:
             answer, close = error(400, f"body of more than {MAX_BODY_BYTES} bytes"), True
         except ConnectionError:
             raise
--- a/weldhead/site/keeper.py
+++ b/weldhead/site/keeper.py
@@ -20,8 +20,8 @@
 from weldhead.site.layout import Layout, write_whole
 from weldhead.site.parts import FrontSettings, PoolSettings, StateSettings
 from weldhead.site.processes import LIFELINE, Process, spawn, until_told
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError, HttpClient
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
         self._say = say
         self._tunables = tunables
         self._documents = documents
-        self._duties = Duties()
+        self._duties = BackgroundTasks()
         self._sockets: list[socket.socket] = []
         self._ending = asyncio.Event()
         self.parts: dict[str, Part] = {}
@@ -235,7 +235,7 @@
                     status, _ = await http.call("GET", url, None, SECOND_US)
                     if status == 200:
                         break
-                except CallFailed as failed:
+                except CallError as failed:
                     log.debug("not ready: %s", failed)
                 await asyncio.sleep(0.1)
         finally:
--- a/weldhead/site/pool_process.py
+++ b/weldhead/site/pool_process.py
@@ -29,9 +29,9 @@
 )
 from weldhead.site.processes import Process, lifeline, spawn
 from weldhead.site.records import RecordFile
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed, HttpClient
-from weldhead.transport.token_bucket import Budget
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError, HttpClient
+from weldhead.transport.token_bucket import TokenBucket
 
 log = logging.getLogger(__name__)
 
@@ -49,8 +49,8 @@
             settings.types, settings.cores, seconds_us(settings.list_lag_s), settings.at_most
         )
         self._file: RecordFile[Record] = RecordFile(self._layout.pool, Record)
-        self._budget = Budget(settings.rps, 2 * settings.rps)
-        self._duties = Duties()
+        self._budget = TokenBucket(settings.rps, 2 * settings.rps)
+        self._duties = BackgroundTasks()
         self._http = HttpClient(4)
         self._keepers: dict[str, asyncio.Task[None]] = {}
 
@@ -205,7 +205,7 @@
             url = f"http://127.0.0.1:{machine.port}/notice"
             try:
                 await self._http.call("POST", url, body, 2 * SECOND_US)
-            except CallFailed as failed:
+            except CallError as failed:
                 log.info("%s was not told: %s", machine.name, failed)
         await asyncio.sleep(max(0, recall.taken_us - wall_us()) / SECOND_US)
         log.info("spot machine %s is taken back", machine.name, extra={"machine": machine.name})
--- a/weldhead/site/store/model.py
+++ b/weldhead/site/store/model.py
@@ -13,7 +13,7 @@
 
 from weldhead.clock import MILLISECOND_US
 from weldhead.protocol.settings import StateLimits
-from weldhead.protocol.wire import MAX_BODY_BYTES, Condition, Entry, Event, Page
+from weldhead.protocol.wire import MAX_BODY_BYTES, Condition, KeyEvent, KeyValue, KeyValuePage
 
 #: How many of the last changes can be watched from.
 KEPT_CHANGES = 10_000
@@ -152,7 +152,7 @@
         self._keys: SortedDict[str, Kept] = SortedDict()
         self._grants: dict[int, _Grant] = {}
         self._last_lease = 0
-        self._changes: deque[Event] = deque()
+        self._changes: deque[KeyEvent] = deque()
         self._forgotten = 0
 
     def __len__(self) -> int:
@@ -175,18 +175,18 @@
 
     # Reading
 
-    def get(self, key: str) -> Entry | None:
+    def get(self, key: str) -> KeyValue | None:
         """Read a key."""
         _check_key(key)
         kept = self._keys.get(key)
         return None if kept is None else _entry(kept)
 
-    def page(self, prefix: str, start: str, most: int) -> Page:
+    def page(self, prefix: str, start: str, most: int) -> KeyValuePage:
         """Read keys with a prefix, behind ``start``, in their order."""
         if most < 1:
             raise StoreError("most: must be 1 or more")
         most = min(most, PAGE_ITEMS)
-        items: list[Entry] = []
+        items: list[KeyValue] = []
         size = 0
         first, inclusive = (start, False) if start > prefix else (prefix, start != prefix)
         for key in self._keys.irange(first, inclusive=(inclusive, True)):
@@ -195,15 +195,15 @@
             kept = self._keys[key]
             size += len(kept.value) + len(key) + 60
             if len(items) == most or (items and size > PAGE_BYTES):
-                return Page(items, True, self.revision)
+                return KeyValuePage(items, True, self.revision)
             items.append(_entry(kept))
-        return Page(items, False, self.revision)
+        return KeyValuePage(items, False, self.revision)
 
-    def changes(self, prefix: str, start: int) -> list[Event]:
+    def changes(self, prefix: str, start: int) -> list[KeyEvent]:
         """Return the changes of keys with the prefix after a revision; TooOld if forgotten."""
         if start < self._forgotten or start > self.revision:
             raise TooOld(f"changes after {start} are not kept")
-        found: list[Event] = []
+        found: list[KeyEvent] = []
         for event in reversed(self._changes):
             if event.version <= start:
                 break
@@ -302,12 +302,12 @@
         if old is not None and old.lease in self._grants:
             self._grants[old.lease].keys.discard(write.key)
         if isinstance(write, Removal):
-            self._changes.append(Event(revision, delete=write.key))
+            self._changes.append(KeyEvent(revision, delete=write.key))
             return
         self._keys[write.key] = Kept(write.key, write.value, revision, write.lease)
         if write.lease in self._grants:
             self._grants[write.lease].keys.add(write.key)
-        self._changes.append(Event(revision, put=write.key, value=msgspec.Raw(write.value)))
+        self._changes.append(KeyEvent(revision, put=write.key, value=msgspec.Raw(write.value)))
 
     # Grants
 
@@ -355,5 +355,5 @@
         self._commit([Removal(key) for key in keys], now_us, [Ended(lease) for lease in leases])
 
 
-def _entry(kept: Kept) -> Entry:
-    return Entry(kept.key, msgspec.Raw(kept.value), kept.version, kept.lease)
+def _entry(kept: Kept) -> KeyValue:
+    return KeyValue(kept.key, msgspec.Raw(kept.value), kept.version, kept.lease)
--- a/weldhead/site/store/server.py
+++ b/weldhead/site/store/server.py
@@ -10,12 +10,18 @@
 
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us
 from weldhead.protocol.settings import StateLimits
-from weldhead.protocol.wire import Changes, Committed, Grant, GrantRequest, Page
+from weldhead.protocol.wire import (
+    CommittedRevision,
+    GrantedLease,
+    KeyChanges,
+    KeyValuePage,
+    LeaseRequest,
+)
 from weldhead.site.http import Reply, error, integer, reply
 from weldhead.site.records import RecordFile
 from weldhead.site.store.model import Batch, Change, Failed, Store, StoreError
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.token_bucket import Budget
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.token_bucket import TokenBucket
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +31,7 @@
 REWRITE_BYTES = 64 * 1024 * 1024
 
 _batches = msgspec.json.Decoder(Batch)
-_grants = msgspec.json.Decoder(GrantRequest)
+_grants = msgspec.json.Decoder(LeaseRequest)
 
 
 class StateService:
@@ -39,8 +45,8 @@
             self.store.load(self._file.read(), now_us())
             self._file.rewrite(self.store.snapshot())
         self._rewritten = self._file.size if self._file else 0
-        self._requests = Budget(limits.rps, limits.rps)
-        self._writes = Budget(limits.write_rps, limits.write_rps)
+        self._requests = TokenBucket(limits.rps, limits.rps)
+        self._writes = TokenBucket(limits.write_rps, limits.write_rps)
         self._moved = asyncio.Event()
         #: Set while nothing is served, as in an outage.
         self.outage = False
@@ -52,15 +58,15 @@
     def set_limits(self, limits: StateLimits) -> None:
         """Change the limits from now on; what is stored stays readable."""
         self.store.limits = limits
-        self._requests = Budget(limits.rps, limits.rps)
-        self._writes = Budget(limits.write_rps, limits.write_rps)
+        self._requests = TokenBucket(limits.rps, limits.rps)
+        self._writes = TokenBucket(limits.write_rps, limits.write_rps)
 
     def end_outage(self) -> None:
         """Serve again; every grant has its full time."""
         self.outage = False
         self.store.renew_all(now_us())
 
-    def start(self, duties: Duties) -> None:
+    def start(self, duties: BackgroundTasks) -> None:
         """Start ending grants."""
         duties.start("grants", self._sweep)
 
@@ -107,7 +113,7 @@
         if method == "GET" and path.startswith("/store/"):
             entry = self.store.get(unquote(path[len("/store/") :]))
             if entry is None:
-                return reply(404, Committed(self.store.revision))
+                return reply(404, CommittedRevision(self.store.revision))
             return reply(200, entry)
         if (method, path) == ("GET", "/store"):
             return reply(200, self._page(request))
@@ -121,7 +127,7 @@
             return self._grant(method, path, body)
         return error(404, "no such call")
 
-    def _page(self, request: web.BaseRequest) -> Page:
+    def _page(self, request: web.BaseRequest) -> KeyValuePage:
         query = request.query
         most = integer(query.get("most", "1000"))
         return self.store.page(query.get("starts", ""), query.get("from", ""), most)
@@ -136,7 +142,7 @@
         finally:
             if self.store.revision != before:
                 self._wake()
-        return reply(200, Committed(revision))
+        return reply(200, CommittedRevision(revision))
 
     async def _watch(self, prefix: str, start: int, wait_us: int) -> Reply:
         end_us = now_us() + wait_us
@@ -146,7 +152,7 @@
             if not self.outage:
                 events = self.store.changes(prefix, start)
                 if events or left_us <= 0:
-                    return reply(200, Changes(self.store.revision, events))
+                    return reply(200, KeyChanges(self.store.revision, events))
             elif left_us <= 0:
                 # Open watches stay open in an outage.
                 left_us = SECOND_US // 10
@@ -157,7 +163,7 @@
 
     def _grant(self, method: str, path: str, body: bytes) -> Reply:
         if (method, path) == ("POST", "/grants"):
-            return reply(200, Grant(self.store.grant(_grants.decode(body).ttl_ms, now_us())))
+            return reply(200, GrantedLease(self.store.grant(_grants.decode(body).ttl_ms, now_us())))
         number, _, verb = path[len("/grants/") :].partition("/")
         lease = integer(number)
         if (method, verb) == ("POST", "extend"):
@@ -167,7 +173,7 @@
             self._wake()
         else:
             return error(404, "no such call")
-        return reply(200, Grant(lease))
+        return reply(200, GrantedLease(lease))
 
     def close(self) -> None:
         """Let the record go."""
--- a/weldhead/site/worker.py
+++ b/weldhead/site/worker.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.protocol.wire import Command, Report, TaskReport, TaskState, split_task
+from weldhead.protocol.wire import Command, Heartbeat, ReportedTask, ReportedTaskState, split_task
 
 #: Exit code by which a task that was told to stop says that it has saved its progress.
 SAVED_CODE = 75
@@ -146,16 +146,16 @@
 
     # Reports and answers
 
-    def report(self, now_us: int) -> Report:
+    def report(self, now_us: int) -> Heartbeat:
         """Return the next report."""
         self.sequence += 1
         self.changed = False
         tasks = [
-            TaskReport(slot.task, slot.attempt, _state(slot.phase), slot.why, slot.saved)
+            ReportedTask(slot.task, slot.attempt, _state(slot.phase), slot.why, slot.saved)
             for slot in self.slots.values()
         ]
         place = self.place
-        return Report(
+        return Heartbeat(
             machine=place.machine,
             address=place.address,
             type=place.type,
@@ -341,7 +341,7 @@
     return slot.phase is not Phase.ENDED
 
 
-def _state(phase: Phase) -> TaskState:
+def _state(phase: Phase) -> ReportedTaskState:
     match phase:
         case Phase.FETCHING:
             return "pulling"
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, seconds_us
-from weldhead.protocol.wire import DirectCommands, Redirect, ReportAnswer, split_task
+from weldhead.protocol.wire import DirectCommands, HeartbeatAnswer, LeaderRedirect, split_task
 from weldhead.site import guard as guard_program
 from weldhead.site.http import Reply, SiteServer, error, reply
 from weldhead.site.layout import Layout, write_whole
@@ -31,8 +31,8 @@
     Work,
     Worker,
 )
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError, HttpClient
 
 log = logging.getLogger(__name__)
 
@@ -44,8 +44,8 @@
 CHANGE_PAUSE_US = SECOND_US // 2
 _KEPT_WORK = 1_000
 
-_answers = msgspec.json.Decoder(ReportAnswer)
-_redirects = msgspec.json.Decoder(Redirect)
+_answers = msgspec.json.Decoder(HeartbeatAnswer)
+_redirects = msgspec.json.Decoder(LeaderRedirect)
 _directs = msgspec.json.Decoder(DirectCommands)
 _works = msgspec.json.Decoder(Work)
 
@@ -134,7 +134,7 @@
         )
         self._worker = Worker(place, seconds_us(settings.lease_s) - MARGIN_US, now_us())
         self._http = HttpClient(16)
-        self._duties = Duties()
+        self._duties = BackgroundTasks()
         self._guard: GuardProcess | None = None
         #: Not set while the processes of an earlier session are being ended: until then
         #: nobody may hear of the next one.
@@ -309,7 +309,7 @@
             try:
                 work = await self._work(job)
                 break
-            except CallFailed as failed:
+            except CallError as failed:
                 log.info("%s: no description yet: %s", job, failed)
                 await asyncio.sleep(pause_s)
                 pause_s = min(2 * pause_s, 5.0)
@@ -327,11 +327,11 @@
         if status in (400, 404):
             return None
         if status != 200:
-            raise CallFailed(f"front: {status}")
+            raise CallError(f"front: {status}")
         try:
             work = _works.decode(body)
         except msgspec.DecodeError as nonsense:
-            raise CallFailed(f"front: {nonsense}") from nonsense
+            raise CallError(f"front: {nonsense}") from nonsense
         self._works[job] = work
         if len(self._works) > _KEPT_WORK:
             self._works.popitem(last=False)
@@ -393,7 +393,7 @@
             status, body = await self._http.call(
                 "POST", url, msgspec.json.encode(report), REPORT_LIMIT_US
             )
-        except CallFailed as failed:
+        except CallError as failed:
             log.info("report: %s", failed)
             await self._next_node()
             return
--- a/weldhead/tomlfiles.py
+++ b/weldhead/tomlfiles.py
@@ -15,7 +15,7 @@
 _SYNTAX = re.compile(r" \(at line (\d+), column (\d+)\)$")
 
 
-class FileProblem(Exception):
+class FileProblemError(Exception):
     """A file that cannot be used: where, which field, and why.
 
     ``line`` counts from 1 and is None if the trouble is in no single line.
@@ -61,7 +61,7 @@
     return None
 
 
-def problem_at(source: str, text: str, path: list[str | int], reason: str) -> FileProblem:
+def problem_at(source: str, text: str, path: list[str | int], reason: str) -> FileProblemError:
     """Return the problem with the value at the path."""
     field = ""
     for step in path:
@@ -69,7 +69,7 @@
     while path and line_of(text, path) is None:
         # What is missing is the fault of the table that should hold it.
         path = path[:-1]
-    return FileProblem(source, line_of(text, path) if path else None, field, reason)
+    return FileProblemError(source, line_of(text, path) if path else None, field, reason)
 
 
 def parse(source: str, text: str, kind: type[T]) -> T:
@@ -84,9 +84,9 @@
         found = _SYNTAX.search(str(error))
         reason = _SYNTAX.sub("", str(error))
         if found is None:
-            raise FileProblem(source, None, "", reason) from error
+            raise FileProblemError(source, None, "", reason) from error
         reason = f"column {found.group(2)}: {reason}"
-        raise FileProblem(source, int(found.group(1)), "", reason) from error
+        raise FileProblemError(source, int(found.group(1)), "", reason) from error
     try:
         return msgspec.convert(document, kind)
     except msgspec.ValidationError as error:
@@ -136,7 +136,7 @@
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise FileProblem(str(path), None, "", str(error)) from error
+        raise FileProblemError(str(path), None, "", str(error)) from error
 
 
 def read(path: Path, kind: type[T]) -> T:
--- a/weldhead/transport/background_tasks.py
+++ b/weldhead/transport/background_tasks.py
@@ -5,12 +5,12 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from weldhead.transport.http_client import CallFailed
+from weldhead.transport.http_client import CallError
 
 log = logging.getLogger(__name__)
 
 
-class Duties:
+class BackgroundTasks:
     """Runs duties until closed; one that fails is logged and begun again."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
             try:
                 await duty()
                 log.error("duty %s ended by itself; begun again", name)
-            except CallFailed as error:
+            except CallError as error:
                 log.info("duty %s: %s", name, error)
             except Exception:
                 log.exception("duty %s failed; begun again", name)
@@ -44,7 +44,7 @@
     async def _guard(self, name: str, job: Coroutine[Any, Any, None]) -> None:
         try:
             await job
-        except CallFailed as error:
+        except CallError as error:
             log.info("%s: %s", name, error)
         except Exception:
             log.exception("%s failed", name)
--- a/weldhead/transport/cloud_client.py
+++ b/weldhead/transport/cloud_client.py
@@ -15,20 +15,20 @@
     MachineType,
     RentalRequest,
 )
-from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.state_client import decode
-from weldhead.transport.token_bucket import Budget
+from weldhead.transport.token_bucket import TokenBucket
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None available of this type, zone and kind."""
 
 
-class BadRental(Exception):
+class MalformedRentalError(Exception):
     """The cloud calls the request malformed."""
 
 
-class NotAsked(Exception):
+class NotSentError(Exception):
     """When its turn came, the request was not wanted any more; it was never sent."""
 
 
@@ -38,7 +38,7 @@
     def __init__(self, http: HttpClient, address: str, limits: CloudLimits) -> None:
         self._http = http
         self._base = f"http://{address}"
-        self._budget = Budget(limits.rps * 0.9, limits.rps * 1.5, limits.rps * 0.5)
+        self._budget = TokenBucket(limits.rps * 0.9, limits.rps * 1.5, limits.rps * 0.5)
 
     async def _call(
         self,
@@ -52,17 +52,17 @@
         await self._budget.take(urgent=urgent)
         if wanted is not None and not wanted():
             self._budget.give_back(1.0)
-            raise NotAsked
+            raise NotSentError
         return await self._http.call(method, self._base + path, body, 6 * SECOND_US)
 
     async def catalog(self) -> list[MachineType]:
         """Read the machine types; an empty catalog counts as nonsense."""
         status, body = await self._call("GET", "/catalog", None)
         if status != 200:
-            raise CallFailed(f"cloud: {status}")
+            raise CallError(f"cloud: {status}")
         types = decode(body, Catalog).types
         if not types:
-            raise CallFailed("cloud: empty catalog")
+            raise CallError("cloud: empty catalog")
         return types
 
     async def rent(
@@ -76,11 +76,11 @@
             "POST", "/rentals", msgspec.json.encode(request), wanted=wanted
         )
         if status == 503 and b"no capacity" in body:
-            raise NoCapacity
+            raise NoCapacityError
         if status == 400:
-            raise BadRental(body[:200].decode("utf-8", "replace"))
+            raise MalformedRentalError(body[:200].decode("utf-8", "replace"))
         if status != 200:
-            raise CallFailed(f"cloud: {status}")
+            raise CallError(f"cloud: {status}")
         return decode(body, MachineNames).machines
 
     async def delete(self, names: list[str], wanted: Callable[[], bool] | None = None) -> None:
@@ -94,7 +94,7 @@
                 "POST", "/rentals/delete", body, urgent=True, wanted=wanted
             )
             if status != 200:
-                raise CallFailed(f"cloud: {status}")
+                raise CallError(f"cloud: {status}")
 
     async def machines(self) -> list[ListedMachine]:
         """Read the whole machine list."""
@@ -104,12 +104,12 @@
             path = "/rentals?most=500" + (f"&from={start}" if start else "")
             status, body = await self._call("GET", path, None)
             if status != 200:
-                raise CallFailed(f"cloud: {status}")
+                raise CallError(f"cloud: {status}")
             page = decode(body, MachineList)
             machines += page.machines
             if not page.more:
                 return machines
             if not page.machines:
-                raise CallFailed("cloud: empty page that claims more")
+                raise CallError("cloud: empty page that claims more")
             start = page.machines[-1].id
             await asyncio.sleep(0)
--- a/weldhead/transport/http_client.py
+++ b/weldhead/transport/http_client.py
@@ -15,11 +15,11 @@
 _CONNECT_SHARE = 0.75
 
 
-class CallFailed(Exception):
+class CallError(Exception):
     """No usable answer; the request may or may not have been executed."""
 
 
-class NotConnected(CallFailed):
+class NotConnectedError(CallError):
     """No connection came about, so nothing was sent and the request surely not executed."""
 
 
@@ -88,9 +88,9 @@
             ) as answer:
                 return answer.status, await answer.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            raise NotConnected(f"{method} {url}: {error!r}") from error
+            raise NotConnectedError(f"{method} {url}: {error!r}") from error
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError) as error:
-            raise CallFailed(f"{method} {url}: {error!r}") from error
+            raise CallError(f"{method} {url}: {error!r}") from error
 
     async def close(self) -> None:
         """Close all connections."""
--- a/weldhead/transport/http_server.py
+++ b/weldhead/transport/http_server.py
@@ -55,7 +55,7 @@
 Handler = Callable[[str, str, bytes], Awaitable[Response]]
 
 
-class Listening(Protocol):
+class HttpListener(Protocol):
     """What serves one address."""
 
     async def start(self, address: str) -> None:
@@ -65,7 +65,7 @@
         """Stop serving."""
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     """The body is over the limit; the rest is not read."""
 
 
@@ -73,7 +73,7 @@
     """Read a body of at most the limit."""
     length = request.content_length
     if length is not None and length > MAX_BODY_BYTES:
-        raise BodyTooLarge
+        raise BodyTooLargeError
     if not request.body_exists:
         return b""
     content = request.content
@@ -85,7 +85,7 @@
     async for part in content.iter_any():
         size += len(part)
         if size > MAX_BODY_BYTES:
-            raise BodyTooLarge
+            raise BodyTooLargeError
         parts.append(part)
     return b"".join(parts)
 
@@ -164,7 +164,7 @@
         try:
             body = await read_body(request)
             answer = await self._handler(request.method, request.path, body)
-        except BodyTooLarge:
+        except BodyTooLargeError:
             # Counts as malformed; the connection cannot be used further, as the rest of
             # the body is still coming.
             answer = refusal(400, f"body of more than {MAX_BODY_BYTES} bytes")
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -11,27 +11,27 @@
 from typing import TypeVar
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.membership.peer_verdict import Observed
+from weldhead.membership.peer_verdict import PeerObservation
 from weldhead.protocol.peer import (
-    Answer,
-    Held,
+    ForwardedAnswer,
     Hello,
+    IndirectProbeAnswer,
     Message,
     PeerProtocolError,
     Ping,
     Pong,
-    Seen,
+    PromiseAnswer,
     decode_message,
     encode_frame,
     frame_length,
 )
-from weldhead.protocol.settings import Node, split_address
-from weldhead.transport.background_tasks import Duties
-from weldhead.transport.http_client import CallFailed, NotConnected
+from weldhead.protocol.settings import PeerSettings, split_address
+from weldhead.transport.background_tasks import BackgroundTasks
+from weldhead.transport.http_client import CallError, NotConnectedError
 
 log = logging.getLogger(__name__)
 
-M = TypeVar("M", Answer, Pong, Held, Seen)
+M = TypeVar("M", ForwardedAnswer, Pong, PromiseAnswer, IndirectProbeAnswer)
 
 #: More waiting bytes than this to one peer: it does not read, the connection is dropped.
 WRITE_LIMIT = 1024 * 1024
@@ -46,7 +46,7 @@
 class PeerLink:
     """The calling side of a connection to one peer."""
 
-    def __init__(self, peer: Node, own_name: str) -> None:
+    def __init__(self, peer: PeerSettings, own_name: str) -> None:
         self.name = peer.name
         self.zone = peer.zone
         self._address = split_address(peer.address)
@@ -80,10 +80,10 @@
         """Whether the peer answered lately."""
         return self.connected and at_us - self.heard_us < within_us
 
-    def observed(self) -> Observed:
+    def observed(self) -> PeerObservation:
         """Return what there is of the peer."""
         heard_us = max(self.heard_us, self.word_us)
-        return Observed(self.name, self.connected, self.refused_us, self.lost_us, heard_us)
+        return PeerObservation(self.name, self.connected, self.refused_us, self.lost_us, heard_us)
 
     def next_id(self) -> int:
         """Return a request id."""
@@ -144,7 +144,7 @@
             writer.transport.abort()
             for future in self._pending.values():
                 if not future.done():
-                    future.set_exception(CallFailed(f"peer {self.name}: connection ended"))
+                    future.set_exception(CallError(f"peer {self.name}: connection ended"))
             self._pending.clear()
 
     def drop(self) -> None:
@@ -175,14 +175,14 @@
         self._pending[request_id] = future
         try:
             if not self.send(message):
-                raise NotConnected(f"peer {self.name}: no connection")
+                raise NotConnectedError(f"peer {self.name}: no connection")
             answer = await asyncio.wait_for(future, timeout_us / SECOND_US)
         except asyncio.TimeoutError as error:
-            raise CallFailed(f"peer {self.name}: no answer") from error
+            raise CallError(f"peer {self.name}: no answer") from error
         finally:
             self._pending.pop(request_id, None)
         if not isinstance(answer, kind):
-            raise CallFailed(f"peer {self.name}: wrong kind of answer")
+            raise CallError(f"peer {self.name}: wrong kind of answer")
         return answer
 
 
@@ -192,7 +192,7 @@
 class PeerServer:
     """The answering side: each incoming connection has its own routine."""
 
-    def __init__(self, handler: Handler, duties: Duties, names: set[str]) -> None:
+    def __init__(self, handler: Handler, duties: BackgroundTasks, names: set[str]) -> None:
         self._handler = handler
         self._duties = duties
         self._names = names
--- a/weldhead/transport/state_client.py
+++ b/weldhead/transport/state_client.py
@@ -13,19 +13,19 @@
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us
 from weldhead.protocol.settings import StateLimits
 from weldhead.protocol.wire import (
-    Changes,
-    Committed,
+    CommittedRevision,
     Condition,
-    Delete,
-    Entry,
-    Grant,
-    GrantRequest,
-    Page,
-    Put,
+    DeleteKey,
+    GrantedLease,
+    KeyChanges,
+    KeyValue,
+    KeyValuePage,
+    LeaseRequest,
+    PutKey,
     Transaction,
 )
-from weldhead.transport.http_client import CallFailed, HttpClient
-from weldhead.transport.token_bucket import Budget
+from weldhead.transport.http_client import CallError, HttpClient
+from weldhead.transport.token_bucket import TokenBucket
 
 log = logging.getLogger(__name__)
 
@@ -38,27 +38,27 @@
 STAND_US = 1_300 * MILLISECOND_US
 
 
-class Refused(CallFailed):
+class RequestRefusedError(CallError):
     """The service said that it did not execute the request (503, 429)."""
 
 
-class Busy(Refused):
+class RateLimitedError(RequestRefusedError):
     """The rate is used up for the moment; the service itself is well."""
 
 
-class Rejected(CallFailed):
+class TransactionRejectedError(CallError):
     """The service takes no such transaction (400): the same one again is as useless."""
 
 
-class Conflict(Exception):
+class ConflictError(Exception):
     """A condition of a transaction did not hold."""
 
 
-class LeaseGone(Exception):
+class LeaseNotFoundError(Exception):
     """The lease has ended."""
 
 
-class Compacted(Exception):
+class RevisionCompactedError(Exception):
     """The watch's starting point is too old; read the keys again."""
 
 
@@ -67,7 +67,7 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise CallFailed(f"nonsense: {error}") from error
+        raise CallError(f"nonsense: {error}") from error
 
 
 class StateClient:
@@ -81,13 +81,13 @@
         self.limits = limits
         # Every controller calls the same service, and each gets an equal claim on most of
         # the rate: the leader writes most, so it may use what the others rarely need.
-        self.requests = Budget(limits.rps * 0.6, limits.rps * 0.4, limits.rps * 0.1)
+        self.requests = TokenBucket(limits.rps * 0.6, limits.rps * 0.4, limits.rps * 0.1)
         burst = max(limits.write_rps * 0.6, 4.0)
         # The leader's: ends of jobs, machines, progress. They keep half of the rate when
         # more is submitted than there is room for, or nothing would be told done.
-        self.writes = Budget(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.6)
+        self.writes = TokenBucket(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.6)
         #: Submissions, on every controller.
-        self.creates = Budget(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.05)
+        self.creates = TokenBucket(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.05)
         #: A transaction larger than the burst would wait for ever.
         self.max_writes = min(limits.txn_ops, int(burst))
         #: When a call was last served, and when one last failed (steady clock, 0: never).
@@ -113,14 +113,14 @@
         limit_us = patience_us if urgent or patience_us is not None else SECOND_US
         budget = self.writes if patience_us is None else self.creates
         if writes and not await budget.take(writes, urgent=urgent, limit_us=limit_us):
-            raise Busy("state service: write budget used up")
+            raise RateLimitedError("state service: write budget used up")
         if not await self.requests.take(urgent=urgent, limit_us=limit_us):
             budget.give_back(writes)
-            raise Busy("state service: request budget used up")
+            raise RateLimitedError("state service: request budget used up")
         started_us = now_us()
         try:
             status, answer = await self._http.call(method, self._base + path, body, timeout_us)
-        except CallFailed:
+        except CallError:
             if not passive:
                 self.failed_us = max(self.failed_us, now_us())
             raise
@@ -130,28 +130,28 @@
             else:
                 # Others use the same rate: what this node had saved up is not there.
                 (budget if writes else self.requests).drain()
-                raise Busy("state service: 429")
-            raise Refused(f"state service: {status}")
+                raise RateLimitedError("state service: 429")
+            raise RequestRefusedError(f"state service: {status}")
         if status not in (200, 400, 404, 409, 410):
-            raise CallFailed(f"state service: {status}")
+            raise CallError(f"state service: {status}")
         if not passive:
             self.served_us = max(self.served_us, started_us)
         return status, answer
 
     async def get(
         self, key: str, *, urgent: bool = False, timeout_us: int = 800 * MILLISECOND_US
-    ) -> Entry | None:
+    ) -> KeyValue | None:
         """Read a key."""
         status, body = await self._call("GET", f"/store/{key}", None, timeout_us, urgent)
         if status == 404:
             # Proof of absence is the service's own answer, with its revision in it.
-            decode(body, Committed)
+            decode(body, CommittedRevision)
             return None
         if status != 200:
-            raise CallFailed(f"state service: {status}")
-        return decode(body, Entry)
+            raise CallError(f"state service: {status}")
+        return decode(body, KeyValue)
 
-    async def pages(self, prefix: str) -> AsyncIterator[tuple[list[Entry], int]]:
+    async def pages(self, prefix: str) -> AsyncIterator[tuple[list[KeyValue], int]]:
         """Read all keys with a prefix; yield each page with the first page's revision.
 
         Pages are read one after the other; a change between two pages is seen by a watch
@@ -165,9 +165,9 @@
             try:
                 status, body = await self._call("GET", path, None, 3 * SECOND_US, True)
                 if status != 200:
-                    raise CallFailed(f"state service: {status}")
-                page = decode(body, Page)
-            except CallFailed as error:
+                    raise CallError(f"state service: {status}")
+                page = decode(body, KeyValuePage)
+            except CallError as error:
                 if revision is None:
                     raise
                 log.info("page of %s behind %s: %s", prefix, start, error)
@@ -176,7 +176,7 @@
             if revision is None:
                 revision = page.revision
             if page.more and not page.items:
-                raise CallFailed("state service: empty page that claims more")
+                raise CallError("state service: empty page that claims more")
             yield page.items, revision
             if not page.more:
                 return
@@ -185,7 +185,7 @@
     async def transact(
         self,
         conditions: list[Condition],
-        writes: list[Put | Delete],
+        writes: list[PutKey | DeleteKey],
         *,
         urgent: bool = False,
         timeout_us: int = 1500 * MILLISECOND_US,
@@ -205,45 +205,45 @@
             patience_us=patience_us,
         )  # fmt: skip
         if status == 200:
-            return decode(answer, Committed).revision
+            return decode(answer, CommittedRevision).revision
         if status == 409:
-            raise Conflict(answer.decode("utf-8", "replace"))
+            raise ConflictError(answer.decode("utf-8", "replace"))
         if status == 400 and b"no such lease" in answer:
-            raise LeaseGone
+            raise LeaseNotFoundError
         if status == 400:
-            raise Rejected(f"state service: 400 {answer[:200]!r}")
-        raise CallFailed(f"state service: {status} {answer[:200]!r}")
+            raise TransactionRejectedError(f"state service: 400 {answer[:200]!r}")
+        raise CallError(f"state service: {status} {answer[:200]!r}")
 
     async def grant(self, ttl_us: int) -> int:
         """Create a lease."""
-        body = msgspec.json.encode(GrantRequest(ttl_us // MILLISECOND_US))
+        body = msgspec.json.encode(LeaseRequest(ttl_us // MILLISECOND_US))
         status, answer = await self._call("POST", "/grants", body, STAND_US, True)
         if status != 200:
-            raise CallFailed(f"state service: {status}")
-        return decode(answer, Grant).lease
+            raise CallError(f"state service: {status}")
+        return decode(answer, GrantedLease).lease
 
     async def extend(self, lease: int, timeout_us: int) -> None:
         """Renew a lease; LeaseGone if it has ended."""
         status, _ = await self._call("POST", f"/grants/{lease}/extend", b"{}", timeout_us, True)
         if status == 404:
-            raise LeaseGone
+            raise LeaseNotFoundError
         if status != 200:
-            raise CallFailed(f"state service: {status}")
+            raise CallError(f"state service: {status}")
 
     async def revoke(self, lease: int) -> None:
         """End a lease at once; its keys go with it."""
         status, _ = await self._call("DELETE", f"/grants/{lease}", None, 800 * MILLISECOND_US, True)
         if status not in (200, 404):
-            raise CallFailed(f"state service: {status}")
+            raise CallError(f"state service: {status}")
 
-    async def watch(self, prefix: str, revision: int, wait_us: int) -> Changes:
+    async def watch(self, prefix: str, revision: int, wait_us: int) -> KeyChanges:
         """Wait for changes after the revision; Compacted if it is too old."""
         path = f"/changes?starts={prefix}&from={revision}&wait_ms={wait_us // MILLISECOND_US}"
         status, body = await self._call(
             "GET", path, None, wait_us + 2 * SECOND_US, True, passive=True
         )
         if status == 410:
-            raise Compacted
+            raise RevisionCompactedError
         if status != 200:
-            raise CallFailed(f"state service: {status}")
-        return decode(body, Changes)
+            raise CallError(f"state service: {status}")
+        return decode(body, KeyChanges)
--- a/weldhead/transport/token_bucket.py
+++ b/weldhead/transport/token_bucket.py
@@ -8,7 +8,7 @@
 RECOVERY_US = 20 * SECOND_US
 
 
-class Budget:
+class TokenBucket:
     """A token bucket of ``rate`` a second that holds ``burst`` at most.
 
     Waiters are served in order of urgency only in so far as the urgent ones may use the
--- a/weldhead/transport/worker_commands.py
+++ b/weldhead/transport/worker_commands.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from weldhead.protocol.wire import Command, DirectCommands, Report
-from weldhead.transport.http_client import CallFailed, HttpClient
+from weldhead.protocol.wire import Command, DirectCommands, Heartbeat
+from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.state_client import decode
 
 
@@ -16,7 +16,7 @@
     timeout_us: int,
     *,
     close: bool = False,
-) -> tuple[bool, Report]:
+) -> tuple[bool, Heartbeat]:
     """Send commands; return whether they were executed, and the worker's report.
 
     CallFailed leaves open whether, and when, they are executed; NotConnected does not.
@@ -27,5 +27,5 @@
         "POST", f"http://{address}/commands", body, timeout_us, connect_us=2_000_000, close=close
     )
     if status not in (200, 409):
-        raise CallFailed(f"worker: {status}")
-    return status == 200, decode(answer, Report)
+        raise CallError(f"worker: {status}")
+    return status == 200, decode(answer, Heartbeat)
--- a/weldhead/tunables/defaults.py
+++ b/weldhead/tunables/defaults.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 
 from weldhead.clock import MILLISECOND_US, SECOND_US
-from weldhead.provisioning.boot_times import Expected
-from weldhead.reconciliation.preemption_rate_limit import PaceSettings
-from weldhead.reconciliation.status_probes import AskSettings
+from weldhead.provisioning.boot_times import BootExpectation
+from weldhead.reconciliation.preemption_rate_limit import PreemptionRateSettings
+from weldhead.reconciliation.status_probes import ProbeSettings
 from weldhead.scheduling.autoscaling.fleet import FleetSettings
 from weldhead.scheduling.preemption.preemptor import PreemptorSettings
-from weldhead.scheduling.reservations.holding import HoldingSettings
+from weldhead.scheduling.reservations.holding import ReservationSettings
 
 
 @dataclass
@@ -77,7 +77,7 @@
             goal_margin=self.goal_margin,
             reserve=self.reserve,
             minimum_charge_us=self.minimum_charge_us,
-            boots=Expected(1.0, self.boot_patience, self.boot_give_up),
+            boots=BootExpectation(1.0, self.boot_patience, self.boot_give_up),
             most_per_look=self.most_per_look,
             move_worth_us=self.move_worth_us,
             move_loss=self.move_loss,
@@ -96,9 +96,9 @@
     least: float = 0.5
     share: float = 0.15
 
-    def settings(self) -> HoldingSettings:
+    def settings(self) -> ReservationSettings:
         """Return what one look needs."""
-        return HoldingSettings(self.age_us, self.within_us, self.least, self.share)
+        return ReservationSettings(self.age_us, self.within_us, self.least, self.share)
 
 
 @dataclass
@@ -111,14 +111,14 @@
     settle_us: int = 10 * SECOND_US
     stop_share: float = 0.001
 
-    def pace(self) -> PaceSettings:
+    def pace(self) -> PreemptionRateSettings:
         """Return how fast work is stopped for other work at first."""
-        return PaceSettings(self.settle_us, self.stop_share)
+        return PreemptionRateSettings(self.settle_us, self.stop_share)
 
-    def asking(self, sockets: int) -> AskSettings:
+    def asking(self, sockets: int) -> ProbeSettings:
         """Return how workers are asked by a process with that many sockets."""
         at_once = max(4, min(self.questions, sockets // 8))
-        return AskSettings(at_once, self.ask_again_us, quiet_us=self.quiet_us)
+        return ProbeSettings(at_once, self.ask_again_us, quiet_us=self.quiet_us)
 
 
 @dataclass
