--- a/tests/builders.py
+++ b/tests/builders.py
@@ -65,8 +65,8 @@
 ) -> Machine:
     """A machine that is up, synced and was heard at time 0."""
     machine = Machine(name, machine_type(**changes), zone, spot, 0)
-    machine.up = machine.synced = True
-    machine.order = (1, 1)
+    machine.enrolled = machine.reconciled = True
+    machine.newest_message = (1, 1)
     machine.address = "10.0.0.9:1"
     into.machines[name] = machine
     return machine
--- a/tests/held_network.py
+++ b/tests/held_network.py
@@ -121,7 +121,7 @@
 
     async def _write(self, leader: Leader) -> None:
         with contextlib.suppress(LeadershipLostError):
-            await leader.ledger.run()
+            await leader.state_writer.run()
 
     async def _end(self, leader: Leader) -> None:
         await leader.close()
@@ -141,20 +141,20 @@
             await self._end(self.before)
             self.before = None
         # This one holds the key; the one before can prove nothing any more.
-        self.leader.term.ledger.proven_us = self.clock()
+        self.leader.term.state_writer.leadership_verified_us = self.clock()
         for leader in filter(None, (self.before, self.leader)):
-            watch = leader.watch
-            doomed = watch.expired_or_silent(self.clock(), leader.term.proven_us)
-            doomed += watch.in_trouble(self.clock())
-            leader.rentals.delete({m.name: m for m in doomed if not m.deleting})
+            watch = leader.machine_monitor
+            doomed = watch.expired_or_silent(self.clock(), leader.term.leadership_verified_us)
+            doomed += watch.with_overdue_stops(self.clock())
+            leader.rental_manager.delete({m.name: m for m in doomed if not m.deleting})
             leader._check_known()
         await settle()
 
     async def place(self, leader: Leader | None) -> None:
         """Make a placement pass."""
         if leader is not None:
-            leader.term.ready = leader.recovery.known.is_set()
-            leader.deciding.place()
+            leader.term.ready = leader.recovery.all_known.is_set()
+            leader.scheduling_loop.place()
             await settle()
 
     async def stop(self, number: int, stop: StopRequest) -> None:
@@ -162,25 +162,25 @@
         active = list(self.leader.cluster.jobs[JOB].active.values())
         if active:
             attempt = active[number % len(active)]
-            self.leader.deciding.stop(attempt, stop, self.clock(), "room")
+            self.leader.scheduling_loop.stop(attempt, stop, self.clock(), "room")
             await settle()
 
     async def save(self) -> None:
         """Commit what has been completed."""
         job = self.leader.cluster.jobs[JOB]
-        if job.dirty and not job.finishing:
-            self.leader.term.duties.once("save", self.leader.completions._save(job))
+        if job.uncommitted_chunks and not job.finishing:
+            self.leader.term.background_tasks.once("save", self.leader.completions._save(job))
             await settle()
 
     async def delete(self) -> None:
         """The cloud carries out what the leader has asked it to return, and answers."""
-        doomed = list(self.leader.rentals._doomed.values())
+        doomed = list(self.leader.rental_manager._doomed.values())
         for machine in doomed:
             worker = self.hosts.pop(machine.name, None)
             if worker is not None:
                 worker.slots.clear()
         if doomed:
-            self.leader.rentals._deleted(doomed)
+            self.leader.rental_manager._deleted(doomed)
             await settle()
 
     # -- workers -------------------------------------------------------------------------------
@@ -245,7 +245,7 @@
         if not self.reports or leader is None:
             return
         sent = self.reports[number % len(self.reports)]
-        answer = leader.report(sent.report, self.clock(), relayed=relayed)
+        answer = leader.handle_heartbeat(sent.report, self.clock(), relayed=relayed)
         worker = self.hosts.get(sent.host)
         if answer is None or worker is None or self.flights.get(sent.host) is not sent:
             return
@@ -313,18 +313,18 @@
         assert len({task for _, task, _ in live}) == len(live), "a task is on two machines"
         assert len(live) <= LIMIT, "over the limit"
         for leader in filter(None, (self.before, self.leader)):
-            leader.cluster.check()
+            leader.cluster.check_invariants()
             job = leader.cluster.jobs.get(JOB)
             if job is None:
                 continue
             for index, state in enumerate(job.states):
                 if state in (TaskState.COMPLETED, TaskState.COMMITTED):
                     assert f"{JOB}/{index}" in self.done, "a completion was invented"
-        if self.leader.recovery.known.is_set():
+        if self.leader.recovery.all_known.is_set():
             machines = self.leader.cluster.machines
             for name, task, number in live:
                 known = machines[name].attempts.get(task)
-                ghost = (task, number) in machines[name].ghosts
+                ghost = (task, number) in machines[name].orphans
                 assert ghost or (known is not None and known.number == number), "not in the books"
         if self.forgotten:
             text, _ = self.state.keys[progress_key(JOB, 0)]
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -69,7 +69,7 @@
     press = goals.press(job, task_us, at_us, patience_us)
     return (
         press,
-        -job.level if press is not Urgency.PATIENT else 0,
+        -job.effective_level if press is not Urgency.PATIENT else 0,
         1 if job.spec.is_service else 0,
         goals.laxity_us(job, task_us, at_us),
         job.first_seen_us,
@@ -149,7 +149,7 @@
         for machine in cluster.machines.values():
             room = [machine.cpus, machine.gpus, machine.memory_gb]
             for attempt in machine.attempts.values():
-                if attempt.stop is not StopRequest.NO:
+                if attempt.stop_request is not StopRequest.NO:
                     self._add(room, attempt.job, 1)
                     self.freed[attempt.job.team] += attempt.job.spec.cpus
             self._free[machine.name] = room if usable(machine, at_us, settings.silence_us) else None
@@ -164,7 +164,7 @@
         self._order = sorted(
             (job for job in cluster.jobs.values() if job.active),
             key=lambda job: (
-                job.level,
+                job.effective_level,
                 job.spec.is_service,
                 -len(job.active) * job.spec.cpus,
                 -job.first_seen_us,
@@ -255,7 +255,7 @@
                 continue
             if machine.booting:
                 if not usual_boots(settings).is_late(machine, at_us):
-                    ready_us = max(at_us, machine.hired_us + seconds_us(machine.type.boot_s))
+                    ready_us = max(at_us, machine.rented_us + seconds_us(machine.type.boot_s))
                     self._heap.append((ready_us, machine.cpus))
                 continue
             if machine.cpus > EPSILON:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -84,9 +84,9 @@
     plan = plan_starts(into, RunTimeEstimates(), GOALS, at_us, SILENCE, 45 * S)
     for start in plan.starts:
         attempt = into.start(start.job, start.index, start.machine, at_us)
-        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, at_us
+        attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, at_us
         attempt.sent_sequence = 1
-        start.machine.note_image(start.job.spec.image, start.job.spec.image_gb)
+        start.machine.record_image(start.job.spec.image, start.job.spec.image_gb)
     return plan
 
 
@@ -96,7 +96,7 @@
         lists.add(entry)
         for victim in entry.victims:
             if victim.job.spec.gpus > 0:
-                lists.taken.stop(victim, at_us)
+                lists.preemption_history.record_preemption(victim, at_us)
             request_stop(into, victim, StopRequest.SOFT, at_us, "room")
     return found
 
@@ -173,7 +173,7 @@
     into = with_cards(3, Team("serving", 0, 0, 24), Team("tuning", 0))
     add(into, tuning(1, 12, gpus=1.0))
     place(into, S)
-    into.machines["vm-000001"].note_image("weights", 16.0)
+    into.machines["vm-000001"].record_image("weights", 16.0)
     add(into, replicas(2, 1, gpus=3.0))
     found = reclaim(into, place(into, 2 * S), ReclaimLists(), 2 * S)
     assert [(entry.machine, len(entry.victims)) for entry in found] == [("vm-000001", 3)]
@@ -246,7 +246,7 @@
     into.remove_machine(gone)
     lists = ReclaimLists()
     assert victims(reclaim(into, place(into, 2 * S), lists, 2 * S)) == []
-    into.check()
+    into.check_invariants()
 
 
 def test_what_was_freed_for_a_replica_that_is_cancelled_goes_back_where_it_was() -> None:
@@ -281,17 +281,17 @@
     taken, stops = PreemptionHistory(), list[int]()
     now = S
     attempt = into.start(tuned, 0, machine, now)
-    attempt.running_us = now
+    attempt.running_since_us = now
     for pause_s in rhythm:
         now += pause_s * S
-        if taken.kept(attempt, now):
+        if taken.is_protected(attempt, now):
             continue
-        taken.stop(attempt, now)
+        taken.record_preemption(attempt, now)
         stops.append(now)
         into.release(attempt)
         now += back_s * S
         attempt = into.start(tuned, 0, machine, now)
-        attempt.running_us = now
+        attempt.running_since_us = now
     for first in stops:
         assert sum(first <= stop < first + 3_600 * S for stop in stops) <= MAX_PREEMPTIONS_PER_HOUR
 
@@ -325,7 +325,9 @@
     for victim in stopped:
         into.release(victim)
     # Rows as the store has them; the second leader's clocks differ.
-    rows = [row for n in range(SHARDS) for row in rows_of(lists.taken, n, 900 * S, 8_000)]
+    rows = [
+        row for n in range(SHARDS) for row in rows_of(lists.preemption_history, n, 900 * S, 8_000)
+    ]
     after = with_cards(3, Team("serving", 0, 0, 8), Team("tuning", 0))
     again = add(after, tuning(1, 9))
     for index in running:
@@ -341,7 +343,9 @@
     assert all(start.job.id == "run-000002" for start in by_first[:8])
     # Nor may the second leader stop them at once again.
     attempt = again.active[stopped[0].index]
-    assert found.kept(attempt, 60 * S) and not found.kept(attempt, 55 * S + MIN_UNDISTURBED_US)
+    assert found.is_protected(attempt, 60 * S) and not found.is_protected(
+        attempt, 55 * S + MIN_UNDISTURBED_US
+    )
 
 
 def test_a_full_record_leaves_out_what_was_stopped_longest_ago() -> None:
@@ -350,7 +354,7 @@
     taken = PreemptionHistory()
     machine = next(iter(into.machines))
     for index in range(500):
-        taken.stop(Attempt(job, index, index + 1, machine, 0), (index + 1) * S)
+        taken.record_preemption(Attempt(job, index, index + 1, machine, 0), (index + 1) * S)
     rows = rows_of(taken, shard_of(job.id), 0, 8_192)
     assert 100 < len(rows) < 500 and [row[1] for row in rows] == list(
         range(499, 499 - len(rows), -1)
@@ -407,7 +411,7 @@
         found = dict.fromkeys(self.into.teams, 0)
         for machine in self.into.machines.values():
             for attempt in machine.attempts.values():
-                if attempt.stop is StopRequest.NO:
+                if attempt.stop_request is StopRequest.NO:
                     found[attempt.job.team] += required_amounts(attempt.job.spec)[Resource.CARDS]
         return found
 
@@ -435,7 +439,7 @@
             assert all(
                 used <= most for used, most in zip(self.into.usage[team].units, limit, strict=True)
             )
-        self.into.check()
+        self.into.check_invariants()
 
 
 @settings(max_examples=100)
@@ -451,7 +455,7 @@
     into = with_cards(1)
     machine = next(iter(into.machines.values()))
     large = add(into, replicas(1, 1, image_gb=80.0))
-    machine.note_image("weights", 80.0)
+    machine.record_image("weights", 80.0)
     assert fetch_delay_us(large, FreeCapacity(machine)) == fetch_us(large.spec, machine) == 80 * S
 
 
@@ -503,9 +507,9 @@
     into = with_cards(1)
     machine = next(iter(into.machines.values()))
     machine.type = machine_type(boot_s=20.0, **GIVES_CARDS)
-    machine.note_image("weights", 16.0)
+    machine.record_image("weights", 16.0)
     fleet = Tunables().fleet.settings()
-    machine.closing = True
+    machine.scale_in_candidate = True
     machine.idle_since_us = 100 * S
     assert plan_scale_in(into, 135 * S, fleet) == []
     assert plan_scale_in(into, 136 * S, fleet) == [machine]
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -50,7 +50,7 @@
 def starts(into: Cluster, at_us: int) -> PlacementPlan:
     """A pass while all machines are heard."""
     for machine in into.machines.values():
-        machine.heard_us = at_us
+        machine.last_heartbeat_us = at_us
     return starts_of(into, at_us)
 
 
@@ -69,7 +69,7 @@
         machine.draining = True
     for job, standing in review.changed:
         job.broken = standing is JobHealth.BROKEN
-        job.probing = standing is not JobHealth.SOUND
+        job.on_probation = standing is not JobHealth.SOUND
     return {job.id: standing for job, standing in review.changed}
 
 
@@ -108,7 +108,7 @@
             fail(failures, into, job, 0, machine, S)
     judged(failures, into)
     good = add_job(into, job_spec(9, tasks=8))
-    well.heard_us = 20 * S
+    well.last_heartbeat_us = 20 * S
     run_on(into, good, 0, well, 10 * S)
     fail(failures, into, good, 1, sick, 16 * S)
     assert not judged(failures, into)
@@ -116,7 +116,7 @@
     assert judged(failures, into) == {}
     assert (sick.draining, well.draining) == (True, False)
     # What a silent machine runs proves nothing: it may have failed long ago.
-    assert good.failed_on == {"vm-1"}
+    assert good.failed_machines == {"vm-1"}
 
 
 def test_a_machine_on_which_others_succeed_since_is_healthy_and_the_job_broken() -> None:
@@ -158,9 +158,9 @@
     assert start.machine is well
     run_on(into, job, start.index, well, 3 * S)
     assert job.waiting == 0
-    well.heard_us = 7 * S
+    well.last_heartbeat_us = 7 * S
     assert judged(failures, into) == {}
-    well.heard_us = 9 * S
+    well.last_heartbeat_us = 9 * S
     assert judged(failures, into) == {job.id: JobHealth.SOUND}
     assert job.waiting == 3
 
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -46,7 +46,7 @@
 def come(boots: BootHistory, machines: list[Machine], at_us: int) -> None:
     for machine in machines:
         boots.came(machine, at_us)
-        machine.order = (1, 1)
+        machine.newest_message = (1, 1)
 
 
 def look(boots: BootHistory, into: Cluster, at_us: int) -> BootExpectations:
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -239,20 +239,20 @@
 def test_an_instant_binds_only_while_it_is_to_come_by_every_clock() -> None:
     cache = cache_with(calendar(), 100 * S, 200 * S)
     spec = job_spec(1, job_class="balance")
-    bound = bind(cache, spec, 98 * S, S).bound
+    bound = bind(cache, spec, 98 * S, S).deadline
     assert bound == CalendarDeadline("morning", 3, 100 * S)
     # A moment before the hour, by some clock past it.
     for at_us in (99 * S, 100 * S, 150 * S):
         found = bind(cache, spec, at_us, S)
-        assert found.bound == CalendarDeadline("morning", 3, 200 * S)
+        assert found.deadline == CalendarDeadline("morning", 3, 200 * S)
     assert {c.key for c in found.conditions} == {HEAD_KEY, state_key(KIND, "morning")}
     # None is left, and no more can come; or more will be known.
-    assert bind(cache, spec, 200 * S, S).bound is None
+    assert bind(cache, spec, 200 * S, S).deadline is None
     with pytest.raises(InstantsNotComputedError):
         bind(cache_with(calendar(), 100 * S, until_us=100 * S), spec, 100 * S, S)
     # That nothing binds it rests on the edition.
     other = bind(cache, job_spec(1), 98 * S, S)
-    assert other.bound is None and [c.key for c in other.conditions] == [HEAD_KEY]
+    assert other.deadline is None and [c.key for c in other.conditions] == [HEAD_KEY]
 
 
 def documents_of(state: StandInState, offer: DocumentSet | None = None) -> DocumentReplica:
@@ -324,7 +324,7 @@
         DeadlineTable(),
         cache_with(calendar(), 9 * H, moves=(InstantMove(4, 9 * H, H // 2),)),
     )
-    record = JobRecord(job_spec(1), 0, bound=CalendarDeadline("morning", 3, 9 * H))
+    record = JobRecord(job_spec(1), 0, deadline=CalendarDeadline("morning", 3, 9 * H))
     for number in range(3):
         table.read(f"run-{number}", msgspec.json.encode(record))
     table.read("run-9", msgspec.json.encode(JobRecord(job_spec(1), 0)))
@@ -358,7 +358,7 @@
 
     def act(self, leader: Leader, *calls: Any) -> None:
         async def play() -> None:
-            running = asyncio.create_task(leader.ledger.run())
+            running = asyncio.create_task(leader.state_writer.run())
             for call in calls:
                 await call()
             running.cancel()
@@ -367,13 +367,13 @@
         asyncio.run(play())
 
     def renew(self, leader: Leader) -> None:
-        assert leader.calendars is not None
-        self.act(leader, leader.calendars._renew)
+        assert leader.calendar_keeper is not None
+        self.act(leader, leader.calendar_keeper._renew)
 
     def look(self, leader: Leader) -> None:
-        assert leader.calendars is not None
-        notes = leader.calendars.notes
-        leader.look_ahead.look_ahead(self.clock())
+        assert leader.calendar_keeper is not None
+        notes = leader.calendar_keeper.notes
+        leader.forecaster.look_ahead(self.clock())
         while notes._waiting:
             self.act(leader, notes.commit)
 
@@ -387,7 +387,7 @@
 def bound_job(terms: Terms, number: int, due_us: int, edition: int = 1, **of: Any) -> str:
     spec = job_spec(number, job_class="balance", **of)
     bound = CalendarDeadline("morning", edition, due_us)
-    terms.state.put(job_key(spec.id), JobRecord(spec, terms.clock() - 10 * S, bound=bound))
+    terms.state.put(job_key(spec.id), JobRecord(spec, terms.clock() - 10 * S, deadline=bound))
     return spec.id
 
 
@@ -410,7 +410,7 @@
     # Earlier: at once. It is one write for all jobs, and one line for each.
     put_edition(terms.state, calendar(hour="05:00"), 2)
     second = terms.lead()
-    assert second.cluster.jobs[name].bound == CalendarDeadline("morning", 1, due_us)
+    assert second.cluster.jobs[name].calendar_deadline == CalendarDeadline("morning", 1, due_us)
     before = terms.state.revision
     terms.renew(second)
     assert terms.state.revision == before + 1
@@ -426,14 +426,16 @@
     terms.renew(third)
     fourth = terms.lead()
     for leader in (second, third, fourth):
-        assert leader.cluster.jobs[name].bound == earlier
-        assert leader.cluster.jobs[late].bound == CalendarDeadline(
+        assert leader.cluster.jobs[name].calendar_deadline == earlier
+        assert leader.cluster.jobs[late].calendar_deadline == CalendarDeadline(
             "morning", 1, us("2026-03-01 05:30")
         )
     put_edition(terms.state, calendar(hour="08:00", rebinds=True), 4)
     fifth = terms.lead()
     terms.renew(fifth)
-    assert fifth.cluster.jobs[name].bound == CalendarDeadline("morning", 4, us("2026-03-02 07:00"))
+    assert fifth.cluster.jobs[name].calendar_deadline == CalendarDeadline(
+        "morning", 4, us("2026-03-02 07:00")
+    )
     # Nothing has changed: nothing is written.
     before = terms.state.revision
     terms.renew(fifth)
@@ -444,13 +446,13 @@
     name = bound_job(terms, 1, terms.clock() + H, deadline_s=7200.0)
     leader = terms.lead()
     job, at_us = leader.cluster.jobs[name], terms.clock()
-    assert job.due_us == at_us + H - leader.term.dues.error_us
-    assert leader.calendars is not None
-    assert leader.term.goals.deadlines_us(job)[0] == job.due_us
-    leader.calendars.keep_time(at_us + S, at_us + 5 * S)
-    assert job.due_us == at_us - 4 * S + H - leader.term.dues.error_us
-    leader.calendars.keep_time(at_us + 2 * S, at_us + 6 * S + 1000)
-    assert job.due_us == at_us - 4 * S + H - leader.term.dues.error_us
+    assert job.due_us == at_us + H - leader.term.job_deadlines.error_us
+    assert leader.calendar_keeper is not None
+    assert leader.term.objectives.deadlines_us(job)[0] == job.due_us
+    leader.calendar_keeper.keep_time(at_us + S, at_us + 5 * S)
+    assert job.due_us == at_us - 4 * S + H - leader.term.job_deadlines.error_us
+    leader.calendar_keeper.keep_time(at_us + 2 * S, at_us + 6 * S + 1000)
+    assert job.due_us == at_us - 4 * S + H - leader.term.job_deadlines.error_us
     # The earlier of the two counts.
     assert leader.cluster.jobs[name].first_seen_us + 7200 * S > job.due_us
 
@@ -473,7 +475,7 @@
     terms.state.value_bytes = 600
     leader.term.estimates.observe(leader.cluster.jobs[names[0]], 300 * S)
     for name in names:
-        leader.cluster.jobs[name].touch()
+        leader.cluster.jobs[name].notify_changed()
     terms.clock.us += S
     before = terms.state.revision
     terms.look(leader)
@@ -489,13 +491,13 @@
     status = successor.status(names[0])
     assert status is not None and status.late
     assert (
-        successor.look_ahead.standing(successor.cluster.jobs[fine], 0) is DeadlineStanding.UNKNOWN
+        successor.forecaster.standing(successor.cluster.jobs[fine], 0) is DeadlineStanding.UNKNOWN
     )
     for _ in range(2):
         leader = terms.lead()
         leader.term.estimates.observe(leader.cluster.jobs[names[0]], 300 * S)
         terms.look(leader)
-        leader.look_ahead.say_account(terms.clock())
+        leader.forecaster.say_account(terms.clock())
     assert len(late_lines(caplog)) == 30
     status = leader.status(names[0])
     assert status is not None and status.late
@@ -509,23 +511,23 @@
     caplog.set_level(logging.INFO)
     name = bound_job(terms, 1, terms.clock() - 5 * S)
     leader = terms.lead()
-    leader.look_ahead.look_ahead(terms.clock())
+    leader.forecaster.look_ahead(terms.clock())
     successor = terms.lead()
     # The first one's note is refused by the store, so it says nothing.
-    assert leader.calendars is not None
-    terms.act(leader, leader.calendars.notes.commit)
+    assert leader.calendar_keeper is not None
+    terms.act(leader, leader.calendar_keeper.notes.commit)
     assert not late_lines(caplog)
     terms.look(successor)
     assert len(late_lines(caplog)) == 1 and "is late" in late_lines(caplog)[0]
-    successor.look_ahead.say_account(terms.clock())
+    successor.forecaster.say_account(terms.clock())
     line = caplog.records[-1].message
     assert "1 jobs are bound; due within the hour: 1, on track 0, late 1, unknown 0" in line
     assert f"(late: {name})" in line
 
 
 def history_of(leader: Leader) -> RunTimeHistory:
-    assert leader.calendars is not None
-    return leader.calendars.history
+    assert leader.calendar_keeper is not None
+    return leader.calendar_keeper.history
 
 
 def test_a_successor_knows_what_its_predecessors_saw(terms: Terms) -> None:
@@ -580,13 +582,13 @@
                 case "look":
                     terms.look(leader)
                 case "found only":
-                    leader.look_ahead.look_ahead(at())
+                    leader.forecaster.look_ahead(at())
                     leader = terms.lead()
                 case "overlap":
                     former, leader = leader, terms.lead()
-                    former.look_ahead.look_ahead(at())
-                    assert former.calendars is not None
-                    terms.act(former, former.calendars.notes.commit)
+                    former.forecaster.look_ahead(at())
+                    assert former.calendar_keeper is not None
+                    terms.act(former, former.calendar_keeper.notes.commit)
                 case "submit":
                     for _ in range(3):
                         count += 1
@@ -606,7 +608,7 @@
     leader.term.estimates.observe(leader.cluster.jobs[name], 300 * S)
     for _ in range(3):
         terms.look(leader)
-        leader.cluster.jobs[name].touch()
+        leader.cluster.jobs[name].notify_changed()
         terms.clock.us += S
     assert [line.split(";")[0].split(",")[0] for line in late_lines(caplog)] == [
         "run-000001 will be late: due in 20 s",
@@ -657,20 +659,20 @@
     assert reason(into, follower, quiet, 0, why).startswith(
         "it waits for run-000001 (balance), no room"
     )
-    job.held = GateStatus()
+    job.blocking_gate = GateStatus()
     assert reason(into, job, quiet, 0, why) == "held by gate book: it is rebuilt"
     # It cannot be told when the gate opens: late when even an opening now is too late.
-    job.bound_due_us = 100 * S
+    job.calendar_due_us = 100 * S
     assert standing(job, 0, has_history=True, least_us=90 * S) is DeadlineStanding.UNKNOWN
     assert standing(job, 11 * S, has_history=True, least_us=90 * S) is DeadlineStanding.LATE
-    job.held, job.broken = None, True
+    job.blocking_gate, job.broken = None, True
     assert "fail everywhere" in reason(into, job, quiet, 0, why)
 
 
 def test_unknown_is_not_guessed_but_past_is_past() -> None:
     into = cluster()
     job = add_job(into, job_spec(1))
-    job.bound_due_us, job.forecast_us = 10 * S, 5 * S
+    job.calendar_due_us, job.expected_finish_us = 10 * S, 5 * S
     assert standing(job, 0, has_history=False) is DeadlineStanding.UNKNOWN
     assert standing(job, 11 * S, has_history=False) is DeadlineStanding.LATE
     assert standing(job, 0, has_history=True) is DeadlineStanding.ON_TRACK
@@ -680,14 +682,14 @@
     into = cluster()
     for number in range(5_000):
         job = add_job(into, job_spec(number, job_class="balance"))
-        job.bound_due_us = 8 * H
+        job.calendar_due_us = 8 * H
     outlook = JobForecasts(
         into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: 0, S, 4 * S, 100_000
     )
     assert len(outlook.look(1)) == 5_000
     looks = sum(len(outlook.look(1 + second * S)) for second in range(1, 61))
     assert looks <= 5_000 * 60 * S // FAR_US
-    into.jobs["run-000007"].touch()
+    into.jobs["run-000007"].notify_changed()
     assert [job.id for job in outlook.look(60 * S + 2)][:1] == ["run-000007"]
 
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -194,8 +194,8 @@
     machine = leader.cluster.machines["vm-000001"]
     overtaken = worker.report()
     _, shown = worker.direct(leader.token, 1, [])
-    leader._apply(machine, shown, direct=True)
-    answer = leader.report(overtaken, clock(), relayed=False)
+    leader._apply_message(machine, shown, direct=True)
+    answer = leader.handle_heartbeat(overtaken, clock(), relayed=False)
     assert answer is not None
     worker.answered(answer)
     assert worker.live() == set()
@@ -228,7 +228,7 @@
 
     async def outage() -> None:
         state.fates = ["unanswered" if applied else "lost"] + ["refused"] * 1_000
-        ledger = asyncio.create_task(leader.ledger.run())
+        ledger = asyncio.create_task(leader.state_writer.run())
         with pytest.raises(NotReadyError):
             await leader.cancel(job.id)
         for _ in range(20):
@@ -238,12 +238,12 @@
         assert leader.status(job.id).state != "withdrawn"  # type: ignore[union-attr]
         assert job.waiting == 0
         for late in (worker, other):
-            answer = leader.report(late.report(), clock(), relayed=False)
+            answer = leader.handle_heartbeat(late.report(), clock(), relayed=False)
             assert answer is not None
             late.answered(answer)
             assert late.live() == set()
-        assert all(a.stop is StopRequest.HARD for a in job.active.values())
-        leader.ledger.close()
+        assert all(a.stop_request is StopRequest.HARD for a in job.active.values())
+        leader.state_writer.close()
         ledger.cancel()
 
     asyncio.run(outage())
@@ -268,9 +268,9 @@
     monkeypatch.setattr("weldhead.controller.requests.completions.round_robin", meet)
 
     async def scenario() -> None:
-        ledger = asyncio.create_task(leader.ledger.run())
+        ledger = asyncio.create_task(leader.state_writer.run())
         leader.completions.start()
-        leader.term.flush.set()
+        leader.term.commit_wanted.set()
         await until(lambda: final_key(job.id) in state.keys)
         await met[0]
         ledger.cancel()
@@ -291,19 +291,19 @@
 
     async def ends() -> None:
         leader.completions.start()
-        ledger = asyncio.create_task(leader.ledger.run())
-        leader.term.flush.set()
+        ledger = asyncio.create_task(leader.state_writer.run())
+        leader.term.commit_wanted.set()
         await asyncio.sleep(0.1)
         assert final_key("run-000001") not in state.keys
         for _ in range(2):
-            answer = leader.report(worker.report(), clock(), relayed=False)
+            answer = leader.handle_heartbeat(worker.report(), clock(), relayed=False)
             assert answer is not None
             worker.token = answer.token
         assert leader.cluster.usage["red"].cpus == 2.0
-        answer = leader.report(worker.report(), clock(), relayed=False)
+        answer = leader.handle_heartbeat(worker.report(), clock(), relayed=False)
         assert answer is not None
         worker.answered(answer)
-        leader.report(worker.report(), clock(), relayed=False)
+        leader.handle_heartbeat(worker.report(), clock(), relayed=False)
         assert leader.cluster.usage["red"].cpus == 0.0
         await leader.recovery.finish(lambda: None)
         await until(lambda: final_key("run-000001") in state.keys)
@@ -326,29 +326,29 @@
     state.__dict__["grant"] = lambda ttl_us: asyncio.sleep(0, state.store.grant(ttl_us // 1_000, 0))
 
     async def term() -> tuple[int, int]:
-        node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
+        node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).election
         node.open(cast(StateClient, state), cast(Any, None), cast(Any, None))
         node.catalog = [machine_type()]
         node.candidacy = Candidacy(node.timing, now_us() - 60 * S)
         await node.read_leader()
         stood_us = now_us()
-        await node.stand(node.known_token, 0)
+        await node.campaign(node.known_token, 0)
         await asyncio.sleep(0)
         leader = node.leader
         assert leader is not None
-        until_us = leader.term.answers_until_us - stood_us
+        until_us = leader.term.answer_unloaded_until_us - stood_us
         from_us: int = state.keys[UNSETTLED_KEY][0]["from_us"]
         assert state.keys[UNSETTLED_KEY][1] == leader.token == state.keys[LEADER_KEY][1]
         if settles:
             await leader.recovery.load()
             leader._check_known()
-            ledger = asyncio.create_task(leader.ledger.run())
+            ledger = asyncio.create_task(leader.state_writer.run())
             await leader.recovery.finish(lambda: None)
-            await leader.recovery.settle()
+            await leader.recovery.clear_unsettled()
             ledger.cancel()
             assert UNSETTLED_KEY not in state.keys
         await leader.close()
-        await node._duties.close()
+        await node._background_tasks.close()
         return until_us, from_us
 
     settles = False
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -76,11 +76,11 @@
         self.leader = new_leader(self.state, self.clock())
         self.node = StandInNode()
         self.node.leader = self.leader
-        self.duty = self.loop.create_task(self.leader.ledger.run())
+        self.duty = self.loop.create_task(self.leader.state_writer.run())
 
     def close(self) -> None:
         if hasattr(self, "duty"):
-            self.leader.ledger.close()
+            self.leader.state_writer.close()
             self.duty.cancel()
             self.loop.run_until_complete(asyncio.gather(self.duty, return_exceptions=True))
 
@@ -107,8 +107,8 @@
         for key, (value, version) in list(self.state.keys.items()):
             if key.startswith("j/"):
                 self.leader.job_created(msgspec.convert(value, JobRecord), version)
-        for job_id in list(self.leader.chains.unknown):
-            self.run(self.leader.linking.learn_need(job_id))
+        for job_id in list(self.leader.dependency_graph.unresolved):
+            self.run(self.leader.job_dependencies.learn_need(job_id))
 
     def job(self, number: int) -> Job | None:
         return self.leader.cluster.jobs.get(name(number))
@@ -276,16 +276,16 @@
         for number in getattr(self, "needs", {}):
             job = self.world.job(number)
             if job is not None and self.model(number) == "open":
-                assert job.level == self.level(number), number
+                assert job.effective_level == self.level(number), number
 
     @invariant()
     def nothing_is_kept_of_what_is_over(self) -> None:
         if hasattr(self, "world"):
             self.world.hear()
-            chains = self.world.leader.chains
+            chains = self.world.leader.dependency_graph
             open_jobs = {name(n) for n in self.needs if self.model(n) == "open"}
             assert set(chains.blocked) <= open_jobs
-            assert set(chains._followers) <= open_jobs
+            assert set(chains._dependents) <= open_jobs
 
 
 ChainsMachine.TestCase.settings = settings(max_examples=80, stateful_step_count=30)
@@ -413,7 +413,7 @@
     for _ in range(2):
         job = world.job(2)
         assert job is not None
-        assert (job.ready_us, job.first_seen_us) == (released_us, START)
+        assert (job.runnable_since_us, job.first_seen_us) == (released_us, START)
         world.take_over()
         world.hear()
 
@@ -497,16 +497,16 @@
     jobs = ladder(into, chains, 100)
     last = add_job(into, job_spec(999, needs=(jobs[-1].id,), priority="high", deadline_s=9e3))
     chains.add(last, last.spec.needs or ())
-    counting = Counting(chains._followers)
-    chains._followers = counting
+    counting = Counting(chains._dependents)
+    chains._dependents = counting
     edges = 4 * 99 + 1
     inherit(chains, into, [last])
     assert counting.looked <= edges
-    assert jobs[0].level == 2 and jobs[0].chain_due_us
+    assert jobs[0].effective_level == 2 and jobs[0].inherited_due_us
     counting.looked = 0
     forecast_chains(chains, into, lambda job: S, 0)
     assert counting.looked == 0
-    assert len(chains.withdrawn(jobs[0].id)) == 199
+    assert len(chains.mark_withdrawn(jobs[0].id)) == 199
     # Once to find them; each of the two paths into a step is looked at, no more.
     assert counting.looked <= 2 * edges
 
@@ -546,9 +546,9 @@
         job_spec(3, priority="high", estimate_s=8.0, needs=(name(2),), deadline_s=100.0),
     )
     rest_us = round(1.25 * 8 * S) + 2 * S
-    assert (middle.level, middle.chain_due_us) == (2, (100 * S - rest_us,))
+    assert (middle.effective_level, middle.inherited_due_us) == (2, (100 * S - rest_us,))
     rest_us += round(1.25 * 20 * S) + 2 * S
-    assert (first.level, first.chain_due_us) == (2, (100 * S - rest_us,))
+    assert (first.effective_level, first.inherited_due_us) == (2, (100 * S - rest_us,))
     # It presses while it can still be saved; by itself it has a minute and more to spare.
     goals = ServiceLevelObjectives([])
     task_us = RunTimeEstimates().task_us(first)
@@ -556,7 +556,7 @@
     last.cancelled = True
     chains.remove(last)
     inherit(chains, into, [middle], at_us=10 * S)
-    assert (first.level, first.chain_due_us, middle.level) == (1, (), 1)
+    assert (first.effective_level, first.inherited_due_us, middle.effective_level) == (1, (), 1)
     assert goals.press(first, task_us, 10 * S, 45 * S) is Urgency.PATIENT
 
 
@@ -583,7 +583,7 @@
         return plan_preemptions(into, lists, plan, RunTimeEstimates(), 2 * S, preemptor, goals)
 
     assert [entry.victims for entry in asked()] == [[attempt]]
-    upstream.level = upstream.spec.level
+    upstream.effective_level = upstream.spec.level
     assert asked() == []
 
 
@@ -591,7 +591,7 @@
     into = cluster()
     job = add_job(into, job_spec(1, job_class="prompt", deadline_s=500.0, estimate_s=10.0))
     goals = ServiceLevelObjectives([Objective("wait", "prompt", 0.9, 40.0)])
-    job.ready_us = 300 * S
+    job.runnable_since_us = 300 * S
     assert goals.target_us(job, 10 * S, 300 * S) == 350 * S
     assert goals.deadlines_us(job) == [500 * S]
 
@@ -610,7 +610,7 @@
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
             world.clock.us += S
-            leader.look_ahead.look_ahead(world.clock())
+            leader.forecaster.look_ahead(world.clock())
     said = [r.getMessage() for r in caplog.records if r.levelno >= logging.WARNING]
     assert len(said) == 1
     assert "run-000003 will be late" in said[0]
@@ -628,12 +628,12 @@
     chains, (first, second, last) = path(
         into, job_spec(1), job_spec(2), job_spec(3, needs=(name(1), name(2)))
     )
-    first.forecast_us, second.forecast_us = 50 * S, 80 * S
+    first.expected_finish_us, second.expected_finish_us = 50 * S, 80 * S
     forecast_chains(chains, into, lambda job: 7 * S, 10 * S)
-    assert (last.starts_us, last.forecast_us) == (80 * S, 87 * S)
-    second.forecast_us = None
+    assert (last.expected_start_us, last.expected_finish_us) == (80 * S, 87 * S)
+    second.expected_finish_us = None
     forecast_chains(chains, into, lambda job: 7 * S, 10 * S)
-    assert (last.starts_us, last.forecast_us) == (None, None)
+    assert (last.expected_start_us, last.expected_finish_us) == (None, None)
 
 
 def test_the_fleet_counts_work_that_is_about_to_become_runnable() -> None:
@@ -641,7 +641,7 @@
     for number in range(4):
         add_machine(into, f"vm-{number:06}", spot=True)
     waiting = add_job(into, job_spec(2, tasks=8, cpus=2.0, needs=(name(1),)))
-    waiting.blockers = frozenset({name(1)})
+    waiting.unmet_dependencies = frozenset({name(1)})
     settings = TUNABLES.fleet.settings()
     assert len(choose_scale_in_candidates(into, PlacementPlan(), settings)) == 4
     soon = [ExpectedDemand(waiting, 20 * S)]
@@ -681,7 +681,7 @@
         for index in range(2):
             into.start(filler, index, machine, S)
         waiting = add_job(into, job_spec(2, tasks=2, needs=(name(1),), deadline_s=9e5))
-        waiting.blockers = frozenset({name(1)})
+        waiting.unmet_dependencies = frozenset({name(1)})
         market = RentalOffers([machine_type(boot_s=10.0)])
         # Cheap machines are had for anything that waits for long; none are left here.
         market.refused_until_us = {("m4", zone, True): 9 * S for zone in ("a", "b")}
@@ -706,7 +706,7 @@
     world.cancel(1)
     world.run(world.leader.completions._end(world.leader.cluster.jobs[name(1)]))
     world.take_over()
-    assert world.leader.chains.unknown == {name(1)}
+    assert world.leader.dependency_graph.unresolved == {name(1)}
     for number in (2, 3):
         assert world.leader.status(name(number)) is None
         assert world.poll(name(number)) == "withdrawn"
@@ -721,8 +721,8 @@
     world.submit(job_spec(2, priority="normal", needs=(name(1),)))
     world.submit(job_spec(3, priority="production", needs=(name(2),), deadline_s=99.0))
     first = world.job(1)
-    assert first is not None and first.level == 3 and first.chain_due_us
+    assert first is not None and first.effective_level == 3 and first.inherited_due_us
     world.cancel(3)
-    assert (first.level, first.chain_due_us) == (1, ())
+    assert (first.effective_level, first.inherited_due_us) == (1, ())
     world.cancel(2)
-    assert first.level == 0
+    assert first.effective_level == 0
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -45,9 +45,9 @@
     job = add_job(into, job_spec())
     attempt = into.start(job, 0, machine, 0)
     assert len(runs(machine, None)) == 1
-    assert attempt.posted
+    assert attempt.sent_directly
     assert runs(machine, 2) == runs(machine, None) == []
-    attempt.posted, attempt.unconfirmed_us = False, 5
+    attempt.sent_directly, attempt.unconfirmed_since_us = False, 5
     assert runs(machine, 2) == runs(machine, None) == []
     # It stays counted, whatever reports fail to show, until it is surely resolved.
     apply_report(into, machine, report(machine, 9, []), 0, direct=False)
@@ -57,7 +57,7 @@
     assert job.active[0] is attempt
     listed = [ReportedTask(attempt.task, attempt.number, "running")]
     apply_report(into, machine, report(machine, 11, listed), 0, direct=False)
-    assert (attempt.unconfirmed_us, attempt.phase) == (0, AttemptPhase.RUNNING)
+    assert (attempt.unconfirmed_since_us, attempt.phase) == (0, AttemptPhase.RUNNING)
 
 
 def test_a_new_session_ends_everything_that_was_unanswered() -> None:
@@ -65,7 +65,7 @@
     machine = add_machine(into)
     job = add_job(into, job_spec())
     attempt = into.start(job, 0, machine, 0)
-    attempt.unconfirmed_us = 5
+    attempt.unconfirmed_since_us = 5
     apply_report(into, machine, report(machine, 1, [], session=2), 0, direct=False)
     assert job.active == {} and machine.attempts == {}
 
@@ -85,7 +85,7 @@
     apply_report(into, machine, nonsense, 0, direct=False)
     commands = pending_commands(machine, lambda task: True, may_start=True, sequence=2)
     assert commands == [Command("kill", "///", 1, 0.0)]
-    into.check()
+    into.check_invariants()
 
 
 def test_a_request_that_fails_after_its_machine_is_gone_leaves_nothing_behind() -> None:
@@ -94,13 +94,13 @@
     machine = add_machine(into)
     job = add_job(into, job_spec())
     first, second = into.start(job, 0, machine, 0), into.start(job, 1, machine, 0)
-    into.lose(first, 5)
+    into.mark_unconfirmed(first, 5)
     assert list(into.unconfirmed.values()) == [first]
     into.remove_machine(machine)
-    into.lose(second, 6)
+    into.mark_unconfirmed(second, 6)
     into.stop(second, StopRequest.HARD, 6, "test")
     assert not into.unconfirmed and not into.stopping
-    into.check()
+    into.check_invariants()
 
 
 def test_a_lease_begins_anew_with_a_session_that_a_direct_answer_shows() -> None:
@@ -111,4 +111,4 @@
     shown = report(machine, 3, [])
     shown.session += 1
     apply_report(into, machine, shown, 9_000_000, direct=True)
-    assert machine.lease_over_us(14_000_000, 0) > 23_000_000
+    assert machine.lease_expired_us(14_000_000, 0) > 23_000_000
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -58,7 +58,7 @@
 
 def run_on(into: Cluster, job: Job, index: int, machine: Machine, since_us: int = 0) -> Attempt:
     attempt = into.start(job, index, machine, since_us)
-    attempt.phase, attempt.running_us = AttemptPhase.RUNNING, max(1, since_us)
+    attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, max(1, since_us)
     return attempt
 
 
@@ -102,12 +102,12 @@
         add_job(into, job_spec(number, **changes))
     for start in starts(into).starts:
         spec = start.job.spec
-        assert start.job.room_in_zone(start.machine.zone) > 0
+        assert start.job.capacity_in_zone(start.machine.zone) > 0
         assert start.machine.allows(start.job)
         into.start(start.job, start.index, start.machine, S)
         assert spec.spot or not start.machine.spot
         assert start.machine.cpus > -1e-6 and start.machine.memory_gb > -1e-6
-    into.check()
+    into.check_invariants()
     assert into.usage["red"].cpus <= limit + 1e-6
     for job in into.jobs.values():
         zones = {zone: n for zone, n in job.zones.items() if n}
@@ -151,13 +151,13 @@
     at_us = S
     match flaw:
         case "ghosts":
-            machine.ghosts.add(("run-9/1", 1))
+            machine.orphans.add(("run-9/1", 1))
         case "notice":
-            machine.notice_until_us = 9 * S
+            machine.interruption_us = 9 * S
         case "silent":
             at_us = SILENCE + S
         case "unsynced":
-            machine.synced = False
+            machine.reconciled = False
         case _:
             setattr(machine, flaw, True)
     assert starts(into, at_us).starts == []
@@ -284,11 +284,11 @@
 
 def test_old_entries_become_hard_kills_and_then_expire() -> None:
     lists = ReclaimLists()
-    entry = Reclaim("run-1", "vm-1", [], asked_us=0)
+    entry = Reclaim("run-1", "vm-1", [], requested_us=0)
     lists.add(entry)
     assert overdue(lists, PREEMPTOR.kill_timeout_us - 1, PREEMPTOR) == ([], [])
     assert overdue(lists, PREEMPTOR.kill_timeout_us, PREEMPTOR) == ([entry], [])
-    entry.hard_us = 20 * S
+    entry.hard_kill_us = 20 * S
     assert overdue(lists, 20 * S + PREEMPTOR.expiry_us, PREEMPTOR) == ([], [entry])
 
 
@@ -417,7 +417,12 @@
     idle = add_machine(into, "vm-000001")
     job = add_job(into, job_spec())
     job.complete_waiting(0)
-    idle.forget = {("run-000001/0", 1), ("run-000001/9", 1), ("run-000009/0", 1), ("///", 1)}
+    idle.unacknowledged = {
+        ("run-000001/0", 1),
+        ("run-000001/9", 1),
+        ("run-000009/0", 1),
+        ("///", 1),
+    }
     assert plan_scale_in(into, 61 * S, FLEET) == []
     job.mark_committed([0])
     assert plan_scale_in(into, 61 * S, FLEET) == [idle]
@@ -452,7 +457,7 @@
 def test_remaining_time_is_floored_and_counts_saved_progress() -> None:
     into = cluster()
     job = add_job(into, job_spec(checkpoint_s=10.0, estimate_s=60.0))
-    job.saved_us[0] = 30 * S
+    job.checkpoints_us[0] = 30 * S
     attempt = run_on(into, job, 0, add_machine(into), since_us=S)
     assert RunTimeEstimates().remaining_us(attempt, 11 * S) == 20 * S
     assert RunTimeEstimates().remaining_us(attempt, 99 * S) == 0
@@ -575,7 +580,7 @@
     saves = add_job(into, job_spec(1, tasks=9, cpus=2.0, checkpoint_s=30.0, save_s=3.0))
     plain = add_job(into, job_spec(2, tasks=9, cpus=1.0, estimate_s=20.0))
     closing, stays = add_machine(into, "vm-000001"), add_machine(into, "vm-000002")
-    closing.closing = True
+    closing.scale_in_candidate = True
     run_on(into, saves, 0, closing, S)
     assert moves(into) == ["vm-000001"]  # The image takes only a second to fetch.
     big = add_job(
@@ -583,7 +588,7 @@
     )
     fetches = run_on(into, big, 0, closing, S)
     assert moves(into) == []  # This one takes too long.
-    stays.note_image("big", 9.0)
+    stays.record_image("big", 9.0)
     assert moves(into) == ["vm-000001"]
     into.release(fetches)
     assert moves(into) == ["vm-000001"]
@@ -606,8 +611,8 @@
     """A guest's long small tasks kept hundreds of CPUs idle, and could not be moved."""
     into = cluster(Team("red", 0, 1_000))
     large = add_machine(into, "vm-000001", cpus=16.0, memory_gb=64.0)
-    add_machine(into, "vm-000002").note_image("img", 1.0)
-    large.closing = True
+    add_machine(into, "vm-000002").record_image("img", 1.0)
+    large.scale_in_candidate = True
     spec = job_spec(1, tasks=9, cpus=0.25, estimate_s=150.0, priority="idle")
     job = add_job(into, spec)
     small = run_on(into, job, 0, large, S)
@@ -615,7 +620,7 @@
 
     def chosen(at_us: int, goals: ServiceLevelObjectives = GOALS) -> list[MachineDrain]:
         for machine in into.machines.values():
-            machine.heard_us = at_us
+            machine.last_heartbeat_us = at_us
         return plan_consolidation(
             into, PlacementPlan(), RunTimeEstimates(), at_us, fleet, SILENCE, goals
         )
@@ -625,9 +630,9 @@
     # What somebody waits for stays where it is.
     for urgent in ({"priority": "normal"}, {"deadline_s": 900.0}):
         job.spec = msgspec.structs.replace(spec, **urgent)
-        job.level = job.spec.level
+        job.effective_level = job.spec.level
         assert chosen(40 * S) == []
-    job.spec, job.level = spec, spec.level
+    job.spec, job.effective_level = spec, spec.level
     assert move.gain_us == 111 * S
     # Whoever may not be late: 150 s again, and as estimates are rough, are not in time.
     assert (
@@ -653,9 +658,9 @@
     saves = add_job(into, job_spec(1, tasks=9, cpus=4.0, checkpoint_s=30.0, save_s=3.0))
     for index in range(3):
         machine = add_machine(into, f"vm-{index:06}", spot=index == 0)
-        machine.closing = True
+        machine.scale_in_candidate = True
         run_on(into, saves, index, machine, S)
-    add_machine(into, "vm-000009").note_image("img", 1.0)
+    add_machine(into, "vm-000009").record_image("img", 1.0)
     assert moves(into) == ["vm-000001"]
 
 
@@ -669,7 +674,7 @@
     patient = add_job(into, job_spec(2, tasks=1, cpus=4.0, estimate_s=10.0, deadline_s=100.0))
 
     def victims(at_us: int) -> list[list[Attempt]]:
-        machine.heard_us = at_us
+        machine.last_heartbeat_us = at_us
         return [entry.victims for entry in reclaims(into, starts(into, at_us), at_us)]
 
     # In time if it starts by 90 s: it presses in placement from 45 s, and claims from 70 s on.
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -185,13 +185,13 @@
 def test_what_bound_a_job_is_loaded_with_it() -> None:
     state = StandInState()
     bound = CalendarDeadline("morning", 3, START + 5)
-    put_job(state, job_spec(1), bound=bound)
+    put_job(state, job_spec(1), deadline=bound)
     record = msgspec.json.decode(
         msgspec.json.encode(state.keys[job_key(job_spec(1).id)][0]), type=JobRecord
     )
-    assert record.bound == bound
+    assert record.deadline == bound
     earlier = AdmissionBinding(
         CalendarDeadline("noon", 3, START), conditions=(Condition("d/a", 1),)
     )
-    both = AdmissionBinding(bound, conditions=(Condition("d/b", 2),)).joined(earlier)
-    assert both.bound == earlier.bound and len(both.conditions) == 2
+    both = AdmissionBinding(bound, conditions=(Condition("d/b", 2),)).merged(earlier)
+    assert both.deadline == earlier.deadline and len(both.conditions) == 2
--- a/tests/test_equivalence.py
+++ b/tests/test_equivalence.py
@@ -123,7 +123,7 @@
             ),
             self.now - dice.choice((0, 0, 50 * S)),
         )
-        job.chain_due_us = dice.choice(((), (), (self.now + 60 * S,)))
+        job.inherited_due_us = dice.choice(((), (), (self.now + 60 * S,)))
 
     def add_machine(self) -> None:
         dice = self.dice
@@ -139,10 +139,10 @@
             self.bring_up(machine)
 
     def bring_up(self, machine: Machine) -> None:
-        machine.touch()
-        machine.up = machine.synced = True
-        machine.order = (1, 1)
-        machine.hear(self.now, SILENCE)
+        machine.notify_changed()
+        machine.enrolled = machine.reconciled = True
+        machine.newest_message = (1, 1)
+        machine.record_heartbeat(self.now, SILENCE)
 
     def some_machine(self) -> Machine | None:
         machines = list(self.cluster.machines.values())
@@ -162,13 +162,13 @@
             case 2 | 3:
                 self.add_machine()
             case 4 | 5 | 6 if attempt is not None:
-                run_us = self.now - (attempt.running_us or self.now - S)
+                run_us = self.now - (attempt.running_since_us or self.now - S)
                 cluster.release(attempt, completed=True)
                 self.estimates.observe(attempt.job, dice.choice((run_us, 9 * run_us)))
             case 7 if attempt is not None:
                 cluster.release(attempt)
                 if dice.random() < 0.5:
-                    attempt.job.failed_on |= {attempt.machine}
+                    attempt.job.failed_machines |= {attempt.machine}
                     attempt.job.not_before_us = self.now + 2 * S
             case 8 if attempt is not None:
                 request_stop(cluster, attempt, StopRequest.SOFT, self.now, "test")
@@ -178,10 +178,10 @@
                 self.bring_up(machine)
             case 11 if machine is not None:
                 # Long silent, then heard again: only the hearing tells of it.
-                if self.now - machine.heard_us < SILENCE:
-                    machine.heard_us = self.now - 2 * SILENCE
+                if self.now - machine.last_heartbeat_us < SILENCE:
+                    machine.last_heartbeat_us = self.now - 2 * SILENCE
                 else:
-                    machine.hear(self.now, SILENCE)
+                    machine.record_heartbeat(self.now, SILENCE)
             case 12 if machine is not None and not self.dense:
                 machine.draining = True
             case 13 if job is not None:
@@ -191,7 +191,7 @@
             case 14 if job is not None and not job.active:
                 cluster.jobs.remove(job.id)
             case 15 if job is not None:
-                job.level = dice.randrange(4)
+                job.effective_level = dice.randrange(4)
             case _:
                 self.now += dice.choice((S // 10, S, 7 * S, 40 * S))
 
@@ -207,8 +207,8 @@
             attempt = self.cluster.start(start.job, start.index, start.machine, self.now)
             self.lists.granted(start.job.id, start.machine.name)
             if self.dice.random() < 0.9:
-                attempt.phase, attempt.running_us = AttemptPhase.RUNNING, self.now
-                start.machine.note_image(start.job.spec.image, start.job.spec.image_gb)
+                attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, self.now
+                start.machine.record_image(start.job.spec.image, start.job.spec.image_gb)
         # Counts are asked for after the starts were entered.
         counts = {job.id: count for job, count in plain.listed}
         backlog = self.scene.backlog
@@ -250,7 +250,7 @@
         assert boots == plain
         for job in self.cluster.jobs.values():
             left = [self.estimates.remaining_us(a, self.now) for a in job.active.values()]
-            ends_us = job.ends_us(self.estimates.task_us(job), self.now)
+            ends_us = job.expected_ends_us(self.estimates.task_us(job), self.now)
             assert ends_us == [self.now + left_us for left_us in left]
             told = forecast_us(self.cluster, job, self.estimates, self.now, boots)
             assert told == forecast_us(self.cluster, job, self.estimates, self.now, plain)
@@ -264,7 +264,7 @@
         for _ in range(town.dice.randint(1, 3)):
             town.change()
         town.compare_placement()
-        town.cluster.check()
+        town.cluster.check_invariants()
         town.scene.refresh(town.now)
         assert town.scene.backlog.strays() == []
         town.compare_forecasts()
@@ -274,11 +274,11 @@
     into = Cluster([Team("red", 0, 99), Team("blue", 8, 99)], TOKEN)
     machine = Machine("vm-000001", machine_type(), "a", False, 0)
     into.machines[machine.name] = machine
-    machine.up = machine.synced = True
-    machine.order, machine.heard_us = (1, 1), S
+    machine.enrolled = machine.reconciled = True
+    machine.newest_message, machine.last_heartbeat_us = (1, 1), S
     held = add_job(into, job_spec(1, team="blue", priority="idle", tasks=1, cpus=4.0))
     attempt = into.start(held, 0, machine, S)
-    attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
+    attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
     # The same kind before and behind the one that may stop the idle task. (The first of a
     # kind is listed by itself, those behind it are what a pass left.)
     orders = ((2, "red", 2.0), (3, "red", 2.0), (4, "blue", 1.0), (5, "red", 2.0))
@@ -306,12 +306,12 @@
     into = Cluster([Team("red", 0, 99)], TOKEN)
     machine = Machine("vm-000001", machine_type(), "a", False, 0)
     into.machines[machine.name] = machine
-    machine.up = machine.synced = True
-    machine.order, machine.heard_us = (1, 1), S
+    machine.enrolled = machine.reconciled = True
+    machine.newest_message, machine.last_heartbeat_us = (1, 1), S
     held = add_job(into, job_spec(1, priority="idle", tasks=2, cpus=2.0))
     for index in range(2):
         attempt = into.start(held, index, machine, S)
-        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
+        attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
     # 30 s to spare: it presses, and claims nothing yet. The other has missed its deadline.
     waits, too = (
         add_job(into, job_spec(n, tasks=1, deadline_s=39.0 + n, estimate_s=9.0)) for n in (2, 3)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -95,7 +95,7 @@
     assert plan.starts == [] and bool(plan.unplaced)
     assert counts == {}
     # One job and one machine: their places, and each of the two shapes on that machine.
-    into.jobs["run-000003"].touch()
+    into.jobs["run-000003"].notify_changed()
     attempt = next(iter(into.jobs["run-000001"].active.values()))
     into.release(attempt, completed=True)
     plan = plan_pass(scene, 2 * S, 10 * S)
@@ -137,8 +137,8 @@
     count_calls(monkeypatch, job_forecasts.BootTracker, "_enter", counts)
     assert watch.look(2 * S) == []
     assert counts == {}
-    into.jobs["run-000003"].touch()
-    due.touch()
+    into.jobs["run-000003"].notify_changed()
+    due.notify_changed()
     assert len(watch.look(3 * S)) == 2
     # Only the second has a deadline; the other is forecast when somebody asks, once a second.
     assert counts == {"forecast_us": 1}
@@ -177,7 +177,7 @@
     for at_us in range(S, 200 * S, S):
         for job in watch.look(at_us):
             due = job.first_seen_us + round((job.spec.deadline_s or 0) * S)
-            if job.forecast_us is not None and job.forecast_us > due:
+            if job.expected_finish_us is not None and job.expected_finish_us > due:
                 noticed.setdefault(job.id, at_us)
         for job in jobs:
             # Nothing boots: 30 s until a machine that would be rented now is up, 20 s to run.
@@ -265,12 +265,12 @@
             await asyncio.sleep(0)
             turns, since = turns + 1, 0
         await loading
-        await leader.deciding.fill_scene()
+        await leader.scheduling_loop.fill_scene()
 
     asyncio.run(scenario())
     assert (len(leader.cluster.jobs), len(leader.cluster.machines)) == (20_000, 2_500)
     assert longest <= LOAD_BATCH_SIZE and turns >= 2 * 20_000 // LOAD_BATCH_SIZE
-    assert len(leader.deciding.kept_scene().backlog) == 20_000
+    assert len(leader.scheduling_loop.kept_scene().backlog) == 20_000
     assert spec.id in leader.cluster.jobs
 
 
@@ -289,14 +289,14 @@
                 next(looked)
                 yield value
 
-    leader.watch.heard = Counting(leader.watch.heard)
+    leader.machine_monitor.by_last_heartbeat = Counting(leader.machine_monitor.by_last_heartbeat)
     clock.us += S
-    assert leader.watch.expired_or_silent(clock()) == []
+    assert leader.machine_monitor.expired_or_silent(clock()) == []
     assert next(looked) == 1
     clock.us += leader.term.silence_us
     for worker in workers[7:]:
         report(leader, worker, clock())
-    found = leader.watch.silent(clock(), leader.term.silence_us, 0)
+    found = leader.machine_monitor.silent(clock(), leader.term.silence_us, 0)
     assert {machine.name for machine in found} == {worker.name for worker in workers[:7]}
     assert next(looked) <= 1 + 8 + 1
 
@@ -315,7 +315,7 @@
     for worker in workers:
         for _ in range(2):
             report(leader, worker, clock())
-    assert leader.recovery.known.is_set()
+    assert leader.recovery.all_known.is_set()
     term.ready = True
     leader.term.tunables.direct_runs = False
     silent, heard = workers[:15], workers[15:]
@@ -333,17 +333,17 @@
                     worker.expire()
         for worker in heard:
             report(leader, worker, clock())
-        doomed = leader.watch.expired_or_silent(clock())
+        doomed = leader.machine_monitor.expired_or_silent(clock())
         # Half of the fleet at once looks like the network: nothing is given up on.
         assert doomed == [] or clock() > sent_us + term.lease_us
-        leader.deciding.place()
+        leader.scheduling_loop.place()
         for worker in heard:
             report(leader, worker, clock())
         assert len(running()) == len(set(running()))
     for worker in silent:
         report(leader, worker, clock())
         report(leader, worker, clock())
-    leader.cluster.check()
+    leader.cluster.check_invariants()
     assert len(running()) == len(set(running()))
     kept = {task for worker in silent for task in worker.live()}
     assert len(kept) == (60 if late_us < 0 else 0)
@@ -356,21 +356,21 @@
     for number in range(3):
         put_job(state, job_spec(number, tasks=1))
     leader = new_leader(state, clock())
-    leader.deciding.place()
-    assert [job.id for job, _ in leader.deciding.last_plan.unplaced] == [
+    leader.scheduling_loop.place()
+    assert [job.id for job, _ in leader.scheduling_loop.last_plan.unplaced] == [
         f"run-{n:06}" for n in range(3)
     ]
     job = leader.cluster.jobs["run-000001"]
-    kept = leader.deciding.kept_scene().backlog
+    kept = leader.scheduling_loop.kept_scene().backlog
     kept._remove(job)
-    leader.deciding.place()
-    assert len(leader.deciding.last_plan.unplaced) == 2
-    leader.sizing.audit(clock())
+    leader.scheduling_loop.place()
+    assert len(leader.scheduling_loop.last_plan.unplaced) == 2
+    leader.autoscaler.audit(clock())
     assert "1 jobs were out of order, run-000001 first" in caplog.text
-    leader.deciding.place()
-    assert len(leader.deciding.last_plan.unplaced) == 3
+    leader.scheduling_loop.place()
+    assert len(leader.scheduling_loop.last_plan.unplaced) == 3
     caplog.clear()
-    leader.sizing.audit(clock())
+    leader.autoscaler.audit(clock())
     assert caplog.text == ""
 
 
@@ -400,11 +400,11 @@
     pacer = EventLoopBudget(S // 10, loop, loop.sleep)
     with caplog.at_level(logging.WARNING):
         for took_us in (S // 20, S // 5, S // 5):
-            with pacer.hold("fleet"):
+            with pacer.measure("fleet"):
                 loop.us += took_us
     said = [record.getMessage() for record in caplog.records]
     assert said == ["duty fleet held the loop for 0.200 s (over 0.100 s; 1 times so far)"]
-    assert pacer.held == {"fleet": 2}
+    assert pacer.overruns == {"fleet": 2}
     assert pacer.summary() == "fleet held 2 times"
     for rank, share in LOOP_SHARES.items():
         pause_us = pacer.pause_us("fleet", rank, S // 100)
@@ -417,8 +417,8 @@
     pacer = EventLoopBudget(S // 10, loop, loop.sleep)
     waiting = {}
     for late_us in (0, 30_000, 60_000, 110_000):
-        pacer.late_us = late_us
-        waiting[late_us] = [rank for rank in LoopPriority if pacer.must_wait(rank)]
+        pacer.lag_us = late_us
+        waiting[late_us] = [rank for rank in LoopPriority if pacer.must_defer(rank)]
     assert list(waiting.values()) == [
         [],
         [LoopPriority.FORECASTS],
@@ -428,16 +428,16 @@
 
     async def scenario() -> None:
         began_us = loop()
-        await pacer.rest("fleet", LoopPriority.FLEET, S)
+        await pacer.pause("fleet", LoopPriority.FLEET, S)
         assert MAX_DEFERRAL_US <= loop() - began_us - S <= MAX_DEFERRAL_US + S
-        assert pacer.put_off == {"fleet": 1}
+        assert pacer.deferrals == {"fleet": 1}
         loop.late_us = 5_000
-        watch = asyncio.create_task(pacer.watch())
+        watch = asyncio.create_task(pacer.watch_lag())
         pacer._sleep = _yielding(loop)
         for _ in range(5):
             await asyncio.sleep(0)
         watch.cancel()
-        assert pacer.late_us == 5_000
+        assert pacer.lag_us == 5_000
 
     asyncio.run(scenario())
 
@@ -518,8 +518,8 @@
     clock.us += 3 * S
 
     async def look() -> int:
-        leader.sizing.hire_ahead(clock())
-        duty = asyncio.create_task(leader.ledger.run())
+        leader.autoscaler.hire_ahead(clock())
+        duty = asyncio.create_task(leader.state_writer.run())
         await settle()
         duty.cancel()
         return sum(request.count for request in cloud.rented)
@@ -530,12 +530,12 @@
         for _ in range(2):
             report(leader, worker, clock())
     for worker in workers[8:]:
-        leader.cluster.machines[worker.name].asked_in_vain = True
-    assert not leader.recovery.known.is_set()
+        leader.cluster.machines[worker.name].probes_failed = True
+    assert not leader.recovery.all_known.is_set()
     # What they may hold bounds starts; it must not keep what replaces them from being rented
     # (found on an own day: half as many were asked for).
-    leader.recovery.partial()
-    assert leader.cluster.doubts
+    leader.recovery.partial_view()
+    assert leader.cluster.unverified_usage
     assert asyncio.run(look()) == 12
     # What is on its way counts, and nothing was started or given up on.
     assert asyncio.run(look()) == 12
@@ -543,7 +543,7 @@
     # The room is still there for the plan that is made once all is known.
     leader.term.ready = True
     leader.term.tunables.direct_runs = False
-    leader.deciding.place()
+    leader.scheduling_loop.place()
     assert sum(len(m.attempts) for m in leader.cluster.machines.values()) == 8
 
 
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -271,17 +271,17 @@
         leader = leader_of(self.state, self.clock())
         self.leader = Leader(leader.term, self.documents() if with_documents else None)
         self.run(self.leader.recovery.load())
-        self.duty = self.loop.create_task(self.leader.ledger.run())
+        self.duty = self.loop.create_task(self.leader.state_writer.run())
         self.leader.term.ready = True
         for machine in self.leader.cluster.machines.values():
-            machine.synced = True
-        if self.leader.gates is not None:
-            self.run(self.leader.gates._square())
+            machine.reconciled = True
+        if self.leader.gate_keeper is not None:
+            self.run(self.leader.gate_keeper._square())
         self.look()
 
     def close(self) -> None:
         if hasattr(self, "duty"):
-            self.leader.ledger.close()
+            self.leader.state_writer.close()
             self.duty.cancel()
             self.loop.run_until_complete(asyncio.gather(self.duty, return_exceptions=True))
 
@@ -293,12 +293,12 @@
 
     @property
     def gates(self) -> GateKeeper:
-        assert self.leader.gates is not None
-        return self.leader.gates
+        assert self.leader.gate_keeper is not None
+        return self.leader.gate_keeper
 
     def look(self) -> None:
         """The duty's look, once."""
-        if self.leader.gates is None:
+        if self.leader.gate_keeper is None:
             return
         self.run(self.gates._look(list(self.leader.cluster.jobs.values())))
 
@@ -355,7 +355,7 @@
 def test_a_job_waits_for_approval_and_publication_and_says_so(world: World) -> None:
     assert world.submit(1, "quotes") == 201
     record = msgspec.convert(world.state.keys[job_key(run_id(1))][0], JobRecord)
-    assert record.hold == GateHold("book", 1)
+    assert record.gate_hold == GateHold("book", 1)
     job = world.job(1)
     told = world.leader.status(job.id)
     assert job.waiting == 0 and told is not None and told.state == "pending"
@@ -394,7 +394,7 @@
     assert world.job(1).waiting == 4
     # The moment of the opening is the same for all of them.
     opened = world.kept().editions[0].opened_us
-    assert opened and world.job(1).ready_us == opened
+    assert opened and world.job(1).runnable_since_us == opened
 
 
 def test_an_act_that_ended_without_its_consequence_counts_all_the_same(world: World) -> None:
@@ -436,7 +436,7 @@
     assert world.submit(12, "quotes", documents=before) == 503
     assert world.submit(12, "quotes", documents=old) == 503
     assert world.submit(12, "quotes") == 201
-    assert world.job(12).hold == GateHold("book", 2)
+    assert world.job(12).gate_hold == GateHold("book", 2)
     world.publish(None)
     assert world.submit(13, "other", documents=before) == 503
 
@@ -459,10 +459,10 @@
     world.submit(10, "quotes", cpus=0.5)
     running(world, 10, [AttemptPhase.ASSIGNED, AttemptPhase.PULLING, AttemptPhase.RUNNING])
     unanswered = world.job(10).active[0]
-    unanswered.unconfirmed_us = clock()
+    unanswered.unconfirmed_since_us = clock()
     world.submit(11, "recall")
     job = world.job(10)
-    stops = [job.active[n].stop for n in range(3)]
+    stops = [job.active[n].stop_request for n in range(3)]
     running_stop = StopRequest.SOFT if former == "stop" else StopRequest.NO
     assert stops == [StopRequest.HARD, StopRequest.HARD, running_stop] and job.waiting == 0
     # It is told, and its own job begins, once nothing can begin any more.
@@ -494,7 +494,10 @@
         world.submit(11, "prices")
         job = world.job(10)
         stopped = former == "stop"
-        assert (job.active[0].stop is StopRequest.SOFT, job.waiting == 0) == (stopped, stopped)
+        assert (job.active[0].stop_request is StopRequest.SOFT, job.waiting == 0) == (
+            stopped,
+            stopped,
+        )
         world.close()
 
 
@@ -512,7 +515,7 @@
         task = asyncio.create_task(world.leader.completions._end(job))
         await asyncio.sleep(0.02)
         assert world.job(1).waiting == 0
-        world.leader.ledger.close()
+        world.leader.state_writer.close()
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -591,12 +594,12 @@
 def test_the_acts_inherit_from_what_they_hold_up(world: World) -> None:
     world.submit(1, "quotes", priority="high", deadline_s=600.0)
     world.submit(2, "prices", priority="idle")
-    assert world.job(2).level == 0 or world.job(2).level == 2
+    assert world.job(2).effective_level == 0 or world.job(2).effective_level == 2
     world.clock.us += 2 * S
     world.look()
     rebuild = world.job(2)
-    assert rebuild.level == 2 and rebuild.chain_due_us
-    assert rebuild.chain_due_us[0] < world.job(1).first_seen_us + 600 * S
+    assert rebuild.effective_level == 2 and rebuild.inherited_due_us
+    assert rebuild.inherited_due_us[0] < world.job(1).first_seen_us + 600 * S
 
 
 def test_machines_are_rented_ahead_of_a_release_that_is_near_and_not_for_ever(
@@ -624,7 +627,7 @@
     count = 2_000
     for number in range(1, count + 1):
         spec = job_spec(number, job_class="quotes", priority="high" if number % 2 else "idle")
-        record = admitted_record(spec, START, AdmissionBinding(hold=GateHold("book", 1)))
+        record = admitted_record(spec, START, AdmissionBinding(gate_hold=GateHold("book", 1)))
         world.leader.job_created(record, number)
     world.act(10_001, "rebuild")
     world.act(10_002, "approval")
--- a/tests/test_handing_back.py
+++ b/tests/test_handing_back.py
@@ -134,7 +134,7 @@
             if later_s and self.loop.true_s > min(later_s) + UNAWARE_S:
                 self.overlaps.append(f"{controller.name} goes on with {leader.token}: replaced")
             assert controller.life is not None
-            over_us = leader.term.predecessor_over_us
+            over_us = leader.term.previous_leader_expired_us
             if place and controller.life.context.run(now_us) >= over_us:
                 before, former = leading[place - 1]
                 self.overlaps.append(
--- a/tests/test_held_commands.py
+++ b/tests/test_held_commands.py
@@ -30,7 +30,7 @@
     leader.term.worker_http = cast(HttpClient, wire)
 
     def meet() -> None:
-        answer = leader.report(worker.report(), clock(), relayed=False)
+        answer = leader.handle_heartbeat(worker.report(), clock(), relayed=False)
         assert answer is not None
         worker.answered(answer)
 
@@ -39,10 +39,10 @@
         meet()
         machine = leader.cluster.machines[worker.name]
         attempt = leader.cluster.start(leader.cluster.jobs["run-000001"], 0, machine, clock())
-        leader._dispatcher.post_soon(machine)
+        leader._dispatcher.schedule(machine)
         await settle()
-        assert attempt.posted
-        leader.deciding.stop(attempt, StopRequest.HARD, clock(), "room")
+        assert attempt.sent_directly
+        leader.scheduling_loop.stop(attempt, StopRequest.HARD, clock(), "room")
         wire.requests[0].answer.set_exception(NotConnectedError("refused"))
         await settle()
         for _ in range(2):
@@ -167,9 +167,9 @@
             # In the end the books hold just what runs.
             live = {(name, task, number) for name, task, number in network.live()}
             for machine in network.leader.cluster.machines.values():
-                if not machine.deleting and not machine.deaf:
+                if not machine.deleting and not machine.not_receiving:
                     held = {(machine.name, a.task, a.number) for a in machine.attempts.values()
-                            if not a.unconfirmed_us}  # fmt: skip
+                            if not a.unconfirmed_since_us}  # fmt: skip
                     assert held <= live, "counted for ever"
         finally:
             await network.close()
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -50,11 +50,11 @@
 
     def run(self, job: Job, machine: Machine, for_us: int = 0) -> None:
         attempt = self.cluster.start(job, job.waiting_indexes(1)[0], machine, self.now)
-        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, self.now - for_us
+        attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, self.now - for_us
 
     def decide(self) -> PlacementPlan:
         for machine in self.cluster.machines.values():
-            machine.hear(self.now, SILENCE)
+            machine.record_heartbeat(self.now, SILENCE)
         self.scene.refresh(self.now)
         if self.hold:
             self.scene.holds = self.holding.look(
@@ -66,7 +66,7 @@
         """A second: some tasks end, what is placed begins, and more small work arrives."""
         for machine in self.cluster.machines.values():
             for attempt in list(machine.attempts.values()):
-                if self.now - attempt.running_us >= attempt.job.spec.estimate_us:
+                if self.now - attempt.running_since_us >= attempt.job.spec.estimate_us:
                     self.cluster.release(attempt, completed=True)
                     if attempt.job.complete:
                         self.cluster.jobs.remove(attempt.job.id)
@@ -81,7 +81,7 @@
                 until_us, _ = self.scene.holds.until_us[start.machine.name]
                 assert self.now + 2 * start.job.spec.estimate_us <= until_us
             attempt = self.cluster.start(start.job, start.index, start.machine, self.now)
-            attempt.phase, attempt.running_us = AttemptPhase.RUNNING, self.now
+            attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, self.now
         self.now += S
 
     def check_share(self) -> None:
@@ -89,7 +89,7 @@
         emptied = [
             machine
             for name, job_id in self.scene.holds.machines.items()
-            if not (machine := self.cluster.machines[name]).fits(self.cluster.jobs[job_id])
+            if not (machine := self.cluster.machines[name]).capacity_for(self.cluster.jobs[job_id])
             and sum(a.job.spec.cpus for a in machine.attempts.values() if a.job.spec.cpus > 4)
             < machine.type.cpus / 2
         ]
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -125,11 +125,11 @@
             ledger = StateWriter(state, await transport.lead(name))
             for key in KEYS:
                 if (known := await state.get(key)) is not None:
-                    ledger.learn(key, known.version)
+                    ledger.record_version(key, known.version)
             return ledger, asyncio.create_task(ledger.run())
 
         def look(ledger: StateWriter) -> None:
-            doubts.update(key for key in KEYS if ledger.in_doubt(key))
+            doubts.update(key for key in KEYS if ledger.creation_unconfirmed(key))
             for key, value in told.items():
                 stored = transport.stored(key)
                 came_back = value is None and key in doubts and stored in created[key]
@@ -200,7 +200,7 @@
 
 async def played(leader: Leader, act: Any) -> None:
     """Let a leader do something, with its writes, and end."""
-    duty = asyncio.create_task(leader.ledger.run())
+    duty = asyncio.create_task(leader.state_writer.run())
     await act()
     await settle()
     await leader.close()
@@ -223,17 +223,17 @@
     first = term(state, cloud)
 
     async def rent_and_return() -> None:
-        first.term.duties.start("deletions", first.rentals._delete)
+        first.term.background_tasks.start("deletions", first.rental_manager._delete)
         state.fates = list(fates)
-        first.rentals.hire(RentalOffer(machine_type(), "a", True), 2)
+        first.rental_manager.hire(RentalOffer(machine_type(), "a", True), 2)
         await settle()
-        first.rentals.delete(dict(first.cluster.machines))
+        first.rental_manager.delete(dict(first.cluster.machines))
         await settle()
         assert not first.cluster.machines
         state.release_late()
 
     async def begin() -> None:
-        second.rentals.start()
+        second.rental_manager.start()
         await settle()
 
     run(played(first, rent_and_return))
@@ -242,7 +242,7 @@
     second = term(state, cloud)
     run(played(second, begin))
     assert len(cloud.rented) == asked == 1
-    assert not second.cluster.machines and not second.rentals.coming()
+    assert not second.cluster.machines and not second.rental_manager.coming()
     # What had to be kept of it goes with the term that could not delete it for good.
     assert not [key for key in state.keys if key.startswith(RENTALS)]
 
@@ -253,7 +253,7 @@
     first = term(state, cloud)
 
     async def rent() -> None:
-        first.rentals.hire(RentalOffer(machine_type(), "a", True), 2)
+        first.rental_manager.hire(RentalOffer(machine_type(), "a", True), 2)
         await settle()
 
     run(played(first, rent))
@@ -272,10 +272,10 @@
         state.fates = list(fates)
         for number, machine in enumerate(list(first.cluster.machines.values())):
             machine.address = f"10.0.0.{number}:1"
-            await first.rentals.mark_up(machine)
+            await first.rental_manager.mark_up(machine)
             if moves:
                 state.release_late()
-        assert all(machine.up for machine in first.cluster.machines.values())
+        assert all(machine.enrolled for machine in first.cluster.machines.values())
 
     run(played(first, mark))
     state.release_late()
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -105,9 +105,9 @@
         sent = self.clock(node)
         self.store.until = self.true_us + TIMING.ttl_us
         if answered:
-            authority.renewed(sent)
+            authority.confirm_renewal(sent)
             # It is asked in the same moment whether the key is still its own.
-            authority.kept(sent)
+            authority.confirm_key(sent)
 
     @rule(node=st.sampled_from(NODES), delay=st.sampled_from([0, 20_000, 700_000]))
     def ask_for_promises(self, node: str, delay: int) -> None:
@@ -127,7 +127,7 @@
         for authority, token, peer, sent in self.on_the_way:
             owner = next((n for n in NODES if self.authority[n] is authority), None)
             if owner is not None and authority.token == token:
-                authority.promised(peer, sent, self.clock(owner))
+                authority.record_promise(peer, sent, self.clock(owner))
         self.on_the_way.clear()
 
     @rule(node=st.sampled_from(NODES))
@@ -139,7 +139,7 @@
     def hear_that_nobody_leads(self, node: str) -> None:
         """A node that hears from all others that they are in no term waits for nothing."""
         if not any(self.authority[peer].token for peer in NODES if peer != node):
-            self.candidacy[node].nobody_leads()
+            self.candidacy[node].discard_earlier_promises()
 
     @invariant()
     def one_commander(self) -> None:
@@ -163,13 +163,13 @@
     authority = LeaderLease(TIMING, frozenset({"n-1"}))
     authority.begin(5, 7, S)
     for sent_us in range(2 * S, 9 * S, S // 2):
-        authority.renewed(sent_us)
-    assert authority.until_us() < S + TIMING.ttl_us
-    authority.kept(3 * S)
-    assert S + TIMING.ttl_us < authority.until_us() < 3 * S + TIMING.ttl_us
+        authority.confirm_renewal(sent_us)
+    assert authority.valid_until_us() < S + TIMING.ttl_us
+    authority.confirm_key(3 * S)
+    assert S + TIMING.ttl_us < authority.valid_until_us() < 3 * S + TIMING.ttl_us
     # What was asked earlier and is answered later takes nothing back.
-    authority.kept(2 * S)
-    assert authority.until_us() > 2 * S + TIMING.ttl_us
+    authority.confirm_key(2 * S)
+    assert authority.valid_until_us() > 2 * S + TIMING.ttl_us
 
 
 def test_a_leader_that_hears_of_a_later_token_ends_its_term() -> None:
@@ -177,9 +177,9 @@
     ended: list[str] = []
     node.leader = cast(Any, type("Term", (), {"token": 5}))
     node.step_down = ended.append  # type: ignore[assignment]
-    node.hear_leader("n-1", 4)
+    node.observe_leader("n-1", 4)
     assert not ended
-    node.hear_leader("n-1", 6)
+    node.observe_leader("n-1", 6)
     assert ended == ["n-1 leads with token 6"]
 
 
@@ -187,10 +187,10 @@
     authority = LeaderLease(TIMING, frozenset({"n-1", "n-2"}))
     authority.begin(5, 7, 0)
     late = TIMING.ttl_us - 100_000
-    authority.promised("n-1", late, late)
-    assert authority.until_us() < TIMING.ttl_us
-    authority.promised("n-2", late, late)
-    assert authority.until_us() > TIMING.ttl_us
+    authority.record_promise("n-1", late, late)
+    assert authority.valid_until_us() < TIMING.ttl_us
+    authority.record_promise("n-2", late, late)
+    assert authority.valid_until_us() > TIMING.ttl_us
 
 
 def test_promises_that_come_after_the_lease_count_for_nothing() -> None:
@@ -198,14 +198,14 @@
     authority = LeaderLease(TIMING, frozenset({"n-1", "n-2"}))
     authority.begin(5, 7, 0)
     for peer in ("n-1", "n-2"):
-        authority.promised(peer, TIMING.ttl_us - 100_000, TIMING.ttl_us + 100_000)
+        authority.record_promise(peer, TIMING.ttl_us - 100_000, TIMING.ttl_us + 100_000)
     assert not authority.valid(TIMING.ttl_us + 100_000)
 
 
 def test_a_node_without_peers_has_nobody_to_promise() -> None:
     authority = LeaderLease(TIMING, frozenset())
     authority.begin(5, 7, 0)
-    assert authority.until_us() < TIMING.ttl_us
+    assert authority.valid_until_us() < TIMING.ttl_us
 
 
 def test_a_started_node_keeps_the_promise_of_its_former_life() -> None:
@@ -216,20 +216,20 @@
 
 def test_a_promise_given_in_this_life_binds_also_when_nobody_leads() -> None:
     candidacy = Candidacy(TIMING, 10_000_000)
-    candidacy.nobody_leads()
+    candidacy.discard_earlier_promises()
     assert candidacy.may_lead(10_000_000)
     candidacy.promise(10_000_000)
-    candidacy.nobody_leads()
+    candidacy.discard_earlier_promises()
     assert not candidacy.may_lead(10_000_000 + TIMING.promise_us)
 
 
 def test_nobody_else_led_when_the_first_of_all_promises_was_asked_for() -> None:
     authority = LeaderLease(TIMING, frozenset({"n-1", "n-2"}))
     authority.begin(5, 7, 0)
-    authority.promised("n-1", 700, 900)
-    assert authority.alone_us == 0
-    authority.promised("n-2", 500, 900)
-    assert authority.alone_us == 500
+    authority.record_promise("n-1", 700, 900)
+    assert authority.sole_leader_us == 0
+    authority.record_promise("n-2", 500, 900)
+    assert authority.sole_leader_us == 500
 
 
 def test_a_replaced_leader_counts_as_active_for_its_full_lease() -> None:
@@ -239,7 +239,7 @@
 
 def restarted_node(record: LeaderRecord) -> tuple[LeaderElection, list[tuple[int, int]]]:
     """A node that has just started and finds the record in the leader's key."""
-    node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
+    node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).election
     state = StandInState()
     state.put(LEADER_KEY, record)
     stood: list[tuple[int, int]] = []
@@ -248,7 +248,7 @@
         stood.append((replaced, believes_us))
 
     node._state = cast(StateClient, state)
-    node.stand = stand  # type: ignore[method-assign]
+    node.campaign = stand  # type: ignore[method-assign]
     node.catalog = [machine_type()]
     # Whatever a former life promised is over.
     node.candidacy = Candidacy(node.timing, now_us() - 60 * S)
@@ -285,15 +285,15 @@
     async def read() -> None:
         await node.read_leader()
         asked_us = now_us()
-        assert node.predecessors.over_us > asked_us + 2 * S
+        assert node.previous_leaders.expired_us > asked_us + 2 * S
         # All others saying that they lead nothing, there is nobody to wait for.
         for link in node._links:
-            node.heard_pong(link, Pong(1, True, 3, False), asked_us)
-        assert node.predecessors.over_us == 0
+            node.observe_pong(link, Pong(1, True, 3, False), asked_us)
+        assert node.previous_leaders.expired_us == 0
         # Of a record from before this life, also those count that said so before it was read.
-        node.predecessors.read_token = 0
+        node.previous_leaders.read_token = 0
         await node.read_leader()
-        assert node.predecessors.over_us == 0
+        assert node.previous_leaders.expired_us == 0
 
     asyncio.run(read())
 
@@ -303,18 +303,18 @@
     name = parse_settings(msgspec.json.encode(SETTINGS)).name
     node, stood = restarted_node(LeaderRecord("another", "x", 3 * S))
     state = cast(StandInState, node._state)
-    del node.stand
+    del node.campaign
 
     async def stand() -> None:
         await node.read_leader()
         state.fates = ["late"]
         state.__dict__["grant"] = lambda ttl_us: asyncio.sleep(0, 7)
-        await node.stand(node.known_token, 3 * S)
+        await node.campaign(node.known_token, 3 * S)
         assert node.leader is None
         (_, (put, unsettled)) = state.late.pop()
         assert unsettled.key == UNSETTLED_KEY
         state.put(LEADER_KEY, cast(PutKey, put).value)
-        node.stand = note  # type: ignore[method-assign]
+        node.campaign = note  # type: ignore[method-assign]
         await node.read_leader()
         for _ in range(5):
             await asyncio.sleep(0)
@@ -325,7 +325,7 @@
     asyncio.run(stand())
     assert node.known_leader is not None and node.known_leader.name == name
     assert stood == [(node.known_token, 0)]
-    assert node.predecessors.over_us > now_us() + 2 * S
+    assert node.previous_leaders.expired_us > now_us() + 2 * S
 
 
 def test_a_leader_whose_key_was_replaced_ends_its_term() -> None:
@@ -415,7 +415,7 @@
     async def see() -> None:
         campaign = ControllerProcess(
             parse_settings(msgspec.json.encode(SETTINGS)), Tunables()
-        ).campaign
+        ).election
         kept = await lose(campaign)
         for _ in range(20):
             await asyncio.sleep(0)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -159,7 +159,7 @@
     transact = state.transact
 
     async def watched(*args: Any, **more: Any) -> int:
-        seen.append(ledger.doubted)
+        seen.append(ledger.unanswered_keys)
         return await transact(*args, **more)
 
     state.transact = watched  # type: ignore[method-assign]
@@ -171,15 +171,15 @@
         while not seen:  # noqa: ASYNC110
             await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert ledger.doubted == frozenset()
+        assert ledger.unanswered_keys == frozenset()
         while len(seen) < 3:
             await asyncio.sleep(0)
-            assert len(seen) < 2 or ledger.doubted == {"f/x", "j/x"}
+            assert len(seen) < 2 or ledger.unanswered_keys == {"f/x", "j/x"}
         while not write.done():
-            assert ledger.doubted == {"f/x", "j/x"}
+            assert ledger.unanswered_keys == {"f/x", "j/x"}
             await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert ledger.doubted == frozenset()
+        assert ledger.unanswered_keys == frozenset()
         ledger.close()
         duty.cancel()
         await asyncio.gather(duty, return_exceptions=True)
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -43,7 +43,7 @@
         self.workers = {name: StandInWorker(name, 4.0) for name in NAMES}
         for name in NAMES:
             machine = Machine(name, machine_type(), "a", False, 0)
-            machine.up = True
+            machine.enrolled = True
             self.cluster.machines[name] = machine
         add_job(self.cluster, job_spec(1, tasks=6))
         add_job(self.cluster, job_spec(2, tasks=3, cpus=1.0, checkpoint_s=10.0))
@@ -64,7 +64,7 @@
             attempt = machine.attempts.get(task.task)
             if attempt is not None and attempt.number == task.attempt:
                 assert attempt.phase.value == task.state
-                assert not attempt.posted and not attempt.unconfirmed_us
+                assert not attempt.sent_directly and not attempt.unconfirmed_since_us
         for job in outcome.completed:
             flags, fresh = job.snapshot_chunk(0)
             states = list(map(TaskState, job.states))
@@ -72,7 +72,7 @@
             assert fresh == [n for n, s in enumerate(states) if s is TaskState.COMPLETED]
             job.mark_committed(fresh)
         if not direct:
-            machine.hear(self.now, 10_000_000)
+            machine.record_heartbeat(self.now, 10_000_000)
             machine.lease_from_us = self.now
 
     def _committed(self, task: str) -> bool:
@@ -81,7 +81,7 @@
 
     def _commands(self, machine: Machine, sequence: int | None) -> list[Command]:
         return pending_commands(
-            machine, self._committed, may_start=machine.synced, sequence=sequence
+            machine, self._committed, may_start=machine.reconciled, sequence=sequence
         )
 
     @rule(name=st.sampled_from(NAMES), lose_report=st.booleans(), lose_answer=st.booleans())
@@ -104,9 +104,9 @@
         """Commands and ranks look at fewer attempts than there are: the rest changes nothing."""
         for machine in self.cluster.machines.values():
             phases = {attempt.phase for attempt in machine.attempts.values()}
-            assert machine.listing is None or AttemptPhase.ASSIGNED not in phases
+            assert machine.last_listing is None or AttemptPhase.ASSIGNED not in phases
             ranks = [_rank_of(self.cluster, a) for a in machine.attempts.values()]
-            ranks += [(CommandPriority.RULES, 0)] if machine.ghosts else []
+            ranks += [(CommandPriority.RULES, 0)] if machine.orphans else []
             assert queue_position(self.cluster, machine) == min(
                 ranks, default=(CommandPriority.REST, 1 << 62)
             )
@@ -120,7 +120,7 @@
     @rule()
     def leader_places(self) -> None:
         for machine in self.cluster.machines.values():
-            machine.hear(self.now, 10_000_000)
+            machine.record_heartbeat(self.now, 10_000_000)
         # Kept over all steps: what it is not told of, it would not place.
         plan = plan_pass(self.scene, self.now, 10_000_000)
         plain = plain_starts(
@@ -138,7 +138,7 @@
     @rule(name=st.sampled_from(NAMES), fate=st.sampled_from(["answered", "unanswered", "held"]))
     def leader_commands_directly(self, name: str, fate: str) -> None:
         machine = self.cluster.machines[name]
-        if not machine.synced or any(n == name for n, _, _ in self.held_direct):
+        if not machine.reconciled or any(n == name for n, _, _ in self.held_direct):
             return
         commands = self._commands(machine, None)
         if not commands:
@@ -150,13 +150,13 @@
             _, report = self.workers[name].direct(TOKEN, machine.session, commands)
             if fate == "answered":
                 for attempt in started:
-                    attempt.posted = False
+                    attempt.sent_directly = False
                 self._handle(report, direct=True)
                 return
         for attempt in started:
-            if attempt.posted:
-                attempt.posted = False
-                self.cluster.lose(attempt, self.now)
+            if attempt.sent_directly:
+                attempt.sent_directly = False
+                self.cluster.mark_unconfirmed(attempt, self.now)
 
     @rule()
     def held_direct_arrives(self) -> None:
@@ -204,7 +204,7 @@
 
     @invariant()
     def the_books_are_right(self) -> None:
-        self.cluster.check()
+        self.cluster.check_invariants()
 
     @invariant()
     def whatever_runs_is_counted(self) -> None:
@@ -212,7 +212,7 @@
             machine = self.cluster.machines[name]
             for task in worker.live():
                 known = task in machine.attempts
-                ghost = any(ghost == task for ghost, _ in machine.ghosts)
+                ghost = any(ghost == task for ghost, _ in machine.orphans)
                 assert known or ghost, (name, task)
 
 
--- a/tests/test_lone_leader.py
+++ b/tests/test_lone_leader.py
@@ -88,7 +88,7 @@
     job = site.leader.cluster.jobs[JOB]
     for index in range(job.spec.tasks):
         job.complete_waiting(index)
-    site.leader.term.duties.once("end", site.leader.completions._end(job))
+    site.leader.term.background_tasks.once("end", site.leader.completions._end(job))
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
     site = Site()
 
     async def scenario() -> None:
-        duty = asyncio.create_task(site.leader.ledger.run())
+        duty = asyncio.create_task(site.leader.state_writer.run())
         for job_id in (JOB, FOLLOWER):
             assert await site.answered(site.near, job_id) == (200, "pending")
         site.way.answers = ["cut"]
@@ -129,7 +129,7 @@
     site.state.put(final_key(JOB), FinalRecord("done", 2))
 
     async def scenario() -> None:
-        authority = site.leader.term._authority
+        authority = site.leader.term._lease
         lapsed = pytest.MonkeyPatch()
         lapsed.setattr(authority, "valid", lambda at_us: False)
         assert await site.answered(site.near, JOB) == (200, "done")
@@ -145,12 +145,12 @@
     site = Site()
 
     async def scenario() -> None:
-        duty = asyncio.create_task(site.leader.ledger.run())
+        duty = asyncio.create_task(site.leader.state_writer.run())
         site.way.answers = ["cut"]
         await cancel(site)
         await until(lambda: site.way.cut)
         assert (await site.answered(site.near, JOB))[0] == 503
-        site.leader.ledger.doubted_us -= DOUBT_US
+        site.leader.state_writer.unanswered_since_us -= DOUBT_US
         assert (await site.answered(site.near, JOB))[0] == 200
         await site.leader.close()
         duty.cancel()
@@ -164,7 +164,7 @@
     site = Site()
 
     async def scenario() -> None:
-        duty = asyncio.create_task(site.leader.ledger.run())
+        duty = asyncio.create_task(site.leader.state_writer.run())
         site.way.fates = ["refused"] * 1_000
         await cancel(site)
         await until(lambda: len(site.way.fates) < 1_000)
@@ -195,24 +195,24 @@
     async def scenario() -> None:
         await leader.recovery.finish(lambda: None)
         machine = leader.cluster.machines["vm-000001"]
-        authority = leader.term._authority
+        authority = leader.term._lease
         monkeypatch.setattr(authority, "valid", lambda at_us: False)
-        leader.deciding.place()
+        leader.scheduling_loop.place()
         assert leader.cluster.jobs[JOB].active == {}
-        assert leader.report(worker.report(), now_us(), relayed=False) is None
+        assert leader.handle_heartbeat(worker.report(), now_us(), relayed=False) is None
         assert leader.status(JOB) is None
         # Decided before, and its turn comes only now.
         attempt = leader.cluster.start(leader.cluster.jobs[JOB], 0, machine, now_us())
-        leader._dispatcher.post_soon(machine)
-        await until(lambda: not machine.posting)
-        assert sent == [] and not attempt.posted
+        leader._dispatcher.schedule(machine)
+        await until(lambda: not machine.command_in_flight)
+        assert sent == [] and not attempt.sent_directly
         monkeypatch.setattr(authority, "valid", lambda at_us: True)
-        leader._dispatcher.post_soon(machine)
-        await until(lambda: not machine.posting)
+        leader._dispatcher.schedule(machine)
+        await until(lambda: not machine.command_in_flight)
         assert len(sent) == 1
         # Replaced, it ends and cancels nothing either.
         state.put(LEADER_KEY, {"name": "n-1", "nonce": "y", "ttl_us": 3_000_000})
-        duty = asyncio.create_task(leader.ledger.run())
+        duty = asyncio.create_task(leader.state_writer.run())
         before = state.revision
         assert not await leader.completions.cancel(leader.cluster.jobs[JOB], 100_000)
         assert state.revision == before
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -90,7 +90,7 @@
 
     async def begin(self) -> None:
         self.leader = await self.leads()
-        self.duty = asyncio.create_task(self.leader.ledger.run())
+        self.duty = asyncio.create_task(self.leader.state_writer.run())
         node = StandInNode()
         node.leader = self.leader
         self.near, self.far = desk(self.state, node), desk(self.state)
@@ -122,7 +122,7 @@
 
     def reported(self) -> list[Command]:
         """The machine reports to the first leader: what it is told to do."""
-        answer = self.leader.report(self.worker.report(), self.clock(), relayed=False)
+        answer = self.leader.handle_heartbeat(self.worker.report(), self.clock(), relayed=False)
         assert answer is not None
         self.worker.answered(answer)
         return answer.commands
@@ -188,7 +188,7 @@
         # Nobody denies it, and what runs is stopped: also of who needs it.
         for job_id in (ONE, TWO):
             assert await self.told_by_both(job_id) == ["withdrawn"] * 2
-        assert self.attempt.stop is StopRequest.HARD
+        assert self.attempt.stop_request is StopRequest.HARD
         assert [command.op for command in self.reported()] == ["kill"]
 
     def succeeded(self, successor: Leader) -> None:
@@ -208,7 +208,7 @@
     async def meanwhile(self) -> None:
         assert await self.told_by_both() == ["done"] * 2
         # Who waits for it goes on once it is known, and nothing of it is forgotten before.
-        assert self.job(2).blockers
+        assert self.job(2).unmet_dependencies
         assert not self.leader.completions.is_committed(f"{ONE}/0")
         assert (await self.far.cancel(ONE)).status != 200
 
@@ -217,7 +217,7 @@
 
     async def answered(self) -> None:
         assert ONE not in self.leader.cluster.jobs
-        assert not self.job(2).blockers
+        assert not self.job(2).unmet_dependencies
         assert await self.told(self.near) == "done"
 
 
@@ -249,14 +249,14 @@
         pass
 
     async def write(self) -> None:
-        self.leader.rentals.hire(RentalOffer(machine_type(), "a", True), 2)
+        self.leader.rental_manager.hire(RentalOffer(machine_type(), "a", True), 2)
         await eventually(lambda: self.cloud.rented or self.duty.done())
 
     async def meanwhile(self) -> None:
         assert not self.cloud.rented
 
     def succeeded(self, successor: Leader) -> None:
-        (self.name,) = successor.rentals._open()
+        (self.name,) = successor.rental_manager._open()
         assert self.state.lost.keys() == {RENTALS + self.name}
 
     async def answered(self) -> None:
@@ -271,24 +271,24 @@
 
     async def write(self) -> None:
         await super().write()
-        await eventually(lambda: self.leader.rentals._open() == [] or self.duty.done())
-        await eventually(lambda: not self.leader.ledger.doubted or self.duty.done())
+        await eventually(lambda: self.leader.rental_manager._open() == [] or self.duty.done())
+        await eventually(lambda: not self.leader.state_writer.unanswered_keys or self.duty.done())
 
     async def meanwhile(self) -> None:
         self.worker = StandInWorker(next(iter(self.leader.cluster.machines)), 4.0)
         for _ in range(2):
             assert self.reported() == []
-        assert self.machine.synced and not self.machine.up
+        assert self.machine.reconciled and not self.machine.enrolled
         self.start()
         assert self.reported() == []
 
     def succeeded(self, successor: Leader) -> None:
         assert len(successor.cluster.machines) == 2
-        assert not any(machine.up for machine in successor.cluster.machines.values())
-        assert successor.recovery.known.is_set()
+        assert not any(machine.enrolled for machine in successor.cluster.machines.values())
+        assert successor.recovery.all_known.is_set()
 
     async def answered(self) -> None:
-        await eventually(lambda: self.machine.up)
+        await eventually(lambda: self.machine.enrolled)
         assert self.reported()[0].op == "run"
 
 
@@ -302,16 +302,16 @@
         self.reported()
         self.reported()
         self.start()
-        await eventually(lambda: self.machine.up or self.duty.done())
+        await eventually(lambda: self.machine.enrolled or self.duty.done())
 
     async def meanwhile(self) -> None:
-        assert not self.machine.up
+        assert not self.machine.enrolled
         assert self.reported() == []
 
     def succeeded(self, successor: Leader) -> None:
         # It waits for it, though nothing was started there.
-        assert successor.cluster.machines["vm-000001"].up
-        assert not successor.recovery.known.is_set()
+        assert successor.cluster.machines["vm-000001"].enrolled
+        assert not successor.recovery.all_known.is_set()
 
     async def answered(self) -> None:
         assert [command.op for command in self.reported()] == ["run"]
@@ -321,7 +321,7 @@
     key = RENTALS
 
     async def write(self) -> None:
-        self.leader.rentals._adopt_soon("vm-000007", RentalRecord("m4", "a", True, 1, 0))
+        self.leader.rental_manager._adopt_soon("vm-000007", RentalRecord("m4", "a", True, 1, 0))
         machines = self.leader.cluster.machines
         await eventually(lambda: "vm-000007" in machines or self.duty.done())
 
@@ -336,8 +336,8 @@
     key = RENTALS
 
     async def write(self) -> None:
-        self.leader.rentals._deleted([self.machine])
-        records = self.leader.rentals._records
+        self.leader.rental_manager._deleted([self.machine])
+        records = self.leader.rental_manager._records
         await eventually(lambda: not records or self.duty.done())
 
     async def meanwhile(self) -> None:
@@ -364,7 +364,7 @@
         return [value["machines"] for key, (value, _) in self.state.keys.items() if RENTALS in key]
 
     async def write(self) -> None:
-        await self.leader.rentals._enter("x")
+        await self.leader.rental_manager._enter("x")
 
     async def meanwhile(self) -> None:
         kept = self.kept()
@@ -372,7 +372,7 @@
         assert kept[0].keys() & kept[1].keys()
 
     def succeeded(self, successor: Leader) -> None:
-        assert all(successor.cluster.machines[name].up for name in self.names)
+        assert all(successor.cluster.machines[name].enrolled for name in self.names)
 
     async def answered(self) -> None:
         kept = self.kept()
@@ -384,9 +384,9 @@
 
     async def write(self) -> None:
         attempt = self.start(index=1)
-        self.leader.deciding.lending.took(attempt, self.clock())
+        self.leader.scheduling_loop.lending.took(attempt, self.clock())
         await eventually(lambda: self.state.lost)
-        await eventually(lambda: not self.leader.ledger.doubted or self.duty.done())
+        await eventually(lambda: not self.leader.state_writer.unanswered_keys or self.duty.done())
 
     async def meanwhile(self) -> None:
         pass
@@ -403,11 +403,11 @@
     async def begin(self) -> None:
         await super().begin()
         version = self.state.put(UNSETTLED_KEY, UnsettledRecord(5))
-        self.leader.ledger.learn(UNSETTLED_KEY, version)
+        self.leader.state_writer.record_version(UNSETTLED_KEY, version)
 
     async def write(self) -> None:
         self.leader.term.ready = True
-        await self.leader.recovery.settle()
+        await self.leader.recovery.clear_unsettled()
 
     async def meanwhile(self) -> None:
         assert await missed_from_us(cast(StateClient, self.state)) is None
@@ -454,20 +454,20 @@
 
     async def meanwhile(self) -> None:
         record = await self.accepted(9, "quotes")
-        assert record.hold == GateHold("book", 1)
-        assert self.job(9).held is not None
+        assert record.gate_hold == GateHold("book", 1)
+        assert self.job(9).blocking_gate is not None
         # Who performs an act waits until it is entered.
-        assert (await self.accepted(8, CLASSES["rebuild"])).deed is not None
-        assert self.job(8).held is not None
+        assert (await self.accepted(8, CLASSES["rebuild"])).gate_action is not None
+        assert self.job(8).blocking_gate is not None
 
     def succeeded(self, successor: Leader) -> None:
-        assert successor.cluster.jobs["run-000009"].held is not None
+        assert successor.cluster.jobs["run-000009"].blocking_gate is not None
 
     async def answered(self) -> None:
-        assert self.leader.gates is not None
-        await self.leader.gates._look(list(self.leader.cluster.jobs.values()))
-        assert self.job(9).held is not None
-        state = self.leader.gates.books["book"].state
+        assert self.leader.gate_keeper is not None
+        await self.leader.gate_keeper._look(list(self.leader.cluster.jobs.values()))
+        assert self.job(9).blocking_gate is not None
+        state = self.leader.gate_keeper.books["book"].state
         assert state is not None and state.pending[0].job == "run-000008"
 
 
@@ -477,10 +477,10 @@
     key = "d/doc/"
 
     async def meanwhile(self) -> None:
-        assert (await self.accepted(9, "quotes")).hold is None
+        assert (await self.accepted(9, "quotes")).gate_hold is None
 
     def succeeded(self, successor: Leader) -> None:
-        assert successor.cluster.jobs["run-000009"].held is None
+        assert successor.cluster.jobs["run-000009"].blocking_gate is None
 
     async def answered(self) -> None:
         assert self.leader.publisher is not None and self.leader.publisher.cache.head is not None
@@ -512,26 +512,26 @@
     async def begin(self) -> None:
         await super().begin()
         self.leader.term.ready = True
-        assert self.leader.gates is not None
-        self.gates = self.leader.gates
+        assert self.leader.gate_keeper is not None
+        self.gates = self.leader.gate_keeper
         await self.gates._look([])
-        assert (await self.accepted(7, "quotes")).hold == GateHold("book", 1)
-        assert self.job(7).held is None
+        assert (await self.accepted(7, "quotes")).gate_hold == GateHold("book", 1)
+        assert self.job(7).blocking_gate is None
 
     async def write(self) -> None:
         await self.accepted(8, CLASSES["rebuild"])
         await self.gates._look([])
 
     async def meanwhile(self) -> None:
-        assert (await self.accepted(9, "quotes")).hold == GateHold("book", 2)
-        assert self.job(9).held is not None
+        assert (await self.accepted(9, "quotes")).gate_hold == GateHold("book", 2)
+        assert self.job(9).blocking_gate is not None
         # What it closes is held, and does not begin, before the act does.
-        assert self.job(8).held is not None
+        assert self.job(8).blocking_gate is not None
 
     def succeeded(self, successor: Leader) -> None:
-        assert successor.gates is not None
-        assert successor.gates.books["book"].state == self.kept()
-        assert successor.cluster.jobs["run-000009"].held is not None
+        assert successor.gate_keeper is not None
+        assert successor.gate_keeper.books["book"].state == self.kept()
+        assert successor.cluster.jobs["run-000009"].blocking_gate is not None
 
     def kept(self) -> GateState:
         return msgspec.convert(self.state.keys[KEY][0], GateState)
@@ -539,8 +539,8 @@
     async def answered(self) -> None:
         assert self.gates.books["book"].state == self.kept()
         await self.gates._look([])
-        assert self.job(8).held is None
-        assert self.job(9).held is not None
+        assert self.job(8).blocking_gate is None
+        assert self.job(9).blocking_gate is not None
 
 
 class ActsEnd(Act):
@@ -554,8 +554,8 @@
     async def begin(self) -> None:
         await Story.begin(self)
         self.leader.term.ready = True
-        assert self.leader.gates is not None
-        self.gates = self.leader.gates
+        assert self.leader.gate_keeper is not None
+        self.gates = self.leader.gate_keeper
         await self.accepted(7, "quotes")
         await self.accepted(8, CLASSES["publication"])
         await self.gates._look([])
@@ -568,14 +568,14 @@
         assert KEY in self.state.lost and self.kept().editions[0].open
         assert await self.told_by_both("run-000008") == ["done"] * 2
         await self.gates._look([])
-        assert self.job(7).held is not None
+        assert self.job(7).blocking_gate is not None
 
     def succeeded(self, successor: Leader) -> None:
-        assert successor.cluster.jobs["run-000007"].held is None
+        assert successor.cluster.jobs["run-000007"].blocking_gate is None
 
     async def answered(self) -> None:
         await self.gates._look([])
-        assert self.job(7).held is None
+        assert self.job(7).blocking_gate is None
 
 
 class Instants(Edition):
@@ -595,19 +595,19 @@
         return documents_of(self.state)
 
     async def write(self) -> None:
-        assert self.leader.calendars is not None
-        await self.leader.calendars._renew()
+        assert self.leader.calendar_keeper is not None
+        await self.leader.calendar_keeper._renew()
 
     async def meanwhile(self) -> None:
-        self.bound = (await self.accepted(9, "balance")).bound
+        self.bound = (await self.accepted(9, "balance")).deadline
         assert self.bound is not None and self.bound.due_us == us("2026-03-02 05:30")
-        assert self.job(9).bound == self.bound
+        assert self.job(9).calendar_deadline == self.bound
 
     def succeeded(self, successor: Leader) -> None:
-        assert successor.cluster.jobs["run-000009"].bound == self.bound
+        assert successor.cluster.jobs["run-000009"].calendar_deadline == self.bound
 
     async def answered(self) -> None:
-        assert self.job(9).bound == self.bound
+        assert self.job(9).calendar_deadline == self.bound
 
 
 STORIES = [
@@ -694,7 +694,7 @@
 def believed(controller: Controller) -> tuple[str, int]:
     """Who leads, as a controller knows."""
     assert controller.node is not None
-    campaign = controller.node.campaign
+    campaign = controller.node.election
     known = campaign.known_leader
     return (known.name if known is not None else ""), campaign.known_token
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -125,8 +125,8 @@
     """Look every 0.2 s; whether it was alone each time."""
     seen = []
     for at_us in range(from_us, to_us, 200_000):
-        detector.look(contact, at_us)
-        seen.append(detector.alone)
+        detector.update(contact, at_us)
+        seen.append(detector.isolated)
     return seen
 
 
@@ -137,7 +137,7 @@
     # The others have ended; the service serves. It is asked only as long as they are silent.
     served = LastContact(NOW + 9 * S, NOW + 9 * S, NOW + S)
     assert not any(looks(detector, served, NOW + 9 * S, NOW + 12 * S))
-    assert detector.ask
+    assert detector.probe_wanted
     # Both: known within two seconds, and over at the first answer of either.
     failed = replace(served, failed_us=NOW + 12 * S)
     assert looks(detector, failed, NOW + 12 * S, NOW + 13 * S)[0]
@@ -160,8 +160,8 @@
     view = MembershipView()
     dead = PeerVerdict(PeerState.DEAD, "refused")
     assert view.state("x") is PeerState.ALIVE
-    assert view.enter("x", dead) and not view.enter("x", dead)
-    assert view.enter("x", PeerVerdict(PeerState.ALIVE, "")) and view.state("x") is PeerState.ALIVE
+    assert view.update("x", dead) and not view.update("x", dead)
+    assert view.update("x", PeerVerdict(PeerState.ALIVE, "")) and view.state("x") is PeerState.ALIVE
 
 
 def test_the_decisions_import_nothing_that_waits_or_sends() -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -63,11 +63,11 @@
 
 def test_what_the_leader_says_of_its_memory_counts_for_a_while() -> None:
     gate = MemoryGate(LIMIT)
-    gate.hear_leader(S, full=True)
+    gate.observe_leader(S, full=True)
     assert not gate.admits(S) and not gate.admits(S + LEADER_WORD_US - 1)
     assert gate.admits(S + LEADER_WORD_US)
-    gate.hear_leader(5 * S, full=True)
-    gate.hear_leader(5 * S, full=False)
+    gate.observe_leader(5 * S, full=True)
+    gate.observe_leader(5 * S, full=False)
     assert gate.admits(5 * S)
 
 
--- a/tests/test_old_reports.py
+++ b/tests/test_old_reports.py
@@ -20,7 +20,7 @@
 
 def deliver(leader: Leader, report: Heartbeat, at_us: int) -> HeartbeatAnswer:
     async def scenario() -> HeartbeatAnswer | None:
-        return leader.report(report, at_us, relayed=False)
+        return leader.handle_heartbeat(report, at_us, relayed=False)
 
     answer = asyncio.run(scenario())
     assert answer is not None
@@ -64,13 +64,13 @@
     for _ in range(3):
         clock.us += S
         meet(leader, stopped, clock())
-    assert leader.recovery.known.is_set()
+    assert leader.recovery.all_known.is_set()
     # Free to be started elsewhere, it would run twice.
     job = leader.cluster.jobs["run-000001"]
     assert {index: attempt.number for index, attempt in job.active.items()} == {0: 9}
     meet(leader, runner, clock())
     assert runner.live() == {task}
-    leader.cluster.check()
+    leader.cluster.check_invariants()
 
 
 def test_a_copy_that_comes_first_takes_no_room_from_what_runs(clock: Clock) -> None:
--- a/tests/test_peer_directory.py
+++ b/tests/test_peer_directory.py
@@ -65,7 +65,7 @@
                 self.state.failed_us = self.at_us
             for link in self.links.values():
                 link.heard_us = self.at_us if heard else link.heard_us
-            self.here._look()
+            self.here._update_isolation()
         return self.here.ready().status
 
 
@@ -77,12 +77,12 @@
     assert site.pass_time(3, heard=True, served=True) == 200
     assert site.pass_time(60, heard=True, served=False) == 200
     assert site.pass_time(2, heard=False, served=False) == 503
-    assert site.here.alone
+    assert site.here.isolated
     assert site.pass_time(1, heard=False, served=True) == 200
     # Refused by the service, beside one that is served.
     site.links["n-2"].state_ok = True
     assert site.pass_time(1, heard=True, served=False) == 503
-    assert not site.here.alone
+    assert not site.here.isolated
 
 
 def test_served_followers_look_for_themselves_and_are_asked_in_turn(
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -75,7 +75,7 @@
     async def story(site: Site) -> None:
         first, second, third = await replaced(site)
         assert second.life is not None and second.node is not None
-        second.life.context.run(second.node.campaign.step_down, "its lease ran out")
+        second.life.context.run(second.node.election.step_down, "its lease ran out")
         heal(site, first, second, third)
         await asyncio.sleep(20.0)
 
@@ -85,20 +85,20 @@
 def test_a_token_that_a_worker_has_seen_reaches_the_leader_that_was_replaced() -> None:
     """Over whichever controller it reports to: that one promises nothing, and says the token."""
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
-    node.campaign._state = cast(Any, SlowStore([CallError("no answer")]))
+    node.election._state = cast(Any, SlowStore([CallError("no answer")]))
     report = Heartbeat("vm-000001", "", "m4", "a", False, 1, 1, token=9, tasks=[])
 
     async def scenario() -> PromiseAnswer:
         await node._handle("POST", "/v1/report", msgspec.json.encode(report))
-        return await node.campaign.answer_hold("n-1", PromiseRequest(1, 5, 1_500_000))
+        return await node.election.answer_promise_request("n-1", PromiseRequest(1, 5, 1_500_000))
 
     said = asyncio.run(scenario())
     assert (said.promised, said.known_token) == (False, 9)
     # At the leader, by an answer to its ping as well.
     ended: list[str] = []
-    node.campaign.leader = cast(Any, SimpleNamespace(token=5))
-    node.campaign.step_down = ended.append  # type: ignore[assignment]
-    node.campaign.heard_pong("n-1", Pong(1, True, known_token=9), 0)
+    node.election.leader = cast(Any, SimpleNamespace(token=5))
+    node.election.step_down = ended.append  # type: ignore[assignment]
+    node.election.observe_pong("n-1", Pong(1, True, known_token=9), 0)
     assert ended == ["n-1 knows of token 9"]
 
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -70,31 +70,36 @@
     last: SentAnswer, report: Heartbeat, after_s: float, relayed: bool, sign: DeliverySignal
 ) -> None:
     at_us = START + round(after_s * S)
-    assert delivery_signal(last, report, last.order[1], at_us, LEASE, relayed=relayed) is sign
+    assert delivery_signal(last, report, last.heartbeat[1], at_us, LEASE, relayed=relayed) is sign
 
 
 def test_one_lost_answer_or_a_closed_port_make_no_suspect() -> None:
     evidence = DeliveryEvidence(LEASE, answer_of(3), START)
-    assert not evidence.note(DeliverySignal.UNSHOWN, START)
+    assert not evidence.add(DeliverySignal.UNSHOWN, START)
     # Much later once more: answers are lost now and then.
-    assert not evidence.note(DeliverySignal.UNSHOWN, START + 30 * S)
-    evidence.note(DeliverySignal.HEARD, START + 31 * S)
+    assert not evidence.add(DeliverySignal.UNSHOWN, START + 30 * S)
+    evidence.add(DeliverySignal.HEARD, START + 31 * S)
     for number in range(5):
         # Its reports come and are answered; only its port is closed to this controller.
-        evidence.listen(say(1, 4 + number, 9), 3 + number, START + (31 + number) * S, relayed=False)
-        assert not evidence.note(DeliverySignal.UNANSWERED, START + (31 + number) * S)
-    assert evidence.note(DeliverySignal.MOVED, START + 40 * S) and evidence.deaf_us
+        evidence.observe_heartbeat(
+            say(1, 4 + number, 9), 3 + number, START + (31 + number) * S, relayed=False
+        )
+        assert not evidence.add(DeliverySignal.UNANSWERED, START + (31 + number) * S)
+    assert evidence.add(DeliverySignal.MOVED, START + 40 * S) and evidence.unreachable_since_us
     # Its session has outlived a lease since: some answer must have arrived.
     late = replace(answer_of(9), at_us=START + 50 * S)
-    evidence.last = late
-    assert evidence.listen(say(1, 10, 9), 9, START + 55 * S, relayed=False) is DeliverySignal.HEARD
+    evidence.last_answer = late
+    assert (
+        evidence.observe_heartbeat(say(1, 10, 9), 9, START + 55 * S, relayed=False)
+        is DeliverySignal.HEARD
+    )
 
 
 def test_many_that_hear_nothing_are_the_network_and_few_are_replaced_at_their_price() -> None:
     into = new_leader_with(StandInState(), 12)
     machines = list(into.cluster.machines.values())
     for machine in machines:
-        machine.order = (1, 1)
+        machine.newest_message = (1, 1)
     few = {m.name: START for m in machines[:4]}
     half = {m.name: START for m in machines[:6]}
     boot_us = round(machines[0].type.boot_s * S)
@@ -122,13 +127,13 @@
     leader: Leader, report: Heartbeat, at_us: int, *, relayed: bool = False
 ) -> HeartbeatAnswer | None:
     async def scenario() -> HeartbeatAnswer | None:
-        return leader.report(report, at_us, relayed=relayed)
+        return leader.handle_heartbeat(report, at_us, relayed=relayed)
 
     return asyncio.run(scenario())
 
 
 def hears_nothing(leader: Leader) -> list[str]:
-    return [machine.name for machine in leader.cluster.machines.values() if machine.deaf]
+    return [machine.name for machine in leader.cluster.machines.values() if machine.not_receiving]
 
 
 def test_what_a_deaf_machine_has_not_begun_goes_elsewhere(clock: Clock) -> None:
@@ -168,9 +173,9 @@
     put_job(state, job_spec(1))
     workers = [put_machine(state, f"vm-{n:06}") for n in range(2)]
     leader = new_leader(state, clock(), predecessor_over_us=clock())
-    leader.term.ledger.proven_us = 1 << 60
+    leader.term.state_writer.leadership_verified_us = 1 << 60
     begun_us, answers = clock(), 0
-    while not leader.recovery.known.is_set():
+    while not leader.recovery.all_known.is_set():
         clock.us += 5 * S
         assert clock() < begun_us + 60 * S
         for worker in workers:
@@ -179,8 +184,10 @@
                 # It may have arrived all the same.
                 lease_us = leader.term.lease_us
                 machine = leader.cluster.machines[worker.name]
-                assert machine.lease_over_us(lease_us, 0) >= clock() + lease_us
-        doomed = leader.watch.expired_or_silent(clock(), leader.term.proven_us)
+                assert machine.lease_expired_us(lease_us, 0) >= clock() + lease_us
+        doomed = leader.machine_monitor.expired_or_silent(
+            clock(), leader.term.leadership_verified_us
+        )
         # Both of two: that is the network, and none is returned.
         assert doomed == []
     assert answers == 2 * MOST_UNSHOWN
@@ -203,20 +210,22 @@
     """A copy of a report of one that an earlier term returned was entered as if it booted."""
     leader = new_leader(StandInState(), clock())
     entered: list[str] = []
-    monkeypatch.setattr(leader.rentals, "unexpected", lambda report: entered.append(report.machine))
+    monkeypatch.setattr(
+        leader.rental_manager, "unexpected", lambda report: entered.append(report.machine)
+    )
     there: dict[str, Heartbeat] = {}
 
     async def question(name: str, address: str, session: int) -> Heartbeat | None:
         return there.get(name)
 
-    monkeypatch.setattr(leader._dispatcher, "question", question)
+    monkeypatch.setattr(leader._dispatcher, "probe", question)
 
     async def scenario() -> None:
         for name in ("vm-000007", "vm-000008"):
             report = StandInWorker(name, 4.0).report()
             if name == "vm-000008":
                 there[name] = report
-            assert leader.report(report, clock(), relayed=False) is not None
+            assert leader.handle_heartbeat(report, clock(), relayed=False) is not None
         for _ in range(5):
             await asyncio.sleep(0)
 
@@ -231,10 +240,14 @@
     leader = new_leader(state, clock())
     deliver(leader, worker.report(), clock())
     machine = leader.cluster.machines[worker.name]
-    assert (machine.heard_us, machine.synced, machine.up_pending) == (0, False, False)
-    assert leader.watch.never_shown(clock()) == []
+    assert (machine.last_heartbeat_us, machine.reconciled, machine.enrollment_pending) == (
+        0,
+        False,
+        False,
+    )
+    assert leader.machine_monitor.never_confirmed(clock()) == []
     clock.us += 2 * leader.term.lease_us + S
-    assert leader.watch.never_shown(clock()) == [machine]
+    assert leader.machine_monitor.never_confirmed(clock()) == [machine]
 
 
 # -- copies --------------------------------------------------------------------------------
@@ -261,7 +274,15 @@
 
 def picture(leader: Leader) -> dict[str, Any]:
     return {
-        m.name: (m.heard_us, m.synced, m.up, m.up_pending, m.relayed, m.draining, m.deaf)
+        m.name: (
+            m.last_heartbeat_us,
+            m.reconciled,
+            m.enrolled,
+            m.enrollment_pending,
+            m.relayed,
+            m.draining,
+            m.not_receiving,
+        )
         for m in leader.cluster.machines.values()
     }
 
@@ -304,16 +325,16 @@
                     _, shown = one.worker.direct(leader.token, machine.session or 1, [])
                     one.said.append(shown)
                     leader._answered(machine, shown)
-                case "start" if leader.recovery.known.is_set() and machine is not None:
+                case "start" if leader.recovery.all_known.is_set() and machine is not None:
                     job = leader.cluster.jobs["run-000001"]
                     indexes = job.waiting_indexes(1)
                     if usable(machine, clock(), leader.term.silence_us) and indexes:
-                        if machine.fits(job):
+                        if machine.capacity_for(job):
                             leader.cluster.start(job, indexes[0], machine, clock())
                 case "term":
                     over_us = clock()
                     leader = new_leader(state, clock(), predecessor_over_us=over_us)
-                    leader.term.ledger.proven_us = 1 << 60
+                    leader.term.state_writer.leadership_verified_us = 1 << 60
                 case "rest":
                     clock.us += 3 * S
                 case "die":
@@ -322,9 +343,9 @@
                     copy = one.said[number % len(one.said)]
                     before = picture(leader)
                     leases = {m.name: m.lease_from_us for m in leader.cluster.machines.values()}
-                    newest = machine.order if machine is not None else (0, 0)
-                    unshown = machine.unshown if machine is not None else 0
-                    seen_us = machine.seen_us if machine is not None else 0
+                    newest = machine.newest_message if machine is not None else (0, 0)
+                    unshown = machine.stale_token_answers if machine is not None else 0
+                    seen_us = machine.last_message_us if machine is not None else 0
                     deliver(leader, copy, clock(), relayed=number % 2 == 0)
                     now = picture(leader)
                     if (copy.session, copy.sequence) <= newest:
@@ -338,7 +359,7 @@
                             assert lease_from_us <= seen_us < clock()
                         elif lease_from_us != leases[name]:
                             assert unshown < MOST_UNSHOWN + RELAYED_MORE
-            leader.watch.expired_or_silent(clock(), leader.term.proven_us)
+            leader.machine_monitor.expired_or_silent(clock(), leader.term.leadership_verified_us)
             leader._check_known()
             starts = [start for one in real for start in one.worker.starts]
             assert len(starts) == len(set(starts))
@@ -351,12 +372,14 @@
                 # The books never have a lease end before it does.
                 end_us = surely_valid_us(one.from_us, leader.term.lease_us)
                 if one.worker.session > known.expired_session:
-                    assert known.lease_over_us(leader.term.lease_us, over_us) >= end_us
+                    assert known.lease_expired_us(leader.term.lease_us, over_us) >= end_us
                 else:
                     raise AssertionError("a session that runs was given up")
-            leader.cluster.check()
+            leader.cluster.check_invariants()
             assert all(
-                a.phase is not AttemptPhase.ASSIGNED or not m.deaf or a.sent_sequence is not None
+                a.phase is not AttemptPhase.ASSIGNED
+                or not m.not_receiving
+                or a.sent_sequence is not None
                 for m in leader.cluster.machines.values()
                 for a in m.attempts.values()
             )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -143,7 +143,7 @@
     """Let a worker report and execute the answer; false if it was not answered."""
 
     async def deliver() -> bool:
-        answer = leader.report(worker.report(), at_us, relayed=False)
+        answer = leader.handle_heartbeat(worker.report(), at_us, relayed=False)
         if answer is None:
             return False
         worker.answered(answer)
@@ -153,7 +153,7 @@
 
 
 def synced(leader: Leader) -> list[str]:
-    return [machine.name for machine in leader.cluster.machines.values() if machine.synced]
+    return [machine.name for machine in leader.cluster.machines.values() if machine.reconciled]
 
 
 def test_jobs_progress_and_cancellations_are_read(clock: Clock) -> None:
@@ -166,7 +166,7 @@
     assert (job.done, job.committed, job.waiting_indexes(9)) == (2, 2, [1, 3])
     assert job.first_seen_us == START - 10 * S
     assert leader.cluster.jobs["run-000002"].waiting == 0
-    assert leader.recovery.known.is_set()
+    assert leader.recovery.all_known.is_set()
 
 
 def test_nothing_is_known_until_every_machine_has_shown_the_new_token(clock: Clock) -> None:
@@ -176,16 +176,16 @@
     put_machine(state, "vm-000009", up=False)
     workers[0].tasks["run-000001/2"] = StandInTask(77, "running")
     leader = new_leader(state, clock())
-    assert not leader.recovery.known.is_set()
+    assert not leader.recovery.all_known.is_set()
     # The first report still has the old token: an earlier leader could still command it.
     assert report(leader, workers[0], clock())
     assert synced(leader) == []
     assert report(leader, workers[0], clock())
     assert synced(leader) == ["vm-000000"]
-    assert not leader.recovery.known.is_set()
+    assert not leader.recovery.all_known.is_set()
     report(leader, workers[1], clock())
     report(leader, workers[1], clock())
-    assert leader.recovery.known.is_set()
+    assert leader.recovery.all_known.is_set()
     attempt = leader.cluster.jobs["run-000001"].active[2]
     assert (attempt.number, attempt.phase) == (77, AttemptPhase.RUNNING)
 
@@ -199,12 +199,12 @@
     leader = new_leader(state, clock(), predecessor_over_us=clock())
     machine = leader.cluster.machines["vm-000001"]
     _, shown = worker.direct(leader.token, 1, [])
-    leader._apply(machine, shown, direct=True)
-    assert machine.synced
+    leader._apply_message(machine, shown, direct=True)
+    assert machine.reconciled
     lease_us = leader.term.lease_us
-    assert machine.lease_over_us(lease_us, 0) > clock() + lease_us
+    assert machine.lease_expired_us(lease_us, 0) > clock() + lease_us
     clock.us += lease_us + S
-    assert machine.lease_over_us(lease_us, 0) < clock()
+    assert machine.lease_expired_us(lease_us, 0) < clock()
 
 
 def test_a_silent_machines_lease_counts_from_the_earlier_leaders_end(clock: Clock) -> None:
@@ -212,7 +212,7 @@
     put_machine(state, "vm-000001")
     leader = new_leader(state, clock())
     machine = leader.cluster.machines["vm-000001"]
-    over_us = machine.lease_over_us(leader.term.lease_us, clock() + 3 * S)
+    over_us = machine.lease_expired_us(leader.term.lease_us, clock() + 3 * S)
     assert over_us > clock() + 3 * S + leader.term.lease_us
 
 
@@ -221,7 +221,7 @@
     worker = put_machine(state, "vm-000001")
     leader = new_leader(state, clock())
     report(leader, worker, clock())
-    leader.watch.expire(leader.cluster.machines["vm-000001"])
+    leader.machine_monitor.expire(leader.cluster.machines["vm-000001"])
     assert not report(leader, worker, clock())
     worker.expire()
     assert report(leader, worker, clock())
@@ -251,19 +251,19 @@
     before = state.revision
 
     async def take() -> None:
-        ledger = asyncio.create_task(leader.ledger.run())
+        ledger = asyncio.create_task(leader.state_writer.run())
         for index in (3, 0, 5):
             clock.us += S
             attempt = leader.cluster.start(job, index, machine, clock())
-            leader.deciding.lending.took(attempt, clock())
+            leader.scheduling_loop.lending.took(attempt, clock())
         for _ in range(50):
             await asyncio.sleep(0)
-        leader.ledger.close()
+        leader.state_writer.close()
         await ledger
 
     asyncio.run(take())
     # Three tasks of one job, taken in one pass: one change.
-    assert state.revision == before + 1 and leader.deciding.lending.writes == 1
+    assert state.revision == before + 1 and leader.scheduling_loop.lending.writes == 1
     # The third saves while the leader changes, the first is listed as halted.
     worker = StandInWorker("vm-000001", 4.0)
     worker.tasks["run-000001/5"] = StandInTask(9, "saving")
@@ -274,7 +274,10 @@
     job = second.cluster.jobs["run-000001"]
     assert job.waiting_indexes(9) == [3, 0, 4, 1, 2]
     assert job.last_machine == dict.fromkeys((0, 3, 4, 5), "vm-000001")
-    assert second.deciding.reclaims.taken.hold_us(job.id, 3, clock()) == MIN_UNDISTURBED_US
+    assert (
+        second.scheduling_loop.reclaims.preemption_history.undisturbed_us(job.id, 3, clock())
+        == MIN_UNDISTURBED_US
+    )
     assert list(second.cluster.stopping) == [("run-000001/5", 9)]
 
 
@@ -293,8 +296,8 @@
     given_out: set[tuple[str, int, int]] = set()
     for job_id, index, over in steps:
         if over:
-            into.forget_starts(job_id)
-            assert job_id not in into._starts
+            into.forget_attempt_numbers(job_id)
+            assert job_id not in into._attempt_counts
         else:
             number = into.next_attempt(job_id, index)
             assert (job_id, index, number) not in given_out and number >> 20 == 41
@@ -332,14 +335,14 @@
                 case "direct":
                     accepted, shown = worker.direct(leader.token, worker.session, [])
                     assert accepted
-                    leader._apply(machine, shown, direct=True)
+                    leader._apply_message(machine, shown, direct=True)
                 case "expire":
                     worker.expire()
-            if leader.recovery.known.is_set():
+            if leader.recovery.all_known.is_set():
                 for other in workers:
                     known = leader.cluster.machines[other.name].attempts
                     assert other.live() <= set(known)
-        leader.cluster.check()
+        leader.cluster.check_invariants()
 
 
 def test_a_cancellation_that_the_store_cannot_take_is_answered_at_once(
@@ -358,7 +361,7 @@
         async def write(changes: dict[str, Any], *, urgent: bool = False) -> int:
             return await store_is_back
 
-        monkeypatch.setattr(leader.ledger, "write", write)
+        monkeypatch.setattr(leader.state_writer, "write", write)
         for _ in range(2):
             with pytest.raises(NotReadyError):
                 await leader.cancel(job.id)
@@ -381,18 +384,18 @@
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     leader = new_leader(state, clock())
     deposed: list[str] = []
-    leader.term.on_deposed = deposed.append
+    leader.term.on_leadership_lost = deposed.append
     for _ in range(2):
         report(leader, worker, clock())
-    watch, term, machine = leader.watch, leader.term, leader.cluster.machines["vm-000001"]
+    watch, term, machine = leader.machine_monitor, leader.term, leader.cluster.machines["vm-000001"]
     clock.us += term.lease_us + S
-    assert watch.over_unproven(clock())
-    watch.expired_or_silent(clock(), term.proven_us)
+    assert watch.has_unverified_expiry(clock())
+    watch.expired_or_silent(clock(), term.leadership_verified_us)
     assert machine.attempts
     if replaced:
         state.put(LEADER_KEY, {"name": "n-1", "nonce": "y", "ttl_us": 3 * S})
-    asyncio.run(watch._prove())
-    watch.expired_or_silent(clock(), term.proven_us)
+    asyncio.run(watch._verify_leadership())
+    watch.expired_or_silent(clock(), term.leadership_verified_us)
     assert bool(deposed) == bool(machine.attempts) == replaced
 
 
@@ -400,11 +403,11 @@
     """It led on, renewed its lease and wrote nothing: found by reading."""
     leader = new_leader(StandInState(), clock())
     reasons: list[str] = []
-    monkeypatch.setattr(leader.term, "on_deposed", reasons.append)
+    monkeypatch.setattr(leader.term, "on_leadership_lost", reasons.append)
 
     async def fail() -> None:
         raise ValueError("a fault of its own")
 
-    monkeypatch.setattr(leader.ledger, "run", fail)
-    asyncio.run(leader._run_ledger())
+    monkeypatch.setattr(leader.state_writer, "run", fail)
+    asyncio.run(leader._run_state_writer())
     assert reasons == ["its writes have failed"]
--- a/tests/test_short_jobs.py
+++ b/tests/test_short_jobs.py
@@ -33,13 +33,17 @@
 
 def kept(node: ControllerProcess) -> Counter[str]:
     """How much a controller keeps: of jobs that are over, and that is bounded otherwise."""
-    sizes = Counter(desk=len(node._desk._finals), waiting=len(node._desk._turns._waiting))
+    sizes = Counter(
+        desk=len(node._request_handler._finals), waiting=len(node._request_handler._turns._waiting)
+    )
     leader = node.leader
     if leader is not None and leader.loaded:
-        cluster, versions = leader.cluster, leader.ledger._versions
+        cluster, versions = leader.cluster, leader.state_writer._versions
         keys = {key.partition("/")[2] for key in versions if key.startswith((JOBS, FINAL))}
         sizes["finals"] = len(leader.completions.finals)
-        sizes["starts of jobs that are over"] = len(set(cluster._starts) - set(cluster.jobs))
+        sizes["starts of jobs that are over"] = len(
+            set(cluster._attempt_counts) - set(cluster.jobs)
+        )
         sizes["versions of jobs that are over"] = len(keys - set(cluster.jobs))
         sizes["versions"] = len(versions) - len(keys)
     return sizes
@@ -90,7 +94,7 @@
 def test_workers_that_do_not_come_back_are_forgotten() -> None:
     relays = HeartbeatForwarding()
     for number in range(MOST_REMEMBERED):
-        relays.redirected(f"vm-{number}", 1)
-    relays.redirected("vm-late", 1 + CAME_BACK_US)
+        relays.record_redirect(f"vm-{number}", 1)
+    relays.record_redirect("vm-late", 1 + CAME_BACK_US)
     assert list(relays._sent_us) == ["vm-late"]
-    assert relays.wanted("vm-late", 2 + CAME_BACK_US)
+    assert relays.should_forward("vm-late", 2 + CAME_BACK_US)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -63,12 +63,17 @@
     kind = machine_type(cpus=8.0, memory_gb=64.0)
     for number in range(machines):
         machine = Machine(f"vm-{number:06}", kind, "a", True, 0)
-        machine.order, machine.synced, machine.up, machine.heard_us = (1, 1), True, True, S
+        machine.newest_message, machine.reconciled, machine.enrolled, machine.last_heartbeat_us = (
+            (1, 1),
+            True,
+            True,
+            S,
+        )
         into.machines[machine.name] = machine
     filler = add_job(into, job_spec(1, priority="idle", tasks=machines * 4, cpus=2.0))
     for index, machine in enumerate(m for m in into.machines.values() for _ in range(4)):
         attempt = into.start(filler, index, machine, S)
-        attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
+        attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
     for number in range(2, jobs + 2):
         add_job(into, job_spec(number, priority="high", tasks=20, cpus=2.0 + 2.0 * (number % 2)))
     return into
@@ -174,7 +179,7 @@
         first = asyncio.create_task(ledger.write({"p/1": 1}))
         last = asyncio.create_task(ledger.write_latest("p/2", lambda: 2))
         await asyncio.sleep(0)
-        ledger.hasten("p/2")
+        ledger.prioritize("p/2")
         duty = asyncio.create_task(ledger.run())
         assert await last < await first
         ledger.close()
@@ -228,11 +233,11 @@
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
-    rentals = leader.rentals
+    rentals = leader.rental_manager
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.ledger.run())
-        leader.term.duties.start("deletions", rentals._delete)
+        duty = asyncio.create_task(leader.state_writer.run())
+        leader.term.background_tasks.start("deletions", rentals._delete)
         rentals.hire(RentalOffer(machine_type(), "a", True), 230)
         await settle()
         machines = dict(leader.cluster.machines)
@@ -242,9 +247,9 @@
         before = state.revision
         for number, machine in enumerate(machines.values()):
             machine.address = f"10.1.0.{number}:9000"
-            leader.term.duties.once("up", rentals.mark_up(machine))
+            leader.term.background_tasks.once("up", rentals.mark_up(machine))
         await settle()
-        assert all(machine.up for machine in machines.values())
+        assert all(machine.enrolled for machine in machines.values())
         assert state.revision - before <= 5
         stored = [value for key, (value, _) in state.keys.items() if key.startswith(RENTALS)]
         marked = [address for record in stored for address in record["machines"].values()]
@@ -268,10 +273,10 @@
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     cloud.capacity = 100
-    rentals = leader.rentals
+    rentals = leader.rental_manager
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.ledger.run())
+        duty = asyncio.create_task(leader.state_writer.run())
         rentals.hire(RentalOffer(machine_type(), "a", True), 500)
         # What an earlier leader may have asked for has to be settled all the same.
         rentals._records["n-9-9-1"] = RentalRecord("m4", "a", True, 7, 0)
@@ -301,11 +306,11 @@
     leader.term.cloud = cast(Any, cloud)
     cloud.capacity = 50
     monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
-    rentals, market = leader.rentals, leader.term.market
+    rentals, market = leader.rental_manager, leader.term.rental_offers
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.ledger.run())
-        leader.term.duties.start("deletions", rentals._delete)
+        duty = asyncio.create_task(leader.state_writer.run())
+        leader.term.background_tasks.start("deletions", rentals._delete)
         rentals.hire(RentalOffer(machine_type(), "a", True), 100)
         await settle()
         asked = {(offer.zone, offer.spot) for offer in market.offers(now_us())}
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -35,7 +35,7 @@
 
 
 def controller() -> LeaderElection:
-    return ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).campaign
+    return ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).election
 
 
 # -- who is asked about for long goes first, whichever node its users reach ---------------------
@@ -156,7 +156,7 @@
     campaign._state = cast(Any, SlowStore([RateLimitedError("429")]))
     with pytest.raises(RateLimitedError):
         asyncio.run(campaign.promise(PromiseRequest(1, 5, campaign.timing.promise_us)))
-    campaign.candidacy.nobody_leads()
+    campaign.candidacy.discard_earlier_promises()
     assert campaign.candidacy.may_lead(now_us())
 
 
@@ -177,7 +177,7 @@
             campaign.leader = None
 
     campaign._state = cast(Any, Store())
-    campaign.authority.begin(5, 1, now_us() + 60 * S)
+    campaign.lease.begin(5, 1, now_us() + 60 * S)
     campaign.leader = leader = cast(Any, object())
 
     async def hold_on() -> None:
@@ -186,7 +186,7 @@
     async def read_leader(timeout_us: int) -> None:
         """The key is still its own."""
 
-    cast(Any, campaign)._hold_on = hold_on
+    cast(Any, campaign)._request_promises = hold_on
     cast(Any, campaign).read_leader = read_leader
     asyncio.run(asyncio.wait_for(campaign._renew(leader), 5))
     assert (asks, answers) == ([], [])
@@ -205,7 +205,7 @@
 
     campaign._state = cast(Any, Store())
     campaign.step_down = ended.append  # type: ignore[assignment]
-    campaign.authority.begin(5, 1, now_us() + 60 * S)
+    campaign.lease.begin(5, 1, now_us() + 60 * S)
     campaign.leader = leader = cast(Any, "a term")
     asyncio.run(asyncio.wait_for(campaign._renew(leader), 5))
     assert ended == []
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -40,11 +40,11 @@
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
-    rentals, authority = leader.rentals, leader.term._authority
+    rentals, authority = leader.rental_manager, leader.term._lease
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.ledger.run())
-        leader.term.duties.start("deletions", rentals._delete)
+        duty = asyncio.create_task(leader.state_writer.run())
+        leader.term.background_tasks.start("deletions", rentals._delete)
         rentals.hire(RentalOffer(machine_type(), "a", True), 3)
         await settle()
         assert len(leader.cluster.machines) == 3
@@ -181,7 +181,7 @@
         async def extend(self, lease: int, timeout_us: int) -> None:
             if fates:
                 raise fates.pop(0)
-            here.campaign.leader = None
+            here.election.leader = None
 
         async def get(self, key: str, **_: Any) -> KeyValue:
             # Read with each renewal: the key is still its own.
@@ -189,10 +189,10 @@
             return KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
 
     here = controller()
-    campaign, asks = here.campaign, []
+    campaign, asks = here.election, []
     campaign.timing = default_timing(200_000)
     campaign._state = cast(Any, Store())
-    campaign.authority.begin(5, 1, now_us() + 60 * S)
+    campaign.lease.begin(5, 1, now_us() + 60 * S)
     campaign.known_token = 5
     campaign._nonces.add("x")
     campaign.leader = leader = cast(Any, SimpleNamespace(token=5))
@@ -203,7 +203,7 @@
     async def read_leader(timeout_us: int) -> None:
         """The key is still its own."""
 
-    cast(Any, campaign)._hold_on = hold_on
+    cast(Any, campaign)._request_promises = hold_on
     cast(Any, campaign).read_leader = read_leader
     asyncio.run(asyncio.wait_for(campaign._renew(leader), 5))
     assert (len(asks), fates) == (asked, [])
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -134,7 +134,7 @@
     orders = pending_commands(machine, lambda _: True, may_start=True, sequence=2)
     assert [order.op for order in orders] == commands
     assert len(job.active) == active
-    into.check()
+    into.check_invariants()
     # Said again, it is the same attempt: judged once.
     again = apply_report(into, machine, report(machine, 3, [told]), 0, direct=False)
     assert not again.verdicts
@@ -146,8 +146,8 @@
 def test_each_standing_of_a_machine() -> None:
     into = cluster()
     known, silent, unused, leaving, gone = (add_machine(into, f"vm-{n}") for n in range(5))
-    silent.synced = unused.synced = False
-    unused.up, leaving.deleting = False, True
+    silent.reconciled = unused.reconciled = False
+    unused.enrolled, leaving.deleting = False, True
     gone.expired_session = gone.session
     found = [machine_standing(m) for m in (known, silent, unused, leaving, gone, None)]
     assert found == [
@@ -167,23 +167,23 @@
     worker.tasks["run-000001/0"] = StandInTask(7, "running")
     leader = leader_of(state, clock())
     first = worker.report()
-    answer = leader.report(first, clock(), relayed=False)
+    answer = leader.handle_heartbeat(first, clock(), relayed=False)
     assert answer is not None and (answer.token, answer.commands) == (leader.token, [])
     worker.answered(answer)
     clock.us += S
     answered_us = clock()
-    assert leader.report(worker.report(), answered_us, relayed=True) is not None
+    assert leader.handle_heartbeat(worker.report(), answered_us, relayed=True) is not None
     # Held back on the way: its sender has given up, so it renewed nothing.
-    assert leader.report(first, clock(), relayed=False) is None
+    assert leader.handle_heartbeat(first, clock(), relayed=False) is None
     stranger = msgspec.structs.replace(first, machine="vm-000009", tasks=[])
-    assert leader.report(stranger, clock(), relayed=False) is not None
+    assert leader.handle_heartbeat(stranger, clock(), relayed=False) is not None
     clock.us += S
     asyncio.run(leader.recovery.load())
     machine = leader.cluster.machines["vm-000001"]
-    assert machine.synced and machine.relayed and "run-000001/0" in machine.attempts
-    assert machine.heard_us == machine.lease_from_us == answered_us
+    assert machine.reconciled and machine.relayed and "run-000001/0" in machine.attempts
+    assert machine.last_heartbeat_us == machine.lease_from_us == answered_us
     # Whoever has shown the token is not asked for it.
-    assert leader.recovery.asking.next(clock()) == [other.name]
+    assert leader.recovery.status_probes.next(clock()) == [other.name]
 
 
 def test_the_newest_message_of_a_machine_is_kept() -> None:
@@ -257,7 +257,7 @@
     machines = [add_machine(into, f"vm-{n:06}", zone=rng.choice("ab")) for n in range(8)]
     unknown, known = machines[:silent], machines[silent:]
     for machine in unknown:
-        machine.synced = False
+        machine.reconciled = False
     for number in range(8):
         spec = job_spec(
             number, team=rng.choice(("red", "blue")), tasks=rng.randint(1, 6),
@@ -273,7 +273,7 @@
             machine = rng.choice(machines)
             room = into.teams[job.team].cpus_max - into.usage[job.team].cpus
             room -= hidden_cpus[job.team]
-            if room < job.spec.cpus or not machine.allows(job) or machine.fits(job) < 1:
+            if room < job.spec.cpus or not machine.allows(job) or machine.capacity_for(job) < 1:
                 continue
             if machine in known:
                 into.start(job, index, machine, 0)
@@ -282,7 +282,7 @@
                 hidden_cpus[job.team] += job.spec.cpus
                 machine.cpus -= job.spec.cpus
     partial = partial_view_of(into.machines.values(), 10)
-    into.doubts = unverified_usage(into, partial)
+    into.unverified_usage = unverified_usage(into, partial)
     scene = PlacementInput(into, RunTimeEstimates(), ServiceLevelObjectives([]), 0)
     plan = plan_pass(scene, 0, 10 * S, 1.0, partial.settled)
     used = {team: into.usage[team].cpus + hidden_cpus[team] for team in into.teams}
@@ -292,14 +292,14 @@
         used[start.job.team] += start.job.spec.cpus
     assert all(used[name] <= team.cpus_max for name, team in into.teams.items())
     if not unknown:
-        assert not into.doubts
+        assert not into.unverified_usage
 
 
 def test_a_cancelled_job_is_not_taken_for_a_new_one() -> None:
     """Its cancellation wrote its record anew; what runs of it was started long before."""
     into = cluster()
     machine = add_machine(into)
-    machine.synced = False
+    machine.reconciled = False
     job = add_job(into, job_spec(1, tasks=4))
     job.version, job.cancelled = 50, True
     partial = partial_view_of(into.machines.values(), 10)
@@ -311,7 +311,7 @@
     into = cluster()
     lost = machine_type(cpus=0, memory_gb=0)
     machine = Machine("vm-000001", lost, "a", False, 0)
-    machine.up = True
+    machine.enrolled = True
     into.machines[machine.name] = machine
     job = add_job(into, job_spec(1, tasks=4))
     partial = partial_view_of(into.machines.values(), None)
@@ -347,7 +347,7 @@
     into.jobs["run-000003"].cancelled = False
     into.stop(into.start(jobs[3], 0, cancelled, 0), StopRequest.HARD, 0, "cancelled")
     jobs[3].cancelled = True
-    ghost.ghosts.add(("run-000009/0", 1))
+    ghost.orphans.add(("run-000009/0", 1))
     into.usage["red"].cpus = 4.0
     outbox = CommandQueue()
     for machine in (rest, start, stop, cancelled, ghost, rest):
--- a/tests/test_uneven_ends.py
+++ b/tests/test_uneven_ends.py
@@ -50,13 +50,13 @@
         self.state.fates = []
         self.leader = leader_of(self.state, self.clock())
         # All is told in reports' answers: nothing else is on its way when a leader ends.
-        self.leader._dispatcher.post_soon = lambda machine: None  # type: ignore[method-assign]
-        self.duties = [asyncio.create_task(self.leader.ledger.run())]
+        self.leader._dispatcher.schedule = lambda machine: None  # type: ignore[method-assign]
+        self.duties = [asyncio.create_task(self.leader.state_writer.run())]
         await self.leader.recovery.load()
         self.leader._check_known()
-        while self.leader.chains.unknown:
-            for name in list(self.leader.chains.unknown):
-                await self.leader.linking.learn_need(name)
+        while self.leader.dependency_graph.unresolved:
+            for name in list(self.leader.dependency_graph.unresolved):
+                await self.leader.job_dependencies.learn_need(name)
 
     async def close(self) -> None:
         if self.leader is not None:
@@ -69,16 +69,16 @@
         assert self.leader is not None
         self.clock.us += S
         before = set(worker.starts)
-        answer = self.leader.report(worker.report(), self.clock(), relayed=False)
+        answer = self.leader.handle_heartbeat(worker.report(), self.clock(), relayed=False)
         await self.pause()
         if answer is not None:
             worker.answered(answer)
         for task, _ in set(worker.starts) - before:
             assert task not in self.completed, f"{task} runs again"
             assert not task.startswith(FOLLOWER) or final_key(JOB) in self.state.keys
-        if not self.leader.term.ready and self.leader.recovery.known.is_set():
+        if not self.leader.term.ready and self.leader.recovery.all_known.is_set():
             await self.leader.recovery.finish(lambda: None)
-        self.leader.deciding.place()
+        self.leader.scheduling_loop.place()
 
     async def hear(self) -> None:
         for worker in self.workers.values():
@@ -103,7 +103,13 @@
     @staticmethod
     async def save(leader: Leader) -> None:
         job = leader.cluster.jobs.get(JOB)
-        if job is not None and job.dirty and not job.over and not job.saving and not job.finishing:
+        if (
+            job is not None
+            and job.uncommitted_chunks
+            and not job.over
+            and not job.saving
+            and not job.finishing
+        ):
             await leader.completions._save(job)
 
     @staticmethod
--- a/tests/test_unheard_machines.py
+++ b/tests/test_unheard_machines.py
@@ -26,18 +26,18 @@
     worker.token = 1
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     leader = leader_of(state, clock(), predecessor_over_us=clock() + 3 * S)
-    assert leader.report(worker.report(), clock(), relayed=False) is not None
+    assert leader.handle_heartbeat(worker.report(), clock(), relayed=False) is not None
     clock.us += 2 * S
     renewed_us = clock()  # By the leader before, which has not noticed yet.
     worker.sequence += 1
     clock.us += S // 2
     _, shown = worker.direct(leader.token, 1, [])
-    leader.recovery.early.shown(shown)
+    leader.recovery.heartbeat_buffer.shown(shown)
     asyncio.run(leader.recovery.load())
     machine = leader.cluster.machines[worker.name]
-    assert machine.synced and machine.attempts
+    assert machine.reconciled and machine.attempts
     lease_us = leader.term.lease_us
-    over_us = machine.lease_over_us(lease_us, leader.term.floor_us())
+    over_us = machine.lease_expired_us(lease_us, leader.term.previous_leader_until_us())
     assert over_us > surely_valid_us(renewed_us, lease_us)
 
 
@@ -51,7 +51,7 @@
     leader.term.types.clear()
     asyncio.run(leader.recovery.load())
     for _ in range(3):
-        answer = leader.report(worker.report(), clock(), relayed=False)
+        answer = leader.handle_heartbeat(worker.report(), clock(), relayed=False)
         assert answer is not None
         worker.answered(answer)
     assert worker.live() == {"run-000001/0"}
@@ -72,7 +72,7 @@
 
     async def place() -> None:
         leader.term.worker_http = cast(HttpClient, Wire())
-        leader.deciding.place()
+        leader.scheduling_loop.place()
         await settle()
         await leader.close()
 
@@ -85,7 +85,7 @@
         leader.cluster.jobs.remove(job.id)
     runner.tasks["run-000001/0"] = StandInTask(77, "running")
     meet(leader, runner, clock(), heard=False)
-    assert leader.term.tally.tasks == {verdict: 1}
+    assert leader.term.reconciliation_counts.tasks == {verdict: 1}
     if verdict is AttemptVerdict.UNRECORDED:
         # Accepted and started under the leader before; the watch tells it late.
         leader.cluster.jobs[job.id] = job
@@ -94,13 +94,13 @@
     asyncio.run(place())
     # The other task may have been started.
     assert all(a.number == 77 for index, a in job.active.items() if index == 0)
-    leader.cluster.check()
+    leader.cluster.check_invariants()
     for _ in range(2):
         meet(leader, runner, clock())
     # What turns out to be wanted goes on.
     assert (runner.live() == set()) == (verdict is not AttemptVerdict.UNRECORDED)
-    assert not leader.cluster.ghosts and not leader.cluster.haunted("run-000001/0")
-    leader.cluster.check()
+    assert not leader.cluster.orphans and not leader.cluster.has_orphan("run-000001/0")
+    leader.cluster.check_invariants()
 
 
 def test_a_lease_ends_also_while_the_deletion_is_not_answered(clock: Clock) -> None:
@@ -112,20 +112,20 @@
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     for _ in range(2):
         meet(leader, worker, clock())
-    watch, term = leader.watch, leader.term
-    leader.rentals.delete(dict(leader.cluster.machines))
-    assert leader.report(worker.report(), clock(), relayed=False) is None
+    watch, term = leader.machine_monitor, leader.term
+    leader.rental_manager.delete(dict(leader.cluster.machines))
+    assert leader.handle_heartbeat(worker.report(), clock(), relayed=False) is None
     begun_us = clock()
-    while not leader.recovery.known.is_set() or leader.cluster.machines[worker.name].attempts:
+    while not leader.recovery.all_known.is_set() or leader.cluster.machines[worker.name].attempts:
         clock.us += S // 2
         assert clock() < begun_us + 3 * S + 2 * term.lease_us
-        if watch.over_unproven(clock()):
-            asyncio.run(watch._prove())
-        assert watch.expired_or_silent(clock(), term.proven_us) == []
+        if watch.has_unverified_expiry(clock()):
+            asyncio.run(watch._verify_leadership())
+        assert watch.expired_or_silent(clock(), term.leadership_verified_us) == []
         if clock() < begun_us + term.lease_us:
             # Not before its lease is over: the deletion may never be carried out.
             assert leader.cluster.machines[worker.name].attempts
         if clock() < begun_us + 3 * S + term.lease_us:
-            assert not leader.cluster.machines[silent.name].synced
+            assert not leader.cluster.machines[silent.name].reconciled
     assert set(leader.cluster.machines) == {worker.name, silent.name}
-    leader.cluster.check()
+    leader.cluster.check_invariants()
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -34,7 +34,7 @@
         self.leader: Leader | None = None
         self.all_know_chains = True
         self.documents: DocumentReplica | None = None
-        self.alone = False
+        self.isolated = False
         #: What others answer, by the kind of question.
         self.others: dict[str, Response] = {}
         self.catalog: list[MachineType] = [machine_type()]
@@ -121,7 +121,7 @@
     state.delete(job_key(JOB))
     state.put(final_key(JOB), FinalRecord("done", 16))
     assert run(front.poll(JOB))[0] == 200
-    node.alone = True
+    node.isolated = True
     for call in (front.submit(OTHER_BODY), front.poll("run-000413"), front.cancel(JOB)):
         answer = asyncio.run(responded(call))
         assert (answer.status, answer.retry_after_s, answer.close) == (503, 1, True)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -287,10 +287,10 @@
     leader = new_leader(state, clock())
 
     async def divide(leader: Any, ends_after: int | None) -> None:
-        duty = asyncio.create_task(leader.ledger.run())
+        duty = asyncio.create_task(leader.state_writer.run())
         if ends_after is not None:
             state.fates = ["ok"] * ends_after + ["lost"] * 100
-        leader.rentals.start()
+        leader.rental_manager.start()
         for _ in range(200):
             await asyncio.sleep(0)
             # At each moment any leader finds all of them.
@@ -304,7 +304,7 @@
         state.fates.clear()
         leader = new_leader(state, clock())
         assert sorted(leader.cluster.machines) == sorted(everything)
-        assert all(machine.up for machine in leader.cluster.machines.values())
+        assert all(machine.enrolled for machine in leader.cluster.machines.values())
         asyncio.run(divide(leader, None))
     values = [v for k, (v, _) in state.keys.items() if k.startswith("h/")]
     assert len(values) > 1
@@ -312,14 +312,14 @@
     # Each machine is in one record now, and its machine knows which.
     assert sum(len(value["machines"]) for value in values) == 50
     for machine in leader.cluster.machines.values():
-        assert machine.name in state.keys[f"h/{machine.hire}"][0]["machines"]
+        assert machine.name in state.keys[f"h/{machine.rental_name}"][0]["machines"]
 
 
 def test_a_record_that_fits_is_left_alone(clock: Clock) -> None:  # noqa: F811
     state = StandInState()
     old_fleet(state, 50)
     leader = new_leader(state, clock())
-    assert len(leader.rentals._parts("welder-0-7-1")) == 1
+    assert len(leader.rental_manager._parts("welder-0-7-1")) == 1
 
 
 def test_a_pong_says_the_format_and_a_link_remembers_it_while_it_is_up(
@@ -370,12 +370,12 @@
     )
     older = msgspec.msgpack.encode(("pong", 7, True, 2))
     for name in node._links:
-        node.campaign.heard_pong(name, cast(peer.Pong, peer.decode_message(older)), now_us())
-    assert not node.campaign.candidacy.may_lead(now_us())
+        node.election.observe_pong(name, cast(peer.Pong, peer.decode_message(older)), now_us())
+    assert not node.election.candidacy.may_lead(now_us())
     for name in node._links:
-        assert not node.campaign.candidacy.may_lead(now_us())
-        node.campaign.heard_pong(name, peer.Pong(7, True, FORMAT, False), now_us())
-    assert node.campaign.candidacy.may_lead(now_us())
+        assert not node.election.candidacy.may_lead(now_us())
+        node.election.observe_pong(name, peer.Pong(7, True, FORMAT, False), now_us())
+    assert node.election.candidacy.may_lead(now_us())
 
 
 class ChainsSpec(OldSpec, frozen=True):
@@ -393,8 +393,8 @@
 @pytest.mark.parametrize(
     "binding",
     [
-        AdmissionBinding(hold=GateHold("book", 3)),
-        AdmissionBinding(deed=GateAction("book", "approval", 3)),
+        AdmissionBinding(gate_hold=GateHold("book", 3)),
+        AdmissionBinding(gate_action=GateAction("book", "approval", 3)),
     ],
 )
 def test_a_leader_that_knows_chains_and_no_gates_never_starts_what_a_gate_concerns(
@@ -412,8 +412,8 @@
     chains = DependencyGraph(of.jobs)
     job = add_job(of, spec)
     chains.add(job, old.spec.waits_on)
-    chains.done("run-000009", START)
-    assert job.waiting == 0 and chains.unknown == {"gate/book"}
+    chains.mark_done("run-000009", START)
+    assert job.waiting == 0 and chains.unresolved == {"gate/book"}
     # A cancellation that it writes is one for this version, and the other way round.
     cancelled = cancelled_record(record.spec, START, 8_192)
     assert msgspec.json.decode(msgspec.json.encode(cancelled), type=ChainsJob).cancelled
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -98,15 +98,15 @@
         bound = CalendarDeadline("morning", 1, us("2026-03-02 05:30"))
         for number in range(count):
             spec = job_spec(number, job_class="balance")
-            state.put(job_key(spec.id), JobRecord(spec, clock() - S, bound=bound))
+            state.put(job_key(spec.id), JobRecord(spec, clock() - S, deadline=bound))
         leader = new_leader(state, clock(), documents=documents_of(state))
         leader.term.ready = True
-        calendars = leader.calendars
+        calendars = leader.calendar_keeper
         assert calendars is not None
         notes = calendars.notes
 
         async def play() -> None:
-            running = asyncio.create_task(leader.ledger.run())
+            running = asyncio.create_task(leader.state_writer.run())
             await calendars._renew()
             put_edition(state, calendar(hour="06:25"), 2)
             assert leader.publisher is not None
@@ -121,7 +121,7 @@
             for _ in range(9):
                 leader.term.estimates.observe(job, 600 * S)
             before_all = state.requests, state.changes, state.bytes
-            leader.look_ahead.look_ahead(clock())
+            leader.forecaster.look_ahead(clock())
             while notes._waiting:
                 await notes.commit()
             now = state.requests, state.changes, state.bytes
@@ -141,7 +141,7 @@
             spec = job_spec(number, deadline_s=None if due_us else 8 * 3600.0)
             job = Job(spec, 0, 1, 0)
             into.jobs[job.id] = job
-            job.bound_due_us = due_us
+            job.calendar_due_us = due_us
         outlook = JobForecasts(
             into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: 0, S, 4 * S, 5_000
         )
@@ -156,7 +156,7 @@
 def memory(count: int) -> None:
     """Trace what bound jobs hold in a follower's table and in a leader's memory."""
     deadline = CalendarDeadline("morning", 1, 9 * H)
-    bounds = [msgspec.json.encode(JobRecord(job_spec(n), 0, bound=deadline))
+    bounds = [msgspec.json.encode(JobRecord(job_spec(n), 0, deadline=deadline))
               for n in range(count)]  # fmt: skip
     plain = [msgspec.json.encode(JobRecord(job_spec(n), 0)) for n in range(count)]
 
@@ -181,8 +181,8 @@
         for record in records:
             read = msgspec.json.decode(record, type=JobRecord)
             job = Job(read.spec, 0, 1, 0)
-            job.bound = read.bound
-            job.bound_due_us = read.bound.due_us + len(made) if read.bound else None
+            job.calendar_deadline = read.deadline
+            job.calendar_due_us = read.deadline.due_us + len(made) if read.deadline else None
             made.append(job)
         return made
 
--- a/tools/measure_cards.py
+++ b/tools/measure_cards.py
@@ -52,7 +52,7 @@
                 place = (number * 20 + index) // 4 % len(held)
                 job = into.jobs.get(spec.id) or add_job(into, spec)
                 attempt = into.start(job, index, held[place], S)
-                attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
+                attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
         for number, machine in enumerate(other):
             job = add_job(into, job_spec(10_000 + number, priority="idle", cpus=2.0, tasks=8,
                                          memory_gb=2.0))  # fmt: skip
--- a/tools/measure_memory.py
+++ b/tools/measure_memory.py
@@ -316,7 +316,7 @@
         async def load() -> None:
             await leader.recovery.load()
             for worker in workers:
-                leader.report(worker.report(), now_us(), relayed=False)
+                leader.handle_heartbeat(worker.report(), now_us(), relayed=False)
 
         asyncio.run(load())
         return leader
--- a/tools/measure_ops.py
+++ b/tools/measure_ops.py
@@ -52,7 +52,7 @@
     plan_pass(scene, 1, 1)
 
     def work() -> None:
-        jobs[0].touch()
+        jobs[0].notify_changed()
         plan_pass(scene, 1, 1)
 
     return cost(work)
--- a/tools/measure_processor.py
+++ b/tools/measure_processor.py
@@ -41,7 +41,7 @@
 from weldhead.emulator.experiment import Experiment  # noqa: E402
 from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
 from weldhead.protocol.wire import Command, Heartbeat, HeartbeatAnswer, ReportedTask  # noqa: E402
-from weldhead.transport import workers  # noqa: E402
+from weldhead.transport import worker_commands  # noqa: E402
 from weldhead.transport.http_client import HttpClient  # noqa: E402
 from weldhead.transport.http_server import HttpServer, Response  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
@@ -402,7 +402,9 @@
     commands = [Command("run", "job-00000001/1", 7 << 20)]
 
     async def send() -> None:
-        await workers.command(http, f"127.0.0.1:{port}", 7, 17, commands, 5_000_000, close=close)
+        await worker_commands.command(
+            http, f"127.0.0.1:{port}", 7, 17, commands, 5_000_000, close=close
+        )
 
     for _ in range(200):
         try:
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -62,7 +62,12 @@
     holders = []
     for number in range(machines):
         machine = Machine(f"vm-{number:06}", kind, "ab"[number % 2], True, 0)
-        machine.order, machine.synced, machine.up, machine.heard_us = (1, 1), True, True, S
+        machine.newest_message, machine.reconciled, machine.enrolled, machine.last_heartbeat_us = (
+            (1, 1),
+            True,
+            True,
+            S,
+        )
         into.machines[machine.name] = machine
         if number % 50 == 0:
             tasks = 50 * TASKS_A_MACHINE
@@ -70,7 +75,7 @@
         for place in range(TASKS_A_MACHINE):
             index = number % 50 * TASKS_A_MACHINE + place
             attempt = into.start(holders[-1], index, machine, S)
-            attempt.phase, attempt.running_us = AttemptPhase.RUNNING, S
+            attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
     for number in range(jobs):
         add_job(
             into,
@@ -111,7 +116,7 @@
     step = max(1, round(1 / share))
     while True:
         for job in jobs[::step]:
-            job.touch()
+            job.notify_changed()
         yield
 
 
@@ -194,9 +199,9 @@
         leader = leader_of(StandInState(), now_us())
         asyncio.run(leader.recovery.load())
         leader.term.cluster = into
-        leader.watch.changed = into.machines.feeds.subscribe()
-        leader.watch.heard = dict(into.machines)
-        at_us = S + leader.term.report_us
+        leader.machine_monitor.changed = into.machines.feeds.subscribe()
+        leader.machine_monitor.by_last_heartbeat = dict(into.machines)
+        at_us = S + leader.term.heartbeat_interval_us
         leader.term.loaded_us = 0
         plain = cost(partial(plain_watch, leader, at_us))
         now = cost(partial(_watch_once, leader, at_us))
@@ -206,20 +211,32 @@
 def plain_watch(leader: Leader, at_us: int) -> list[Machine]:
     """Look at all machines and all that runs on them, as before."""
     term, machines = leader.term, list(leader.cluster.machines.values())
-    live = [m for m in machines if m.up and not m.deleting]
-    doomed = [m for m in live if at_us - max(m.heard_us, 0) > term.silence_us]
+    live = [m for m in machines if m.enrolled and not m.deleting]
+    doomed = [m for m in live if at_us - max(m.last_heartbeat_us, 0) > term.silence_us]
     for machine in live:
         for attempt in machine.attempts.values():
-            if attempt.unconfirmed_us and at_us - attempt.unconfirmed_us > term.cancel_us // 4:
+            if (
+                attempt.unconfirmed_since_us
+                and at_us - attempt.unconfirmed_since_us > term.cancel_us // 4
+            ):
                 doomed.append(machine)
-            if attempt.stop is StopRequest.HARD and at_us - attempt.stop_us > term.cancel_us // 2:
+            if (
+                attempt.stop_request is StopRequest.HARD
+                and at_us - attempt.stop_requested_us > term.cancel_us // 2
+            ):
                 doomed.append(machine)
-    return doomed + [m for m in machines if leader.watch.taken(m, at_us)]
+    return doomed + [m for m in machines if leader.machine_monitor.was_interrupted(m, at_us)]
 
 
 def _watch_once(leader: Leader, at_us: int) -> list[Machine]:
-    doomed = leader.watch.expired_or_silent(at_us) + leader.watch.in_trouble(at_us)
-    return doomed + [m for m in leader.watch.noticed.values() if leader.watch.taken(m, at_us)]
+    doomed = leader.machine_monitor.expired_or_silent(
+        at_us
+    ) + leader.machine_monitor.with_overdue_stops(at_us)
+    return doomed + [
+        m
+        for m in leader.machine_monitor.interrupted.values()
+        if leader.machine_monitor.was_interrupted(m, at_us)
+    ]
 
 
 @main.command()
@@ -254,7 +271,7 @@
 
     async def load() -> None:
         await leader.recovery.load()
-        await leader.deciding.fill_scene()
+        await leader.scheduling_loop.fill_scene()
 
     loading = asyncio.create_task(load())
     began = last = time.process_time()
--- a/weldhead/admission/memory_gate.py
+++ b/weldhead/admission/memory_gate.py
@@ -58,7 +58,7 @@
         """Whether not even a trial is taken."""
         return self.full and self.used >= self.limit * TRIAL_SHARE
 
-    def hear_leader(self, at_us: int, *, full: bool) -> None:
+    def observe_leader(self, at_us: int, *, full: bool) -> None:
         """The leader says whether it takes nothing at all for its memory."""
         self._leader_full_us = at_us if full else None
 
--- a/weldhead/calendars/job_deadlines.py
+++ b/weldhead/calendars/job_deadlines.py
@@ -33,16 +33,16 @@
 
     def enter(self, job: Job, at_us: int, wall_us: int) -> None:
         """Enter the instant of a job that its record binds."""
-        if job.bound is None:
+        if job.calendar_deadline is None:
             return
-        job.bound = moved(self.cache, job.bound)
+        job.calendar_deadline = moved(self.cache, job.calendar_deadline)
         if self._offset_us is None:
             self._offset_us = wall_us - at_us
         self._convert(job)
 
     def _convert(self, job: Job) -> None:
-        if job.bound is not None and self._offset_us is not None:
-            job.bound_due_us = job.bound.due_us - self._offset_us - self._error_us
+        if job.calendar_deadline is not None and self._offset_us is not None:
+            job.calendar_due_us = job.calendar_deadline.due_us - self._offset_us - self._error_us
 
     def keep_time(self, jobs: Iterable[Job], at_us: int, wall_us: int) -> list[Job]:
         """Follow a step of the clocks; return the jobs that are due at another moment."""
@@ -50,7 +50,7 @@
         if self._offset_us is None or abs(offset_us - self._offset_us) < STEP_US:
             return []
         self._offset_us = offset_us
-        changed = [job for job in jobs if job.bound is not None]
+        changed = [job for job in jobs if job.calendar_deadline is not None]
         for job in changed:
             self._convert(job)
         return changed
@@ -59,11 +59,11 @@
         """Follow a calendar's change; return jobs bound anew, with their earlier instants."""
         changed: list[tuple[Job, int]] = []
         for job in jobs:
-            if job.bound is None or job.bound.calendar != calendar:
+            if job.calendar_deadline is None or job.calendar_deadline.calendar != calendar:
                 continue
-            bound = moved(self.cache, job.bound)
-            if bound != job.bound:
-                changed.append((job, job.bound.due_us))
-                job.bound = bound
+            bound = moved(self.cache, job.calendar_deadline)
+            if bound != job.calendar_deadline:
+                changed.append((job, job.calendar_deadline.due_us))
+                job.calendar_deadline = bound
                 self._convert(job)
         return changed
--- a/weldhead/calendars/lateness.py
+++ b/weldhead/calendars/lateness.py
@@ -34,17 +34,17 @@
     ``least_us`` is what it would take if it were released now: one that is held, nobody knows
     for how long, is late when even that is too much.
     """
-    due_us = job.bound_due_us
+    due_us = job.calendar_due_us
     if due_us is None or job.complete:
         return DeadlineStanding.ON_TRACK
     if at_us > due_us or job.broken:
         return DeadlineStanding.LATE
     if not has_history:
         return DeadlineStanding.UNKNOWN
-    if job.forecast_us is None:
-        too_much = job.held is not None and at_us + least_us > due_us
+    if job.expected_finish_us is None:
+        too_much = job.blocking_gate is not None and at_us + least_us > due_us
         return DeadlineStanding.LATE if too_much else DeadlineStanding.UNKNOWN
-    return DeadlineStanding.LATE if job.forecast_us > due_us else DeadlineStanding.ON_TRACK
+    return DeadlineStanding.LATE if job.expected_finish_us > due_us else DeadlineStanding.ON_TRACK
 
 
 def reason(
@@ -58,7 +58,7 @@
     if stage is not job:
         own = _own(cluster, stage, boots, at_us, held)
         return f"it waits for {stage.id} ({stage.spec.job_class}), {own}"
-    if job.blockers:
+    if job.unmet_dependencies:
         return "it waits for a job of which nothing is known yet"
     return _own(cluster, job, boots, at_us, held)
 
@@ -66,7 +66,7 @@
 def _own(
     cluster: Cluster, job: Job, boots: BootForecast, at_us: int, held: Callable[[Job], str]
 ) -> str:
-    if job.held is not None and not job.active and not job.complete:
+    if job.blocking_gate is not None and not job.active and not job.complete:
         # Nothing of it may start, whatever room there is.
         return f"held by {held(job) or 'a gate of which nothing is known yet'}"
     done = f"{job.done} of {job.spec.tasks} tasks done"
@@ -75,7 +75,7 @@
     waiting = job.waiting
     if not waiting:
         return f"its last tasks run; {done}"
-    if cluster.within_limit(job) < 1:
+    if cluster.tasks_within_limit(job) < 1:
         return f"no room within the limit of team {job.team} for {waiting} tasks; {done}"
     if boots.next_us is not None and not job.active:
         return f"a machine boots, up in {span(max(0, boots.next_us - at_us))}; {done}"
@@ -104,8 +104,8 @@
             more = len(self.late) - NAMED
             text += f" (late: {', '.join(self.late[:NAMED])}"
             text += f" and {more} more)" if more > 0 else ")"
-        if self.first is not None and self.first.bound is not None:
-            bound = self.first.bound
+        if self.first is not None and self.first.calendar_deadline is not None:
+            bound = self.first.calendar_deadline
             text += f"; first {self.first.id}, by {utc(bound.due_us)} ({bound.calendar})"
         return text
 
@@ -114,11 +114,11 @@
     """Count bound jobs that are not over."""
     found = LatenessSummary()
     for job, stands in judged:
-        due_us = job.bound_due_us
+        due_us = job.calendar_due_us
         if due_us is None or job.cancelled or job.complete:
             continue
         found.bound += 1
-        if found.first is None or due_us < (found.first.bound_due_us or 0):
+        if found.first is None or due_us < (found.first.calendar_due_us or 0):
             found.first = job
         if due_us - at_us <= SOON_US:
             found.soon[stands] += 1
--- a/weldhead/cluster_state/capacity_index.py
+++ b/weldhead/cluster_state/capacity_index.py
@@ -26,12 +26,12 @@
         self._feed = machines.feeds.subscribe()
         self._buckets: dict[int, dict[str, Machine]] = {}
         #: In which bucket a machine is.
-        self._places: dict[str, int] = {}
+        self._buckets_by_machine: dict[str, int] = {}
         self._journal: list[Machine] = []
         #: How many entries the journal had before its present first.
         self._cut = 0
         #: Shapes that no machine has room for, with the journal's length when they were looked for.
-        self._hopeless: dict[Hashable, int] = {}
+        self._shapes_without_capacity: dict[Hashable, int] = {}
         for machine in machines.values():
             self._enter(machine)
 
@@ -49,7 +49,7 @@
 
     def _enter(self, machine: Machine) -> None:
         name = machine.name
-        place = self._places.pop(name, None)
+        place = self._buckets_by_machine.pop(name, None)
         if place is not None:
             bucket = self._buckets[place]
             del bucket[name]
@@ -59,10 +59,10 @@
             return
         place = int(machine.cpus + EPSILON)
         self._buckets.setdefault(place, {})[name] = machine
-        self._places[name] = place
+        self._buckets_by_machine[name] = place
         self._journal.append(machine)
 
-    def with_room(self, cpus: float, memory_gb: float) -> list[Machine]:
+    def machines_with(self, cpus: float, memory_gb: float) -> list[Machine]:
         """Return the machines with so much free, in the order of their entry."""
         least = int(max(0.0, cpus - EPSILON))
         found = [
@@ -77,20 +77,22 @@
 
     def candidates(self, shape: Hashable, cpus: float, memory_gb: float) -> list[Machine]:
         """Return the machines that may have room for a shape, in the order of their entry."""
-        since = self._hopeless.get(shape)
+        since = self._shapes_without_capacity.get(shape)
         if since is None or since < self._cut:
-            return self.with_room(cpus, memory_gb)
+            return self.machines_with(cpus, memory_gb)
         fresh = {m.name: m for m in self._journal[since - self._cut :]}
-        return sorted((m for m in fresh.values() if m.name in self._places), key=_serial)
+        return sorted(
+            (m for m in fresh.values() if m.name in self._buckets_by_machine), key=_serial
+        )
 
-    def found(self, shape: Hashable, room: bool) -> None:
+    def record_search(self, shape: Hashable, room: bool) -> None:
         """Remember whether a shape found room on any of its candidates."""
         if room:
-            self._hopeless.pop(shape, None)
+            self._shapes_without_capacity.pop(shape, None)
             return
-        if len(self._hopeless) >= MAX_REMEMBERED_SHAPES:
-            self._hopeless.clear()
-        self._hopeless[shape] = self._cut + len(self._journal)
+        if len(self._shapes_without_capacity) >= MAX_REMEMBERED_SHAPES:
+            self._shapes_without_capacity.clear()
+        self._shapes_without_capacity[shape] = self._cut + len(self._journal)
 
 
 def _serial(machine: Machine) -> int:
--- a/weldhead/cluster_state/change_feed.py
+++ b/weldhead/cluster_state/change_feed.py
@@ -17,7 +17,7 @@
     """Something with a name that tells of its changes."""
 
     #: Where it tells; None: nobody listens.
-    feeds: "ChangeFeeds[Self] | None"
+    change_feeds: "ChangeFeeds[Self] | None"
     #: Its place in the order of entry, never used again.
     serial: int
 
@@ -40,7 +40,7 @@
         """Enter nothing more for a reader."""
         self._readers = [reader for reader in self._readers if reader is not changed]
 
-    def note(self, name: str, item: T) -> None:
+    def publish(self, name: str, item: T) -> None:
         """Something has changed, for everyone who reads."""
         for changed in self._readers:
             changed[name] = item
@@ -82,27 +82,27 @@
     def __setitem__(self, name: str, item: T) -> None:
         self._serial += 1
         item.serial = self._serial
-        item.feeds = self.feeds
+        item.change_feeds = self.feeds
         super().__setitem__(name, item)
-        self.feeds.note(name, item)
+        self.feeds.publish(name, item)
 
     def __delitem__(self, name: str) -> None:
         item = self[name]
         super().__delitem__(name)
-        self.feeds.note(name, item)
+        self.feeds.publish(name, item)
 
     def remove(self, name: str) -> T | None:
         """Take something out; None if it is not there."""
         item = super().pop(name, None)
         if item is not None:
-            self.feeds.note(name, item)
+            self.feeds.publish(name, item)
         return item
 
 
 def _put(slot: str, item: Any, value: Any) -> None:
     if getattr(item, slot) != value:
         setattr(item, slot, value)
-        item.touch()
+        item.notify_changed()
 
 
 if TYPE_CHECKING:
--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -44,23 +44,23 @@
         self.jobs: Registry[Job] = Registry()
         self.machines: Registry[Machine] = Registry()
         #: Jobs that hold room.
-        self.holders: dict[str, Job] = {}
+        self.active_jobs: dict[str, Job] = {}
         #: Attempts that were asked to stop, and those whose direct request may be lost, by
         #: what tells them apart: an attempt's number is unique within its task.
         self.stopping: dict[tuple[str, int], Attempt] = {}
         self.unconfirmed: dict[tuple[str, int], Attempt] = {}
         #: Attempts that must go and that no job counts, by machine, task and number; and how
         #: many there are of a task.
-        self.ghosts: dict[tuple[str, str, int], OrphanAttempt] = {}
-        self._haunted: Counter[str] = Counter()
+        self.orphans: dict[tuple[str, str, int], OrphanAttempt] = {}
+        self._orphan_counts: Counter[str] = Counter()
         #: What each team's attempts take, by evidence; exact (``account/``).
         self.usage: Mapping[str, ResourceUsage] = defaultdict(ResourceUsage)
         #: By team, while some machines have not shown what runs there.
-        self.doubts: Mapping[str, UnverifiedUsage] = {}
+        self.unverified_usage: Mapping[str, UnverifiedUsage] = {}
         #: The count of the newest attempt of each task, by job; of jobs that are over only the
         #: highest of all: kept for each task, they were all that grew as long as a term lasted.
-        self._starts: dict[str, dict[int, int]] = defaultdict(dict)
-        self._highest_over = 0
+        self._attempt_counts: dict[str, dict[int, int]] = defaultdict(dict)
+        self._highest_finished_count = 0
 
     def next_attempt(self, job_id: str, index: int) -> int:
         """Return an attempt number that no leader ever used for this task.
@@ -68,15 +68,15 @@
         Tokens are unique and grow, so a number made of the token and a count within the
         term is unique across terms without being stored.
         """
-        starts = self._starts[job_id]
-        count = starts[index] = max(starts.get(index, 0), self._highest_over) + 1
+        starts = self._attempt_counts[job_id]
+        count = starts[index] = max(starts.get(index, 0), self._highest_finished_count) + 1
         return (self.token << 20) + count
 
-    def forget_starts(self, job_id: str) -> None:
+    def forget_attempt_numbers(self, job_id: str) -> None:
         """A job is over. Should it be entered again, it begins above all that it ever had."""
-        starts = self._starts.pop(job_id, None)
+        starts = self._attempt_counts.pop(job_id, None)
         if starts:
-            self._highest_over = max(self._highest_over, max(starts.values()))
+            self._highest_finished_count = max(self._highest_finished_count, max(starts.values()))
 
     def start(self, job: Job, index: int, machine: Machine, at_us: int) -> Attempt:
         """Decide that a task starts on a machine."""
@@ -88,7 +88,7 @@
         """Count an attempt that exists or is about to."""
         attempt.job.begin(attempt, machine.zone)
         machine.add(attempt)
-        self.holders[attempt.job.id] = attempt.job
+        self.active_jobs[attempt.job.id] = attempt.job
         self.usage[attempt.job.team].add(attempt.job.spec)
 
     def release(self, attempt: Attempt, *, completed: bool = False) -> None:
@@ -97,8 +97,8 @@
         machine.remove(attempt)
         attempt.job.end(attempt, machine.zone, completed=completed)
         if not attempt.job.active:
-            self.holders.pop(attempt.job.id, None)
-        if attempt.stop is not StopRequest.NO:
+            self.active_jobs.pop(attempt.job.id, None)
+        if attempt.stop_request is not StopRequest.NO:
             self.stopping.pop((attempt.task, attempt.number), None)
         if self.unconfirmed:
             self.unconfirmed.pop((attempt.task, attempt.number), None)
@@ -109,43 +109,45 @@
         gone = list(machine.attempts.values())
         for attempt in gone:
             self.release(attempt)
-        machine.forget.clear()
-        self.lay(machine, set(machine.ghosts))
+        machine.unacknowledged.clear()
+        self.remove_orphans(machine, set(machine.orphans))
         return gone
 
-    def haunt(self, machine: Machine, key: tuple[str, int], job: Job | None, at_us: int) -> None:
+    def add_orphan(
+        self, machine: Machine, key: tuple[str, int], job: Job | None, at_us: int
+    ) -> None:
         """An attempt runs that must go: until it has gone, its job's team uses what it takes.
 
         Its task is not started meanwhile: the kill may be lost on its way.
         """
-        if key in machine.ghosts:
+        if key in machine.orphans:
             return
-        machine.ghosts.add(key)
-        self.ghosts[machine.name, *key] = OrphanAttempt(machine.name, job, at_us)
-        self._haunted[key[0]] += 1
+        machine.orphans.add(key)
+        self.orphans[machine.name, *key] = OrphanAttempt(machine.name, job, at_us)
+        self._orphan_counts[key[0]] += 1
         if job is not None:
             self.usage[job.team].add(job.spec)
 
-    def lay(self, machine: Machine, keys: Iterable[tuple[str, int]]) -> None:
+    def remove_orphans(self, machine: Machine, keys: Iterable[tuple[str, int]]) -> None:
         """Record that ghosts are gone, or are a job's attempts after all."""
         for key in keys:
-            machine.ghosts.discard(key)
-            ghost = self.ghosts.pop((machine.name, *key), None)
+            machine.orphans.discard(key)
+            ghost = self.orphans.pop((machine.name, *key), None)
             if ghost is None:
                 continue
-            self._haunted[key[0]] -= 1
-            if not self._haunted[key[0]]:
-                del self._haunted[key[0]]
+            self._orphan_counts[key[0]] -= 1
+            if not self._orphan_counts[key[0]]:
+                del self._orphan_counts[key[0]]
             if ghost.job is not None:
                 self.usage[ghost.job.team].add(ghost.job.spec, -1)
 
-    def haunted(self, task: str) -> bool:
+    def has_orphan(self, task: str) -> bool:
         """Whether an attempt of a task may run that no job counts."""
-        return self._haunted[task] > 0 if self.ghosts else False
+        return self._orphan_counts[task] > 0 if self.orphans else False
 
-    def has_ghosts(self, job: Job) -> bool:
+    def has_orphans_of(self, job: Job) -> bool:
         """Whether attempts of a job may run that it does not count."""
-        return any(ghost.job is job for ghost in self.ghosts.values())
+        return any(ghost.job is job for ghost in self.orphans.values())
 
     def remove_machine(self, machine: Machine) -> list[Attempt]:
         """Record that a machine is gone, and everything on it."""
@@ -155,24 +157,24 @@
 
     def stop(self, attempt: Attempt, stop: StopRequest, at_us: int, reason: str) -> None:
         """Ask an attempt to stop; a harder request replaces a softer one."""
-        if stop.value <= attempt.stop.value:
+        if stop.value <= attempt.stop_request.value:
             return
-        if attempt.stop is StopRequest.NO:
-            attempt.stop_us = at_us
-            attempt.reason = reason
-        attempt.stop = stop
+        if attempt.stop_request is StopRequest.NO:
+            attempt.stop_requested_us = at_us
+            attempt.stop_reason = reason
+        attempt.stop_request = stop
         if attempt.job.active.get(attempt.index) is attempt:
             self.stopping[attempt.task, attempt.number] = attempt
 
-    def lose(self, attempt: Attempt, at_us: int) -> None:
+    def mark_unconfirmed(self, attempt: Attempt, at_us: int) -> None:
         """A direct request with the attempt's ``run`` may be lost, and may be executed late."""
-        attempt.unconfirmed_us = at_us
+        attempt.unconfirmed_since_us = at_us
         # A request can fail long after its machine is gone, and the attempt with it: entered
         # then, it would never leave, and the machine watch failed over it (found on the bench).
         if attempt.job.active.get(attempt.index) is attempt:
             self.unconfirmed[attempt.task, attempt.number] = attempt
 
-    def within_limit(self, job: Job, reserved: Amount = NOTHING) -> int:
+    def tasks_within_limit(self, job: Job, reserved: Amount = NOTHING) -> int:
         """How many more tasks of the job its team's limit allows beside what is reserved."""
         team = self.teams.get(job.team)
         if team is None:
@@ -185,25 +187,27 @@
         """Return the jobs with waiting tasks."""
         return [job for job in self.jobs.values() if job.waiting > 0 and not job.finishing]
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         """Raise AssertionError if the sums disagree with the attempts; for tests."""
         recounted: dict[str, ResourceUsage] = defaultdict(ResourceUsage)
         for machine in self.machines.values():
             used = sum(a.job.spec.cpus for a in machine.attempts.values())
             for attempt in machine.attempts.values():
                 key = (attempt.task, attempt.number)
-                assert (attempt.stop is not StopRequest.NO) == (key in self.stopping), attempt.task
-                assert not attempt.unconfirmed_us or key in self.unconfirmed, attempt.task
+                assert (attempt.stop_request is not StopRequest.NO) == (key in self.stopping), (
+                    attempt.task
+                )
+                assert not attempt.unconfirmed_since_us or key in self.unconfirmed, attempt.task
             assert abs(machine.cpus + used - machine.type.cpus) < EPSILON * 100, machine.name
             for attempt in machine.attempts.values():
                 assert attempt.job.active[attempt.index] is attempt, attempt.task
                 assert attempt.job.states[attempt.index] == TaskState.ACTIVE, attempt.task
                 recounted[attempt.job.team].add(attempt.job.spec)
-        for ghost in self.ghosts.values():
+        for ghost in self.orphans.values():
             if ghost.job is not None:
                 recounted[ghost.job.team].add(ghost.job.spec)
         for kept in (*self.stopping.values(), *self.unconfirmed.values()):
             assert kept.job.active.get(kept.index) is kept, kept.task
-        assert set(self.holders) == {job.id for job in self.jobs.values() if job.active}
+        assert set(self.active_jobs) == {job.id for job in self.jobs.values() if job.active}
         for team, usage in self.usage.items():
             assert usage.units == recounted[team].units, team
