--- a/weldhead/cluster_state/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -50,20 +50,20 @@
 
     __slots__ = (
         "adopted",
+        "checkpointed_us",
         "index",
         "job",
         "machine",
         "number",
         "phase",
-        "posted",
-        "prior_us",
-        "reason",
-        "running_us",
+        "running_since_us",
+        "sent_directly",
         "sent_sequence",
-        "stop",
-        "stop_us",
+        "stop_reason",
+        "stop_request",
+        "stop_requested_us",
         "task",
-        "unconfirmed_us",
+        "unconfirmed_since_us",
     )  # fmt: skip
 
     def __init__(self, job: "Job", index: int, number: int, machine: str, at_us: int) -> None:
@@ -76,22 +76,24 @@
         #: An earlier leader started it, nobody knows when.
         self.adopted = False
         self.phase = AttemptPhase.ASSIGNED
-        self.stop = StopRequest.NO
-        self.stop_us = 0
-        self.running_us = 0
+        self.stop_request = StopRequest.NO
+        self.stop_requested_us = 0
+        self.running_since_us = 0
         #: Sequence of the report whose answer carried the ``run``; None: not sent so.
         self.sent_sequence: int | None = None
         #: A direct request with the ``run`` has been sent and not been answered.
-        self.posted = False
+        self.sent_directly = False
         #: Since when that request may be lost, and may be executed late (0: it is not).
-        self.unconfirmed_us = 0
+        self.unconfirmed_since_us = 0
         #: Progress that earlier attempts saved.
-        self.prior_us = job.saved_us.get(index, 0)
-        self.reason = ""
+        self.checkpointed_us = job.checkpoints_us.get(index, 0)
+        self.stop_reason = ""
 
     def elapsed_us(self, at_us: int) -> int:
         """Return the run time so far, with what earlier attempts saved."""
-        return self.prior_us + (at_us - self.running_us if self.running_us else 0)
+        return self.checkpointed_us + (
+            at_us - self.running_since_us if self.running_since_us else 0
+        )
 
     def remaining_us(self, task_us: int, at_us: int) -> int:
         """Return what remains of an estimated run time, at least 0.
@@ -100,23 +102,23 @@
         """
         if self.adopted:
             task_us //= 2
-        task_us -= self.prior_us
-        if self.running_us:
-            task_us += self.running_us - at_us
+        task_us -= self.checkpointed_us
+        if self.running_since_us:
+            task_us += self.running_since_us - at_us
         return task_us if task_us > 0 else 0
 
 
 class GateStatus:
     """What holds jobs that wait for the same; shared by all of them."""
 
-    __slots__ = ("name", "starts_us", "why")
+    __slots__ = ("expected_open_us", "name", "reason")
 
     def __init__(self, name: str = "") -> None:
         #: The gate, and what it waits for in words, as far as is known.
         self.name = name
-        self.why = ""
+        self.reason = ""
         #: When they are expected to wait no more, on the steady clock; None: cannot be told.
-        self.starts_us: int | None = None
+        self.expected_open_us: int | None = None
 
 
 #: Nobody knows yet whether a job is held, or by what: closed when in doubt.
@@ -133,58 +135,58 @@
         "_chain_due_us",
         "_finishing",
         "_first_seen_us",
-        "_fresh",
         "_held",
         "_level",
+        "_next_new_task",
         "_not_before_us",
         "_probing",
         "_ready_us",
         "_stranded",
         "active",
-        "blockers",
-        "bound",
         "broken",
+        "calendar_deadline",
+        "change_feeds",
+        "checkpoints_us",
         "committed",
-        "dirty",
         "done",
-        "failed_on",
+        "expected_finish_us",
+        "expected_start_us",
+        "failed_machines",
         "failures",
-        "feeds",
-        "forecast_at_us",
-        "forecast_us",
-        "hold",
+        "forecast_made_us",
+        "gate_hold",
         "id",
         "last_machine",
-        "late",
-        "restarts",
-        "saved_us",
+        "reported_late",
+        "restart_queue",
         "saving",
         "serial",
         "spec",
-        "starts_us",
         "states",
         "submitted_us",
         "team",
+        "uncommitted_chunks",
+        "unmet_dependencies",
         "version",
         "zones",
     )  # fmt: skip
 
     #: What decides whether and when its tasks are placed tells of its changes.
     cancelled = ObservedAttribute[bool]("_cancelled")
-    cancel_asked = ObservedAttribute[bool]("_cancel_asked")
+    cancel_requested = ObservedAttribute[bool]("_cancel_asked")
     finishing = ObservedAttribute[bool]("_finishing")
     first_seen_us = ObservedAttribute[int]("_first_seen_us")
-    ready_us = ObservedAttribute[int]("_ready_us")
+    runnable_since_us = ObservedAttribute[int]("_ready_us")
     not_before_us = ObservedAttribute[int]("_not_before_us")
-    probing = ObservedAttribute[bool]("_probing")
+    on_probation = ObservedAttribute[bool]("_probing")
     stranded = ObservedAttribute[bool]("_stranded")
-    level = ObservedAttribute[int]("_level")
-    chain_due_us = ObservedAttribute[tuple[int, ...]]("_chain_due_us")
-    bound_due_us = ObservedAttribute[int | None]("_bound_due_us")
-    held = ObservedAttribute[GateStatus | None]("_held")
+    effective_level = ObservedAttribute[int]("_level")
+    inherited_due_us = ObservedAttribute[tuple[int, ...]]("_chain_due_us")
+    calendar_due_us = ObservedAttribute[int | None]("_bound_due_us")
+    blocking_gate = ObservedAttribute[GateStatus | None]("_held")
 
     def __init__(self, spec: JobSpec, submitted_us: int, version: int, at_us: int) -> None:
-        self.feeds: ChangeFeeds[Job] | None = None
+        self.change_feeds: ChangeFeeds[Job] | None = None
         self.serial = 0
         self.spec = spec
         self.id = spec.id
@@ -196,14 +198,14 @@
         #: When its last needed job was done: users' times but the deadline count from then.
         self._ready_us = at_us
         #: What documents said of it when it was accepted.
-        self.bound: CalendarDeadline | None = None
+        self.calendar_deadline: CalendarDeadline | None = None
         #: When that is on this node's steady clock, so early that it is met by every clock.
         self._bound_due_us: int | None = None
-        self.hold: GateHold | None = None
+        self.gate_hold: GateHold | None = None
         #: What holds it now; None: nothing does.
         self._held: GateStatus | None = None
         #: Needed jobs that are not known to be committed as done.
-        self.blockers: frozenset[str] = frozenset()
+        self.unmet_dependencies: frozenset[str] = frozenset()
         #: Its priority, or that of a job that needs it; and by when it has to be done for
         #: the jobs that need it to be in time, the nearest bound first (``urgency.py``).
         self._level = spec.level
@@ -219,13 +221,13 @@
         self.done = 0
         self.committed = 0
         #: Stopped tasks, to be restarted before new ones are started.
-        self.restarts: list[int] = []
-        self._fresh = 0
+        self.restart_queue: list[int] = []
+        self._next_new_task = 0
         self.zones: Counter[str] = Counter()
-        self.dirty: set[int] = set()
+        self.uncommitted_chunks: set[int] = set()
         self.last_machine: dict[int, str] = {}
-        self.saved_us: dict[int, int] = {}
-        self.failed_on: frozenset[str] = frozenset()
+        self.checkpoints_us: dict[int, int] = {}
+        self.failed_machines: frozenset[str] = frozenset()
         self.failures = 0
         #: Its tasks fail and none is known to succeed: it is tried one task at a time, and
         #: nothing is stopped or rented for it; ``broken`` where it fails on healthy machines.
@@ -234,18 +236,18 @@
         #: It is tried, and there is no machine to try it on: one may be rented.
         self._stranded = False
         self._not_before_us = 0
-        self.late = False
+        self.reported_late = False
         #: When the jobs that it waits for are expected to be done; None: cannot be told.
-        self.starts_us: int | None = None
+        self.expected_start_us: int | None = None
         #: Expected finish on the steady clock; None: cannot be told.
-        self.forecast_us: int | None = None
+        self.expected_finish_us: int | None = None
         #: When that was reckoned; 0: never.
-        self.forecast_at_us = 0
+        self.forecast_made_us = 0
 
-    def touch(self) -> None:
+    def notify_changed(self) -> None:
         """Something has changed by which decisions about the job are made."""
-        if self.feeds is not None:
-            self.feeds.note(self.id, self)
+        if self.change_feeds is not None:
+            self.change_feeds.publish(self.id, self)
 
     @property
     def due_us(self) -> int | None:
@@ -263,7 +265,7 @@
         One that fails wherever it runs took its whole width in room, again and again, and
         spoiled every machine for others (found on the operations' sites): it waits for one.
         """
-        if self.unwanted or self.blockers or self._held is not None:
+        if self.unwanted or self.unmet_dependencies or self._held is not None:
             return 0
         if self._probing and self.active:
             return 0
@@ -291,7 +293,7 @@
             return "withdrawn"
         return "running" if self.running else "pending"
 
-    def ends_us(self, task_us: int, at_us: int, away: Container[str] = ()) -> list[int]:
+    def expected_ends_us(self, task_us: int, at_us: int, away: Container[str] = ()) -> list[int]:
         """Return when its attempts are expected to end, ``remaining_us`` of each from now on.
 
         Without those on machines that are away. Asked for all attempts of a fleet each second:
@@ -302,34 +304,37 @@
         for attempt in self.active.values():
             if away and attempt.machine in away:
                 continue
-            left_us = (half_us if attempt.adopted else task_us) - attempt.prior_us
-            if attempt.running_us:
-                left_us += attempt.running_us - at_us
+            left_us = (half_us if attempt.adopted else task_us) - attempt.checkpointed_us
+            if attempt.running_since_us:
+                left_us += attempt.running_since_us - at_us
             found.append(at_us + left_us if left_us > 0 else at_us)
         return found
 
     def peek_waiting(self) -> int | None:
         """Return the next task to start: a stopped one if there is any."""
-        while self.restarts and self.states[self.restarts[0]] != TaskState.WAITING:
-            del self.restarts[0]
-        if self.restarts:
-            return self.restarts[0]
-        while self._fresh < self.spec.tasks and self.states[self._fresh] != TaskState.WAITING:
-            self._fresh += 1
-        return self._fresh if self._fresh < self.spec.tasks else None
+        while self.restart_queue and self.states[self.restart_queue[0]] != TaskState.WAITING:
+            del self.restart_queue[0]
+        if self.restart_queue:
+            return self.restart_queue[0]
+        while (
+            self._next_new_task < self.spec.tasks
+            and self.states[self._next_new_task] != TaskState.WAITING
+        ):
+            self._next_new_task += 1
+        return self._next_new_task if self._next_new_task < self.spec.tasks else None
 
     def waiting_indexes(self, most: int) -> list[int]:
         """Return up to that many waiting tasks, stopped ones first, without repeats."""
         found: list[int] = []
         seen: set[int] = set()
-        for index in self.restarts:
+        for index in self.restart_queue:
             if len(found) >= most:
                 return found
             if self.states[index] == TaskState.WAITING and index not in seen:
                 seen.add(index)
                 found.append(index)
         self.peek_waiting()
-        index = self._fresh
+        index = self._next_new_task
         while index < self.spec.tasks and len(found) < most:
             if self.states[index] == TaskState.WAITING and index not in seen:
                 found.append(index)
@@ -345,7 +350,7 @@
         self.active[index] = attempt
         self.zones[zone] += 1
         self.last_machine[index] = attempt.machine
-        self.touch()
+        self.notify_changed()
 
     def end(self, attempt: Attempt, zone: str, *, completed: bool) -> None:
         """Record that an attempt is surely gone."""
@@ -357,18 +362,18 @@
         if completed:
             self.states[index] = TaskState.COMPLETED
             self.done += 1
-            self.dirty.add(index // CHUNK_TASKS)
+            self.uncommitted_chunks.add(index // CHUNK_TASKS)
         else:
             self.states[index] = TaskState.WAITING
-            self.restarts.append(index)
-        self.touch()
+            self.restart_queue.append(index)
+        self.notify_changed()
 
-    def give_back(self, index: int, machine: str) -> None:
+    def restart_first(self, index: int, machine: str) -> None:
         """An earlier leader stopped a task: it starts first, and best where it was last."""
-        if self.states[index] == TaskState.WAITING and index not in self.restarts:
-            self.restarts.append(index)
+        if self.states[index] == TaskState.WAITING and index not in self.restart_queue:
+            self.restart_queue.append(index)
             self.last_machine[index] = machine
-            self.touch()
+            self.notify_changed()
 
     def complete_waiting(self, index: int) -> None:
         """Record that a task without an active attempt turned out to be completed."""
@@ -376,8 +381,8 @@
             raise ValueError(f"{self.id}/{index}: not waiting")
         self.states[index] = TaskState.COMPLETED
         self.done += 1
-        self.dirty.add(index // CHUNK_TASKS)
-        self.touch()
+        self.uncommitted_chunks.add(index // CHUNK_TASKS)
+        self.notify_changed()
 
     def load_committed(self, indexes: list[int]) -> None:
         """Record completions read from the store."""
@@ -388,7 +393,7 @@
                 continue
             self.states[index] = TaskState.COMMITTED
             self.committed += 1
-        self.touch()
+        self.notify_changed()
 
     def snapshot_chunk(self, chunk: int) -> tuple[bytes, list[int]]:
         """Return a chunk's completed flags, and which of them are not committed yet."""
@@ -422,7 +427,7 @@
         """How many of the tasks may be in one zone."""
         return -(-self.spec.tasks // 2) if self.spec.spread else self.spec.tasks
 
-    def room_in_zone(self, zone: str) -> int:
+    def capacity_in_zone(self, zone: str) -> int:
         """How many more tasks may be placed in a zone, given the others at this moment."""
         if self.spec.zone is not None and zone != self.spec.zone:
             return 0
--- a/weldhead/cluster_state/machines.py
+++ b/weldhead/cluster_state/machines.py
@@ -33,50 +33,50 @@
 
     __slots__ = (
         "address",
-        "asked_in_vain",
         "attempts",
-        "closing",
+        "change_feeds",
+        "command_in_flight",
         "cpus",
-        "deaf",
         "deleting",
         "draining",
+        "enrolled",
+        "enrollment_pending",
         "expired_session",
-        "feeds",
-        "forget",
-        "ghosts",
+        "first_probe_us",
         "gpus",
-        "heard_us",
-        "hire",
-        "hired_us",
+        "heartbeat_sequence",
         "idle_since_us",
         "images",
+        "in_cloud_list",
+        "interruption_us",
+        "last_heartbeat_us",
+        "last_listing",
+        "last_message_us",
         "lease_from_us",
-        "listed",
-        "listing",
         "memory_gb",
-        "met_us",
         "name",
-        "notice_until_us",
-        "order",
-        "posting",
+        "newest_message",
+        "not_receiving",
+        "orphans",
+        "probes_failed",
+        "reconciled",
         "relayed",
-        "report_sequence",
-        "seen_us",
+        "rental_name",
+        "rented_us",
+        "scale_in_candidate",
         "serial",
         "spot",
-        "synced",
+        "stale_token_answers",
         "token",
         "type",
-        "unshown",
-        "up",
-        "up_pending",
+        "unacknowledged",
         "zone",
     )  # fmt: skip
 
     def __init__(
         self, name: str, machine_type: MachineType, zone: str, spot: bool, hired_us: int
     ) -> None:
-        self.feeds: ChangeFeeds[Machine] | None = None
+        self.change_feeds: ChangeFeeds[Machine] | None = None
         self.serial = 0
         self.name = name
         self.type = machine_type
@@ -84,41 +84,41 @@
         self.spot = spot
         self.address = ""
         #: The rental in whose record it stands.
-        self.hire = ""
+        self.rental_name = ""
         #: Steady clock of this node, estimated for machines that it did not rent.
-        self.hired_us = hired_us
+        self.rented_us = hired_us
         #: The store knows that something may run here.
-        self.up = False
-        self.up_pending = False
+        self.enrolled = False
+        self.enrollment_pending = False
         #: (session, sequence) of the newest message seen; 0: none.
-        self.order = (0, 0)
-        self.report_sequence = 0
+        self.newest_message = (0, 0)
+        self.heartbeat_sequence = 0
         self.token = 0
         #: When that message came; what has a smaller stamp was sent before.
-        self.seen_us = 0
+        self.last_message_us = 0
         #: When the newest report came that showed this term's token and was answered; 0: never.
-        self.heard_us = 0
+        self.last_heartbeat_us = 0
         #: When it answered this leader directly for the first time, before any report of it
         #: came; it may be used from then on, but that renewed no lease.
-        self.met_us = 0
+        self.first_probe_us = 0
         #: No later than this was a report sent whose answer may have renewed its lease.
         self.lease_from_us = 0
         #: It has reported under the present leader's token.
-        self.synced = False
+        self.reconciled = False
         #: Reports of an earlier token that this leader has answered since it last showed its own.
-        self.unshown = 0
+        self.stale_token_answers = 0
         #: Its reports come, and what it is told does not arrive: nothing new is placed there.
-        self.deaf = False
+        self.not_receiving = False
         self.expired_session = 0
         self.attempts: dict[str, Attempt] = {}
         #: Exited attempts to be forgotten, by (task, attempt).
-        self.forget: set[tuple[str, int]] = set()
+        self.unacknowledged: set[tuple[str, int]] = set()
         #: Attempts that must go and that no table knows.
-        self.ghosts: set[tuple[str, int]] = set()
-        self.notice_until_us = 0
+        self.orphans: set[tuple[str, int]] = set()
+        self.interruption_us = 0
         self.draining = False
         #: Filled last, so that it falls idle and can be returned.
-        self.closing = False
+        self.scale_in_candidate = False
         self.deleting = False
         self.images: OrderedDict[str, float] = OrderedDict()
         self.idle_since_us = hired_us
@@ -128,29 +128,29 @@
         #: Its reports come through another node: it cannot be reached directly.
         self.relayed = False
         #: A direct request is on its way.
-        self.posting = False
-        self.listed = False
+        self.command_in_flight = False
+        self.in_cloud_list = False
         #: What its worker listed last, while nothing has been decided since by which the same
         #: list would mean anything new.
-        self.listing: list[ReportedTask] | None = None
+        self.last_listing: list[ReportedTask] | None = None
         #: A new leader asked it directly what it runs, and got no answer.
-        self.asked_in_vain = False
+        self.probes_failed = False
 
-    def touch(self) -> None:
+    def notify_changed(self) -> None:
         """Its room has changed, or whether that may be used."""
-        if self.feeds is not None:
-            self.feeds.note(self.name, self)
+        if self.change_feeds is not None:
+            self.change_feeds.publish(self.name, self)
 
-    def hear(self, at_us: int, silence_us: int) -> None:
+    def record_heartbeat(self, at_us: int, silence_us: int) -> None:
         """A report of it was answered."""
-        if at_us - self.heard_us >= silence_us:
-            self.touch()
-        self.heard_us = at_us
+        if at_us - self.last_heartbeat_us >= silence_us:
+            self.notify_changed()
+        self.last_heartbeat_us = at_us
 
     @property
     def session(self) -> int:
         """The worker's session."""
-        return self.order[0]
+        return self.newest_message[0]
 
     @property
     def price(self) -> float:
@@ -158,14 +158,14 @@
         return self.type.spot_price if self.spot else self.type.price
 
     @property
-    def boundless(self) -> bool:
+    def has_unknown_capacity(self) -> bool:
         """Whether its type left the catalog: no amounts are known of it."""
         return not self.type.cpus and not self.type.memory_gb
 
     @property
     def booting(self) -> bool:
         """Whether its worker has never been heard of."""
-        return self.order[0] == 0
+        return self.newest_message[0] == 0
 
     def add(self, attempt: Attempt) -> None:
         """Take an attempt's room."""
@@ -176,8 +176,8 @@
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory_gb
-        self.listing = None
-        self.touch()
+        self.last_listing = None
+        self.notify_changed()
 
     def remove(self, attempt: Attempt) -> None:
         """Give an attempt's room back."""
@@ -187,10 +187,10 @@
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
-        self.listing = None
-        self.touch()
+        self.last_listing = None
+        self.notify_changed()
 
-    def fits(self, job: Job) -> int:
+    def capacity_for(self, job: Job) -> int:
         """How many more tasks of the job fit by their amounts."""
         return tasks_that_fit(job.spec, self.cpus, self.gpus, self.memory_gb)
 
@@ -203,20 +203,20 @@
             and (spec.spot or not self.spot)
         )
 
-    def note_image(self, image: str, size_gb: float) -> None:
+    def record_image(self, image: str, size_gb: float) -> None:
         """Remember that an image was used here; the least recently used ones fall out."""
         self.images[image] = size_gb
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > self.type.cache_gb:
             self.images.popitem(last=False)
 
-    def pulls(self) -> int:
+    def image_pulls(self) -> int:
         """How many images are being fetched."""
         return len(
             {a.job.spec.image for a in self.attempts.values() if a.phase is AttemptPhase.PULLING}
         )
 
-    def lease_over_us(self, lease_us: int, floor_us: int) -> int:
+    def lease_expired_us(self, lease_us: int, floor_us: int) -> int:
         """Return when its worker's lease is surely over.
 
         ``floor_us`` is when an earlier leader may last have answered it. That counts until
@@ -224,6 +224,6 @@
         no report, so the lease that an earlier leader renewed still runs from then.
         """
         start_us = self.lease_from_us
-        if not self.synced:
+        if not self.reconciled:
             start_us = max(start_us, floor_us)
         return surely_over_us(start_us, lease_us)
--- a/weldhead/cluster_state/preemption_history.py
+++ b/weldhead/cluster_state/preemption_history.py
@@ -33,81 +33,85 @@
     index: int
     machine: str
     #: Steady clock; the last one is the latest. No more than MOST_AN_HOUR.
-    stops_us: list[int]
+    preempted_us: list[int]
 
     @property
-    def since_us(self) -> int:
+    def last_preempted_us(self) -> int:
         """When it was stopped last."""
-        return self.stops_us[-1]
+        return self.preempted_us[-1]
 
 
 class PreemptionHistory:
     """The loans of all jobs, by job and task."""
 
     def __init__(self) -> None:
-        self._loans: dict[str, dict[int, PreemptedTask]] = {}
+        self._tasks: dict[str, dict[int, PreemptedTask]] = {}
 
     def __len__(self) -> int:
-        return sum(len(loans) for loans in self._loans.values())
+        return sum(len(loans) for loans in self._tasks.values())
 
     def clear(self) -> None:
         """Forget everything, to be read anew."""
-        self._loans.clear()
+        self._tasks.clear()
 
-    def loans(self) -> Iterator[PreemptedTask]:
+    def entries(self) -> Iterator[PreemptedTask]:
         """Iterate over all loans."""
-        for loans in self._loans.values():
+        for loans in self._tasks.values():
             yield from loans.values()
 
-    def of(self, job_id: str) -> dict[int, PreemptedTask]:
+    def of_job(self, job_id: str) -> dict[int, PreemptedTask]:
         """Return a job's loans by task."""
-        return self._loans.get(job_id, {})
+        return self._tasks.get(job_id, {})
 
-    def stop(self, attempt: Attempt, at_us: int) -> None:
+    def record_preemption(self, attempt: Attempt, at_us: int) -> None:
         """Note that a task is stopped for another."""
-        loans = self._loans.setdefault(attempt.job.id, {})
+        loans = self._tasks.setdefault(attempt.job.id, {})
         loan = loans.get(attempt.index)
         if loan is None:
             loan = loans[attempt.index] = PreemptedTask(attempt.job.id, attempt.index, "", [])
         loan.machine = attempt.machine
-        loan.stops_us = [s for s in loan.stops_us if s > at_us - PREEMPTION_MEMORY_US] + [at_us]
+        loan.preempted_us = [s for s in loan.preempted_us if s > at_us - PREEMPTION_MEMORY_US] + [
+            at_us
+        ]
 
-    def enter(self, loan: PreemptedTask) -> None:
+    def restore(self, loan: PreemptedTask) -> None:
         """Take up a loan from the records."""
-        self._loans.setdefault(loan.job_id, {})[loan.index] = loan
+        self._tasks.setdefault(loan.job_id, {})[loan.index] = loan
 
-    def hold_us(self, job_id: str, index: int, at_us: int) -> int:
+    def undisturbed_us(self, job_id: str, index: int, at_us: int) -> int:
         """Return for how long a task is let run before it may be stopped for another."""
-        loan = self._loans.get(job_id, {}).get(index)
+        loan = self._tasks.get(job_id, {}).get(index)
         if loan is None:
             return 0
-        recent = sum(1 for stop_us in loan.stops_us if stop_us > at_us - PREEMPTION_MEMORY_US)
+        recent = sum(1 for stop_us in loan.preempted_us if stop_us > at_us - PREEMPTION_MEMORY_US)
         return MIN_UNDISTURBED_US << (recent - 1) if recent else 0
 
-    def kept(self, attempt: Attempt, at_us: int) -> bool:
+    def is_protected(self, attempt: Attempt, at_us: int) -> bool:
         """Whether a task is left alone: it was stopped of late and has not run for long since.
 
         One that has not begun yet has lost nothing; but it is a stop as any other, and the
         hold would not bound how often such a task is turned away.
         """
-        hold_us = self.hold_us(attempt.job.id, attempt.index, at_us)
+        hold_us = self.undisturbed_us(attempt.job.id, attempt.index, at_us)
         if hold_us == 0:
             return False
-        return attempt.running_us == 0 or at_us - attempt.running_us < hold_us
+        return attempt.running_since_us == 0 or at_us - attempt.running_since_us < hold_us
 
     def expire(self, at_us: int, keep: Mapping[str, Job]) -> None:
         """Drop what nobody asks for any more: of jobs that are over, and what is long past.
 
         What still waits to be given back is kept, however long it waits.
         """
-        for job_id, loans in list(self._loans.items()):
+        for job_id, loans in list(self._tasks.items()):
             job = keep.get(job_id)
             for index, loan in list(loans.items()):
                 waits = job is not None and job.states[index] == TaskState.WAITING
-                if job is None or (loan.since_us <= at_us - PREEMPTION_MEMORY_US and not waits):
+                if job is None or (
+                    loan.last_preempted_us <= at_us - PREEMPTION_MEMORY_US and not waits
+                ):
                     del loans[index]
             if not loans:
-                del self._loans[job_id]
+                del self._tasks[job_id]
 
 
 # -- records -------------------------------------------------------------------------------
@@ -137,12 +141,12 @@
     ``offset_us`` makes times of day of the steady clock's. What a full record leaves out is
     what was stopped longest ago: it is given back in some order then.
     """
-    loans = [loan for loan in taken.loans() if shard_of(loan.job_id) == shard]
-    loans.sort(key=lambda loan: (-loan.since_us, loan.job_id, loan.index))
+    loans = [loan for loan in taken.entries() if shard_of(loan.job_id) == shard]
+    loans.sort(key=lambda loan: (-loan.last_preempted_us, loan.job_id, loan.index))
     rows: list[Row] = []
     size = 2
     for loan in loans:
-        stops = tuple(stop_us + offset_us for stop_us in loan.stops_us)
+        stops = tuple(stop_us + offset_us for stop_us in loan.preempted_us)
         row: Row = (loan.job_id, loan.index, loan.machine, stops)
         size += len(msgspec.json.encode(row)) + 1
         if size > limit:
@@ -164,5 +168,5 @@
         job = jobs.get(job_id)
         if job is None or index >= job.spec.tasks or not stops:
             continue
-        taken.enter(PreemptedTask(job_id, index, machine, [stop - offset_us for stop in stops]))
-        job.give_back(index, machine)
+        taken.restore(PreemptedTask(job_id, index, machine, [stop - offset_us for stop in stops]))
+        job.restart_first(index, machine)
--- a/weldhead/cluster_state/reclaim.py
+++ b/weldhead/cluster_state/reclaim.py
@@ -20,8 +20,8 @@
     job_id: str
     machine: str
     victims: list[Attempt]
-    asked_us: int
-    hard_us: int = 0
+    requested_us: int
+    hard_kill_us: int = 0
 
 
 class ReclaimLists:
@@ -30,7 +30,7 @@
     def __init__(self, taken: PreemptionHistory | None = None) -> None:
         self._lists: dict[str, list[Reclaim]] = {}
         #: Tasks that were stopped for others while they held cards.
-        self.taken = taken if taken is not None else PreemptionHistory()
+        self.preemption_history = taken if taken is not None else PreemptionHistory()
 
     def add(self, reclaim: Reclaim) -> None:
         """Enter a request."""
--- a/weldhead/cluster_state/records.py
+++ b/weldhead/cluster_state/records.py
@@ -96,24 +96,28 @@
 class AdmissionBinding(msgspec.Struct, frozen=True):
     """What documents say of a job at its acceptance, and on which marks that rests."""
 
-    bound: CalendarDeadline | None = None
-    hold: GateHold | None = None
-    deed: GateAction | None = None
+    deadline: CalendarDeadline | None = None
+    gate_hold: GateHold | None = None
+    gate_action: GateAction | None = None
     conditions: tuple[Condition, ...] = ()
 
-    def joined(self, other: "AdmissionBinding") -> "AdmissionBinding":
+    def merged(self, other: "AdmissionBinding") -> "AdmissionBinding":
         """Return both; of two instants the earlier binds."""
-        bounds = [bound for bound in (self.bound, other.bound) if bound is not None]
+        bounds = [bound for bound in (self.deadline, other.deadline) if bound is not None]
         return AdmissionBinding(
             min(bounds, key=lambda bound: bound.due_us, default=None),
-            self.hold or other.hold,
-            self.deed or other.deed,
+            self.gate_hold or other.gate_hold,
+            self.gate_action or other.gate_action,
             # Several may rest on the same marks; a condition is stated once.
             (*self.conditions, *(c for c in other.conditions if c not in self.conditions)),
         )
 
 
-class JobRecord(msgspec.Struct, omit_defaults=True):
+class JobRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={"deadline": "bound", "gate_hold": "hold", "gate_action": "deed"},
+):
     """A job that is not over.
 
     The last three fields came with documents (see ``protocol/versions.py``).
@@ -122,17 +126,23 @@
     spec: JobSpec
     submitted_us: int
     cancelled: bool = False
-    bound: CalendarDeadline | None = None
-    hold: GateHold | None = None
-    deed: GateAction | None = None
+    deadline: CalendarDeadline | None = None
+    gate_hold: GateHold | None = None
+    gate_action: GateAction | None = None
 
 
 def admitted_record(spec: JobSpec, submitted_us: int, binding: AdmissionBinding) -> JobRecord:
     """Return a new job's record; what concerns a gate has a need that only older versions see."""
-    gate = binding.hold or binding.deed
+    gate = binding.gate_hold or binding.gate_action
     if gate is not None:
         spec = msgspec.structs.replace(spec, needs=(*(spec.needs or ()), GATE_NEED + gate.gate))
-    return JobRecord(spec, submitted_us, bound=binding.bound, hold=binding.hold, deed=binding.deed)
+    return JobRecord(
+        spec,
+        submitted_us,
+        deadline=binding.deadline,
+        gate_hold=binding.gate_hold,
+        gate_action=binding.gate_action,
+    )
 
 
 def without_gate(spec: JobSpec) -> JobSpec:
@@ -156,7 +166,7 @@
     service: bool = False
 
 
-class RentalRecord(msgspec.Struct, omit_defaults=True):
+class RentalRecord(msgspec.Struct, omit_defaults=True, rename={"rented_us": "hired_us"}):
     """A rental: asked for under the name in its key, and the machines that came of it.
 
     One record holds many machines, so that hundreds of them can be entered and marked
@@ -168,7 +178,7 @@
     zone: str
     spot: bool
     count: int
-    hired_us: int
+    rented_us: int
     #: What came of the request is known.
     settled: bool = False
     machines: dict[str, str | None] = {}
--- a/weldhead/cluster_state/state_writer.py
+++ b/weldhead/cluster_state/state_writer.py
@@ -66,45 +66,45 @@
         self._wake = asyncio.Event()
         self._closed = False
         #: Keys of which a creation was not answered: it may yet be applied, in this term.
-        self._in_doubt: set[str] = set()
+        self._unconfirmed_creations: set[str] = set()
         #: The latest moment at which the leader's key was surely still ours: when a request
         #: was sent whose answer showed it (steady clock, 0: never).
-        self.proven_us = 0
+        self.leadership_verified_us = 0
         #: Keys of the transaction under way, once it may have been carried out, and since when.
-        self.doubted: frozenset[str] = frozenset()
-        self.doubted_us = 0
+        self.unanswered_keys: frozenset[str] = frozenset()
+        self.unanswered_since_us = 0
 
-    async def prove(self) -> None:
+    async def verify_leadership(self) -> None:
         """Show that the leader's key is still ours; Deposed if it is not."""
         sent_us = now_us()
         leader = await self._state.get(LEADER_KEY, urgent=True)
         if leader is None or leader.version != self._token:
             raise LeadershipLostError
-        self.proven_us = max(self.proven_us, sent_us)
+        self.leadership_verified_us = max(self.leadership_verified_us, sent_us)
 
-    def learn(self, key: str, version: int) -> None:
+    def record_version(self, key: str, version: int) -> None:
         """Note a key's version, read from the store or its watch."""
         if version > self._versions.get(key, 0):
             self._versions[key] = version
 
-    def forget(self, key: str) -> None:
+    def forget_version(self, key: str) -> None:
         """A key was committed and is never written again: its version is not needed.
 
         Kept for the whole term, the versions of ended jobs' records grew with every job.
         """
         self._versions.pop(key, None)
-        self._in_doubt.discard(key)
+        self._unconfirmed_creations.discard(key)
 
     def version(self, key: str) -> int:
         """Return a key's last known version; 0: it does not exist."""
         return self._versions.get(key, 0)
 
-    def in_doubt(self, key: str) -> bool:
+    def creation_unconfirmed(self, key: str) -> bool:
         """Whether a creation of the key may still be under way: deleted, it could come back.
 
         With the term that ends: whatever a transaction does is conditional on its token.
         """
-        return key in self._in_doubt
+        return key in self._unconfirmed_creations
 
     async def write(self, changes: dict[str, Any], *, urgent: bool = False) -> int:
         """Commit changes that belong together; return the revision.
@@ -139,10 +139,10 @@
             (self._urgent if urgent else self._queue).append(write)
             self._wake.set()
         elif urgent:
-            self.hasten(key)
+            self.prioritize(key)
         return await asyncio.shield(write.future)
 
-    def hasten(self, key: str) -> None:
+    def prioritize(self, key: str) -> None:
         """Let a newest value's write that waits for its turn overtake the others."""
         write = self._latest.get(key)
         if write is not None and write in self._queue:
@@ -188,11 +188,11 @@
                     self._fail(write, cause)
                 raise
 
-    def _doubt(self, keys: Iterable[str]) -> None:
+    def _mark_unanswered(self, keys: Iterable[str]) -> None:
         """Others may read from now on what a transaction writes to these keys."""
-        if not self.doubted:
-            self.doubted_us = now_us()
-        self.doubted = frozenset(keys)
+        if not self.unanswered_keys:
+            self.unanswered_since_us = now_us()
+        self.unanswered_keys = frozenset(keys)
 
     @staticmethod
     def _fail(write: _QueuedWrite, cause: Exception) -> None:
@@ -210,7 +210,7 @@
         try:
             revision = await self._commit({k: v for _, values in batch for k, v in values.items()})
         except TransactionRejectedError as error:
-            self.doubted = frozenset()
+            self.unanswered_keys = frozenset()
             if len(batch) > 1:
                 for one in batch:
                     await self._commit_batch([one])
@@ -224,7 +224,7 @@
                 write.future.set_result(revision)
         # It counts as in doubt until whoever waited has taken it up.
         await asyncio.sleep(0)
-        self.doubted = frozenset()
+        self.unanswered_keys = frozenset()
 
     async def _commit(self, changes: dict[str, Any]) -> int:
         pause_s, unanswered = 0.05, False
@@ -236,10 +236,10 @@
                 for key, value in changes.items()
             ]
             sent_us = now_us()
-            self._doubt(changes)
+            self._mark_unanswered(changes)
             try:
                 revision = await self._state.transact(conditions, writes)
-                self.proven_us = max(self.proven_us, sent_us)
+                self.leadership_verified_us = max(self.leadership_verified_us, sent_us)
                 for key, value in changes.items():
                     if value is None:
                         self._versions.pop(key, None)
@@ -253,12 +253,12 @@
             except RequestRefusedError as refused:
                 log.debug("write refused: %s", refused)
                 if not unanswered:
-                    self.doubted = frozenset()
+                    self.unanswered_keys = frozenset()
             except TransactionRejectedError:
                 raise
             except CallError as failure:
                 log.info("write unanswered: %s", failure)
-                self._in_doubt.update(
+                self._unconfirmed_creations.update(
                     key for key, value in changes.items()
                     if value is not None and not self.version(key)
                 )  # fmt: skip
--- a/weldhead/controller/configuration/calendars.py
+++ b/weldhead/controller/configuration/calendars.py
@@ -77,7 +77,7 @@
 
     def accepted(self, record: JobRecord) -> None:
         """Take up a job that this controller has accepted."""
-        bound = record.bound
+        bound = record.deadline
         if bound is None:
             return
         self._documents.table.put(record.spec.id, bound)
@@ -162,7 +162,7 @@
         self._changed = asyncio.Event()
         publisher.cache.listeners.append(self._heard)
         publisher.vets.append(self.vet)
-        term.dues.cache = publisher.cache
+        term.job_deadlines.cache = publisher.cache
         self.notes = LateNotifications(term, publisher)
         self.history = RunTimeHistory(term, publisher)
 
@@ -235,7 +235,7 @@
         self, former: CalendarState | None, edition: int, calendar: Calendar, body: bytes
     ) -> CalendarState | None:
         """Return a calendar's record as it has to be from now on; None: as it is."""
-        at_us, error_us = wall_us(), self._term.dues.error_us
+        at_us, error_us = wall_us(), self._term.job_deadlines.error_us
         same = former is not None and former.digest == digest_of(body)
         if same and former is not None and not former.runs_out(at_us):
             return None
@@ -264,20 +264,26 @@
         )  # fmt: skip
         # Thousands at a time would keep the loop from its leases.
         for jobs in batches(list(self._term.cluster.jobs.values())):
-            changed = self._term.dues.rebind(jobs, name)
+            changed = self._term.job_deadlines.rebind(jobs, name)
             for job, was_us in changed:
-                assert job.bound is not None
+                assert job.calendar_deadline is not None
                 log.info(
                     "%s is bound anew by calendar %s, edition %d: due by %s, before by %s",
-                    job.id, name, job.bound.edition, utc(job.bound.due_us), utc(was_us),
-                )  # fmt: skip
+                    job.id,
+                    name,
+                    job.calendar_deadline.edition,
+                    utc(job.calendar_deadline.due_us),
+                    utc(was_us),
+                )
             if changed:
                 self._refresh([job for job, _ in changed])
                 await asyncio.sleep(0)
 
     def keep_time(self, at_us: int, time_of_day_us: int) -> None:
         """Follow a step of the clocks."""
-        changed = self._term.dues.keep_time(self._term.cluster.jobs.values(), at_us, time_of_day_us)
+        changed = self._term.job_deadlines.keep_time(
+            self._term.cluster.jobs.values(), at_us, time_of_day_us
+        )
         if changed:
             log.info("the clocks have moved: %d bound jobs are due at another moment", len(changed))
             self._refresh(changed)
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -43,15 +43,21 @@
                 continue
             jobs = self._term.cluster.jobs
             acts = [jobs[p.job] for p in book.state.pending if p.job in jobs]
-            book.opening.why = book.why()
-            book.opening.starts_us = opens_us(book, {a.id: self._end_us(a, at_us) for a in acts})
+            book.opening.reason = book.why()
+            book.opening.expected_open_us = opens_us(
+                book, {a.id: self._end_us(a, at_us) for a in acts}
+            )
             self._lend(book, acts, at_us)
         self.fresh.clear()
 
     def _end_us(self, job: Job, at_us: int) -> int | None:
         """Return when an act's job is expected to be done; None: it cannot be told."""
-        if job.blockers:
-            return None if job.starts_us is None else job.starts_us + self._linking.stage_us(job)
+        if job.unmet_dependencies:
+            return (
+                None
+                if job.expected_start_us is None
+                else job.expected_start_us + self._linking.stage_us(job)
+            )
         if job.active and not job.waiting:
             task_us = self._term.estimates.task_us(job)
             return at_us + max(a.remaining_us(task_us, at_us) for a in job.active.values())
@@ -59,27 +65,27 @@
 
     def _lend(self, book: GateTracker, acts: list[Job], at_us: int) -> None:
         """Let acts count with the priority and the deadlines of what waits for them."""
-        chains, goals = self._term.chains, self._term.goals
+        chains, goals = self._term.dependency_graph, self._term.objectives
         if book.left and at_us > book.lent_us + LENT_US:
             # Some may have gone that lent the most.
             book.left, book.lent_us = False, at_us
             for act in acts:
-                chains.lent.pop(act.id, None)
+                chains.gate_inheritance.pop(act.id, None)
         for act in acts:
-            before = chains.lent.get(act.id)
+            before = chains.gate_inheritance.get(act.id)
             bounds: list[tuple[int, list[int]]] = []
             if before is not None:
                 bounds.append((before[0], list(before[1])))
-                fresh = [j for j in self.fresh if j.hold and j.hold.gate == book.name]
+                fresh = [j for j in self.fresh if j.gate_hold and j.gate_hold.gate == book.name]
             else:
                 fresh = list(held(book))
             for job in fresh:
-                ends = (*goals.deadlines_us(job), *job.chain_due_us)
+                ends = (*goals.deadlines_us(job), *job.inherited_due_us)
                 path_us = self._linking.stage_us(job) if ends else 0
-                bounds.append((job.level, [end_us - path_us for end_us in ends]))
+                bounds.append((job.effective_level, [end_us - path_us for end_us in ends]))
             now = lent(bounds, MOST_BOUNDS, at_us)
             if now != before:
-                chains.lent[act.id] = now
+                chains.gate_inheritance[act.id] = now
                 self._linking.refresh([act])
 
     def upcoming(self, at_us: int, until_us: int) -> list[ExpectedDemand]:
@@ -90,14 +96,14 @@
         """
         found: list[ExpectedDemand] = []
         for book in self._books.values():
-            starts_us = book.opening.starts_us
+            starts_us = book.opening.expected_open_us
             if starts_us is None or starts_us > until_us:
                 continue
             book.foreseen_us = book.foreseen_us or at_us
             if at_us - book.foreseen_us > 2 * (until_us - at_us):
                 continue
             teams = self._term.cluster.teams
-            ready = (j for j in held(book) if j.team in teams and not j.blockers)
+            ready = (j for j in held(book) if j.team in teams and not j.unmet_dependencies)
             found += [
                 ExpectedDemand(j, starts_us) for j in nsmallest(MOST_FORESEEN, ready, key=urgency)
             ]
@@ -106,4 +112,4 @@
 
 def held(book: GateTracker) -> Iterator[Job]:
     """Iterate over the jobs that a gate holds."""
-    return (job for job in book.jobs.values() if job.held is not None)
+    return (job for job in book.jobs.values() if job.blocking_gate is not None)
--- a/weldhead/controller/configuration/gates.py
+++ b/weldhead/controller/configuration/gates.py
@@ -102,7 +102,7 @@
                 hold = GateHold(name, needed_now(state))
             else:
                 deed = gate_action(gate, state, act)
-        return AdmissionBinding(hold=hold, deed=deed, conditions=tuple(conditions))
+        return AdmissionBinding(gate_hold=hold, gate_action=deed, conditions=tuple(conditions))
 
 
 class GateKeeper:
@@ -186,10 +186,10 @@
             return
         if self._outdated or self._publisher.coming is not None:
             self._read()
-        if record.hold is not None:
-            self._hold(self._book(record.hold.gate), job)
-        elif record.deed is not None:
-            self._act(job, record.deed.gate, record.deed.act, record.deed)
+        if record.gate_hold is not None:
+            self._hold(self._book(record.gate_hold.gate), job)
+        elif record.gate_action is not None:
+            self._act(job, record.gate_action.gate, record.gate_action.act, record.gate_action)
         else:
             self._by_class(job)
 
@@ -208,14 +208,14 @@
 
     def _hold(self, book: GateTracker, job: Job) -> None:
         book.enter(job)
-        if job.held is not None:
+        if job.blocking_gate is not None:
             self.outlook.fresh.append(job)
         else:
             self._count_from_opening(book, job)
 
     def _act(self, job: Job, gate: str, act: str, deed: GateAction | None) -> None:
         book = self._book(gate)
-        job.held = book.opening
+        job.blocking_gate = book.opening
         self._acts[job.id] = job, gate, act, deed
         self._wake.set()
 
@@ -223,22 +223,24 @@
         """Users' times but the deadline count from when the gate opened, whoever saw it."""
         opened_us = book.opened_us(job)
         if opened_us:
-            job.ready_us = max(job.ready_us, now_us() - max(0, wall_us() - opened_us))
+            job.runnable_since_us = max(
+                job.runnable_since_us, now_us() - max(0, wall_us() - opened_us)
+            )
 
     # -- what is told ----------------------------------------------------------------------
 
     def why(self, job: Job) -> str:
         """Say why a job is held; "": no gate holds it. For warnings."""
-        if job.hold is None or job.held is None or job.cancelled:
+        if job.gate_hold is None or job.blocking_gate is None or job.cancelled:
             return ""
-        book = self.books.get(job.hold.gate)
+        book = self.books.get(job.gate_hold.gate)
         return f"gate {book.name}: {book.why() or 'it opens'}" if book is not None else ""
 
     def held_by(self, job: Job) -> str | None:
         """Say what holds a job, since when and who has to act; None: nothing does for sure."""
-        if job.hold is None or job.held is None or job.cancelled:
+        if job.gate_hold is None or job.blocking_gate is None or job.cancelled:
             return None
-        book = self.books.get(job.hold.gate)
+        book = self.books.get(job.gate_hold.gate)
         if book is None or book.state is None or not book.settled or not book.why():
             return None
         since = ""
@@ -272,7 +274,7 @@
             book.changed = True
         try:
             await self._square()
-            for job in term.cluster.holders.values():
+            for job in term.cluster.active_jobs.values():
                 self._follow(job)
             while True:
                 await self._look(feed.take())
@@ -306,7 +308,7 @@
         self._read()
         for some in batches(list(self._term.cluster.jobs.values()), LOAD_BATCH_SIZE):
             for job in some:
-                if job.hold is None and job.id not in self._acts and not job.cancelled:
+                if job.gate_hold is None and job.id not in self._acts and not job.cancelled:
                     if not any(self._is_entered(book, job.id) for book in self.books.values()):
                         self._by_class(job)
                         self._follow(job)
@@ -344,12 +346,12 @@
     def _follow(self, job: Job) -> None:
         """Something about a job has changed."""
         gone = self._term.cluster.jobs.get(job.id) is not job or job.cancelled
-        if job.hold is not None:
-            book = self.books.get(job.hold.gate)
+        if job.gate_hold is not None:
+            book = self.books.get(job.gate_hold.gate)
             if gone and book is not None:
                 book.left = book.jobs.pop(job.id, None) is not None or book.left
                 self._draining.pop(job.id, None)
-            elif job.held is not None and job.active:
+            elif job.blocking_gate is not None and job.active:
                 self._draining[job.id] = job
         elif gone and job.id in self._acts:
             del self._acts[job.id]
@@ -369,7 +371,9 @@
                     entered.append((book, job, ""))
                     continue
                 before = taken.get(gate, book.state)
-                if before is None or not self._term.chains.unknown.isdisjoint(job.blockers):
+                if before is None or not self._term.dependency_graph.unresolved.isdisjoint(
+                    job.unmet_dependencies
+                ):
                     continue
                 after, outcome = self._entry(before, job, act, deed)
                 if outcome is ActionEntry.FULL:
@@ -407,7 +411,7 @@
         book.coming = state
         self._keep_back(book)
         key = state_key(KIND, book.name)
-        revision = await self._term.ledger.write({**(also or {}), key: state}, urgent=True)
+        revision = await self._term.state_writer.write({**(also or {}), key: state}, urgent=True)
         self._publisher.cache.put(key, _encode(state), revision)
         book.state, book.coming, book.changed = state, None, True
         book.foreseen_us = self.outlook.looked_us = 0
@@ -439,7 +443,7 @@
                 state, _ = self._entry(state, job, known[2], known[3])
             state = ended(state, job.id, wall_us(), done=final.status == "done")
             await self._change(book, state, changes)
-        self._term.chains.lent.pop(job.id, None)
+        self._term.dependency_graph.gate_inheritance.pop(job.id, None)
         return True
 
     # -- closing ---------------------------------------------------------------------------
@@ -449,23 +453,23 @@
         at_us = now_us()
         cluster = self._term.cluster
         for job in list(self._draining.values()):
-            book = self.books[job.hold.gate] if job.hold is not None else None
-            if book is None or job.held is None or not job.active:
+            book = self.books[job.gate_hold.gate] if job.gate_hold is not None else None
+            if book is None or job.blocking_gate is None or not job.active:
                 del self._draining[job.id]
                 continue
             for attempt, stop in list(book.stops(job)):
                 machine = cluster.machines[attempt.machine]
                 if not request_stop(cluster, attempt, stop, at_us, f"gate {book.name}"):
-                    self._dispatcher.post_soon(machine)
+                    self._dispatcher.schedule(machine)
                 else:
-                    self._term.place.set()
+                    self._term.placement_wanted.set()
 
     def _settle(self) -> None:
         """See which gates nothing can pass any more, and let the acts that closed them begin."""
         about = {
-            job.hold.gate
+            job.gate_hold.gate
             for job in self._draining.values()
-            if job.hold is not None and job.held is not None and unbegun(job)
+            if job.gate_hold is not None and job.blocking_gate is not None and unbegun(job)
         }
         for book in self.books.values():
             # Before every machine is known, an earlier leader's command may start a task.
@@ -481,12 +485,12 @@
 
     def _let_go(self, job: Job) -> None:
         """Let a job's tasks begin."""
-        if job.held is None:
+        if job.blocking_gate is None:
             return
-        job.held = None
-        if not job.cancelled and not job.blockers:
+        job.blocking_gate = None
+        if not job.cancelled and not job.unmet_dependencies:
             self._linking.runnable(job)
-        self._term.place.set()
+        self._term.placement_wanted.set()
 
     async def _release(self) -> None:
         """Release the jobs for which a gate is open, in slices, most urgent first."""
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -54,14 +54,14 @@
     def told(self, job: Job) -> bool:
         """Whether a job was told late for its instant, or for a later one."""
         self._load()
-        due_us = job.bound.due_us if job.bound is not None else 0
+        due_us = job.calendar_deadline.due_us if job.calendar_deadline is not None else 0
         waiting = self._waiting.get(job.id)
         return max(self._told.get(job.id, -1), waiting[0] if waiting else -1) >= due_us
 
     def tell(self, job: Job, words: str) -> None:
         """Have it said that a job will be late."""
-        if job.bound is not None and not self.told(job):
-            self._waiting[job.id] = job.bound.due_us, words
+        if job.calendar_deadline is not None and not self.told(job):
+            self._waiting[job.id] = job.calendar_deadline.due_us, words
             self._wake.set()
 
     async def keep(self) -> None:
--- a/weldhead/controller/configuration/publisher.py
+++ b/weldhead/controller/configuration/publisher.py
@@ -73,7 +73,7 @@
             raise DocumentsNotLoadedError
         bound = AdmissionBinding()
         for binder in self.binders:
-            bound = bound.joined(binder(spec, wall_us))
+            bound = bound.merged(binder(spec, wall_us))
         return bound
 
     async def follow(self) -> None:
@@ -172,7 +172,7 @@
         async for page, revision in self._state.pages(PREFIX):  # noqa: B007
             entries.update((e.key, (bytes(e.value), e.version)) for e in page)
         for key, (_, version) in entries.items():
-            self._ledger().learn(key, version)
+            self._ledger().record_version(key, version)
         self.cache.replace(entries, revision)
         self.cache.as_of_us = now_us()
         self.loaded = True
--- a/weldhead/controller/configuration/run_time_history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -55,7 +55,7 @@
         """Return the record as it has to be; None: nothing is new."""
         estimates = self._term.estimates
         jobs = self._term.cluster.jobs.values()
-        bound = {job.spec.job_class for job in jobs if job.bound is not None}
+        bound = {job.spec.job_class for job in jobs if job.calendar_deadline is not None}
         fresh = [n for n in bound if estimates.editions.get(n, 0) != self._written.get(n, 0)]
         if not fresh:
             return None
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -57,13 +57,13 @@
         """Look at the fleet's size, again and again; a duty."""
         said_us = 0
         while True:
-            await self._deciding.pacer.rest(
+            await self._deciding.pacer.pause(
                 "fleet", LoopPriority.FLEET, self._term.tunables.fleet.period_us
             )
             if not self._term.valid:
                 continue
             at_us = now_us()
-            with self._deciding.pacer.hold("fleet"):
+            with self._deciding.pacer.measure("fleet"):
                 if at_us >= said_us + FLEET_LOG_US:
                     said_us = at_us
                     self._log_fleet()
@@ -82,22 +82,30 @@
         """
         if at_us - self._term.loaded_us < HIRE_AHEAD_US or self._rentals.busy:
             return
-        unknown = [m for m in self._watch.live() if not m.synced]
-        if not unknown or not all(m.asked_in_vain for m in unknown):
+        unknown = [m for m in self._watch.live() if not m.reconciled]
+        if not unknown or not all(m.probes_failed for m in unknown):
             return
         scene = self._deciding.kept_scene()
         settings = self._term.tunables.fleet.settings()
         plan = plan_nothing(scene, at_us, settings.most_considered)
         fresh = [
-            m for m in self._term.cluster.machines.values() if m.hired_us >= self._term.loaded_us
+            m for m in self._term.cluster.machines.values() if m.rented_us >= self._term.loaded_us
         ]
         missing = sum(m.type.cpus for m in unknown) - sum(m.type.cpus for m in fresh)
         missing -= sum(item.type.cpus * item.count for item in self._rentals.coming())
         hires = plan_scale_out(
-            self._term.cluster, plan, self._term.market, self._term.estimates, self._term.goals,
-            at_us, settings, self._rentals.coming(), self._term.demand,
-            backlog=len(scene.backlog), silent={m.name for m in unknown},
-        )  # fmt: skip
+            self._term.cluster,
+            plan,
+            self._term.rental_offers,
+            self._term.estimates,
+            self._term.objectives,
+            at_us,
+            settings,
+            self._rentals.coming(),
+            self._term.arrival_rates,
+            backlog=len(scene.backlog),
+            silent={m.name for m in unknown},
+        )
         for offer, count in replacements(hires, missing).items():
             log.info("%d machines do not answer: %d of %s asked for in %s (spot: %s)",
                 len(unknown), count, offer.type.name, offer.zone, offer.spot)  # fmt: skip
@@ -124,7 +132,7 @@
     def _size_now(self, at_us: int) -> None:
         """Look once at what to rent, what to return, and what to empty."""
         settings = self._term.tunables.fleet.settings()
-        silent = self._watch.doubtful(at_us)
+        silent = self._watch.at_risk(at_us)
         upcoming = self._upcoming(at_us + settings.foresight_us)
         if self._gates is not None:
             upcoming += self._gates.outlook.upcoming(at_us, at_us + settings.foresight_us)
@@ -133,13 +141,13 @@
             self._term.cluster, self._deciding.last_plan, settings, upcoming
         )
         for machine in self._term.cluster.machines.values():
-            machine.closing = machine.name in closing
+            machine.scale_in_candidate = machine.name in closing
         for move in plan_consolidation(
             self._term.cluster, self._deciding.last_plan, self._term.estimates, at_us, settings,
-            self._term.silence_us, self._term.goals,
+            self._term.silence_us, self._term.objectives,
         ):  # fmt: skip
             self._empty(move, at_us)
-        boots = self._term.boots.look(
+        boots = self._term.boot_history.look(
             self._term.cluster.machines.values(), at_us, settings.boots, settings.minimum_charge_us
         )
         returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
@@ -152,13 +160,13 @@
         hires = plan_scale_out(
             self._term.cluster,
             self._deciding.last_plan,
-            self._term.market,
+            self._term.rental_offers,
             self._term.estimates,
-            self._term.goals,
+            self._term.objectives,
             at_us,
             settings,
             self._rentals.coming(),
-            self._term.demand,
+            self._term.arrival_rates,
             upcoming,
             len(self._deciding.scene.backlog) if self._deciding.scene is not None else 0,
             {machine.name for machine in silent},
@@ -173,11 +181,11 @@
     def _upcoming(self, until_us: int) -> list[ExpectedDemand]:
         """Return the jobs that are expected to wait for nothing more by then."""
         return [
-            ExpectedDemand(job, job.starts_us)
-            for job in self._term.chains.blocked.values()
-            if job.starts_us is not None
-            and job.held is None
-            and job.starts_us <= until_us
+            ExpectedDemand(job, job.expected_start_us)
+            for job in self._term.dependency_graph.blocked.values()
+            if job.expected_start_us is not None
+            and job.blocking_gate is None
+            and job.expected_start_us <= until_us
             and job.team in self._term.cluster.teams
         ]
 
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -60,32 +60,32 @@
             if known is not None:
                 # Its record was being divided when the last term ended: one entry is enough,
                 # and what either says may run there may run there.
-                known.up = known.up or address is not None
+                known.enrolled = known.enrolled or address is not None
                 known.address = known.address or address or ""
-                self._records[known.hire].machines[machine_name] = known.address or None
+                self._records[known.rental_name].machines[machine_name] = known.address or None
                 del record.machines[machine_name]
                 self._untidy.add(name)
                 continue
             machine = self._add_machine(machine_name, name, at_us, wall)
-            machine.up = address is not None
+            machine.enrolled = address is not None
             machine.address = address or ""
             machine.idle_since_us = at_us
 
     def start(self) -> None:
         """Begin the duties, and find out what became of an earlier leader's rentals."""
-        self._term.duties.start("deletions", self._delete)
-        self._term.duties.start("machine list", self._list_machines)
+        self._term.background_tasks.start("deletions", self._delete)
+        self._term.background_tasks.start("machine list", self._list_machines)
         for name in list(self._records):
             # Larger than a value may become: divided before anything has to be changed in it.
             if name in self._untidy or len(self._parts(name)) > 1:
                 log.info("rental %s: its record is divided", name)
-                self._term.duties.once("rental record", self._enter(name))
+                self._term.background_tasks.once("rental record", self._enter(name))
             if self._is_dropped(name):
                 # An earlier term could not delete it for good.
-                self._term.duties.once("rental record", self._write_or_drop(name))
+                self._term.background_tasks.once("rental record", self._write_or_drop(name))
         self._untidy.clear()
         for name in self._open():
-            self._term.duties.once("hire", self._settle(name))
+            self._term.background_tasks.once("hire", self._settle(name))
 
     def _parts(self, name: str) -> list[dict[str, str | None]]:
         """Divide a rental's machines so that a value holds each part."""
@@ -104,11 +104,11 @@
             part = self._new_name()
             parts[part] = machines
             self._records[part] = RentalRecord(
-                record.type, record.zone, record.spot, len(machines), record.hired_us, True,
+                record.type, record.zone, record.spot, len(machines), record.rented_us, True,
                 dict(machines),
             )  # fmt: skip
             for machine_name in machines:
-                self._term.cluster.machines[machine_name].hire = part
+                self._term.cluster.machines[machine_name].rental_name = part
         try:
             for part in parts:
                 await self._write(part, urgent=True)
@@ -141,16 +141,16 @@
         if known is None:
             # A type that left the catalog: nothing is placed there, but it is watched.
             known = MachineType(record.type, 0, 0, 0, 0, 0, 0, 0, 60.0, ())
-        hired_us = at_us - max(0, wall - record.hired_us)
+        hired_us = at_us - max(0, wall - record.rented_us)
         machine = Machine(name, known, record.zone, record.spot, hired_us)
-        machine.hire = hire
+        machine.rental_name = hire
         self._term.cluster.machines[name] = machine
         return machine
 
     async def _write(self, name: str, *, urgent: bool = False) -> None:
         """Commit a rental's record as it is when its turn comes; drop it once it is empty."""
         build = partial(self._value, name)
-        await self._term.ledger.write_latest(RENTALS + name, build, urgent=urgent)
+        await self._term.state_writer.write_latest(RENTALS + name, build, urgent=urgent)
 
     def _value(self, name: str) -> RentalRecord | None:
         """Return a rental's record as it is now; None once it holds nothing more.
@@ -161,23 +161,23 @@
         if record is None or self._is_dropped(name):
             return None
         return RentalRecord(
-            record.type, record.zone, record.spot, record.count, record.hired_us,
+            record.type, record.zone, record.spot, record.count, record.rented_us,
             record.settled, dict(record.machines),
         )  # fmt: skip
 
     async def mark_up(self, machine: Machine) -> None:
         """Record that something may run on a machine, before anything is started there."""
         try:
-            record = self._records[machine.hire]
+            record = self._records[machine.rental_name]
             if machine.name in record.machines:
                 record.machines[machine.name] = machine.address
-                await self._write(machine.hire, urgent=True)
-                machine.up = True
-                self._term.place.set()
+                await self._write(machine.rental_name, urgent=True)
+                machine.enrolled = True
+                self._term.placement_wanted.set()
         except LeadershipLostError:
             pass
         finally:
-            machine.up_pending = False
+            machine.enrollment_pending = False
 
     # -- renting -------------------------------------------------------------------------
 
@@ -191,7 +191,7 @@
                 offer.type.name, offer.zone, offer.spot, part, wall_us()
             )
             self._unsent.add(name)
-            self._term.duties.once("hire", self._rent(name))
+            self._term.background_tasks.once("hire", self._rent(name))
 
     def _new_name(self) -> str:
         """Return a name that no rental ever had: tokens are unique."""
@@ -247,7 +247,7 @@
             self._unsent.discard(name)
         elif len(names) < record.count:
             backoff_us = term.tunables.fleet.refusal_backoff_us
-            term.market.refused_until_us[offer] = at_us + backoff_us
+            term.rental_offers.refused_until_us[offer] = at_us + backoff_us
         fresh = [n for n in names if n not in term.cluster.machines and n not in self._adopting]
         record.settled = True
         record.machines = dict.fromkeys(fresh)
@@ -263,7 +263,7 @@
             return True
         record = self._records[name]
         offer = (record.type, record.zone, record.spot)
-        return self._term.market.refused_until_us.get(offer, 0) <= now_us()
+        return self._term.rental_offers.refused_until_us.get(offer, 0) <= now_us()
 
     def _send(self, name: str) -> bool:
         """The cloud's turn has come: from here on the rental may have been asked for.
@@ -287,7 +287,7 @@
         """Whether a rental's record holds nothing more, and can be deleted for good."""
         record = self._records.get(name)
         empty = record is not None and record.settled and not record.machines
-        return empty and not self._term.ledger.in_doubt(RENTALS + name)
+        return empty and not self._term.state_writer.creation_unconfirmed(RENTALS + name)
 
     def _drop_if_empty(self, name: str) -> None:
         if self._is_dropped(name):
@@ -318,7 +318,7 @@
 
     def _adopt_soon(self, name: str, record: RentalRecord) -> None:
         self._adopting.add(name)
-        self._term.duties.once("adoption", self._adopt(name, record))
+        self._term.background_tasks.once("adoption", self._adopt(name, record))
 
     async def _adopt(self, name: str, record: RentalRecord) -> None:
         hire = self._new_name()
@@ -355,7 +355,7 @@
             await asyncio.sleep(DELETE_GATHER_S)
             while self._doomed:
                 # What holds work up goes first.
-                order = sorted(self._doomed.values(), key=lambda m: m.synced and not m.attempts)
+                order = sorted(self._doomed.values(), key=lambda m: m.reconciled and not m.attempts)
                 batch = order[:MOST_DELETED]
                 if not self._term.valid:
                     # Decided before this process stood still: a successor may use them now.
@@ -383,13 +383,13 @@
             # Its place is free again: a refusal from before says nothing any more. After a
             # fall of half the fleet the cloud was not asked for 15 s (found on an own day).
             offer = (machine.type.name, machine.zone, machine.spot)
-            self._term.market.refused_until_us.pop(offer, None)
-            record = self._records.get(machine.hire)
+            self._term.rental_offers.refused_until_us.pop(offer, None)
+            record = self._records.get(machine.rental_name)
             if record is not None and machine.name in record.machines:
                 del record.machines[machine.name]
-                hires.add(machine.hire)
+                hires.add(machine.rental_name)
         for hire in hires:
-            self._term.duties.once("rental record", self._write_or_drop(hire))
+            self._term.background_tasks.once("rental record", self._write_or_drop(hire))
 
     # -- the cloud's list ------------------------------------------------------------------
 
@@ -411,7 +411,7 @@
         for item in listed:
             machine = machines.get(item.id)
             if machine is not None:
-                machine.listed = True
+                machine.in_cloud_list = True
                 if item.state == "failed" and not machine.deleting:
                     doomed[machine.name] = machine
             elif item.id in self._returned or item.id in self._adopting:
@@ -425,8 +425,11 @@
         names = {item.id for item in listed}
         for machine in machines.values():
             # Listed once, and not any more: the cloud has taken it.
-            if machine.listed and machine.name not in names and not machine.deleting:
-                if at_us - max(machine.heard_us, machine.hired_us) > self._term.silence_us:
+            if machine.in_cloud_list and machine.name not in names and not machine.deleting:
+                if (
+                    at_us - max(machine.last_heartbeat_us, machine.rented_us)
+                    > self._term.silence_us
+                ):
                     doomed[machine.name] = machine
         if doomed:
             log.info("%d machines gone by the list", len(doomed))
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -70,69 +70,90 @@
         self.publisher: DocumentPublisher | None = None
         if documents is not None:
             self.publisher = DocumentPublisher(
-                documents, term.state, lambda: term.ledger, lambda: term.valid
+                documents, term.state, lambda: term.state_writer, lambda: term.valid
             )
         self.token = term.token
-        self._duties = term.duties
+        self._background_tasks = term.background_tasks
         self._dispatcher = CommandDispatcher(term, self._answered, self._unanswered)
-        self.linking = JobDependencies(term, self._dispatcher, self.job_created)
+        self.job_dependencies = JobDependencies(term, self._dispatcher, self.job_created)
         self.completions = Completions(
-            term, self._ended, self.linking.withdraw_with_followers, self.linking.stop_tasks
+            term,
+            self._ended,
+            self.job_dependencies.withdraw_with_followers,
+            self.job_dependencies.stop_tasks,
         )
-        self.linking.start(self.completions)
-        self.pacer = EventLoopBudget(
+        self.job_dependencies.start(self.completions)
+        self.loop_budget = EventLoopBudget(
             round(term.tunables.leadership.ttl_us * term.tunables.most_hold)
         )
-        self.deciding = SchedulingLoop(term, self._dispatcher, self.pacer)
-        self.rentals = RentalManager(term, self._gone)
-        self.watch = MachineMonitor(term, self._dispatcher, self.rentals.delete, self._check_known)
+        self.scheduling_loop = SchedulingLoop(term, self._dispatcher, self.loop_budget)
+        self.rental_manager = RentalManager(term, self._machine_gone)
+        self.machine_monitor = MachineMonitor(
+            term, self._dispatcher, self.rental_manager.delete, self._check_known
+        )
         #: The term's gates; None: this node is given no documents.
-        self.gates: GateKeeper | None = None
+        self.gate_keeper: GateKeeper | None = None
         if self.publisher is not None:
-            self.gates = self._open_gates(self.publisher)
-            self.completions.with_gate = self.gates.commit_end
+            self.gate_keeper = self._open_gates(self.publisher)
+            self.completions.with_gate = self.gate_keeper.commit_end
         self.reachability = ReachabilityMonitor(
-            term, self._dispatcher, self._answered, self.rentals.delete, self.watch.silent_live
+            term,
+            self._dispatcher,
+            self._answered,
+            self.rental_manager.delete,
+            self.machine_monitor.silent_live,
         )
         self.recovery = TermRecovery(
-            term, self.completions, self.rentals, self.linking, self.watch, self._dispatcher,
-            self.pacer, self._apply_early, self.publisher, self.gates,
-        )  # fmt: skip
-        self.deciding.partial = self.recovery.partial
-        self.sizing = Autoscaler(term, self.deciding, self.rentals, self.watch, self.gates)
-        self.look_ahead = CompletionForecaster(term, self.pacer, self.linking.stage_us)
+            term,
+            self.completions,
+            self.rental_manager,
+            self.job_dependencies,
+            self.machine_monitor,
+            self._dispatcher,
+            self.loop_budget,
+            self._apply_buffered,
+            self.publisher,
+            self.gate_keeper,
+        )
+        self.scheduling_loop.partial = self.recovery.partial_view
+        self.autoscaler = Autoscaler(
+            term, self.scheduling_loop, self.rental_manager, self.machine_monitor, self.gate_keeper
+        )
+        self.forecaster = CompletionForecaster(
+            term, self.loop_budget, self.job_dependencies.stage_us
+        )
         #: The term's calendars; None: this node is given no documents.
-        self.calendars: CalendarKeeper | None = None
+        self.calendar_keeper: CalendarKeeper | None = None
         if self.publisher is not None:
-            self.calendars = self._open_calendars(self.publisher)
-            self.look_ahead.notes = self.calendars.notes
-            self.look_ahead.keep_time = self.calendars.keep_time
-        if self.gates is not None:
-            self.look_ahead.held = self.gates.why
+            self.calendar_keeper = self._open_calendars(self.publisher)
+            self.forecaster.notes = self.calendar_keeper.notes
+            self.forecaster.keep_time = self.calendar_keeper.keep_time
+        if self.gate_keeper is not None:
+            self.forecaster.held = self.gate_keeper.why
 
     def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
         # Loaded by controllers that are given documents only.
         from weldhead.controller.configuration.gates import GateKeeper
 
-        return GateKeeper(self.term, publisher, self.linking, self._dispatcher)
+        return GateKeeper(self.term, publisher, self.job_dependencies, self._dispatcher)
 
     def _open_calendars(self, publisher: DocumentPublisher) -> "CalendarKeeper":
         # Loaded by controllers that are given documents only.
         from weldhead.controller.configuration.calendars import CalendarKeeper
 
-        return CalendarKeeper(self.term, publisher, self.linking.refresh)
+        return CalendarKeeper(self.term, publisher, self.job_dependencies.refresh)
 
     # -- the term's life ------------------------------------------------------------
 
     def start(self) -> None:
         """Begin the term's duties."""
-        self._duties.once("ledger", self._run_ledger())
-        self._duties.once("recovery", self._recover())
+        self._background_tasks.once("ledger", self._run_state_writer())
+        self._background_tasks.once("recovery", self._recover())
 
     async def close(self) -> None:
         """End the term."""
-        self.ledger.close()
-        await self._duties.close()
+        self.state_writer.close()
+        await self._background_tasks.close()
 
     @property
     def cluster(self) -> Cluster:
@@ -140,14 +161,14 @@
         return self.term.cluster
 
     @property
-    def ledger(self) -> StateWriter:
+    def state_writer(self) -> StateWriter:
         """The term's writes."""
-        return self.term.ledger
+        return self.term.state_writer
 
     @property
-    def chains(self) -> DependencyGraph:
+    def dependency_graph(self) -> DependencyGraph:
         """Which jobs wait for which."""
-        return self.term.chains
+        return self.term.dependency_graph
 
     @property
     def loaded(self) -> bool:
@@ -159,64 +180,64 @@
         """Whether this node may command now."""
         return self.term.valid
 
-    def new_catalog(self, types: list[MachineType]) -> None:
+    def update_catalog(self, types: list[MachineType]) -> None:
         """Take up the machine types and prices that the cloud states now."""
-        self.term.market.types = types
+        self.term.rental_offers.types = types
 
-    async def _run_ledger(self) -> None:
+    async def _run_state_writer(self) -> None:
         try:
-            await self.ledger.run()
+            await self.state_writer.run()
         except LeadershipLostError:
-            self.term.on_deposed("the leader's key is not ours any more")
+            self.term.on_leadership_lost("the leader's key is not ours any more")
         except Exception:
             # It kept its lease without writing anything more, and nobody else could lead.
             log.exception("the ledger failed")
-            self.term.on_deposed("its writes have failed")
+            self.term.on_leadership_lost("its writes have failed")
 
     async def _recover(self) -> None:
         """Read everything, learn what runs where, then start the other duties."""
-        term, duties, deciding = self.term, self._duties, self.deciding
-        duties.once("questions", self.recovery.ask())
-        duties.once("safe revision", self.recovery.learn_safe())
+        term, duties, deciding = self.term, self._background_tasks, self.scheduling_loop
+        duties.once("questions", self.recovery.probe_machines())
+        duties.once("safe revision", self.recovery.find_safe_revision())
         await self.recovery.load_until_done()
-        duties.once("settling", self.recovery.settle())
+        duties.once("settling", self.recovery.clear_unsettled())
         duties.start("job watch", self._watch_jobs)
-        duties.start("machine watch", self.watch.watch)
-        duties.start("reachability", self.reachability.attend)
-        duties.start("needed jobs", self.linking.learn_needs, 0.2)
-        duties.start("forecasts", self.look_ahead.forecast)
-        duties.start("loop watch", self.pacer.watch)
+        duties.start("machine watch", self.machine_monitor.watch)
+        duties.start("reachability", self.reachability.watch_suspects)
+        duties.start("needed jobs", self.job_dependencies.learn_needs, 0.2)
+        duties.start("forecasts", self.forecaster.forecast)
+        duties.start("loop watch", self.loop_budget.watch_lag)
         if self.publisher is not None:
             duties.start("documents", self.publisher.publish)
-        if self.calendars is not None:
-            self.calendars.start(duties)
-        duties.once("account", self._say_account())
-        if self.gates is not None:
-            duties.start("gates", self.gates.run)
+        if self.calendar_keeper is not None:
+            self.calendar_keeper.start(duties)
+        duties.once("account", self._log_lateness())
+        if self.gate_keeper is not None:
+            duties.start("gates", self.gate_keeper.run)
         self.completions.start()
-        self.rentals.start()
-        term.flush.set()
+        self.rental_manager.start()
+        term.commit_wanted.set()
         self._check_known()
         await deciding.fill_scene()
-        duties.start("fleet", self.sizing.size_fleet)
+        duties.start("fleet", self.autoscaler.size_fleet)
         duties.start("placement", deciding.place_tasks, 0.2)
         await self.recovery.finish(self._start_preempting)
 
-    async def _say_account(self) -> None:
+    async def _log_lateness(self) -> None:
         """Say how bound jobs stand, as soon as it is known what runs where, or late enough."""
         with contextlib.suppress(asyncio.TimeoutError):
             await asyncio.wait_for(self.term.became_ready.wait(), ACCOUNT_S)
-        self.look_ahead.say_account(now_us())
+        self.forecaster.say_account(now_us())
 
     def _start_preempting(self) -> None:
-        self._duties.start("preemptor", self.deciding.preempt)
+        self._background_tasks.start("preemptor", self.scheduling_loop.preempt)
 
     def _check_known(self) -> None:
         self.recovery.check_known()
 
-    def _gone(self, machine: Machine) -> None:
-        self.watch.gone(machine)
-        self.reachability.gone(machine)
+    def _machine_gone(self, machine: Machine) -> None:
+        self.machine_monitor.remove(machine)
+        self.reachability.remove(machine)
 
     # -- users ------------------------------------------------------------------------
 
@@ -226,10 +247,10 @@
         if not self.loaded or job_id in self.cluster.jobs or job_id in self.completions.finals:
             return
         job = self.recovery.add_job(record, version, now_us(), wall_us())
-        self.linking.link(job)
+        self.job_dependencies.link(job)
         if not job.cancelled:
-            self.linking.refresh([job])
-        self.term.place.set()
+            self.job_dependencies.refresh([job])
+        self.term.placement_wanted.set()
 
     def status(self, job_id: str) -> JobStatus | None:
         """Return a job's status from memory, as new as the store's; None: not known here."""
@@ -238,7 +259,7 @@
         job = self.cluster.jobs.get(job_id)
         if job is not None:
             # What only the store knows could have withdrawn it, and have been told so.
-            return self._status_of(job) if self.chains.settled(job) else None
+            return self._status_of(job) if self.dependency_graph.is_resolved(job) else None
         final = self.completions.finals.get(job_id)
         if final is not None:
             return JobStatus(job_id, final.status, final.done, 0)
@@ -255,27 +276,31 @@
     def _status_of(self, job: Job) -> JobStatus:
         answer = JobStatus(job.id, job.status, job.done, job.running)
         if not job.cancelled:
-            self.look_ahead.tell(job)
-            answer.due_at = utc(job.bound.due_us) if job.bound is not None else None
-        if self.gates is not None:
-            answer.held_by = self.gates.held_by(job)
-        if job.cancelled or job.forecast_us is None:
+            self.forecaster.tell(job)
+            answer.due_at = (
+                utc(job.calendar_deadline.due_us) if job.calendar_deadline is not None else None
+            )
+        if self.gate_keeper is not None:
+            answer.held_by = self.gate_keeper.held_by(job)
+        if job.cancelled or job.expected_finish_us is None:
             return answer
-        answer.forecast_s = round(to_seconds(job.forecast_us - job.first_seen_us), 1)
+        answer.forecast_s = round(to_seconds(job.expected_finish_us - job.first_seen_us), 1)
         due = due_us(job)
-        stands = self.look_ahead.standing(job, now_us()) if job.bound is not None else None
+        stands = (
+            self.forecaster.standing(job, now_us()) if job.calendar_deadline is not None else None
+        )
         if stands is DeadlineStanding.UNKNOWN:
             # Nothing is guessed of a job of no history.
             return answer
         if due is not None:
-            answer.late = job.forecast_us > due or stands is DeadlineStanding.LATE
-            if job.forecast_us > due:
-                answer.late_by_s = round(to_seconds(job.forecast_us - due), 1)
+            answer.late = job.expected_finish_us > due or stands is DeadlineStanding.LATE
+            if job.expected_finish_us > due:
+                answer.late_by_s = round(to_seconds(job.expected_finish_us - due), 1)
         return answer
 
     async def cancel(self, job_id: str) -> JobStatus | None:
         """Cancel a job; None if it is not known. NotReady if it cannot be decided now."""
-        if not self.loaded or now_us() < self.term.predecessor_over_us:
+        if not self.loaded or now_us() < self.term.previous_leader_expired_us:
             raise NotReadyError
         job = self.cluster.jobs.get(job_id)
         if job is None:
@@ -288,21 +313,23 @@
 
     def silent_machines(self, at_us: int) -> tuple[str, ...]:
         """Machines that ought to have reported by now; their reports are to be relayed."""
-        return self.watch.silent_machines(at_us)
+        return self.machine_monitor.silent_machines(at_us)
 
-    def report(self, report: Heartbeat, at_us: int, *, relayed: bool) -> HeartbeatAnswer | None:
+    def handle_heartbeat(
+        self, report: Heartbeat, at_us: int, *, relayed: bool
+    ) -> HeartbeatAnswer | None:
         """Handle a worker's report; None: it must not be answered 200."""
         if not self.valid:
             return None
         if report.token > self.token:
-            self.term.on_deposed(f"{report.machine} has seen token {report.token}")
+            self.term.on_leadership_lost(f"{report.machine} has seen token {report.token}")
             return None
         if not self.loaded:
-            kept = self.recovery.answer_early(report, at_us, relayed=relayed)
+            kept = self.recovery.buffer_heartbeat(report, at_us, relayed=relayed)
             return HeartbeatAnswer(self.token, []) if kept else None
         machine = self.cluster.machines.get(report.machine)
         if machine is None:
-            self._stranger(report)
+            self._handle_unrecorded_machine(report)
             # The answer renews a lease, and what runs there counts for nobody: it has to go.
             return HeartbeatAnswer(self.token, kill_all(report))
         freshness = self.reachability.freshness(machine, report)
@@ -311,24 +338,24 @@
         if freshness is Freshness.OVERTAKEN:
             if not self.reachability.answerable(machine):
                 return None
-            machine.lease_from_us = max(machine.lease_from_us, machine.seen_us)
+            machine.lease_from_us = max(machine.lease_from_us, machine.last_message_us)
             # No answer renews a lease without the kills: a run may not be repeated, they may.
             return HeartbeatAnswer(self.token, pending_kills(machine))
-        self.reachability.listen(machine, report, at_us, relayed=relayed)
+        self.reachability.observe_heartbeat(machine, report, at_us, relayed=relayed)
         machine.relayed = relayed
-        self._apply(machine, report, direct=False)
-        if machine.deaf:
+        self._apply_message(machine, report, direct=False)
+        if machine.not_receiving:
             # The report may have shown that what it was sent last was dropped.
-            self.reachability.withdraw(machine)
+            self.reachability.withdraw_unstarted(machine)
         if not self._count_answer(machine, freshness, at_us):
             return None
-        if machine.synced and not machine.up and not machine.up_pending:
-            machine.up_pending = True
-            self._duties.once("machine up", self.rentals.mark_up(machine))
+        if machine.reconciled and not machine.enrolled and not machine.enrollment_pending:
+            machine.enrollment_pending = True
+            self._background_tasks.once("machine up", self.rental_manager.mark_up(machine))
         commands = pending_commands(
             machine,
             self.completions.is_committed,
-            may_start=machine.synced and machine.up and not machine.deaf,
+            may_start=machine.reconciled and machine.enrolled and not machine.not_receiving,
             sequence=report.sequence,
         )
         self.reachability.record_answer(machine, report, commands, at_us, relayed=relayed)
@@ -337,37 +364,37 @@
     def _count_answer(self, machine: Machine, freshness: Freshness, at_us: int) -> bool:
         """Enter that a report is about to be answered; false: it must not be."""
         if freshness is Freshness.FRESH:
-            self.watch.hear(machine, at_us)
+            self.machine_monitor.record_heartbeat(machine, at_us)
             return True
         if not self.reachability.answerable(machine):
             return False
         # The answer may renew a lease; that its machine lives is not shown by it.
-        machine.unshown += 1
+        machine.stale_token_answers += 1
         machine.lease_from_us = max(machine.lease_from_us, at_us)
         return True
 
-    def _stranger(self, report: Heartbeat) -> None:
+    def _handle_unrecorded_machine(self, report: Heartbeat) -> None:
         """A report of a machine that no record names."""
-        if self.rentals.is_unexpected(report):
-            self.reachability.meet(report, self.rentals.unexpected)
+        if self.rental_manager.is_unexpected(report):
+            self.reachability.probe_unrecorded(report, self.rental_manager.unexpected)
 
     def _answered(self, machine: Machine, report: Heartbeat) -> None:
         """Take a worker's answer to direct commands."""
-        self._apply(machine, report, direct=True)
-        self.reachability.answered(machine)
+        self._apply_message(machine, report, direct=True)
+        self.reachability.observe_answer(machine)
 
     def _unanswered(self, machine: Machine) -> None:
         """A worker did not answer direct commands."""
-        self.reachability.unanswered(machine)
+        self.reachability.observe_no_answer(machine)
 
-    def _apply_early(self, early: BufferedHeartbeat) -> None:
+    def _apply_buffered(self, early: BufferedHeartbeat) -> None:
         """Take what a machine said before its records were loaded."""
         machine = self.cluster.machines.get(early.report.machine)
         if machine is None:
-            self._stranger(early.report)
+            self._handle_unrecorded_machine(early.report)
             return
         freshness = self.reachability.freshness(machine, early.report)
-        self._apply(machine, early.report, direct=early.direct)
+        self._apply_message(machine, early.report, direct=early.direct)
         if early.answered_us:
             from_us = machine.lease_from_us
             self._count_answer(machine, freshness, early.answered_us)
@@ -381,43 +408,43 @@
                     machine, early.report, [], early.answered_us, relayed=early.relayed
                 )
 
-    def _apply(self, machine: Machine, report: Heartbeat, *, direct: bool) -> None:
+    def _apply_message(self, machine: Machine, report: Heartbeat, *, direct: bool) -> None:
         if not is_newer(machine, report):
             return
         at_us = now_us()
-        if machine.booting and not machine.up and machine.hired_us > self.term.loaded_us:
+        if machine.booting and not machine.enrolled and machine.rented_us > self.term.loaded_us:
             # Those of earlier terms may have come up long ago.
-            self.term.boots.came(machine, at_us)
-        had_notice = machine.notice_until_us
+            self.term.boot_history.came(machine, at_us)
+        had_notice = machine.interruption_us
         outcome = apply_report(self.cluster, machine, report, at_us, direct=direct)
-        self._digest(machine, outcome, at_us)
-        if machine.notice_until_us and not had_notice:
+        self._apply_effect(machine, outcome, at_us)
+        if machine.interruption_us and not had_notice:
             log.info("machine %s will be taken back", machine.name)
-            self.watch.noticed[machine.name] = machine
-            self.watch.evacuate(machine, at_us)
+            self.machine_monitor.interrupted[machine.name] = machine
+            self.machine_monitor.evacuate(machine, at_us)
 
-    def _digest(self, machine: Machine, outcome: HeartbeatEffect, at_us: int) -> None:
+    def _apply_effect(self, machine: Machine, outcome: HeartbeatEffect, at_us: int) -> None:
         self._check_known()
         if outcome.verdicts:
-            self.term.tally.tasks.update(outcome.verdicts)
+            self.term.reconciliation_counts.tasks.update(outcome.verdicts)
         if outcome.completed:
-            self.term.flush.set()
+            self.term.commit_wanted.set()
         for job, run_us in outcome.run_times:
             self.term.estimates.observe(job, run_us)
-        if outcome.proven_us:
-            self.watch.failures.succeeded(machine, outcome.proven_us)
+        if outcome.verified_start_us:
+            self.machine_monitor.failures.succeeded(machine, outcome.verified_start_us)
         for attempt in outcome.failed:
-            self.watch.failed(attempt, at_us)
+            self.machine_monitor.record_failure(attempt, at_us)
         for attempt, reason in outcome.lost:
             log.debug(
                 "%s attempt %d left %s: %s", attempt.task, attempt.number, machine.name, reason
             )
             if attempt.job.cancelled:
-                self.term.flush.set()
+                self.term.commit_wanted.set()
         if not machine.attempts and (outcome.lost or outcome.completed):
             machine.idle_since_us = at_us
-        if outcome.room or outcome.lost:
-            self.term.place.set()
+        if outcome.capacity_freed or outcome.lost:
+            self.term.placement_wanted.set()
 
     # -- duties -------------------------------------------------------------------------
 
@@ -446,7 +473,7 @@
     def _ended(self, job: Job, final: FinalRecord) -> None:
         """A job is over, and that is committed."""
         self.term.estimates.forget(job.id)
-        self.cluster.forget_starts(job.id)
-        self.deciding.reclaims.trim(job.id, 0)
-        self.chains.remove(job)
-        self.linking.over(job.id, final)
+        self.cluster.forget_attempt_numbers(job.id)
+        self.scheduling_loop.reclaims.trim(job.id, 0)
+        self.dependency_graph.remove(job)
+        self.job_dependencies.over(job.id, final)
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -82,10 +82,10 @@
         self.settings = settings
         self.tunables = tunables
         self._links = links
-        self._duties = duties
+        self._background_tasks = duties
         self._started_us = started_us
         self.timing = default_timing(tunables.leadership.ttl_us)
-        self.authority = LeaderLease(self.timing, frozenset(links))
+        self.lease = LeaderLease(self.timing, frozenset(links))
         self.candidacy = Candidacy(self.timing, started_us)
         self.leader: Leader | None = None
         self.catalog: list[MachineType] = []
@@ -96,17 +96,17 @@
         #: Nonces of this process's own records: any other under our name is a former life's.
         self._nonces: set[str] = set()
         #: How all nonces of this process begin, those given up among them.
-        self._life = secrets.token_hex(4)
-        self._vacant = asyncio.Event()
+        self._nonce_prefix = secrets.token_hex(4)
+        self._key_absent = asyncio.Event()
         #: One attempt at the key at a time: the end of an earlier one spoiled a later one's term.
-        self._standing = asyncio.Lock()
-        self.predecessors = PreviousLeaders(
-            settings.name, self._life, len(links), self.timing.ttl_us
+        self._campaign_lock = asyncio.Lock()
+        self.previous_leaders = PreviousLeaders(
+            settings.name, self._nonce_prefix, len(links), self.timing.ttl_us
         )
         #: The leader that this node last tried to replace.
-        self._tried_token = 0
-        self._renewal: LeaseRenewer | None = None
-        self.judging = PeerFailureDetector(links, duties, self._judged_dead)
+        self._last_challenged_token = 0
+        self._lease_renewer: LeaseRenewer | None = None
+        self.failure_detector = PeerFailureDetector(links, duties, self._on_peer_dead)
 
     def open(
         self,
@@ -118,26 +118,26 @@
         """Use these from now on."""
         self._documents = documents
         self._state = state
-        self.predecessors.open(state)
+        self.previous_leaders.open(state)
         self._cloud = cloud
         self._worker_http = worker_http
 
     def start(self) -> None:
         """Begin the duties."""
-        self.judging.start(self._state, self.read_leader)
-        self._duties.start("leader watch", self.watch, 0.2)
-        self._duties.start("campaign", self.run, 0.2)
+        self.failure_detector.start(self._state, self.read_leader)
+        self._background_tasks.start("leader watch", self.watch, 0.2)
+        self._background_tasks.start("campaign", self.campaign_when_vacant, 0.2)
 
     async def close(self) -> None:
         """End the term, if there is one."""
         if self.leader is not None:
             await self.leader.close()
 
-    def new_catalog(self, catalog: list[MachineType]) -> None:
+    def update_catalog(self, catalog: list[MachineType]) -> None:
         """Take up the machine types and prices that the cloud states now."""
         self.catalog = catalog
         if self.leader is not None:
-            self.leader.new_catalog(catalog)
+            self.leader.update_catalog(catalog)
 
     async def watch(self) -> None:
         """Follow the leader's key."""
@@ -145,7 +145,7 @@
         while True:
             # Compacted: it is begun anew at once.
             with contextlib.suppress(RevisionCompactedError):
-                if await self.predecessors.follow(10 * SECOND_US):
+                if await self.previous_leaders.follow(10 * SECOND_US):
                     await self.read_leader()
 
     async def read_leader(self, timeout_us: int = READ_US) -> None:
@@ -156,29 +156,29 @@
             if self.leader is not None and sent_us >= self.leader.term.won_us:
                 self.step_down("its key is gone")
             self.known_leader = None
-            self._vacant.set()
+            self._key_absent.set()
             return
         if entry.version < self.known_token:
             # Read before what is known was written, and answered late.
             return
         record = decode(bytes(entry.value), LeaderRecord)
-        self.predecessors.note(record, entry.version)
+        self.previous_leaders.record(record, entry.version)
         self.highest_token = max(self.highest_token, entry.version)
         if self.leader is not None:
             if entry.version == self.leader.token:
-                self.authority.kept(sent_us)
+                self.lease.confirm_key(sent_us)
             elif entry.version > self.leader.token:
                 # Its lease would still be extended: that says nothing of the key.
                 self.step_down(f"{record.name} has replaced it")
         self.known_leader, self.known_token = record, entry.version
-        self._vacant.clear()
+        self._key_absent.clear()
         if record.name == self.settings.name:
-            self._duties.once("return", self._come_back(record, entry.version))
+            self._background_tasks.once("return", self._replace_own_key(record, entry.version))
         elif record.name in self._links and self._links[record.name].refused_us:
             # It ended before anybody had read that it led, and nobody was looking any more.
-            self.judging.suspect(record.name)
+            self.failure_detector.suspect(record.name)
 
-    async def _come_back(self, record: LeaderRecord, token: int) -> None:
+    async def _replace_own_key(self, record: LeaderRecord, token: int) -> None:
         """Replace the key of this node's own former life, which surely commands nothing.
 
         Without this all controllers, ending at once, waited for a dead leader's lease: up
@@ -192,11 +192,11 @@
                 return
         if self.leader is None and self.known_token == token:
             log.info("%s led until it ended: taking up again", record.name)
-            await self.stand(token, 0)
+            await self.campaign(token, 0)
 
     # -- others -----------------------------------------------------------------------------
 
-    async def _judged_dead(self, name: str) -> bool:
+    async def _on_peer_dead(self, name: str) -> bool:
         """Replace a controller that was judged dead, if it leads; whether to come back to it."""
         record = self.known_leader
         if record is None or record.name != name:
@@ -218,16 +218,16 @@
         if self.known_token != token:
             return
         if self.leader is None and self.candidacy.may_lead(now_us()):
-            level = logging.DEBUG if token == self._tried_token else logging.INFO
+            level = logging.DEBUG if token == self._last_challenged_token else logging.INFO
             log.log(level, "%s looks dead: taking over", record.name)
-            self._tried_token = token
-            await self.stand(token, record.ttl_us)
+            self._last_challenged_token = token
+            await self.campaign(token, record.ttl_us)
 
-    async def run(self) -> None:
+    async def campaign_when_vacant(self) -> None:
         """Stand whenever the key is free; a duty."""
         while True:
             try:
-                await asyncio.wait_for(self._vacant.wait(), 5.0)
+                await asyncio.wait_for(self._key_absent.wait(), 5.0)
             except asyncio.TimeoutError:
                 await self.read_leader()
                 continue
@@ -239,34 +239,34 @@
                 # The promises of a former life may turn out to bind nobody.
                 await asyncio.sleep(to_seconds(min(wait_us, 20 * MILLISECOND_US)))
                 continue
-            await self.stand(0, 0)
+            await self.campaign(0, 0)
 
-    async def stand(self, replaced: int, believes_us: int) -> None:
+    async def campaign(self, replaced: int, believes_us: int) -> None:
         """Try to write the leader's key.
 
         ``replaced`` is the token of the leader to be replaced, or 0 if the key has to be
         absent; ``believes_us`` is for how long that leader may still believe in its lease.
         """
-        async with self._standing:
+        async with self._campaign_lock:
             if self.leader is not None:
                 return
-            nonce = self._life + secrets.token_hex(4)
+            nonce = self._nonce_prefix + secrets.token_hex(4)
             self._nonces.add(nonce)
             try:
-                await self._stand(replaced, believes_us, nonce)
+                await self._acquire_leader_key(replaced, believes_us, nonce)
             finally:
                 if self.leader is None:
                     # Should it be applied late: nobody commands by that record.
                     self._nonces.discard(nonce)
 
-    async def _stand(self, replaced: int, believes_us: int, nonce: str) -> None:
+    async def _acquire_leader_key(self, replaced: int, believes_us: int, nonce: str) -> None:
         sent_us, wall = now_us(), wall_us()
         lease, inherited_us = await asyncio.gather(
             self._state.grant(self.timing.ttl_us), missed_from_us(self._state)
         )
         # A successor that takes this record over at once, though its writer never led or ended
         # at once, has to wait for the same leaders as this one.
-        earlier_us = max(believes_us, self.predecessors.over_us - sent_us, 0)
+        earlier_us = max(believes_us, self.previous_leaders.expired_us - sent_us, 0)
         record = LeaderRecord(self.settings.name, nonce, self.timing.ttl_us, earlier_us)
         facts = self.settings.facts
         cancel_us, lease_us = seconds_us(facts.workers.cancel_s), seconds_us(facts.workers.lease_s)
@@ -280,7 +280,7 @@
                 urgent=True,
             )
         except (ConflictError, LeaseNotFoundError):
-            self._duties.once("lease returned", self._state.revoke(lease))
+            self._background_tasks.once("lease returned", self._state.revoke(lease))
             await self.read_leader()
             return
         except CallError:
@@ -291,7 +291,7 @@
             token = entry.version
         if believes_us < self.timing.ttl_us:
             # Whoever was replaced of late is over as soon as a leader replaced just now.
-            await self.predecessors.catch_up()
+            await self.previous_leaders.catch_up()
         if token < self.highest_token:
             # Replaced already. Begun now, the term would lead others back to a token of the past.
             return
@@ -300,17 +300,17 @@
             # Promised to another meanwhile: the key goes with its lease.
             await self._state.revoke(lease)
             return
-        self.authority.begin(token, lease, sent_us)
-        if not self.authority.valid(at_us):
-            self.authority.end()
+        self.lease.begin(token, lease, sent_us)
+        if not self.lease.valid(at_us):
+            self.lease.end()
             return
         self.known_leader, self.known_token = record, token
         self.highest_token = token
-        self._vacant.clear()
-        over_us = max(predecessor_over_us(at_us, believes_us), self.predecessors.over_us)
+        self._key_absent.clear()
+        over_us = max(predecessor_over_us(at_us, believes_us), self.previous_leaders.expired_us)
         log.info("%s leads with token %d", self.settings.name, token)
         term = Term(
-            self.settings, self.tunables, self.authority, self._state, self._cloud,
+            self.settings, self.tunables, self.lease, self._state, self._cloud,
             self._worker_http, self.catalog, over_us, self.step_down,
             answers_until_us(
                 sent_us, wall, inherited_us, cancel_us, lease_us,
@@ -319,32 +319,32 @@
         )  # fmt: skip
         self.leader = Leader(term, self._documents)
         self.leader.start()
-        self._duties.once("lease renewal", self._renew(self.leader))
+        self._background_tasks.once("lease renewal", self._renew(self.leader))
 
     async def _renew(self, leader: Leader) -> None:
         """Keep the lease; the term ends with the authority."""
 
         async def attempt(patience_us: int) -> bool:
             _, seen = await asyncio.gather(
-                self._extend(patience_us), self._see_key(leader, patience_us)
+                self._extend_lease(patience_us), self._verify_key(leader, patience_us)
             )
             return seen
 
         def unanswered() -> None:
             self._state.failed_us = now_us()
 
-        self._renewal = LeaseRenewer(
-            self.timing, self.authority, lambda: self.leader is leader, attempt, self._hold_on,
+        self._lease_renewer = LeaseRenewer(
+            self.timing, self.lease, lambda: self.leader is leader, attempt, self._request_promises,
             self.step_down, unanswered,
         )  # fmt: skip
-        await self._renewal.run()
+        await self._lease_renewer.run()
 
-    async def _extend(self, patience_us: int) -> None:
+    async def _extend_lease(self, patience_us: int) -> None:
         sent_us = now_us()
-        await self._state.extend(self.authority.lease, patience_us)
-        self.authority.renewed(sent_us)
+        await self._state.extend(self.lease.lease_id, patience_us)
+        self.lease.confirm_renewal(sent_us)
 
-    async def _see_key(self, leader: Leader, patience_us: int) -> bool:
+    async def _verify_key(self, leader: Leader, patience_us: int) -> bool:
         """Look whether the key is still ours; false if that cannot be seen now."""
         try:
             await self.read_leader(patience_us)
@@ -352,11 +352,11 @@
             log.debug("the leader's key is not read: %s", error)
             if self.leader is leader:
                 # Whatever it has written since is as good.
-                self.authority.kept(leader.ledger.proven_us)
+                self.lease.confirm_key(leader.state_writer.leadership_verified_us)
             return False
         return True
 
-    async def _hold_on(self) -> None:
+    async def _request_promises(self) -> None:
         """The state service does not serve the leader: is it an outage, or only us?
 
         In an outage all peers promise not to lead for a moment, and the term goes on; if
@@ -365,24 +365,28 @@
         links = list(self._links.values())
         if not links or not all(link.connected for link in links):
             return
-        if not self.authority.valid(now_us()):
+        if not self.lease.valid(now_us()):
             return
-        token = self.authority.token
-        denied = await ask_for_promises(links, self.authority, self.timing)
-        if denied is None or self.leader is None or self.authority.token != token:
+        token = self.lease.token
+        denied = await ask_for_promises(links, self.lease, self.timing)
+        if denied is None or self.leader is None or self.lease.token != token:
             return
-        self.learn_token(denied.link.name, denied.known_token)
-        left_us = self.authority.lease_until_us - now_us()
-        if self._renewal is not None and self._renewal.slow and left_us > self.timing.renew_us:
+        self.observe_token(denied.link.name, denied.known_token)
+        left_us = self.lease.lease_valid_until_us - now_us()
+        if (
+            self._lease_renewer is not None
+            and self._lease_renewer.slow
+            and left_us > self.timing.renew_us
+        ):
             # Slow rather than silent: this node may be answered yet, as the others were.
             return
         if self.leader is not None:
             self.step_down(f"the state service serves {denied.link.name} but not this node")
             denied.link.send(LeaderResigned(0, token))
 
-    async def answer_hold(self, name: str, hold: PromiseRequest) -> PromiseAnswer:
+    async def answer_promise_request(self, name: str, hold: PromiseRequest) -> PromiseAnswer:
         """Answer a leader that asks for a promise."""
-        self.learn_token(name, hold.token)
+        self.observe_token(name, hold.token)
         promised = await self.promise(hold)
         running_us = now_us() - self._started_us
         return PromiseAnswer(hold.id, promised, self.highest_token, running_us)
@@ -405,15 +409,15 @@
             self.candidacy.promise(now_us())
             return True
 
-    async def succeed(self, message: LeaderResigned) -> None:
+    async def take_over_resigned(self, message: LeaderResigned) -> None:
         """The leader says that it has stopped commanding: replace it at once."""
         self.highest_token = max(self.highest_token, message.token)
         if self.leader is None and self.catalog and self.candidacy.may_lead(now_us()):
-            if self.predecessors.read_token != message.token:
+            if self.previous_leaders.read_token != message.token:
                 # Whom it replaced itself, moments ago, only its record says.
                 await self.read_leader()
             if self.known_token == message.token:
-                await self.stand(message.token, 0)
+                await self.campaign(message.token, 0)
 
     def step_down(self, reason: str) -> None:
         """End this node's term."""
@@ -422,12 +426,12 @@
             return
         log.info("%s leads no more: %s", self.settings.name, reason)
         self.leader = None
-        self.authority.end()
+        self.lease.end()
         self.known_leader = None
-        self._duties.once("end of term", self._release(leader))
-        self._duties.once("leader lookup", self.read_leader())
+        self._background_tasks.once("end of term", self._release_term(leader))
+        self._background_tasks.once("leader lookup", self.read_leader())
 
-    async def _release(self, leader: Leader) -> None:
+    async def _release_term(self, leader: Leader) -> None:
         """Close a term that is over, and have its memory back (``RELEASE_S``)."""
         await leader.close()
         del leader
@@ -435,13 +439,13 @@
         if self.leader is None:
             gc.collect()
 
-    def learn_token(self, source: str, token: int) -> None:
+    def observe_token(self, source: str, token: int) -> None:
         """A controller or a worker has named a token that some leader has had."""
         self.highest_token = max(self.highest_token, token)
         if self.leader is not None and token > self.leader.token:
             self.step_down(f"{source} knows of token {token}")
 
-    def hear_leader(self, name: str, token: int) -> None:
+    def observe_leader(self, name: str, token: int) -> None:
         """A peer says that it leads: a node that the store does not serve learns it so.
 
         Without this a follower cut off from the store sent workers to nobody, or to the
@@ -460,8 +464,8 @@
                 self.known_leader = LeaderRecord(name, "", self.timing.ttl_us)
                 self.known_token = token
 
-    def heard_pong(self, name: str, pong: Pong, sent_us: int) -> None:
+    def observe_pong(self, name: str, pong: Pong, sent_us: int) -> None:
         """A peer has said whether it is in a term; it was asked at ``sent_us``."""
-        self.learn_token(name, pong.known_token)
-        if self.predecessors.heard(name, pong, sent_us):
-            self.candidacy.nobody_leads()
+        self.observe_token(name, pong.known_token)
+        if self.previous_leaders.observe_pong(name, pong, sent_us):
+            self.candidacy.discard_earlier_promises()
--- a/weldhead/controller/leadership/leader_lease.py
+++ b/weldhead/controller/leadership/leader_lease.py
@@ -48,41 +48,41 @@
         self._timing = timing
         self._peers = peers
         self.token = 0
-        self.lease = 0
+        self.lease_id = 0
         #: When the last answered renewal was sent, and the last request that showed the key.
-        self._renewed_us = self._kept_us = 0
-        self._lease_until_us = 0
+        self._renewed_us = self._key_confirmed_us = 0
+        self._lease_valid_until_us = 0
         self._promised_until_us: dict[str, int] = {}
         self._promised_us: dict[str, int] = {}
 
     def begin(self, token: int, lease: int, sent_us: int) -> None:
         """Start a term whose lease was asked for at ``sent_us``."""
         self.token = token
-        self.lease = lease
-        self._renewed_us = self._kept_us = sent_us
-        self._reckon()
+        self.lease_id = lease
+        self._renewed_us = self._key_confirmed_us = sent_us
+        self._recompute()
         self._promised_until_us.clear()
         self._promised_us.clear()
 
-    def renewed(self, sent_us: int) -> None:
+    def confirm_renewal(self, sent_us: int) -> None:
         """Record an answered renewal."""
         self._renewed_us = max(self._renewed_us, sent_us)
-        self._reckon()
+        self._recompute()
 
-    def kept(self, sent_us: int) -> None:
+    def confirm_key(self, sent_us: int) -> None:
         """Record that the key was ours when a request was carried out that was sent then.
 
         Renewals say nothing of that: who had been replaced, and read nothing, renewed its
         lease for longer than its successor counted it as active.
         """
-        self._kept_us = max(self._kept_us, sent_us)
-        self._reckon()
+        self._key_confirmed_us = max(self._key_confirmed_us, sent_us)
+        self._recompute()
 
-    def _reckon(self) -> None:
-        from_us = min(self._renewed_us, self._kept_us)
-        self._lease_until_us = surely_valid_us(from_us, self._timing.ttl_us)
+    def _recompute(self) -> None:
+        from_us = min(self._renewed_us, self._key_confirmed_us)
+        self._lease_valid_until_us = surely_valid_us(from_us, self._timing.ttl_us)
 
-    def promised(self, peer: str, sent_us: int, at_us: int) -> None:
+    def record_promise(self, peer: str, sent_us: int, at_us: int) -> None:
         """Record a peer's promise that was asked for at ``sent_us`` and has come now.
 
         It counts only while this node may command without it: once its authority had lapsed,
@@ -101,41 +101,43 @@
         Until the key was last seen nobody had, and who has promised does not while that lasts.
         A process of the peer that began later may follow one that has, and know nothing of it.
         """
-        return max(self._kept_us, self._promised_until_us.get(peer, 0))
+        return max(self._key_confirmed_us, self._promised_until_us.get(peer, 0))
 
     def end(self) -> None:
         """Give everything up."""
         self.token = 0
-        self.lease = 0
-        self._lease_until_us = 0
+        self.lease_id = 0
+        self._lease_valid_until_us = 0
         self._promised_until_us.clear()
         self._promised_us.clear()
 
-    def until_us(self) -> int:
+    def valid_until_us(self) -> int:
         """Return until when this node may command."""
         if not self.token:
             return 0
         promised_us = 0
         if self._peers and all(peer in self._promised_until_us for peer in self._peers):
             promised_us = min(self._promised_until_us[peer] for peer in self._peers)
-        return max(self._lease_until_us, promised_us)
+        return max(self._lease_valid_until_us, promised_us)
 
     @property
-    def alone_us(self) -> int:
+    def sole_leader_us(self) -> int:
         """The latest moment at which, by the promises of all others, nobody else led; or 0."""
         if not self._peers or len(self._promised_us) < len(self._peers):
             return 0
         return min(self._promised_us.values())
 
     @property
-    def lease_until_us(self) -> int:
+    def lease_valid_until_us(self) -> int:
         """Until when the lease alone entitles to command."""
-        return self._lease_until_us
+        return self._lease_valid_until_us
 
     def valid(self, at_us: int) -> bool:
         """Whether this node may command now."""
         # Asked for each message: the promises count only once the lease is over.
-        return bool(self.token) and (at_us < self._lease_until_us or at_us < self.until_us())
+        return bool(self.token) and (
+            at_us < self._lease_valid_until_us or at_us < self.valid_until_us()
+        )
 
 
 class Candidacy:
@@ -145,15 +147,15 @@
         self._timing = timing
         self._promise_until_us = 0
         #: A promise given in a former life of this process may still be relied on.
-        self._former_until_us = surely_over_us(started_us, timing.promise_us)
+        self._earlier_promises_until_us = surely_over_us(started_us, timing.promise_us)
 
-    def nobody_leads(self) -> None:
+    def discard_earlier_promises(self) -> None:
         """Every other node has said, in this life of ours, that it is in no term.
 
         So nobody relies on a promise of a former life: who asked for it is in that term no
         more, and whoever begins one asks anew.
         """
-        self._former_until_us = 0
+        self._earlier_promises_until_us = 0
 
     def promise(self, at_us: int) -> None:
         """Promise not to become leader for the agreed time from now."""
@@ -166,7 +168,7 @@
 
     def wait_us(self, at_us: int) -> int:
         """Return how long the promise still lasts."""
-        return max(0, max(self._promise_until_us, self._former_until_us) - at_us)
+        return max(0, max(self._promise_until_us, self._earlier_promises_until_us) - at_us)
 
 
 def predecessor_over_us(taken_us: int, believes_us: int) -> int:
--- a/weldhead/controller/leadership/lease_renewer.py
+++ b/weldhead/controller/leadership/lease_renewer.py
@@ -44,14 +44,14 @@
         step_down: Callable[[str], None],
         unanswered: Callable[[], None],
     ) -> None:
-        self._timing, self._authority = timing, authority
+        self._timing, self._lease = timing, authority
         self._leads, self._attempt = leads, attempt
-        self._hold_on, self._step_down, self._unanswered = hold_on, step_down, unanswered
+        self._request_promises, self._step_down, self._unanswered = hold_on, step_down, unanswered
         #: Attempts without an answer, the newest last.
         self._attempts: list[asyncio.Future[bool]] = []
         self._failing = False
         #: How long the last answer took.
-        self._took_us = 0
+        self._last_latency_us = 0
 
     @property
     def slow(self) -> bool:
@@ -60,7 +60,7 @@
         Of a service that answered at once until now, silence is silence: to wait for it used up
         the lease before another took over.
         """
-        return bool(self._attempts) and self._took_us > self._patience_us
+        return bool(self._attempts) and self._last_latency_us > self._patience_us
 
     @property
     def _patience_us(self) -> int:
@@ -81,7 +81,7 @@
 
     def _age_us(self) -> int:
         """Return how long ago the lease began to count."""
-        return max(0, self._timing.ttl_us - (self._authority.lease_until_us - now_us()))
+        return max(0, self._timing.ttl_us - (self._lease.lease_valid_until_us - now_us()))
 
     async def _renew(self) -> int:
         """Make one more attempt; return how long to wait before the next."""
@@ -96,7 +96,7 @@
         except CallError as error:
             return await self._failed(error)
         self._failing = False
-        if self._leads() and not self._authority.valid(now_us()):
+        if self._leads() and not self._lease.valid(now_us()):
             self._step_down("it could not see that its key is its own")
         least_us = renew_us // 3
         # Of a slow service the answer has used up some of the time until the next attempt.
@@ -107,7 +107,7 @@
         newest = asyncio.ensure_future(self._timed())
         self._attempts.append(newest)
         until_us = now_us() + patience_us
-        lease_until_us = self._authority.lease_until_us
+        lease_until_us = self._lease.lease_valid_until_us
         while (left_us := until_us - now_us()) > 0:
             done, _ = await asyncio.wait(
                 self._attempts, timeout=to_seconds(left_us), return_when=asyncio.FIRST_COMPLETED
@@ -124,7 +124,7 @@
                 del self._attempts[place]
                 if attempt is newest or not isinstance(error, CallError):
                     raise error
-        if self._authority.lease_until_us > lease_until_us:
+        if self._lease.lease_valid_until_us > lease_until_us:
             # Extended, and the key seen by another request.
             return False
         self._unanswered()
@@ -134,7 +134,7 @@
         """Make an attempt, and note how long a good answer took."""
         sent_us = now_us()
         seen = await self._attempt(self._timing.ttl_us)
-        self._took_us = now_us() - sent_us
+        self._last_latency_us = now_us() - sent_us
         return seen
 
     async def _failed(self, error: CallError) -> int:
@@ -144,7 +144,7 @@
         log.log(logging.DEBUG if self._failing else logging.INFO, "lease not renewed: %s", error)
         lost = not self._failing and not isinstance(error, RequestRefusedError)
         self._failing = True
-        left_us = self._authority.lease_until_us - now_us()
+        left_us = self._lease.lease_valid_until_us - now_us()
         if isinstance(error, RateLimitedError) and left_us > 2 * renew_us:
             # The store is well, and the others are served: no reason to hand over.
             return renew_us // 3
@@ -152,7 +152,7 @@
             # One lost message is no trouble of the store's: asked again at once, while
             # the lease lasts. To hand over for it cost a term (found in the emulator).
             return 0
-        await self._hold_on()
-        if self._leads() and not self._authority.valid(now_us()):
+        await self._request_promises()
+        if self._leads() and not self._lease.valid(now_us()):
             self._step_down("the lease ran out")
         return renew_us // 3
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -37,7 +37,7 @@
     ) -> None:
         self._name = name
         self._links = links
-        self._campaign = campaign
+        self._election = campaign
         self._isolation = IsolationDetector(started_us)
         self._turn = 0
         #: Calendars and gates; None: this node is given none.
@@ -50,39 +50,39 @@
     @property
     def leader(self) -> Leader | None:
         """This node's term, if it leads."""
-        return self._campaign.leader
+        return self._election.leader
 
     @property
     def catalog(self) -> list[MachineType]:
         """The machine types, as far as they are known."""
-        return self._campaign.catalog
+        return self._election.catalog
 
     # -- alone --------------------------------------------------------------------------------
 
     @property
-    def alone(self) -> bool:
+    def isolated(self) -> bool:
         """Whether neither the state service nor another controller answers this one."""
-        return self._isolation.alone
+        return self._isolation.isolated
 
     async def watch(self) -> None:
         """Look again and again whether this node is alone; a duty."""
         while self._links:
             await asyncio.sleep(to_seconds(LOOK_US))
-            self._look()
-            if self._isolation.ask:
+            self._update_isolation()
+            if self._isolation.probe_wanted:
                 # Nobody may have called the service for seconds: then nothing has failed.
                 try:
                     await self._state.get(LEADER_KEY, urgent=True, timeout_us=PROOF_US)
                 except CallError as error:
                     log.debug("all others are silent, and the state service: %s", error)
-                self._look()
+                self._update_isolation()
         await asyncio.Event().wait()
 
-    def _look(self) -> None:
+    def _update_isolation(self) -> None:
         answered_us = max(link.heard_us for link in self._links.values())
         contact = LastContact(answered_us, self._state.served_us, self._state.failed_us)
-        if self._isolation.look(contact, now_us()):
-            if self.alone:
+        if self._isolation.update(contact, now_us()):
+            if self.isolated:
                 log.info(
                     "%s is alone: neither the state service nor another controller answers; "
                     "users and workers are sent on",
@@ -95,7 +95,7 @@
         """Tell the load balancer whether users are served here as well as elsewhere."""
         if not self.catalog:
             return refusal(503, "machine types not known yet", retry_after_s=1)
-        if self.alone:
+        if self.isolated:
             return refusal(503, "this node is alone", retry_after_s=1)
         if not self._state.ok and self._served_peers(now_us()):
             return refusal(503, "the state service refuses this node", retry_after_s=1)
@@ -106,7 +106,7 @@
 
     async def ask_leader(self, kind: str, job_id: str, body: bytes) -> Response | None:
         """Have the leader answer; None if it cannot be reached."""
-        record = self._campaign.known_leader
+        record = self._election.known_leader
         link = self._links.get(record.name) if record is not None else None
         if link is None or not link.alive(now_us()):
             # Asked in vain, a silent leader kept each user waiting for most of a second.
@@ -158,7 +158,7 @@
         return all(not 0 < link.format < least_format for link in self._links.values())
 
     def _leads(self, link: PeerLink) -> bool:
-        record = self._campaign.known_leader
+        record = self._election.known_leader
         return record is not None and record.name == link.name
 
     def _served_peers(self, at_us: int, least_format: int = 0) -> list[PeerLink]:
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -40,10 +40,10 @@
         dead: Callable[[str], Awaitable[bool]],
     ) -> None:
         self._links = links
-        self._duties = duties
-        self._dead = dead
+        self._background_tasks = duties
+        self._on_dead = dead
         self.view = MembershipView()
-        self._under_way: set[str] = set()
+        self._being_judged: set[str] = set()
 
     def start(self, state: StateClient, read_leader: Callable[[], Awaitable[None]]) -> None:
         """Judge whoever refuses connections from now on."""
@@ -54,35 +54,35 @@
 
     def suspect(self, name: str) -> None:
         """A controller refuses connections: is it dead?"""
-        if name not in self._under_way:
-            self._under_way.add(name)
-            self._duties.once(f"suspicion of {name}", self._suspect(name))
+        if name not in self._being_judged:
+            self._being_judged.add(name)
+            self._background_tasks.once(f"suspicion of {name}", self._judge_until_settled(name))
 
-    async def _suspect(self, name: str) -> None:
+    async def _judge_until_settled(self, name: str) -> None:
         """Judge a controller until it is alive again, or dead and replaced."""
         link = self._links[name]
         try:
             while link.refused_us:
                 verdict = await self._verdict(link)
-                if self.view.enter(name, verdict):
+                if self.view.update(name, verdict):
                     # Who was never seen has not started yet, most likely.
                     level = logging.INFO if link.lost_us else logging.DEBUG
                     log.log(level, "%s: %s: %s", name, verdict.state.value, verdict.evidence)
                 try:
                     # Again and again: promised to that leader just before it ended, or in an
                     # outage, this node waited for the whole lease after a single attempt.
-                    if verdict.state is PeerState.DEAD and not await self._dead(name):
+                    if verdict.state is PeerState.DEAD and not await self._on_dead(name):
                         return
                 except CallError as error:
                     log.debug("%s is not replaced yet: %s", name, error)
                 await asyncio.sleep(to_seconds(LOOK_AGAIN_US))
-            if self.view.enter(name, PeerVerdict(PeerState.ALIVE, "")):
+            if self.view.update(name, PeerVerdict(PeerState.ALIVE, "")):
                 log.info("%s: alive: connections are taken again", name)
         finally:
-            self._under_way.discard(name)
+            self._being_judged.discard(name)
 
     async def _verdict(self, link: PeerLink) -> PeerVerdict:
-        observations = await self._observations(link.name)
+        observations = await self._indirect_probes(link.name)
         verdict = self._judge(link, observations)
         if verdict.state is PeerState.DEAD and not observations:
             # By this node's word alone: then it has to be served itself.
@@ -99,7 +99,7 @@
         others = [other.observed() for other in self._links.values() if other is not link]
         return judge_peer(link.observed(), others, observations, now_us(), self._state.failed_us)
 
-    async def _observations(self, name: str) -> list[tuple[str, IndirectProbeResult]]:
+    async def _indirect_probes(self, name: str) -> list[tuple[str, IndirectProbeResult]]:
         """Ask the others what they see of a controller."""
         at_us = now_us()
         asked = [
@@ -118,7 +118,7 @@
             if isinstance(answer, IndirectProbeAnswer) and answer.observation in known
         ]
 
-    async def look(self, name: str) -> IndirectProbeResult:
+    async def probe(self, name: str) -> IndirectProbeResult:
         """Say for another controller whether this one reaches a third, asking it first."""
         link = self._links.get(name)
         if link is None:
--- a/weldhead/controller/leadership/previous_leaders.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -36,9 +36,9 @@
     """
 
     def __init__(self, name: str, life: str, peers: int, ttl_us: int) -> None:
-        self._name, self._life, self._peers, self._ttl_us = name, life, peers, ttl_us
+        self._name, self._nonce_prefix, self._peers, self._ttl_us = name, life, peers, ttl_us
         #: Until then a leader before the one that is known may command.
-        self.over_us = 0
+        self.expired_us = 0
         #: Peers that have said since the key was read that they are in no term.
         self._ended: set[str] = set()
         #: Peers that have said, in this process's life, that they are in no term: when asked.
@@ -46,7 +46,7 @@
         #: The newest version at which the key was read, and when it was first read.
         self.read_token = self._read_us = 0
         #: Whether a former life of this node wrote that.
-        self._read_former = False
+        self._written_by_earlier_process = False
         #: Every record up to this revision was taken into account, or the key was read at it;
         #: None: not yet.
         self._followed: int | None = None
@@ -55,7 +55,7 @@
         """Use this from now on."""
         self._state = state
 
-    def note(self, record: LeaderRecord, version: int) -> None:
+    def record(self, record: LeaderRecord, version: int) -> None:
         """Take a record into account."""
         if version == self.read_token:
             return
@@ -63,31 +63,31 @@
         if version > self.read_token:
             self.read_token = version
             mine = record.name == self._name
-            former = mine and not record.nonce.startswith(self._life)
+            former = mine and not record.nonce.startswith(self._nonce_prefix)
             # What a former life wrote was there before anybody answered this one.
-            self._read_former = former
+            self._written_by_earlier_process = former
         self._read_us = now_us()
         self._ended = set(self._in_no_term) if former else set()
         if record.earlier_us and len(self._ended) < self._peers:
-            self.over_us = max(self.over_us, surely_over_us(self._read_us, record.earlier_us))
+            self.expired_us = max(self.expired_us, surely_over_us(self._read_us, record.earlier_us))
 
-    def heard(self, name: str, pong: Pong, sent_us: int) -> bool:
+    def observe_pong(self, name: str, pong: Pong, sent_us: int) -> bool:
         """A peer has said whether it is in a term; whether all have said they are in none."""
         if pong.leads:
             self._in_no_term.pop(name, None)
             self._ended.discard(name)
             return False
         self._in_no_term[name] = sent_us
-        if sent_us >= self._read_us or self._read_former:
+        if sent_us >= self._read_us or self._written_by_earlier_process:
             self._ended.add(name)
         if len(self._ended) == self._peers:
             # Whoever led before that record was written has ended since.
-            self.over_us = 0
+            self.expired_us = 0
         return len(self._in_no_term) == self._peers
 
     async def follow(self, wait_us: int) -> bool:
         """Take the records since the last time into account; whether the key has changed."""
-        since = self._followed if self._followed is not None else await self._begin()
+        since = self._followed if self._followed is not None else await self._read_key()
         try:
             changes = await self._state.watch(LEADER_KEY, since, wait_us)
         except RevisionCompactedError:
@@ -99,11 +99,11 @@
         for event in changes.events:
             changed = changed or LEADER_KEY in (event.put, event.delete)
             if event.put == LEADER_KEY and event.version > known:
-                self.note(decode(bytes(event.value), LeaderRecord), event.version)
+                self.record(decode(bytes(event.value), LeaderRecord), event.version)
         self._followed = max(known, changes.revision)
         return changed
 
-    async def _begin(self) -> int:
+    async def _read_key(self) -> int:
         """Read the key; return the revision from which it can be followed."""
         found, revision = False, 0
         async for entries, revision in self._state.pages(LEADER_KEY):  # noqa: B007
@@ -114,13 +114,13 @@
             and sum(at_us >= asked_us for at_us in self._in_no_term.values()) < self._peers
         ):
             # Nothing says whom the last record had replaced, and when it went.
-            self._doubt()
+            self._assume_recent_leader()
         return revision
 
-    def _doubt(self) -> None:
+    def _assume_recent_leader(self) -> None:
         """Whoever was replaced of late is over as soon as a leader replaced just now."""
         if self._peers:
-            self.over_us = max(self.over_us, surely_over_us(now_us(), self._ttl_us))
+            self.expired_us = max(self.expired_us, surely_over_us(now_us(), self._ttl_us))
 
     async def catch_up(self) -> None:
         """Learn whom this node's own record comes after; unknown, somebody counts as active."""
@@ -131,7 +131,7 @@
                 await self.follow(0)
         except (CallError, RevisionCompactedError, TimeoutError) as error:
             log.info("it is not known who led before: %r", error)
-            self._doubt()
+            self._assume_recent_leader()
 
 
 async def missed_from_us(state: StateClient) -> int | None:
--- a/weldhead/controller/leadership/promises.py
+++ b/weldhead/controller/leadership/promises.py
@@ -55,7 +55,7 @@
     began_us = began_by_us(link, answer, at_us)
     late_us = began_us - authority.unreplaced_until_us(link.name)
     if late_us <= 0:
-        authority.promised(link.name, sent_us, at_us)
+        authority.record_promise(link.name, sent_us, at_us)
     elif authority.valid(at_us):
         log.info(
             "the promise of %s does not count: it may have begun %.2f s after the key was last "
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -57,7 +57,7 @@
 
 
 class TermRecovery:
-    """Loads the term; ``known`` is set when nothing can run that this leader does not know of.
+    """Loads the term; ``all_known`` is set when nothing can run that this leader does not know of.
 
     ``apply`` takes what a machine said before its records were there.
     """
@@ -77,29 +77,29 @@
     ) -> None:
         self._term = term
         self._completions = completions
-        self._rentals = rentals
-        self._linking = linking
-        self._watch = watch
+        self._rental_manager = rentals
+        self._job_dependencies = linking
+        self._machine_monitor = watch
         self._dispatcher = dispatcher
-        self._pacer = pacer
+        self._loop_budget = pacer
         self._apply = apply
         self._publisher = publisher
         self._gates = gates
         #: The revision from which jobs are watched.
         self.jobs_revision = 0
-        self.known = asyncio.Event()
-        self.early = HeartbeatBuffer()
+        self.all_known = asyncio.Event()
+        self.heartbeat_buffer = HeartbeatBuffer()
         #: Jobs that were read and are not cancelled: before the term is loaded nobody cancels one.
-        self._wanted: set[str] = set()
+        self._live_jobs: set[str] = set()
         sockets = term.settings.facts.limits.sockets
-        self.asking = StatusProbes(term.tunables.recovery.asking(sockets))
+        self.status_probes = StatusProbes(term.tunables.recovery.asking(sockets))
         #: Machines on record that have not been seen to be known or gone.
         self._unknown: dict[str, Machine] = {}
-        self._said_mute = False
-        term.ledger.learn(UNSETTLED_KEY, term.token)
-        self._safe_from: int | None = None
-        if term.predecessor_over_us <= term.won_us:
-            self._safe_from = term.token
+        self._logged_unanswered = False
+        term.state_writer.record_version(UNSETTLED_KEY, term.token)
+        self._safe_revision: int | None = None
+        if term.previous_leader_expired_us <= term.won_us:
+            self._safe_revision = term.token
 
     # -- loading -----------------------------------------------------------------------------
 
@@ -125,8 +125,8 @@
         term = self._term
         at_us, wall = now_us(), wall_us()
         term.cluster = Cluster(term.settings.facts.teams, term.token)
-        term.chains = DependencyGraph(term.cluster.jobs)
-        term.demand = ArrivalRates(term.tunables.fleet.demand_memory_us)
+        term.dependency_graph = DependencyGraph(term.cluster.jobs)
+        term.arrival_rates = ArrivalRates(term.tunables.fleet.demand_memory_us)
         if self._publisher is not None:
             # Before the jobs: whether they are held is judged by this term's own reading.
             await self._publisher.load()
@@ -135,12 +135,12 @@
         async for entries, _ in term.state.pages(RENTALS):
             for entry in entries:
                 hire = decode(bytes(entry.value), RentalRecord)
-                term.ledger.learn(entry.key, entry.version)
-                self._rentals.load(entry.key.removeprefix(RENTALS), hire, at_us, wall)
+                term.state_writer.record_version(entry.key, entry.version)
+                self._rental_manager.load(entry.key.removeprefix(RENTALS), hire, at_us, wall)
             await asyncio.sleep(0)
-        self._unknown = {m.name: m for m in term.cluster.machines.values() if m.up}
-        shown = (m for m in self._unknown if not self.early.showed(m, term.token))
-        self.asking.add(shown)
+        self._unknown = {m.name: m for m in term.cluster.machines.values() if m.enrolled}
+        shown = (m for m in self._unknown if not self.heartbeat_buffer.showed(m, term.token))
+        self.status_probes.add(shown)
         revision = 0
         async for entries, revision in term.state.pages(JOBS):  # noqa: B007
             for part in batches(entries):
@@ -148,32 +148,32 @@
                     record = decode(bytes(entry.value), JobRecord)
                     self.add_job(record, entry.version, at_us, wall)
                     if not record.cancelled:
-                        self._wanted.add(record.spec.id)
+                        self._live_jobs.add(record.spec.id)
                 await asyncio.sleep(0)
         jobs = list(term.cluster.jobs.values())
         for loaded in batches(jobs):
             for job in loaded:
-                self._linking.link(job)
+                self._job_dependencies.link(job)
             await asyncio.sleep(0)
         # All others have their own priority and deadline.
-        self._linking.refresh(term.chains.blocked.values())
+        self._job_dependencies.refresh(term.dependency_graph.blocked.values())
         await load_preemption_history(term, at_us, wall)
         async for entries, _ in term.state.pages(PROGRESS):
             for part in batches(entries):
                 for entry in part:
                     self._load_progress(entry)
                 await asyncio.sleep(0)
-        self._watch.follow()
+        self._machine_monitor.subscribe()
         self.jobs_revision = revision
         term.loaded = True
         term.loaded_us = now_us()
-        for early in self.early.take():
+        for early in self.heartbeat_buffer.take():
             self._apply(early)
 
     def _load_progress(self, entry: KeyValue) -> None:
         term = self._term
         job_id, _, chunk = entry.key.removeprefix(PROGRESS).rpartition("/")
-        term.ledger.learn(entry.key, entry.version)
+        term.state_writer.record_version(entry.key, entry.version)
         job = term.cluster.jobs.get(job_id)
         if job is None:
             self._completions.load_leftover(entry.key)
@@ -188,171 +188,173 @@
         job = Job(without_gate(record.spec), record.submitted_us, version, at_us)
         # The same moment on the steady clock; a time of day that is off must not put it
         # into the future.
-        job.first_seen_us = job.ready_us = at_us - max(0, wall - record.submitted_us)
+        job.first_seen_us = job.runnable_since_us = at_us - max(0, wall - record.submitted_us)
         job.cancelled = record.cancelled
-        job.bound, job.hold = record.bound, record.hold
-        if record.hold is not None or record.deed is not None:
+        job.calendar_deadline, job.gate_hold = record.deadline, record.gate_hold
+        if record.gate_hold is not None or record.gate_action is not None:
             # Whoever is given no gates starts nothing that concerns one.
-            job.held = UNKNOWN_GATE_STATUS
+            job.blocking_gate = UNKNOWN_GATE_STATUS
         if self._gates is not None:
             self._gates.enter(job, record)
-        term.dues.enter(job, at_us, wall)
+        term.job_deadlines.enter(job, at_us, wall)
         term.cluster.jobs[job.id] = job
-        term.ledger.learn(job_key(job.id), version)
+        term.state_writer.record_version(job_key(job.id), version)
         return job
 
     # -- before it is loaded -----------------------------------------------------------------
 
-    def answer_early(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
+    def buffer_heartbeat(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
         """Keep a report that comes before the records are read; whether to answer it.
 
         An answer renews the worker's lease. In an outage that began before the jobs were read
         all workers were kept, with tasks whose cancellation an earlier leader had confirmed and
         this one did not know (``docs/incidents/meetings.md``).
         """
-        if at_us < self._term.answers_until_us or self._runs_wanted_only(report):
-            return self.early.answer(report, at_us, relayed=relayed)
-        self.early.unanswered(report, relayed=relayed)
-        if not self._said_mute:
-            self._said_mute = True
+        if at_us < self._term.answer_unloaded_until_us or self._runs_live_jobs_only(report):
+            return self.heartbeat_buffer.answer(report, at_us, relayed=relayed)
+        self.heartbeat_buffer.unanswered(report, relayed=relayed)
+        if not self._logged_unanswered:
+            self._logged_unanswered = True
             log.warning(
                 "term %d: the jobs are not read, and some may be cancelled: workers with tasks "
                 "are not answered", self._term.token,
             )  # fmt: skip
         return False
 
-    def _runs_wanted_only(self, report: Heartbeat) -> bool:
+    def _runs_live_jobs_only(self, report: Heartbeat) -> bool:
         """Whether all that is on a machine was read in this term, and is not cancelled."""
         try:
             return all(
-                split_task(task.task)[0] in self._wanted
+                split_task(task.task)[0] in self._live_jobs
                 for task in report.tasks
                 if task.state != "ended"
             )
         except ValueError:
             return False
 
-    async def settle(self) -> None:
+    async def clear_unsettled(self) -> None:
         """Once nothing can be left that was cancelled before this term, say so in the store.
 
         Until then a successor counts from the cancellations that this one may have missed.
         """
         term = self._term
-        over_us = surely_over_us(max(term.loaded_us, term.predecessor_over_us), term.lease_us)
-        while now_us() < over_us and not (term.ready and self._clean()):  # noqa: ASYNC110
+        over_us = surely_over_us(
+            max(term.loaded_us, term.previous_leader_expired_us), term.lease_us
+        )
+        while now_us() < over_us and not (term.ready and self._nothing_cancelled_left()):  # noqa: ASYNC110
             await asyncio.sleep(to_seconds(SETTLE_LOOK_US))
         with contextlib.suppress(LeadershipLostError, TransactionRejectedError):
-            await term.ledger.write({UNSETTLED_KEY: None})
+            await term.state_writer.write({UNSETTLED_KEY: None})
 
-    def _clean(self) -> bool:
+    def _nothing_cancelled_left(self) -> bool:
         """Whether no machine is known to hold what must end."""
         cluster = self._term.cluster
         return not any(a.job.unwanted for a in cluster.stopping.values()) and not any(
-            machine.ghosts for machine in cluster.machines.values()
+            machine.orphans for machine in cluster.machines.values()
         )
 
     # -- what runs where ---------------------------------------------------------------------
 
-    async def ask(self) -> None:
+    async def probe_machines(self) -> None:
         """Ask the machines on record what they run, until all are known; a duty."""
-        while not self.known.is_set():
-            self._ask_some()
+        while not self.all_known.is_set():
+            self._probe_next()
             if self._term.loaded and self._term.valid:
-                self._give_up(now_us())
+                self._return_lost_machines(now_us())
             await asyncio.sleep(to_seconds(ASK_PAUSE_US))
 
-    def _ask_some(self) -> None:
-        for name in self.asking.next(now_us()):
-            self._term.duties.once("question", self._ask(name))
+    def _probe_next(self) -> None:
+        for name in self.status_probes.next(now_us()):
+            self._term.background_tasks.once("question", self._probe(name))
 
-    async def _ask(self, name: str) -> None:
+    async def _probe(self, name: str) -> None:
         machine = self._term.cluster.machines.get(name)
-        if machine is None or machine.synced:
-            self.asking.failed(name)
-            self.asking.known(name)
+        if machine is None or machine.reconciled:
+            self.status_probes.failed(name)
+            self.status_probes.known(name)
             return
-        report = await self._dispatcher.question(name, machine.address, max(1, machine.session))
+        report = await self._dispatcher.probe(name, machine.address, max(1, machine.session))
         if report is None:
-            self.asking.failed(name)
+            self.status_probes.failed(name)
             return
-        self.asking.answered(name, now_us())
+        self.status_probes.answered(name, now_us())
         if report.token == self._term.token:
-            self.asking.known(name)
+            self.status_probes.known(name)
         # Its turn is another's at once, not at the next look.
-        self._ask_some()
+        self._probe_next()
         early = BufferedHeartbeat(report, True, 0, False)
         if self._term.loaded:
             self._apply(early)
         else:
-            self.early.shown(report)
+            self.heartbeat_buffer.shown(report)
 
-    def _give_up(self, at_us: int) -> None:
+    def _return_lost_machines(self, at_us: int) -> None:
         """Return machines that were asked in vain, if they look gone rather than cut off.
 
         Most are gone already and only still on record; the answered deletion proves it.
         """
-        for name in self.asking.in_vain(at_us, self._pacer.late_us):
+        for name in self.status_probes.in_vain(at_us, self._loop_budget.lag_us):
             machine = self._term.cluster.machines.get(name)
             if machine is not None:
-                machine.asked_in_vain = True
-        live = self._watch.live()
-        unknown = [machine for machine in live if not machine.synced]
-        if unknown and all(m.asked_in_vain for m in unknown) and look_lost(unknown, live):
-            self._rentals.delete({machine.name: machine for machine in unknown})
+                machine.probes_failed = True
+        live = self._machine_monitor.live()
+        unknown = [machine for machine in live if not machine.reconciled]
+        if unknown and all(m.probes_failed for m in unknown) and look_lost(unknown, live):
+            self._rental_manager.delete({machine.name: machine for machine in unknown})
 
     def check_known(self) -> None:
         """See whether every machine on which something may run has been heard or is gone."""
-        if self.known.is_set() or not self._term.loaded:
+        if self.all_known.is_set() or not self._term.loaded:
             return
         machines = self._term.cluster.machines
         for name, machine in list(self._unknown.items()):
-            if machine.synced or name not in machines:
+            if machine.reconciled or name not in machines:
                 del self._unknown[name]
-                self.asking.known(name)
+                self.status_probes.known(name)
         if not self._unknown:
-            self.known.set()
+            self.all_known.set()
 
     async def finish(self, start_preempting: Callable[[], None]) -> None:
         """Wait until everything is known; from then on anything may be decided."""
         term = self._term
-        await self.known.wait()
+        await self.all_known.wait()
         term.ready, term.ready_us = True, now_us()
         term.became_ready.set()
-        term.cluster.doubts = {}
+        term.cluster.unverified_usage = {}
         log.info(
             "term %d: ready after %.3f s, %d questions; %s",
-            term.token, to_seconds(now_us() - term.won_us), self.asking.sent,
-            term.tally.line(term.cluster),
+            term.token, to_seconds(now_us() - term.won_us), self.status_probes.sent,
+            term.reconciliation_counts.line(term.cluster),
         )  # fmt: skip
         start_preempting()
-        term.place.set()
+        term.placement_wanted.set()
         # Cancelled jobs may be ended now.
-        term.flush.set()
+        term.commit_wanted.set()
 
     # -- what may be decided already ---------------------------------------------------------
 
-    async def learn_safe(self) -> None:
+    async def find_safe_revision(self) -> None:
         """Learn from which revision on no earlier leader can have started a job.
 
         One that was replaced may believe in its lease for a while, and follows the jobs: only
         what is created after that is surely unknown to it.
         """
         term = self._term
-        while self._safe_from is None and not self.known.is_set():
-            left_us = term.predecessor_over_us - now_us()
+        while self._safe_revision is None and not self.all_known.is_set():
+            left_us = term.previous_leader_expired_us - now_us()
             if left_us > 0:
                 await asyncio.sleep(to_seconds(left_us))
                 continue
             try:
                 async for _, revision in term.state.pages(LEADER_KEY):
-                    self._safe_from = revision
+                    self._safe_revision = revision
             except CallError as error:
                 log.info("recovery: the store's revision is not known: %s", error)
                 await asyncio.sleep(0.2)
 
-    def partial(self) -> PartialView:
+    def partial_view(self) -> PartialView:
         """Return what is known so far, and draw its bounds on the teams."""
         cluster = self._term.cluster
-        partial = partial_view_of(cluster.machines.values(), self._safe_from)
-        cluster.doubts = unverified_usage(cluster, partial)
+        partial = partial_view_of(cluster.machines.values(), self._safe_revision)
+        cluster.unverified_usage = unverified_usage(cluster, partial)
         return partial
--- a/weldhead/controller/loop_budget.py
+++ b/weldhead/controller/loop_budget.py
@@ -59,41 +59,41 @@
         clock: Callable[[], int] = now_us,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
-        self._most_hold_us = most_hold_us
+        self._max_run_us = most_hold_us
         self._clock = clock
         self._sleep = sleep
         #: How late the loop was at the last tick.
-        self.late_us = 0
+        self.lag_us = 0
         #: By duty: how long its last run and its longest took, and how many were too long.
         self.last_us: dict[str, int] = {}
         self.longest_us: dict[str, int] = {}
-        self.held: dict[str, int] = {}
+        self.overruns: dict[str, int] = {}
         #: How often a duty was put off.
-        self.put_off: dict[str, int] = {}
-        self._said_us: dict[str, int] = {}
+        self.deferrals: dict[str, int] = {}
+        self._logged_us: dict[str, int] = {}
 
     @contextmanager
-    def hold(self, duty: str) -> Iterator[None]:
+    def measure(self, duty: str) -> Iterator[None]:
         """Measure a run of a duty, which does not wait for anything."""
         began_us = self._clock()
         try:
             yield
         finally:
             at_us = self._clock()
-            self._took(duty, at_us - began_us, at_us)
+            self._record(duty, at_us - began_us, at_us)
 
-    def _took(self, duty: str, took_us: int, at_us: int) -> None:
+    def _record(self, duty: str, took_us: int, at_us: int) -> None:
         self.last_us[duty] = took_us
         self.longest_us[duty] = max(took_us, self.longest_us.get(duty, 0))
-        if took_us <= self._most_hold_us:
+        if took_us <= self._max_run_us:
             return
-        self.held[duty] = self.held.get(duty, 0) + 1
-        said_us = self._said_us.get(duty)
+        self.overruns[duty] = self.overruns.get(duty, 0) + 1
+        said_us = self._logged_us.get(duty)
         if said_us is None or at_us - said_us >= LOG_INTERVAL_US:
-            self._said_us[duty] = at_us
+            self._logged_us[duty] = at_us
             log.warning(
                 "duty %s held the loop for %.3f s (over %.3f s; %d times so far)",
-                duty, to_seconds(took_us), to_seconds(self._most_hold_us), self.held[duty],
+                duty, to_seconds(took_us), to_seconds(self._max_run_us), self.overruns[duty],
             )  # fmt: skip
 
     def pause_us(self, duty: str, rank: LoopPriority, period_us: int) -> int:
@@ -101,29 +101,29 @@
         took_us = self.last_us.get(duty, 0)
         return max(period_us, round(took_us * (1 / LOOP_SHARES[rank] - 1)))
 
-    def must_wait(self, rank: LoopPriority) -> bool:
+    def must_defer(self, rank: LoopPriority) -> bool:
         """Whether the loop is too late for duties of that rank."""
         share = LATE_SHARES.get(rank)
-        return share is not None and self.late_us > share * self._most_hold_us
+        return share is not None and self.lag_us > share * self._max_run_us
 
-    async def rest(self, duty: str, rank: LoopPriority, period_us: int) -> None:
+    async def pause(self, duty: str, rank: LoopPriority, period_us: int) -> None:
         """Pause between two runs of a duty, longer while the loop is late."""
         await self._sleep(to_seconds(self.pause_us(duty, rank, period_us)))
         since_us = self._clock()
-        if self.must_wait(rank):
-            self.put_off[duty] = self.put_off.get(duty, 0) + 1
-        while self.must_wait(rank) and self._clock() - since_us < MAX_DEFERRAL_US:
+        if self.must_defer(rank):
+            self.deferrals[duty] = self.deferrals.get(duty, 0) + 1
+        while self.must_defer(rank) and self._clock() - since_us < MAX_DEFERRAL_US:
             await self._sleep(to_seconds(TICK_US))
 
-    async def watch(self) -> None:
+    async def watch_lag(self) -> None:
         """See how late the loop is; a duty."""
         while True:
             due_us = self._clock() + TICK_US
             await self._sleep(to_seconds(TICK_US))
-            self.late_us = max(0, self._clock() - due_us)
+            self.lag_us = max(0, self._clock() - due_us)
 
     def summary(self) -> str:
         """Return what was too long and what was put off, in one line; "" if nothing."""
-        parts = [f"{duty} held {count} times" for duty, count in sorted(self.held.items())]
-        parts += [f"{duty} put off {count} times" for duty, count in sorted(self.put_off.items())]
+        parts = [f"{duty} held {count} times" for duty, count in sorted(self.overruns.items())]
+        parts += [f"{duty} put off {count} times" for duty, count in sorted(self.deferrals.items())]
         return ", ".join(parts)
--- a/weldhead/controller/memory_monitor.py
+++ b/weldhead/controller/memory_monitor.py
@@ -24,19 +24,19 @@
 
     def exhausted(self, at_us: int) -> bool:
         """Whether this process takes no new work at all for its own memory."""
-        self._look(at_us)
+        self._read_memory(at_us)
         return self._gate.exhausted
 
     def admits(self, at_us: int) -> bool:
         """Whether a new job may be taken."""
-        self._look(at_us)
+        self._read_memory(at_us)
         return self._gate.admits(at_us)
 
-    def hear_leader(self, at_us: int, *, full: bool) -> None:
+    def observe_leader(self, at_us: int, *, full: bool) -> None:
         """The leader says whether it takes no new work at all."""
-        self._gate.hear_leader(at_us, full=full)
+        self._gate.observe_leader(at_us, full=full)
 
-    def _look(self, at_us: int) -> None:
+    def _read_memory(self, at_us: int) -> None:
         gate = self._gate
         if not gate.limit or (self._read_us is not None and at_us - self._read_us < READING_US):
             return
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -69,15 +69,17 @@
         self.tunables = tunables
         self._client = client
         self._serve = server
-        self._duties = BackgroundTasks()
+        self._background_tasks = BackgroundTasks()
         self._links = {p.name: PeerLink(p, settings.name) for p in settings.peers}
-        self._relays = HeartbeatForwarding()
-        self._offer = offer
+        self._forwarding = HeartbeatForwarding()
+        self._document_set = offer
         self.memory = MemoryMonitor(settings.facts.limits.memory_mb)
-        self.campaign = LeaderElection(settings, tunables, self._links, self._duties, started_us)
-        self.peers = PeerDirectory(settings.name, self._links, self.campaign, started_us)
+        self.election = LeaderElection(
+            settings, tunables, self._links, self._background_tasks, started_us
+        )
+        self.peers = PeerDirectory(settings.name, self._links, self.election, started_us)
 
-    def _say_shortfall(self) -> None:
+    def _warn_of_shortfall(self) -> None:
         """Tell the operator once what the site's times do not allow to guarantee."""
         workers = self.settings.facts.workers
         missing = shortfall(seconds_us(workers.cancel_s), seconds_us(workers.lease_s))
@@ -87,12 +89,12 @@
     @property
     def leader(self) -> Leader | None:
         """This node's term, if it leads."""
-        return self.campaign.leader
+        return self.election.leader
 
     @property
     def catalog(self) -> list[MachineType]:
         """The machine types, as far as they are known."""
-        return self.campaign.catalog
+        return self.election.catalog
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -107,31 +109,31 @@
         self._cloud = CloudClient(
             self._http, self.settings.services.cloud, self.settings.facts.cloud
         )
-        if self._offer is not None:
-            self.peers.documents = self._follow_documents(self._offer)
-        self.campaign.open(self._state, self._cloud, self._worker_http, self.peers.documents)
+        if self._document_set is not None:
+            self.peers.documents = self._follow_documents(self._document_set)
+        self.election.open(self._state, self._cloud, self._worker_http, self.peers.documents)
         self.peers.open(self._state)
         teams = self.settings.facts.teams
-        self._desk = RequestHandler(
+        self._request_handler = RequestHandler(
             self.peers, self._state, teams, 1 + len(self._links), self.memory
         )
         server = self._serve(self._handle)
-        peer_server = PeerServer(self._peer_request, self._duties, set(self._links))
+        peer_server = PeerServer(self._peer_request, self._background_tasks, set(self._links))
         try:
             await server.start(self.settings.listen)
             await peer_server.start(self.settings.peer_listen)
             for link in self._links.values():
-                self._duties.start(f"link to {link.name}", link.run, 0.05)
-                self._duties.start(f"pings to {link.name}", partial(self._ping, link))
-            self._duties.start("catalog", self._watch_catalog)
-            self._duties.start("peers", self.peers.watch)
-            self.campaign.start()
-            self._say_shortfall()
+                self._background_tasks.start(f"link to {link.name}", link.run, 0.05)
+                self._background_tasks.start(f"pings to {link.name}", partial(self._ping, link))
+            self._background_tasks.start("catalog", self._watch_catalog)
+            self._background_tasks.start("peers", self.peers.watch)
+            self.election.start()
+            self._warn_of_shortfall()
             log.info("%s serves %s", self.settings.name, self.settings.listen)
             await asyncio.Event().wait()
         finally:
-            await self.campaign.close()
-            await self._duties.close()
+            await self.election.close()
+            await self._background_tasks.close()
             await peer_server.close()
             await server.close()
             await self._http.close()
@@ -147,18 +149,20 @@
         from weldhead.controller.configuration.gates import GateBinder
 
         documents = DocumentReplica(self._state, offer, self.peers.ask_leader)
-        self._duties.start("documents", documents.follow)
-        self._duties.start("edition", documents.bring)
+        self._background_tasks.start("documents", documents.follow)
+        self._background_tasks.start("edition", documents.bring)
         documents.binders.append(GateBinder(documents.cache))
         CalendarBinder(documents, round(self.settings.facts.clock_error_ms * MILLISECOND_US))
-        self._duties.start("due table", DeadlineTableFollower(documents, self._state).follow)
+        self._background_tasks.start(
+            "due table", DeadlineTableFollower(documents, self._state).follow
+        )
         return documents
 
     # -- leadership -------------------------------------------------------------------
 
     async def _watch_catalog(self) -> None:
         while True:
-            self.campaign.new_catalog(await self._cloud.catalog())
+            self.election.update_catalog(await self._cloud.catalog())
             await asyncio.sleep(60.0)
 
     # -- peers ------------------------------------------------------------------------
@@ -167,13 +171,13 @@
         while True:
             await link.up.wait()
             at_us = now_us()
-            token = self.campaign.authority.token if self.campaign.authority.valid(at_us) else 0
+            token = self.election.lease.token if self.election.lease.valid(at_us) else 0
             silent = self.leader.silent_machines(at_us) if self.leader is not None else ()
-            full, known = self.memory.exhausted(at_us), self.campaign.highest_token
+            full, known = self.memory.exhausted(at_us), self.election.highest_token
             ping = Ping(link.next_id(), token, self._state.ok, silent, full, known)
             try:
                 pong = await link.ask(ping, Pong, PONG_US)
-                self.campaign.heard_pong(link.name, pong, at_us)
+                self.election.observe_pong(link.name, pong, at_us)
             except CallError:
                 # Where this process stood still, the silence was its own: what the peer has
                 # sent meanwhile is read next.
@@ -186,24 +190,24 @@
         match message:
             case Ping():
                 self._links[name].word_us = at_us
-                self.campaign.learn_token(name, message.known_token)
+                self.election.observe_token(name, message.known_token)
                 if message.token:
-                    self.campaign.hear_leader(name, message.token)
-                    self.memory.hear_leader(at_us, full=message.full)
-                    self._relays.leader_misses(message.silent, at_us)
-                leads, known = self.leader is not None, self.campaign.highest_token
+                    self.election.observe_leader(name, message.token)
+                    self.memory.observe_leader(at_us, full=message.full)
+                    self._forwarding.record_missed(message.silent, at_us)
+                leads, known = self.leader is not None, self.election.highest_token
                 return Pong(message.id, self._state.ok, FORMAT, leads, known)
             case ForwardedRequest():
                 answer = await self._answer_peer(message)
                 return ForwardedAnswer(message.id, answer.status, answer.body)
             case PromiseRequest():
-                return await self.campaign.answer_hold(name, message)
+                return await self.election.answer_promise_request(name, message)
             case IndirectProbe():
                 return IndirectProbeAnswer(
-                    message.id, (await self.campaign.judging.look(message.name)).value
+                    message.id, (await self.election.failure_detector.probe(message.name)).value
                 )
             case LeaderResigned():
-                self._duties.once("succession", self.campaign.succeed(message))
+                self._background_tasks.once("succession", self.election.take_over_resigned(message))
                 return None
             case _:
                 log.error("peer %s asked with an answer", name)
@@ -212,21 +216,21 @@
     async def _answer_peer(self, ask: ForwardedRequest) -> Response:
         match ask.kind:
             case "submit":
-                return await self._desk.submit(ask.body, forwarded=True)
+                return await self._request_handler.submit(ask.body, forwarded=True)
             case "poll":
                 # Without its memory it has nothing over others: whose turn it is to read is
                 # counted by the job's home.
                 if self.leader is None or not self.leader.loaded:
                     return refusal(503, "not a leader that has read the jobs", retry_after_s=1)
-                return await self._desk.poll(ask.job_id, forwarded=True)
+                return await self._request_handler.poll(ask.job_id, forwarded=True)
             case "read":
-                return await self._desk.poll(ask.job_id, elsewhere=False)
+                return await self._request_handler.poll(ask.job_id, elsewhere=False)
             case "known":
-                return self._desk.known(ask.job_id)
+                return self._request_handler.known(ask.job_id)
             case "cancel":
-                return await self._desk.cancel(ask.job_id, forwarded=True)
+                return await self._request_handler.cancel(ask.job_id, forwarded=True)
             case "report":
-                return await self._report(ask.body, relayed=True)
+                return await self._handle_heartbeat(ask.body, relayed=True)
             case "documents" if self.leader is not None and self.leader.publisher is not None:
                 return self.leader.publisher.take(ask.body)
             case _:
@@ -236,20 +240,20 @@
 
     async def _handle(self, method: str, path: str, body: bytes) -> Response:
         if path == "/v1/report" and method == "POST":
-            return await self._report(body, relayed=False)
+            return await self._handle_heartbeat(body, relayed=False)
         if path == "/ready" and method == "GET":
             return self.peers.ready()
         if path == "/submissions" and method == "POST":
-            return await self._desk.submit(body)
+            return await self._request_handler.submit(body)
         if path.startswith("/submissions/"):
             job_id = path.removeprefix("/submissions/")
             if method == "GET" and "/" not in job_id:
-                return await self._desk.poll(job_id)
+                return await self._request_handler.poll(job_id)
             if method == "POST" and job_id.endswith("/cancel"):
-                return await self._desk.cancel(job_id.removesuffix("/cancel"))
+                return await self._request_handler.cancel(job_id.removesuffix("/cancel"))
         return refusal(404, "no such path")
 
-    async def _report(self, body: bytes, *, relayed: bool) -> Response:
+    async def _handle_heartbeat(self, body: bytes, *, relayed: bool) -> Response:
         at_us = now_us()
         try:
             report = _report_decoder.decode(body)
@@ -257,30 +261,32 @@
             log.error("malformed report refused: %s", error)
             return refusal(400, str(error))
         leader = self.leader
-        if leader is not None and self.campaign.authority.valid(at_us):
-            answer = leader.report(report, at_us, relayed=relayed)
+        if leader is not None and self.election.lease.valid(at_us):
+            answer = leader.handle_heartbeat(report, at_us, relayed=relayed)
             if answer is not None:
                 return Response(200, _encode(answer))
             return refusal(503, "not now", retry_after_s=1)
-        self.campaign.learn_token(report.machine, report.token)
-        record = self.campaign.known_leader
+        self.election.observe_token(report.machine, report.token)
+        record = self.election.known_leader
         if record is None or record.name not in self._links:
             return Response(421, _encode(LeaderRedirect()))
-        return await self._pass_on(report.machine, body, record.name, at_us, relayed=relayed)
+        return await self._forward_heartbeat(
+            report.machine, body, record.name, at_us, relayed=relayed
+        )
 
-    async def _pass_on(
+    async def _forward_heartbeat(
         self, machine: str, body: bytes, leader: str, at_us: int, *, relayed: bool
     ) -> Response:
         """A worker's report has reached a follower: redirect the worker, or relay it."""
         link = self._links[leader]
         if link.alive(at_us):
-            if relayed or self._relays.wanted(machine, at_us):
+            if relayed or self._forwarding.should_forward(machine, at_us):
                 answer = await self.peers.forward(link, "report", "", body)
                 if answer is not None and answer.status == 200:
                     return answer
             if relayed:
                 return refusal(503, "not now")
-            self._relays.redirected(machine, at_us)
+            self._forwarding.record_redirect(machine, at_us)
             return Response(421, _encode(LeaderRedirect(leader)))
         if not relayed:
             # A worker sent to a leader that is cut off from this zone would lose seconds
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -68,10 +68,10 @@
         self._progressed = jobs.feeds.subscribe()
         # All that was loaded: what is over is ended, what was completed meanwhile is saved.
         for job in jobs.values():
-            job.touch()
-        self._term.duties.start("ends of jobs", self._finish_jobs)
-        self._term.duties.start("progress", self._commit_progress)
-        self._term.duties.once("leftovers", self._clear(self._leftovers))
+            job.notify_changed()
+        self._term.background_tasks.start("ends of jobs", self._finish_jobs)
+        self._term.background_tasks.start("progress", self._commit_progress)
+        self._term.background_tasks.once("leftovers", self._clear(self._leftovers))
 
     def load(self, job: Job, chunk: int, done: list[int]) -> None:
         """Take up a chunk of progress read from the store."""
@@ -87,7 +87,7 @@
         """Delete keys that mean nothing any more, one by one as there is time."""
         try:
             for key in keys:
-                await self._term.ledger.write({key: None})
+                await self._term.state_writer.write({key: None})
         except (LeadershipLostError, TransactionRejectedError):
             pass
 
@@ -114,8 +114,8 @@
         """Finish jobs that are over: their users wait for that."""
         term = self._term
         while True:
-            await term.flush.wait()
-            term.flush.clear()
+            await term.commit_wanted.wait()
+            term.commit_wanted.clear()
             # A moment's gathering makes one write of many ends.
             await asyncio.sleep(to_seconds(term.tunables.commit_gather_us))
             self._over.update((job.id, job) for job in self._changed.take())
@@ -130,16 +130,18 @@
                     # Its end waits for that write, so that it leaves nothing behind.
                     self._hasten(job)
             over = [job for job in over if not job.saving]
-            if any(term.cluster.has_ghosts(job) for job in over):
+            if any(term.cluster.has_orphans_of(job) for job in over):
                 # Nobody else would tell that they have gone.
-                asyncio.get_running_loop().call_later(to_seconds(GHOST_LOOK_US), term.flush.set)
+                asyncio.get_running_loop().call_later(
+                    to_seconds(GHOST_LOOK_US), term.commit_wanted.set
+                )
             over = [job for job in over if self.may_end(job)]
             if not over:
                 continue
-            wait_us = term.predecessor_over_us - now_us()
+            wait_us = term.previous_leader_expired_us - now_us()
             if wait_us > 0:
                 # An earlier leader could still tell users an older state.
-                asyncio.get_running_loop().call_later(to_seconds(wait_us), term.flush.set)
+                asyncio.get_running_loop().call_later(to_seconds(wait_us), term.commit_wanted.set)
                 continue
             # What takes longer than a second is not begun at once: ends of other teams' jobs
             # that come meanwhile waited behind hundreds of one team's (found in the emulator).
@@ -151,7 +153,7 @@
                 job.finishing = True
             await asyncio.gather(*(self._end(job) for job in turn))
             if len(turn) < len(over):
-                term.flush.set()
+                term.commit_wanted.set()
 
     def may_end(self, job: Job) -> bool:
         """Whether nothing can run any more of a job that is over.
@@ -161,11 +163,11 @@
         sets ``flush``.
         """
         unknown = job.cancelled and not self._term.ready
-        return not unknown and not self._term.cluster.has_ghosts(job)
+        return not unknown and not self._term.cluster.has_orphans_of(job)
 
     def _hasten(self, job: Job) -> None:
         for chunk in range(-(-job.spec.tasks // CHUNK_TASKS)):
-            self._term.ledger.hasten(progress_key(job.id, chunk))
+            self._term.state_writer.prioritize(progress_key(job.id, chunk))
 
     async def _commit_progress(self) -> None:
         """Commit completions of jobs that go on: nobody waits, so many make one write."""
@@ -176,7 +178,7 @@
             self._unsaved = {
                 job.id: job
                 for job in self._unsaved.values()
-                if job.dirty and not job.over and term.cluster.jobs.get(job.id) is job
+                if job.uncommitted_chunks and not job.over and term.cluster.jobs.get(job.id) is job
             }
             dirty = [job for job in self._unsaved.values() if not job.finishing]
             await asyncio.gather(*(self._save(job) for job in dirty))
@@ -184,7 +186,7 @@
     async def _save(self, job: Job) -> None:
         job.saving = True
         try:
-            for chunk in sorted(job.dirty):
+            for chunk in sorted(job.uncommitted_chunks):
                 await self._save_chunk(job, chunk)
         except (LeadershipLostError, TransactionRejectedError):
             # What was rejected is on the workers until the job ends, or goes with the next.
@@ -192,7 +194,7 @@
         finally:
             job.saving = False
             if job.over:
-                self._term.flush.set()
+                self._term.commit_wanted.set()
 
     async def _save_chunk(self, job: Job, chunk: int) -> None:
         fresh: list[int] = []
@@ -201,13 +203,13 @@
             # Made when the write's turn comes: what has completed since goes with it.
             flags, found = job.snapshot_chunk(chunk)
             fresh[:] = found
-            job.dirty.discard(chunk)
+            job.uncommitted_chunks.discard(chunk)
             return encode_progress(flags)
 
         try:
-            await self._term.ledger.write_latest(progress_key(job.id, chunk), build)
+            await self._term.state_writer.write_latest(progress_key(job.id, chunk), build)
         except LeadershipLostError:
-            job.dirty.add(chunk)
+            job.uncommitted_chunks.add(chunk)
             raise
         self._written_chunks.setdefault(job.id, set()).add(chunk)
         job.mark_committed(fresh)
@@ -231,12 +233,12 @@
         first = written[: max(0, term.state.max_writes - (2 if self.with_gate is None else 3))]
         changes.update({progress_key(job.id, chunk): None for chunk in first})
         if self.with_gate is None or not await self.with_gate(job, final, changes):
-            await term.ledger.write(changes, urgent=True)
+            await term.state_writer.write(changes, urgent=True)
         self.remember_final(job.id, final)
-        term.ledger.forget(final_key(job.id))
+        term.state_writer.forget_version(final_key(job.id))
         term.cluster.jobs.remove(job.id)
         self._written_chunks.pop(job.id, None)
-        job.dirty.clear()
+        job.uncommitted_chunks.clear()
         self._ended(job, final)
         log.info("%s %s", job.id, final.status)
         await self._clear([progress_key(job.id, chunk) for chunk in written[len(first) :]])
@@ -253,9 +255,9 @@
         """
         task = self.cancelling.get(job.id)
         if task is None:
-            job.cancel_asked = True
+            job.cancel_requested = True
             self._stop(job)
-            task = self._term.duties.once("cancellation", self._commit_cancel(job))
+            task = self._term.background_tasks.once("cancellation", self._commit_cancel(job))
             self.cancelling[job.id] = task
         await asyncio.wait({task}, timeout=to_seconds(patience_us))
         return job.cancelled
@@ -272,7 +274,7 @@
             try:
                 limit = term.state.limits.value_bytes
                 record = cancelled_record(job.spec, job.submitted_us, limit)
-                job.version = await term.ledger.write({job_key(job.id): record}, urgent=True)
+                job.version = await term.state_writer.write({job_key(job.id): record}, urgent=True)
             finally:
                 job.finishing = False
             job.cancelled = True
--- a/weldhead/controller/requests/job_dependencies.py
+++ b/weldhead/controller/requests/job_dependencies.py
@@ -47,16 +47,16 @@
         """Enter what a job waits for, and draw what follows from it."""
         needs = job.spec.needs or ()
         if not job.cancelled:
-            self._term.chains.add(job, needs)
+            self._term.dependency_graph.add(job, needs)
             for name in needs:
                 self._learned(name)
         # Others may have named it before this node had heard of it.
-        self._term.chains.unknown.discard(job.id)
+        self._term.dependency_graph.unresolved.discard(job.id)
         if job.cancelled:
             self.withdraw_with_followers(job)
-        elif not job.blockers and not needs:
+        elif not job.unmet_dependencies and not needs:
             self.runnable(job)
-        if self._term.chains.unknown:
+        if self._term.dependency_graph.unresolved:
             self._needed.set()
 
     def _learned(self, job_id: str) -> None:
@@ -73,19 +73,19 @@
         """A job is over, and that is committed: those that wait for it go on, or go too."""
         if final.status == "done":
             ended_us = now_us() - max(0, wall_us() - final.ended_us)
-            for follower in self._term.chains.done(job_id, ended_us):
+            for follower in self._term.dependency_graph.mark_done(job_id, ended_us):
                 log.debug("%s waits for nothing more", follower.id)
                 self.runnable(follower)
-            self._term.place.set()
+            self._term.placement_wanted.set()
         else:
-            self._withdraw_all(self._term.chains.withdrawn(job_id))
+            self._withdraw_all(self._term.dependency_graph.mark_withdrawn(job_id))
 
     def runnable(self, job: Job) -> None:
         """A job's tasks may start from now on: from here on it counts as demand."""
-        if job.held is not None:
+        if job.blocking_gate is not None:
             return
         work = job.spec.tasks * job.spec.cpus * self._term.estimates.task_us(job)
-        self._term.demand.arrived(job.level, work, job.ready_us)
+        self._term.arrival_rates.arrived(job.effective_level, work, job.runnable_since_us)
 
     def withdraw_with_followers(self, job: Job) -> None:
         """A job's cancellation is committed: all that need it are withdrawn by that alone.
@@ -93,15 +93,15 @@
         So they are called withdrawn at once, by every leader, though it takes several
         transactions to write down how each of them ended.
         """
-        self._withdraw_all([job, *self._term.chains.withdrawn(job.id)])
+        self._withdraw_all([job, *self._term.dependency_graph.mark_withdrawn(job.id)])
 
     def _withdraw_all(self, jobs: list[Job]) -> None:
         needed: dict[str, Job] = {}
         for job in jobs:
-            for name in job.blockers:
+            for name in job.unmet_dependencies:
                 if name in self._term.cluster.jobs:
                     needed[name] = self._term.cluster.jobs[name]
-            self._term.chains.remove(job)
+            self._term.dependency_graph.remove(job)
             self.stop_tasks(job)
         if needed:
             # What they gave to the jobs that they need goes with them.
@@ -113,27 +113,27 @@
         Until the write of that is answered this term says something older, while other
         nodes tell users what they read. Nobody is kept without an answer for long by it.
         """
-        ledger = self._term.ledger
-        if not ledger.doubted or now_us() - ledger.doubted_us > DOUBT_US:
+        ledger = self._term.state_writer
+        if not ledger.unanswered_keys or now_us() - ledger.unanswered_since_us > DOUBT_US:
             return False
         job = self._term.cluster.jobs.get(job_id)
         if job is None:
             return False
         keys = (JOBS, FINAL)
-        names = {key[len(JOBS) :] for key in ledger.doubted if key.startswith(keys)}
-        return job_id in names or self._term.chains.needs_any(job, names)
+        names = {key[len(JOBS) :] for key in ledger.unanswered_keys if key.startswith(keys)}
+        return job_id in names or self._term.dependency_graph.depends_on_any(job, names)
 
     def refresh(self, jobs: Iterable[Job]) -> None:
         """Bring up to date what these jobs and those that they need inherit."""
-        refresh(self._term.chains, jobs, self._term.goals, self.stage_us, now_us())
+        refresh(self._term.dependency_graph, jobs, self._term.objectives, self.stage_us, now_us())
 
     async def learn_needs(self) -> None:
         """Read what became of needed jobs that were over before this term began."""
         while True:
             await self._needed.wait()
             self._needed.clear()
-            while self._term.chains.unknown:
-                names = list(self._term.chains.unknown)[:NEEDS_AT_ONCE]
+            while self._term.dependency_graph.unresolved:
+                names = list(self._term.dependency_graph.unresolved)[:NEEDS_AT_ONCE]
                 await asyncio.gather(*(self.learn_need(name) for name in names))
 
     async def learn_need(self, job_id: str) -> None:
@@ -162,13 +162,13 @@
         for attempt in list(job.active.values()):
             machine = self._term.cluster.machines[attempt.machine]
             if not request_stop(self._term.cluster, attempt, StopRequest.HARD, at_us, "cancelled"):
-                self._dispatcher.post_soon(machine)
-        self._term.flush.set()
-        self._term.place.set()
+                self._dispatcher.schedule(machine)
+        self._term.commit_wanted.set()
+        self._term.placement_wanted.set()
 
     def stage_us(self, job: Job) -> int:
         """Estimate a job's own part of its chain."""
-        rate = fetch_rate(self._term.market.types)
+        rate = fetch_rate(self._term.rental_offers.types)
         return stage_us(
             self._term.cluster, job, self._term.estimates, rate, self._term.tunables.chain_margin
         )
--- a/weldhead/controller/requests/request_handler.py
+++ b/weldhead/controller/requests/request_handler.py
@@ -102,7 +102,7 @@
     """What the front desk needs of its node."""
 
     @property
-    def alone(self) -> bool:
+    def isolated(self) -> bool:
         """Whether neither the state service nor another controller answers this node."""
 
     @property
@@ -178,7 +178,7 @@
         known = self._in_memory(spec.id)
         if known is not None:
             return Response(200, _encode(known))
-        if self._node.alone:
+        if self._node.isolated:
             return _ALONE
         if not self._node.catalog:
             return refusal(503, "machine types not known yet", retry_after_s=1)
@@ -260,7 +260,7 @@
             binding = documents.bind(spec, at_us)
         except DocumentsNotLoadedError:
             raise CallError("calendars and gates are not known yet") from None
-        gate = binding.hold or binding.deed
+        gate = binding.gate_hold or binding.gate_action
         if gate is not None and not self._node.peers_know(DOCUMENTS_FORMAT):
             raise CallError("a peer's version would start a job that a gate holds")
         return admitted_record(spec, at_us, binding), binding
@@ -327,7 +327,7 @@
         if leader is not None:
             leader.job_created(record, version)
         log.debug("%s accepted", spec.id)
-        if self._node.documents is not None and (record.bound or record.hold):
+        if self._node.documents is not None and (record.deadline or record.gate_hold):
             for tell in self._node.documents.accepted:
                 tell(record)
         return Response(201, _encode(JobStatus(spec.id, "pending", due_at=self._due_at(record))))
@@ -335,9 +335,9 @@
     def _due_at(self, record: JobRecord) -> str | None:
         """Say by when a calendar has a job finished."""
         documents = self._node.documents
-        if documents is None or record.bound is None or record.cancelled:
+        if documents is None or record.deadline is None or record.cancelled:
             return None
-        return utc(moved(documents.cache, record.bound).due_us)
+        return utc(moved(documents.cache, record.deadline).due_us)
 
     def _known_of(self, job_id: str) -> str:
         """Say in a refusal by when a job is due, as far as this node knows."""
@@ -353,7 +353,11 @@
         known: JobStatus | None = None
         try:
             known = leader.status(job_id) if leader is not None else None
-            if known is not None and leader is not None and leader.linking.in_doubt(job_id):
+            if (
+                known is not None
+                and leader is not None
+                and leader.job_dependencies.in_doubt(job_id)
+            ):
                 known = None
         except Exception:
             # A bug that one job brings out must not keep it from its users: the store's word
@@ -446,7 +450,7 @@
         if known is not None:
             self._turns.answered(job_id)
             return Response(200, _encode(known))
-        if self._node.alone:
+        if self._node.isolated:
             return _alone(self._known_of(job_id))
         if not forwarded and self._node.leader is None:
             answer = await self._poll_leader(job_id)
@@ -513,7 +517,7 @@
         """Cancel a job; only the leader does, as it knows what runs."""
         if not is_job_id(job_id):
             return refusal(404, "no such job")
-        if self._node.alone:
+        if self._node.isolated:
             return _ALONE
         leader = self._node.leader
         if leader is None:
