--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -51,18 +51,23 @@
         if self._outlook is None:
             tunables = self._term.tunables
             self._outlook = JobForecasts(
-                self._term.cluster, self._term.chains, self._term.estimates, self._stage_us,
-                tunables.forecast_period_us, tunables.forecast_recheck_us, tunables.most_forecasts,
-            )  # fmt: skip
+                self._term.cluster,
+                self._term.dependency_graph,
+                self._term.estimates,
+                self._stage_us,
+                tunables.forecast_period_us,
+                tunables.forecast_recheck_us,
+                tunables.most_forecasts,
+            )
         return self._outlook
 
     async def forecast(self) -> None:
         """Forecast each job's finish, and say when one turns late."""
         while True:
-            await self._pacer.rest(
+            await self._pacer.pause(
                 "forecasts", LoopPriority.FORECASTS, self._term.tunables.forecast_period_us
             )
-            with self._pacer.hold("forecasts"):
+            with self._pacer.measure("forecasts"):
                 self.look_ahead(now_us())
 
     def look_ahead(self, at_us: int) -> None:
@@ -84,26 +89,26 @@
         if job.cancelled:
             return
         due = due_us(job)
-        if job.bound is not None:
+        if job.calendar_deadline is not None:
             self._say_of_bound(job, at_us)
             if job.spec.deadline_s is None:
                 return
             # Its owner's deadline is told of as that of any other job.
             due = job.first_seen_us + seconds_us(job.spec.deadline_s)
         late = due is not None and (
-            at_us > due or (job.forecast_us is not None and job.forecast_us > due)
+            at_us > due or (job.expected_finish_us is not None and job.expected_finish_us > due)
         )
-        stuck = looks_unable(job) and not job.spec.is_service and not job.blockers
-        turned = (late or stuck) and not job.late
+        stuck = looks_unable(job) and not job.spec.is_service and not job.unmet_dependencies
+        turned = (late or stuck) and not job.reported_late
         # Forecasts of a whole chain waver: said once.
-        job.late = late or stuck or (job.late and bool(job.spec.needs))
+        job.reported_late = late or stuck or (job.reported_late and bool(job.spec.needs))
         if not turned:
             return
         if stuck:
             log.warning("%s looks unable to finish: it fails everywhere", job.id)
         elif job.spec.deadline_s is not None:
             stage = holding_up(self._term.cluster, job)
-            finish_us = job.forecast_us or at_us
+            finish_us = job.expected_finish_us or at_us
             log.warning(
                 "%s will be late: due in %.0f s, forecast in %.0f s; %s%s (%s) has %d of %d "
                 "tasks done",
@@ -121,7 +126,7 @@
         """
         # Who does not know yet what runs where would take all that runs for waiting.
         known = self._term.ready and self._term.estimates.knows(job)
-        least_us = self._stage_us(job) if job.held is not None else 0
+        least_us = self._stage_us(job) if job.blocking_gate is not None else 0
         stands = lateness.standing(job, at_us, has_history=known, least_us=least_us)
         if stands is DeadlineStanding.UNKNOWN and self.notes is not None and self.notes.told(job):
             return DeadlineStanding.LATE
@@ -129,23 +134,23 @@
 
     def _say_of_bound(self, job: Job, at_us: int) -> None:
         """Have it said once, by whichever term, that a bound job will be late."""
-        notes, due_us = self.notes, job.bound_due_us
+        notes, due_us = self.notes, job.calendar_due_us
         if due_us is None or self.standing(job, at_us) is not DeadlineStanding.LATE:
             return
         if not self._term.ready or not self._term.valid:
             return
-        if notes.told(job) if notes is not None else job.late:
+        if notes.told(job) if notes is not None else job.reported_late:
             return
-        job.late = job.late or notes is None
-        forecast_us = job.forecast_us
+        job.reported_late = job.reported_late or notes is None
+        forecast_us = job.expected_finish_us
         expected = "no end in observation"
         if forecast_us is not None and not job.broken:
             expected = f"expected {span(max(0, forecast_us - due_us))} after that"
         boots = self._kept_outlook().boots()
         why = lateness.reason(self._term.cluster, job, boots, at_us, self.held)
         state = "is late" if at_us > due_us else "will be late"
-        assert job.bound is not None
-        words = f"{job.id} {state}: {due_words(job.bound)}, {expected}: {why}"
+        assert job.calendar_deadline is not None
+        words = f"{job.id} {state}: {due_words(job.calendar_deadline)}, {expected}: {why}"
         if notes is not None:
             notes.tell(job, words)
         else:
@@ -153,11 +158,13 @@
 
     def say_account(self, at_us: int) -> None:
         """Log how the bound jobs stand that a new term has found."""
-        jobs = [job for job in self._term.cluster.jobs.values() if job.bound is not None]
+        jobs = [
+            job for job in self._term.cluster.jobs.values() if job.calendar_deadline is not None
+        ]
         if self.notes is None and not jobs:
             return
         for job in jobs:
-            if job.bound_due_us is not None and job.bound_due_us - at_us <= lateness.SOON_US:
+            if job.calendar_due_us is not None and job.calendar_due_us - at_us <= lateness.SOON_US:
                 self.tell(job)
         found = lateness.account(((job, self.standing(job, at_us)) for job in jobs), at_us)
         log.info("term %d: %s", self._term.token, found.line())
--- a/weldhead/controller/scheduling_loop/preemption_recorder.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -36,13 +36,13 @@
 
 async def load_preemption_history(term: Term, at_us: int, wall: int) -> None:
     """Read what earlier leaders took and did not see given back; as often as it takes."""
-    term.taken.clear()
+    term.preemption_history.clear()
     async for entries, _ in term.state.pages(PREEMPTED):
         for entry in entries:
-            term.ledger.learn(entry.key, entry.version)
+            term.state_writer.record_version(entry.key, entry.version)
             record = decode(bytes(entry.value), PreemptedRecord)
-            restore_rows(term.taken, record.rows, term.cluster.jobs, wall - at_us)
-    term.taken.expire(at_us, term.cluster.jobs)
+            restore_rows(term.preemption_history, record.rows, term.cluster.jobs, wall - at_us)
+    term.preemption_history.expire(at_us, term.cluster.jobs)
 
 
 class PreemptionRecorder:
@@ -56,7 +56,7 @@
 
     def took(self, attempt: Attempt, at_us: int) -> None:
         """Note that a task which holds cards is stopped for another."""
-        self._term.taken.stop(attempt, at_us)
+        self._term.preemption_history.record_preemption(attempt, at_us)
         self._write_soon(shard_of(attempt.job.id))
 
     def inherit(self, at_us: int) -> None:
@@ -64,19 +64,19 @@
         for attempt in list(self._term.cluster.stopping.values()):
             if attempt.job.spec.gpus <= 0 or attempt.job.unwanted or not attempt.adopted:
                 continue
-            known = self._term.taken.of(attempt.job.id).get(attempt.index)
+            known = self._term.preemption_history.of_job(attempt.job.id).get(attempt.index)
             if attempt.phase is AttemptPhase.SAVING and known is None:
                 self.took(attempt, at_us - INHERITED_US)
 
     def _write_soon(self, shard: int) -> None:
         if shard not in self._asked:
             self._asked.add(shard)
-            self._term.duties.once("taken", self._write(shard))
+            self._term.background_tasks.once("taken", self._write(shard))
 
     async def _write(self, shard: int) -> None:
         """Write a record once, with what has been taken until its turn comes."""
         with contextlib.suppress(LeadershipLostError, TransactionRejectedError):
-            await self._term.ledger.write_latest(
+            await self._term.state_writer.write_latest(
                 preempted_key(shard), lambda: self._record(shard), urgent=True
             )
 
@@ -84,6 +84,8 @@
         self._asked.discard(shard)
         self.writes += 1
         at_us = now_us()
-        self._term.taken.expire(at_us, self._term.cluster.jobs)
+        self._term.preemption_history.expire(at_us, self._term.cluster.jobs)
         limit = self._term.settings.facts.state.tightest().value_bytes - 32
-        return PreemptedRecord(rows_of(self._term.taken, shard, wall_us() - at_us, limit))
+        return PreemptedRecord(
+            rows_of(self._term.preemption_history, shard, wall_us() - at_us, limit)
+        )
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -37,7 +37,7 @@
         self._term = term
         self._dispatcher = dispatcher
         self.pacer = pacer
-        self.reclaims = ReclaimLists(term.taken)
+        self.reclaims = ReclaimLists(term.preemption_history)
         self.lending = PreemptionRecorder(term)
         self._pace = PreemptionRateLimit(term.tunables.recovery.pace())
         self.last_plan = PlacementPlan()
@@ -52,7 +52,7 @@
         """Return what placement keeps in order."""
         if self.scene is None:
             self.scene = PlacementInput(
-                self._term.cluster, self._term.estimates, self._term.goals,
+                self._term.cluster, self._term.estimates, self._term.objectives,
                 self._term.tunables.preemptor.patience_us,
             )  # fmt: skip
             if self._holding is not None:
@@ -95,16 +95,16 @@
     async def place_tasks(self) -> None:
         """Place tasks whenever something has changed; a duty."""
         while True:
-            await self._term.place.wait()
-            self._term.place.clear()
+            await self._term.placement_wanted.wait()
+            self._term.placement_wanted.clear()
             self._place_now()
             pause_us = self._term.tunables.placement_pause_us
             if not self._term.ready:
                 pause_us = max(pause_us, PARTIAL_PAUSE_US)
-            await self.pacer.rest("placement", LoopPriority.PLACEMENT, pause_us)
+            await self.pacer.pause("placement", LoopPriority.PLACEMENT, pause_us)
 
     def _place_now(self) -> None:
-        with self.pacer.hold("placement"):
+        with self.pacer.measure("placement"):
             self.place()
 
     def place(self) -> None:
@@ -130,7 +130,7 @@
         self.last_plan = plan
         touched: dict[str, Machine] = {}
         for start in plan.starts:
-            if self._term.cluster.haunted(f"{start.job.id}/{start.index}"):
+            if self._term.cluster.has_orphan(f"{start.job.id}/{start.index}"):
                 # An attempt that no job counts may still run: its kill may be lost.
                 continue
             self._term.cluster.start(start.job, start.index, start.machine, at_us)
@@ -140,19 +140,19 @@
             log.debug("placed %d tasks on %d machines", len(plan.starts), len(touched))
         if self._term.tunables.direct_runs:
             for machine in touched.values():
-                self._dispatcher.post_soon(machine)
+                self._dispatcher.schedule(machine)
 
     async def preempt(self) -> None:
         """Make room for those who found none; a duty."""
         self.lending.inherit(now_us())
         while True:
-            await self.pacer.rest(
+            await self.pacer.pause(
                 "preemptor", LoopPriority.PREEMPTOR, self._term.tunables.preemptor.period_us
             )
             if not self._term.valid:
                 continue
             self._place_now()
-            with self.pacer.hold("preemptor"):
+            with self.pacer.measure("preemptor"):
                 self._make_room(now_us())
 
     def _make_room(self, at_us: int) -> None:
@@ -163,7 +163,7 @@
         for entry in expired:
             self.reclaims.remove(entry)
         for entry in hard:
-            entry.hard_us = at_us
+            entry.hard_kill_us = at_us
             for victim in entry.victims:
                 if victim.job.active.get(victim.index) is victim:
                     self.stop(victim, StopRequest.HARD, at_us, "room, overdue")
@@ -174,11 +174,11 @@
             self._term.estimates,
             at_us,
             settings,
-            self._term.goals,
+            self._term.objectives,
             free=self.scene.free if self.scene is not None else None,
             held=self.scene.holds.machines if self.scene is not None else None,
         )
-        running = sum(len(job.active) for job in self._term.cluster.holders.values())
+        running = sum(len(job.active) for job in self._term.cluster.active_jobs.values())
         allowed = self._pace.allowed(self._term.ready_us, running, at_us)
         for reclaim in planned:
             if allowed is not None:
@@ -201,7 +201,7 @@
                 claimant = self._term.cluster.jobs[reclaim.job_id]
                 if victim.job.spec.gpus > 0:
                     self.lending.took(victim, at_us)
-                stop = stop_for(claimant, victim.job, self._term.goals)
+                stop = stop_for(claimant, victim.job, self._term.objectives)
                 self.stop(victim, stop, at_us, "room")
 
     def _trim_reclaims(self) -> None:
@@ -222,6 +222,6 @@
         """Ask an attempt to stop, and tell its worker."""
         machine = self._term.cluster.machines[attempt.machine]
         if request_stop(self._term.cluster, attempt, stop, at_us, reason):
-            self._term.place.set()
+            self._term.placement_wanted.set()
         else:
-            self._dispatcher.post_soon(machine)
+            self._dispatcher.schedule(machine)
--- a/weldhead/controller/term.py
+++ b/weldhead/controller/term.py
@@ -54,35 +54,35 @@
     ) -> None:
         self.settings = settings
         self.tunables = tunables
-        self._authority = authority
+        self._lease = authority
         #: Until then workers with tasks are answered although the jobs are not read.
-        self.answers_until_us = answers_until_us
+        self.answer_unloaded_until_us = answers_until_us
         self.state = state
         self.cloud = cloud
         self.worker_http = worker_http
         self.types = {machine_type.name: machine_type for machine_type in types}
         #: Until then an earlier leader may still answer users and workers.
-        self.predecessor_over_us = predecessor_over_us
-        self.on_deposed = on_deposed
+        self.previous_leader_expired_us = predecessor_over_us
+        self.on_leadership_lost = on_deposed
         self.token = authority.token
         self.cluster = Cluster(settings.facts.teams, self.token)
-        self.chains = DependencyGraph(self.cluster.jobs)
-        self.ledger = StateWriter(state, self.token)
+        self.dependency_graph = DependencyGraph(self.cluster.jobs)
+        self.state_writer = StateWriter(state, self.token)
         self.estimates = RunTimeEstimates()
-        self.demand = ArrivalRates(tunables.fleet.demand_memory_us)
-        self.goals = ServiceLevelObjectives(settings.facts.objectives)
-        self.market = RentalOffers(types=types)
-        self.boots = BootHistory()
-        self.tally = ReconciliationCounts()
-        self.dues = JobDeadlines(round(settings.facts.clock_error_ms * MILLISECOND_US))
+        self.arrival_rates = ArrivalRates(tunables.fleet.demand_memory_us)
+        self.objectives = ServiceLevelObjectives(settings.facts.objectives)
+        self.rental_offers = RentalOffers(types=types)
+        self.boot_history = BootHistory()
+        self.reconciliation_counts = ReconciliationCounts()
+        self.job_deadlines = JobDeadlines(round(settings.facts.clock_error_ms * MILLISECOND_US))
         #: What was taken from whom, to be given back.
-        self.taken = PreemptionHistory()
-        self.duties = BackgroundTasks()
+        self.preemption_history = PreemptionHistory()
+        self.background_tasks = BackgroundTasks()
         workers = settings.facts.workers
         self.lease_us = seconds_us(workers.lease_s)
         self.cancel_us = seconds_us(workers.cancel_s)
-        self.report_us = seconds_us(workers.report_s)
-        self.silence_us = 2 * self.report_us + SECOND_US
+        self.heartbeat_interval_us = seconds_us(workers.report_s)
+        self.silence_us = 2 * self.heartbeat_interval_us + SECOND_US
         #: When the token was won.
         self.won_us = now_us()
         #: The store has been read; since when (0: not yet).
@@ -93,23 +93,23 @@
         self.ready_us = 0
         self.became_ready = asyncio.Event()
         #: Something that placement should look at.
-        self.place = asyncio.Event()
+        self.placement_wanted = asyncio.Event()
         #: Jobs may be over, or have completions to commit.
-        self.flush = asyncio.Event()
+        self.commit_wanted = asyncio.Event()
 
     @property
     def valid(self) -> bool:
         """Whether this node may command now."""
-        return self._authority.token == self.token and self._authority.valid(now_us())
+        return self._lease.token == self.token and self._lease.valid(now_us())
 
     @property
-    def proven_us(self) -> int:
+    def leadership_verified_us(self) -> int:
         """The latest moment at which surely nobody else led."""
-        return max(self.ledger.proven_us, self._authority.alone_us)
+        return max(self.state_writer.leadership_verified_us, self._lease.sole_leader_us)
 
-    def floor_us(self) -> int:
+    def previous_leader_until_us(self) -> int:
         """Return when an earlier leader may last have answered a worker.
 
         What this one answers is known of each machine, also before the term is loaded.
         """
-        return self.predecessor_over_us
+        return self.previous_leader_expired_us
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -33,13 +33,13 @@
     ) -> None:
         self._term = term
         self._apply = apply
-        self._unanswered = unanswered
-        self._outbox = CommandQueue()
+        self._on_unanswered = unanswered
+        self._queue = CommandQueue()
         #: Turns that have begun and count.
-        self._turns: set[int] = set()
+        self._slots: set[int] = set()
         self._count = 0
         sockets = term.settings.facts.limits.sockets
-        self._at_once = max(4, min(term.tunables.direct_at_once, sockets // 8))
+        self._max_in_flight = max(4, min(term.tunables.direct_at_once, sockets // 8))
 
     def _crowded(self) -> bool:
         """Whether every worker's connection to us and ours to it would be too many."""
@@ -55,13 +55,13 @@
         )  # fmt: skip
         return report
 
-    def _deposed_by(self, name: str, report: Heartbeat) -> bool:
+    def _shows_newer_token(self, name: str, report: Heartbeat) -> bool:
         if report.token <= self._term.token:
             return False
-        self._term.on_deposed(f"{name} has seen token {report.token}")
+        self._term.on_leadership_lost(f"{name} has seen token {report.token}")
         return True
 
-    async def question(self, name: str, address: str, session: int) -> Heartbeat | None:
+    async def probe(self, name: str, address: str, session: int) -> Heartbeat | None:
         """Show a worker our token and hear what it runs; None if it does not answer.
 
         Once its own message carries our token, it obeys no earlier leader any more.
@@ -73,51 +73,56 @@
             )
         except CallError:
             return None
-        return None if self._deposed_by(name, report) else report
+        return None if self._shows_newer_token(name, report) else report
 
     # -- commands ------------------------------------------------------------------------
 
-    def post_soon(self, machine: Machine) -> None:
+    def schedule(self, machine: Machine) -> None:
         """Send what a machine has to do in its turn, unless that is under way already."""
-        if not machine.synced or not machine.address or machine.relayed:
+        if not machine.reconciled or not machine.address or machine.relayed:
             return
-        if machine.posting and machine.name not in self._outbox:
+        if machine.command_in_flight and machine.name not in self._queue:
             return
-        machine.posting = True
-        self._outbox.put(machine.name, queue_position(self._term.cluster, machine))
-        self._pump()
+        machine.command_in_flight = True
+        self._queue.put(machine.name, queue_position(self._term.cluster, machine))
+        self._start_next()
 
-    def _pump(self) -> None:
+    def _start_next(self) -> None:
         """Begin as many turns as there may be at once, the most urgent machines first."""
-        while len(self._turns) < self._at_once and (name := self._outbox.pop()) is not None:
+        while len(self._slots) < self._max_in_flight and (name := self._queue.pop()) is not None:
             machine = self._term.cluster.machines.get(name)
             if machine is None:
                 continue
             self._count += 1
-            self._turns.add(self._count)
+            self._slots.add(self._count)
             # Who does not answer at once keeps nobody else waiting.
             loop = asyncio.get_running_loop()
-            loop.call_later(to_seconds(TURN_US), self._end_turn, self._count)
-            self._term.duties.once("direct commands", self._post(machine, self._count))
+            loop.call_later(to_seconds(TURN_US), self._release_slot, self._count)
+            self._term.background_tasks.once(
+                "direct commands", self._send_commands(machine, self._count)
+            )
 
-    def _end_turn(self, turn: int) -> None:
-        if turn in self._turns:
-            self._turns.discard(turn)
-            self._pump()
+    def _release_slot(self, turn: int) -> None:
+        if turn in self._slots:
+            self._slots.discard(turn)
+            self._start_next()
 
-    async def _post(self, machine: Machine, turn: int) -> None:
+    async def _send_commands(self, machine: Machine, turn: int) -> None:
         """Send what the machine has to do without waiting for its report."""
         term = self._term
         try:
             while machine.name in term.cluster.machines and not machine.deleting and term.valid:
-                if now_us() - max(machine.heard_us, machine.met_us) > term.silence_us:
+                if (
+                    now_us() - max(machine.last_heartbeat_us, machine.first_probe_us)
+                    > term.silence_us
+                ):
                     return
                 commands = pending_commands(
                     machine,
                     lambda task: False,
-                    may_start=machine.synced
-                    and machine.up
-                    and not machine.deaf
+                    may_start=machine.reconciled
+                    and machine.enrolled
+                    and not machine.not_receiving
                     and term.tunables.direct_runs,
                     sequence=None,
                 )
@@ -128,26 +133,26 @@
                     report = await self._send(machine, machine.session, commands, term.lease_us)
                 except NotConnectedError:
                     for attempt in started:
-                        attempt.posted = False
-                    self._unanswered(machine)
+                        attempt.sent_directly = False
+                    self._on_unanswered(machine)
                     return
                 except CallError as error:
                     at_us = now_us()
                     for attempt in started:
-                        if attempt.posted:
-                            attempt.posted = False
-                            term.cluster.lose(attempt, at_us)
+                        if attempt.sent_directly:
+                            attempt.sent_directly = False
+                            term.cluster.mark_unconfirmed(attempt, at_us)
                     log.info("machine %s: direct commands unanswered: %s", machine.name, error)
-                    self._unanswered(machine)
+                    self._on_unanswered(machine)
                     return
                 # Answered: executed, or (409) surely not.
                 for attempt in started:
-                    attempt.posted = False
-                if self._deposed_by(machine.name, report):
+                    attempt.sent_directly = False
+                if self._shows_newer_token(machine.name, report):
                     return
                 self._apply(machine, report)
                 if not started:
                     return
         finally:
-            machine.posting = False
-            self._end_turn(turn)
+            machine.command_in_flight = False
+            self._release_slot(turn)
--- a/weldhead/controller/workers/heartbeat_forwarding.py
+++ b/weldhead/controller/workers/heartbeat_forwarding.py
@@ -24,12 +24,12 @@
         self._missed: frozenset[str] = frozenset()
         self._missed_us = 0
 
-    def leader_misses(self, names: tuple[str, ...], at_us: int) -> None:
+    def record_missed(self, names: tuple[str, ...], at_us: int) -> None:
         """Note the machines that the leader says it has not heard."""
         self._missed = frozenset(names)
         self._missed_us = at_us
 
-    def redirected(self, name: str, at_us: int) -> None:
+    def record_redirect(self, name: str, at_us: int) -> None:
         """Note that a worker was sent to the leader."""
         self._sent_us[name] = at_us
         if len(self._sent_us) > MOST_REMEMBERED:
@@ -43,7 +43,7 @@
                 name: until_us for name, until_us in self._until_us.items() if until_us > at_us
             }
 
-    def wanted(self, name: str, at_us: int) -> bool:
+    def should_forward(self, name: str, at_us: int) -> bool:
         """Whether to relay a worker's report."""
         if self._until_us.get(name, 0) > at_us:
             return True
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -46,13 +46,13 @@
     #: Observed run times of completed tasks: (job, microseconds).
     run_times: list[tuple[Job, int]] = field(default_factory=list)
     #: When the last of the tasks that completed was seen to begin; 0: not known.
-    proven_us: int = 0
+    verified_start_us: int = 0
     #: Attempts that failed by themselves.
     failed: list[Attempt] = field(default_factory=list)
     #: What attempts were judged that this term has not started.
     verdicts: dict[AttemptVerdict, int] = field(default_factory=dict)
     #: Room has become free, or something else that placement should look at.
-    room: bool = False
+    capacity_freed: bool = False
 
 
 def is_newer(machine: Machine, report: Heartbeat) -> bool:
@@ -60,7 +60,7 @@
     return (
         report.session,
         report.sequence,
-    ) > machine.order and report.session > machine.expired_session
+    ) > machine.newest_message and report.session > machine.expired_session
 
 
 def apply_report(
@@ -74,37 +74,41 @@
     """
     outcome = HeartbeatEffect()
     if report.session > machine.session and machine.session:
-        machine.listing = None
-        machine.report_sequence = 0
+        machine.last_listing = None
+        machine.heartbeat_sequence = 0
         # Its lease begins anew with the session, which began before this was sent. Counted from
         # the session before, it was judged over while what was started directly since still ran.
         machine.lease_from_us = max(machine.lease_from_us, at_us)
         for attempt in cluster.release_all(machine):
             outcome.lost.append((attempt, "new session"))
     if machine.booting:
-        machine.touch()
-    machine.order = (report.session, report.sequence)
-    machine.seen_us = at_us
+        machine.notify_changed()
+    machine.newest_message = (report.session, report.sequence)
+    machine.last_message_us = at_us
     machine.token = max(machine.token, report.token)
     if report.token == cluster.token:
-        machine.unshown = 0
+        machine.stale_token_answers = 0
     if report.address:
         machine.address = report.address
     if report.notice_s is not None:
-        machine.notice_until_us = at_us + seconds_us(report.notice_s)
-    if machine.synced and machine.listing is not None and report.tasks == machine.listing:
+        machine.interruption_us = at_us + seconds_us(report.notice_s)
+    if (
+        machine.reconciled
+        and machine.last_listing is not None
+        and report.tasks == machine.last_listing
+    ):
         # Most reports only say that the worker lives: all that it lists is known.
         if not direct:
-            machine.report_sequence = report.sequence
+            machine.heartbeat_sequence = report.sequence
         return outcome
     had_free = machine.cpus
-    was_synced, was_haunted = machine.synced, bool(machine.ghosts)
+    was_synced, was_haunted = machine.reconciled, bool(machine.orphans)
     shows_token = report.token == cluster.token
     seen: set[str] = set()
     listed: set[tuple[str, int]] = set()
     syncs = shows_token and not was_synced
     # Else nothing is known that it could list no more.
-    compares = syncs or bool(machine.forget) or was_haunted
+    compares = syncs or bool(machine.unacknowledged) or was_haunted
     if compares:
         listed = {(task.task, task.attempt) for task in report.tasks}
     if syncs:
@@ -120,8 +124,8 @@
             seen.add(task.task)
             # Listed, so its ``run`` has been executed, answered or not; each ``run`` is sent in
             # one direct request at most, so it cannot be executed a second time.
-            known.posted = False
-            known.unconfirmed_us = 0
+            known.sent_directly = False
+            known.unconfirmed_since_us = 0
             if known.phase is not _PHASES.get(task.state):
                 _moved_on(cluster, machine, known, task, at_us, outcome)
         else:
@@ -130,20 +134,20 @@
                 seen.add(task.task)
     if compares:
         # Attempts that the worker no longer lists need no more commands.
-        machine.forget &= listed
-        cluster.lay(machine, machine.ghosts - listed)
-    if shows_token and not machine.synced:
-        machine.synced = True
+        machine.unacknowledged &= listed
+        cluster.remove_orphans(machine, machine.orphans - listed)
+    if shows_token and not machine.reconciled:
+        machine.reconciled = True
         machine.lease_from_us = max(machine.lease_from_us, at_us)
         if direct:
-            machine.met_us = at_us
+            machine.first_probe_us = at_us
     unseen = [] if machine.attempts.keys() <= seen else list(machine.attempts.values())
     for attempt in unseen:
-        if attempt.task in seen or attempt.posted or attempt.unconfirmed_us:
+        if attempt.task in seen or attempt.sent_directly or attempt.unconfirmed_since_us:
             continue
         if attempt.phase is AttemptPhase.ASSIGNED:
             if attempt.sent_sequence is None:
-                if attempt.stop is not StopRequest.NO:
+                if attempt.stop_request is not StopRequest.NO:
                     # Asked to stop while a direct request was being connected, in vain. Nothing
                     # is on its way, and neither ``run`` nor ``kill`` would ever be sent.
                     cluster.release(attempt)
@@ -153,22 +157,24 @@
                 # A worker has one report in flight: its next report shows that the answer
                 # to the last one was either executed or dropped for good.
                 attempt.sent_sequence = None
-                if attempt.stop is not StopRequest.NO:
+                if attempt.stop_request is not StopRequest.NO:
                     cluster.release(attempt)
                     outcome.lost.append((attempt, "withdrawn before it was started"))
         elif was_synced:
             cluster.release(attempt)
             outcome.lost.append((attempt, "gone from its worker"))
     if not direct:
-        machine.report_sequence = report.sequence
-    if was_haunted and not machine.ghosts:
+        machine.heartbeat_sequence = report.sequence
+    if was_haunted and not machine.orphans:
         # Placement may use it again: nobody else would tell that its room is to be had.
-        outcome.room = True
-    outcome.room = outcome.room or machine.cpus > had_free or (machine.synced and not was_synced)
-    if outcome.room:
-        machine.touch()
-    if shows_token and not machine.ghosts and machine.attempts.keys() <= seen:
-        machine.listing = report.tasks
+        outcome.capacity_freed = True
+    outcome.capacity_freed = (
+        outcome.capacity_freed or machine.cpus > had_free or (machine.reconciled and not was_synced)
+    )
+    if outcome.capacity_freed:
+        machine.notify_changed()
+    if shows_token and not machine.orphans and machine.attempts.keys() <= seen:
+        machine.last_listing = report.tasks
     return outcome
 
 
@@ -187,11 +193,11 @@
             AttemptPhase.ASSIGNED,
             AttemptPhase.PULLING,
         ):
-            attempt.running_us = at_us
-            machine.note_image(attempt.job.spec.image, attempt.job.spec.image_gb)
+            attempt.running_since_us = at_us
+            machine.record_image(attempt.job.spec.image, attempt.job.spec.image_gb)
         attempt.phase = phase
         return
-    machine.forget.add((task.task, task.attempt))
+    machine.unacknowledged.add((task.task, task.attempt))
     _ended(cluster, machine, attempt, task, at_us, outcome)
 
 
@@ -208,18 +214,18 @@
         # What an earlier leader started has run for longer than this one has watched it:
         # counted as if it had just begun, it made every estimate far too short after a
         # takeover, and no machines were rented for the backlog (found at size).
-        if attempt.running_us and not attempt.prior_us and not attempt.adopted:
-            outcome.run_times.append((job, at_us - attempt.running_us))
+        if attempt.running_since_us and not attempt.checkpointed_us and not attempt.adopted:
+            outcome.run_times.append((job, at_us - attempt.running_since_us))
         if not attempt.adopted:
-            outcome.proven_us = max(outcome.proven_us, attempt.running_us)
+            outcome.verified_start_us = max(outcome.verified_start_us, attempt.running_since_us)
         cluster.release(attempt, completed=True)
-        job.saved_us.pop(attempt.index, None)
+        job.checkpoints_us.pop(attempt.index, None)
         outcome.completed.append(job)
         return
-    if attempt.running_us and job.spec.checkpoint_s > 0:
+    if attempt.running_since_us and job.spec.checkpoint_s > 0:
         ran_us = attempt.elapsed_us(at_us)
         step_us = seconds_us(job.spec.checkpoint_s)
-        job.saved_us[attempt.index] = ran_us if task.saved else ran_us // step_us * step_us
+        job.checkpoints_us[attempt.index] = ran_us if task.saved else ran_us // step_us * step_us
     cluster.release(attempt)
     outcome.lost.append((attempt, task.why or "no cause"))
     if task.why in ("error", None):
@@ -241,25 +247,25 @@
 ) -> Attempt | None:
     """Deal with an attempt that this leader has not started here, as its verdict says."""
     key = (task.task, task.attempt)
-    if key in machine.forget:
+    if key in machine.unacknowledged:
         return None
     verdict = judge_attempt(cluster, machine, task)
     job, index = locate(cluster, task)
     if verdict in _WAIT_FOR_TOKEN and not shows_token and not (job is not None and job.unwanted):
         # What is cancelled has to go wherever it is: no answer renews its lease without a kill.
         return None
-    if key not in machine.ghosts:
+    if key not in machine.orphans:
         outcome.verdicts[verdict] = outcome.verdicts.get(verdict, 0) + 1
     match verdict:
         case AttemptVerdict.FINISHED | AttemptVerdict.ENDED:
-            machine.forget.add(key)
-            cluster.lay(machine, {key} & machine.ghosts)
+            machine.unacknowledged.add(key)
+            cluster.remove_orphans(machine, {key} & machine.orphans)
             if verdict is AttemptVerdict.FINISHED and job is not None:
                 job.complete_waiting(index)
                 outcome.completed.append(job)
             elif job is not None and task.why == "halted":
                 # Stopped by an earlier leader that may have had no time to write it down.
-                job.give_back(index, machine.name)
+                job.restart_first(index, machine.name)
             return None
         case (
             AttemptVerdict.ADOPTED
@@ -268,15 +274,15 @@
             | AttemptVerdict.CROWDED
         ) if job is not None:
             # It may have been a second attempt until the first was gone.
-            cluster.lay(machine, {key} & machine.ghosts)
+            cluster.remove_orphans(machine, {key} & machine.orphans)
             attempt = _adopt(cluster, machine, job, index, task, at_us)
             if verdict is AttemptVerdict.CROWDED:
                 cluster.stop(attempt, StopRequest.HARD, at_us, "no room by the books")
             return attempt
-    if verdict is AttemptVerdict.UNRECORDED and key not in machine.ghosts:
+    if verdict is AttemptVerdict.UNRECORDED and key not in machine.orphans:
         log.info("%s reports %s, which nothing on record names", machine.name, task.task)
     # It must go, and until then nothing new is placed on this machine.
-    cluster.haunt(machine, key, job, at_us)
+    cluster.add_orphan(machine, key, job, at_us)
     return None
 
 
@@ -288,8 +294,8 @@
     attempt.phase = _PHASES[task.state]
     attempt.adopted = attempt.phase is not AttemptPhase.PULLING
     if attempt.phase is not AttemptPhase.PULLING:
-        attempt.running_us = at_us
-        machine.note_image(job.spec.image, job.spec.image_gb)
+        attempt.running_since_us = at_us
+        machine.record_image(job.spec.image, job.spec.image_gb)
     cluster.adopt(attempt, machine)
     if job.unwanted:
         cluster.stop(attempt, StopRequest.HARD, at_us, "cancelled")
@@ -307,8 +313,8 @@
     if (
         attempt.phase is AttemptPhase.ASSIGNED
         and attempt.sent_sequence is None
-        and not attempt.posted
-        and not attempt.unconfirmed_us
+        and not attempt.sent_directly
+        and not attempt.unconfirmed_since_us
     ):
         cluster.release(attempt)
         return True
@@ -327,8 +333,8 @@
         for attempt in machine.attempts.values()
         if attempt.phase is AttemptPhase.ASSIGNED
         and attempt.sent_sequence is None
-        and not attempt.posted
-        and not attempt.unconfirmed_us
+        and not attempt.sent_directly
+        and not attempt.unconfirmed_since_us
     ]
     for attempt in gone:
         cluster.release(attempt)
@@ -346,13 +352,17 @@
 
 def pending_kills(machine: Machine) -> list[Command]:
     """Return the kills that the machine still has to carry out; repeated, they do no harm."""
-    kills = [Command("kill", task, number, 0.0) for task, number in machine.ghosts]
+    kills = [Command("kill", task, number, 0.0) for task, number in machine.orphans]
     for attempt in machine.attempts.values():
-        if attempt.stop is StopRequest.NO:
+        if attempt.stop_request is StopRequest.NO:
             continue
-        if attempt.phase is not AttemptPhase.ASSIGNED or attempt.unconfirmed_us or attempt.posted:
+        if (
+            attempt.phase is not AttemptPhase.ASSIGNED
+            or attempt.unconfirmed_since_us
+            or attempt.sent_directly
+        ):
             grace_s = 0.0
-            if attempt.stop is StopRequest.SOFT:
+            if attempt.stop_request is StopRequest.SOFT:
                 if attempt.phase is AttemptPhase.SAVING:
                     continue
                 grace_s = attempt.job.spec.save_s + 1.0
@@ -376,21 +386,21 @@
     runs: list[Command] = []
     forgets: list[Command] = []
     # Where its worker lists all that is on it, nothing is left to be begun.
-    unbegun = machine.attempts.values() if may_start and machine.listing is None else ()
+    unbegun = machine.attempts.values() if may_start and machine.last_listing is None else ()
     for attempt in unbegun:
-        if attempt.stop is StopRequest.NO and attempt.phase is AttemptPhase.ASSIGNED:
-            if attempt.posted or attempt.unconfirmed_us:
+        if attempt.stop_request is StopRequest.NO and attempt.phase is AttemptPhase.ASSIGNED:
+            if attempt.sent_directly or attempt.unconfirmed_since_us:
                 continue
             if sequence is None:
                 if attempt.sent_sequence is not None:
                     # Already on its way in a report's answer; sent twice, the second one
                     # could be executed after the first was run and forgotten.
                     continue
-                attempt.posted = True
+                attempt.sent_directly = True
             else:
                 attempt.sent_sequence = sequence
             runs.append(Command("run", attempt.task, attempt.number))
-    for task, number in machine.forget:
+    for task, number in machine.unacknowledged:
         current = machine.attempts.get(task)
         if current is not None and current.number == number:
             continue
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -27,7 +27,7 @@
 
 def _may_hold(machine: Machine) -> bool:
     """Whether anything may run on a machine that is being returned."""
-    return bool(machine.attempts or machine.ghosts) or not machine.synced
+    return bool(machine.attempts or machine.orphans) or not machine.reconciled
 
 
 class MachineMonitor:
@@ -45,33 +45,33 @@
     ) -> None:
         self._term = term
         self._dispatcher = dispatcher
-        self._return = give_back
+        self._return_machines = give_back
         self.on_known = on_known
         #: Machines by when they were last heard, the one that is silent longest first.
-        self.heard: dict[str, Machine] = {}
+        self.by_last_heartbeat: dict[str, Machine] = {}
         #: Those that the cloud has given notice of.
-        self.noticed: dict[str, Machine] = {}
+        self.interrupted: dict[str, Machine] = {}
         self.failures = FailureTracker()
         #: Jobs that are tried one task at a time.
-        self._tried: dict[str, Job] = {}
+        self._on_probation: dict[str, Job] = {}
 
-    def follow(self) -> None:
+    def subscribe(self) -> None:
         """The machines on record are known."""
         self.changed = self._term.cluster.machines.feeds.subscribe()
-        self.heard = dict(self._term.cluster.machines)
+        self.by_last_heartbeat = dict(self._term.cluster.machines)
 
-    def hear(self, machine: Machine, at_us: int) -> None:
+    def record_heartbeat(self, machine: Machine, at_us: int) -> None:
         """A report of it that shows this term's token is answered."""
-        machine.hear(at_us, self._term.silence_us)
+        machine.record_heartbeat(at_us, self._term.silence_us)
         machine.lease_from_us = at_us
-        self.heard.pop(machine.name, None)
-        self.heard[machine.name] = machine
+        self.by_last_heartbeat.pop(machine.name, None)
+        self.by_last_heartbeat[machine.name] = machine
 
     def silent_machines(self, at_us: int) -> tuple[str, ...]:
         """Machines that ought to have reported by now; their reports are to be relayed."""
         if not self._term.loaded:
             return ()
-        limit_us = self._term.report_us * 5 // 4 + SECOND_US
+        limit_us = self._term.heartbeat_interval_us * 5 // 4 + SECOND_US
         return tuple(
             machine.name for machine in self.silent(at_us, limit_us, self._term.loaded_us)
             if machine.session
@@ -81,15 +81,15 @@
         """Return machines not heard for longer than that; those that boot are among them."""
         for machine in self.changed.take():
             if machine.name not in self._term.cluster.machines:
-                self.heard.pop(machine.name, None)
-                self.noticed.pop(machine.name, None)
-            elif machine.name not in self.heard:
-                self.heard[machine.name] = machine
+                self.by_last_heartbeat.pop(machine.name, None)
+                self.interrupted.pop(machine.name, None)
+            elif machine.name not in self.by_last_heartbeat:
+                self.by_last_heartbeat[machine.name] = machine
         found = []
-        for machine in self.heard.values():
-            if at_us - max(machine.heard_us, floor_us) > limit_us:
+        for machine in self.by_last_heartbeat.values():
+            if at_us - max(machine.last_heartbeat_us, floor_us) > limit_us:
                 found.append(machine)
-            elif machine.heard_us:
+            elif machine.last_heartbeat_us:
                 # All behind were heard later.
                 break
         return found
@@ -100,30 +100,30 @@
             await asyncio.sleep(0.2)
             if not self._term.valid:
                 continue
-            if self.over_unproven(now_us()):
-                await self._prove()
+            if self.has_unverified_expiry(now_us()):
+                await self._verify_leadership()
             at_us = now_us()
             if self.failures:
-                self.review(at_us)
-            doomed = self.expired_or_silent(at_us, self._term.proven_us)
-            doomed += self.in_trouble(at_us)
-            doomed += [m for m in self.noticed.values() if self.taken(m, at_us)]
-            doomed += self.never_shown(at_us)
-            self._return({m.name: m for m in doomed if not m.deleting})
+                self.review_failures(at_us)
+            doomed = self.expired_or_silent(at_us, self._term.leadership_verified_us)
+            doomed += self.with_overdue_stops(at_us)
+            doomed += [m for m in self.interrupted.values() if self.was_interrupted(m, at_us)]
+            doomed += self.never_confirmed(at_us)
+            self._return_machines({m.name: m for m in doomed if not m.deleting})
 
     def live(self) -> list[Machine]:
         """Return the machines on which something may run and that are to stay."""
-        return [m for m in self._term.cluster.machines.values() if m.up and not m.deleting]
+        return [m for m in self._term.cluster.machines.values() if m.enrolled and not m.deleting]
 
     def silent_live(self, at_us: int) -> list[Machine]:
         """Return the live machines that are silent for so long that nothing is placed there."""
         return [machine for machine in self._silent_up(at_us) if not machine.deleting]
 
     def _silent_up(self, at_us: int) -> list[Machine]:
-        silent = self.silent(at_us, self._term.silence_us, self._term.floor_us())
-        return [machine for machine in silent if machine.up]
+        silent = self.silent(at_us, self._term.silence_us, self._term.previous_leader_until_us())
+        return [machine for machine in silent if machine.enrolled]
 
-    def over_unproven(self, at_us: int) -> bool:
+    def has_unverified_expiry(self, at_us: int) -> bool:
         """Whether leases look over of which it is not proven that nobody renewed them.
 
         A leader that was replaced and does not know it hears nothing of workers that its
@@ -131,25 +131,28 @@
         twice. So it must have been the leader still after the lease's end; a successor that
         came later did not answer in time.
         """
-        proven_us, floor_us = self._term.proven_us, self._term.floor_us()
+        proven_us, floor_us = (
+            self._term.leadership_verified_us,
+            self._term.previous_leader_until_us(),
+        )
         silent = [m for m in self._silent_up(at_us) if not m.deleting or _may_hold(m)]
-        overs = (m.lease_over_us(self._term.lease_us, floor_us) for m in silent)
+        overs = (m.lease_expired_us(self._term.lease_us, floor_us) for m in silent)
         return any(proven_us <= over_us < at_us for over_us in overs)
 
-    async def _prove(self) -> None:
+    async def _verify_leadership(self) -> None:
         try:
-            await self._term.ledger.prove()
+            await self._term.state_writer.verify_leadership()
         except CallError as error:
             log.info("leases are over, but not whether this node still leads: %s", error)
         except LeadershipLostError:
-            self._term.on_deposed("the leader's key is not ours any more")
+            self._term.on_leadership_lost("the leader's key is not ours any more")
 
     def expired_or_silent(self, at_us: int, proven_us: int = FOR_EVER_US) -> list[Machine]:
         """Return machines whose leases are over, or that are silent and look gone.
 
         ``proven_us`` is the latest moment at which surely nobody else led.
         """
-        floor_us = self._term.floor_us()
+        floor_us = self._term.previous_leader_until_us()
         silent = []
         for machine in self._silent_up(at_us):
             if not machine.deleting:
@@ -157,7 +160,7 @@
             elif _may_hold(machine):
                 # Not answered since it is being returned: its lease ends also where the cloud
                 # does not answer, and what it held waited for that.
-                if min(at_us, proven_us) > machine.lease_over_us(self._term.lease_us, floor_us):
+                if min(at_us, proven_us) > machine.lease_expired_us(self._term.lease_us, floor_us):
                     self.expire(machine)
         if not silent:
             return []
@@ -166,8 +169,10 @@
         gone = look_lost(silent, live)
         found = []
         for machine in silent:
-            speaks = machine.deaf and at_us - machine.seen_us <= self._term.silence_us
-            if min(at_us, proven_us) > machine.lease_over_us(self._term.lease_us, floor_us):
+            speaks = (
+                machine.not_receiving and at_us - machine.last_message_us <= self._term.silence_us
+            )
+            if min(at_us, proven_us) > machine.lease_expired_us(self._term.lease_us, floor_us):
                 if speaks:
                     # Its reports come, without this term's token: what it held is over, and it
                     # may hear again. Whether it is returned is decided by its price.
@@ -177,26 +182,26 @@
                 found.append(machine)
             elif speaks:
                 continue
-            elif gone and max(machine.heard_us, floor_us) < limit_us:
+            elif gone and max(machine.last_heartbeat_us, floor_us) < limit_us:
                 found.append(machine)
         return found
 
-    def doubtful(self, at_us: int) -> list[Machine]:
+    def at_risk(self, at_us: int) -> list[Machine]:
         """Return machines that hear nothing, and silent ones while their leases last."""
-        deaf = [m for m in self.heard.values() if m.deaf and not m.deleting]
-        silent = [machine for machine in self.silent_live(at_us) if not machine.deaf]
+        deaf = [m for m in self.by_last_heartbeat.values() if m.not_receiving and not m.deleting]
+        silent = [machine for machine in self.silent_live(at_us) if not machine.not_receiving]
         if not silent or look_lost(silent, self.live()):
             return deaf
         return silent + deaf
 
-    def taken(self, machine: Machine, at_us: int) -> bool:
+    def was_interrupted(self, machine: Machine, at_us: int) -> bool:
         """Whether a notice has run out, and the machine is silent since."""
         return (
-            0 < machine.notice_until_us < at_us - SECOND_US
-            and at_us - machine.heard_us > self._term.report_us * 2
+            0 < machine.interruption_us < at_us - SECOND_US
+            and at_us - machine.last_heartbeat_us > self._term.heartbeat_interval_us * 2
         )
 
-    def in_trouble(self, at_us: int) -> list[Machine]:
+    def with_overdue_stops(self, at_us: int) -> list[Machine]:
         """Return machines on which something must be ended by deleting them."""
         cluster = self._term.cluster
         # One that is being returned is not answered: its lease has to end within ``cancel_s``
@@ -207,17 +212,18 @@
         found = [
             a
             for a in cluster.unconfirmed.values()
-            if a.unconfirmed_us and at_us - a.unconfirmed_us > unconfirmed_us
+            if a.unconfirmed_since_us and at_us - a.unconfirmed_since_us > unconfirmed_us
         ]
         found += [
             attempt
             for attempt in cluster.stopping.values()
-            if attempt.stop is StopRequest.HARD and at_us - attempt.stop_us > stop_us
+            if attempt.stop_request is StopRequest.HARD
+            and at_us - attempt.stop_requested_us > stop_us
         ]
         machines = {a.machine: cluster.machines[a.machine] for a in found}
-        return [m for m in machines.values() if m.up and not m.deleting]
+        return [m for m in machines.values() if m.enrolled and not m.deleting]
 
-    def never_shown(self, at_us: int) -> list[Machine]:
+    def never_confirmed(self, at_us: int) -> list[Machine]:
         """Return machines of which only reports from before this term came, long ago.
 
         Nothing was ever started there. A copy of what one said before it was gone looks the
@@ -226,10 +232,15 @@
         limit_us = 2 * self._term.lease_us
         return [
             machine
-            for machine in self.silent(at_us, limit_us, self._term.floor_us())
+            for machine in self.silent(at_us, limit_us, self._term.previous_leader_until_us())
             if machine.session
-            and not (machine.up or machine.up_pending or machine.synced or machine.deleting)
-            and at_us - machine.seen_us > limit_us
+            and not (
+                machine.enrolled
+                or machine.enrollment_pending
+                or machine.reconciled
+                or machine.deleting
+            )
+            and at_us - machine.last_message_us > limit_us
         ]
 
     def expire(self, machine: Machine, *, keep: bool = False) -> None:
@@ -237,55 +248,55 @@
 
         ``keep``: it may be used again once it shows this term's token in a new session.
         """
-        if keep and machine.synced and not machine.attempts:
+        if keep and machine.reconciled and not machine.attempts:
             return
         gone = self._term.cluster.release_all(machine)
         machine.expired_session = max(machine.expired_session, machine.session)
-        machine.synced = True
+        machine.reconciled = True
         machine.draining = machine.draining or not keep
         log.info("machine %s: lease over, %d tasks lost", machine.name, len(gone))
         self.on_known()
         for attempt in gone:
             if attempt.job.cancelled:
-                self._term.flush.set()
-        self._term.place.set()
+                self._term.commit_wanted.set()
+        self._term.placement_wanted.set()
 
-    def gone(self, machine: Machine) -> None:
+    def remove(self, machine: Machine) -> None:
         """A machine is gone for good, and everything on it."""
         for attempt in self._term.cluster.remove_machine(machine):
             if attempt.job.cancelled:
-                self._term.flush.set()
+                self._term.commit_wanted.set()
         self.on_known()
-        self._term.place.set()
+        self._term.placement_wanted.set()
 
-    def failed(self, attempt: Attempt, at_us: int) -> None:
+    def record_failure(self, attempt: Attempt, at_us: int) -> None:
         """A task failed by itself: mostly the machine's fault, sometimes the job's."""
         self.failures.failed(attempt, at_us)
         log.info("%s failed on %s", attempt.task, attempt.machine)
 
-    def review(self, at_us: int) -> None:
+    def review_failures(self, at_us: int) -> None:
         """Judge whose fault failures are: drain faulty machines, hold back broken jobs."""
         cluster = self._term.cluster
         review = self.failures.review(cluster)
         for machine in review.faulty:
             machine.draining = True
-            machine.touch()
+            machine.notify_changed()
             log.info("machine %s is drained: tasks fail on it that succeed elsewhere", machine.name)
         for job, standing in review.changed:
             job.broken = standing is JobHealth.BROKEN
-            job.probing = standing is not JobHealth.SOUND
-            job.touch()
+            job.on_probation = standing is not JobHealth.SOUND
+            job.notify_changed()
             log.info("%s is %s: failed %d times, on %d machines", job.id, standing.value,
-                job.failures, len(job.failed_on))  # fmt: skip
-            self._tried[job.id] = job
-        for job_id, job in list(self._tried.items()):
-            job.stranded = job.probing and self.failures.stranded(job, cluster, at_us)
-            if not job.probing or cluster.jobs.get(job_id) is not job:
-                del self._tried[job_id]
+                job.failures, len(job.failed_machines))  # fmt: skip
+            self._on_probation[job.id] = job
+        for job_id, job in list(self._on_probation.items()):
+            job.stranded = job.on_probation and self.failures.stranded(job, cluster, at_us)
+            if not job.on_probation or cluster.jobs.get(job_id) is not job:
+                del self._on_probation[job_id]
 
     def evacuate(self, machine: Machine, at_us: int) -> None:
         """A machine will be taken: save what can be saved, leave what may still finish."""
-        left_us = machine.notice_until_us - at_us
+        left_us = machine.interruption_us - at_us
         for attempt in list(machine.attempts.values()):
             saves = attempt.job.spec.checkpoint_s > 0
             if not saves and self._term.estimates.remaining_us(attempt, at_us) < left_us:
@@ -298,4 +309,4 @@
                 at_us,
                 "notice",
             )
-        self._dispatcher.post_soon(machine)
+        self._dispatcher.schedule(machine)
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -41,14 +41,14 @@
         self._term = term
         self._dispatcher = dispatcher
         self._apply = apply
-        self._return = give_back
+        self._return_machines = give_back
         self._silent = silent
         self._evidence: dict[str, DeliveryEvidence] = {}
         #: Those of which there is evidence.
-        self._doubted: dict[str, Machine] = {}
-        self._asked = 0
+        self._suspects: dict[str, Machine] = {}
+        self._probes_in_flight = 0
         #: Machines on no record that are being asked whether they exist.
-        self._meeting: set[str] = set()
+        self._unrecorded_probes: set[str] = set()
 
     # -- reports -----------------------------------------------------------------------------
 
@@ -56,14 +56,16 @@
         """Say what a report is worth, before it is applied."""
         return freshness_of(machine, report, self._term.token)
 
-    def listen(self, machine: Machine, report: Heartbeat, at_us: int, *, relayed: bool) -> None:
+    def observe_heartbeat(
+        self, machine: Machine, report: Heartbeat, at_us: int, *, relayed: bool
+    ) -> None:
         """Hold a report that is newer than all seen against what its machine was told."""
         evidence = self._evidence.get(machine.name)
         if evidence is None:
             return
-        sign = evidence.listen(report, machine.order[1], at_us, relayed=relayed)
+        sign = evidence.observe_heartbeat(report, machine.newest_message[1], at_us, relayed=relayed)
         if sign is not DeliverySignal.NOTHING:
-            self._note(machine, evidence, sign, at_us)
+            self._add_evidence(machine, evidence, sign, at_us)
 
     def record_answer(
         self,
@@ -80,19 +82,19 @@
         if evidence is None:
             self._evidence[machine.name] = DeliveryEvidence(self._term.lease_us, said, at_us)
         else:
-            evidence.last = said
+            evidence.last_answer = said
 
     def answerable(self, machine: Machine) -> bool:
         """Whether a machine that does not show this term's token is answered."""
         return answerable(machine)
 
-    def answered(self, machine: Machine) -> None:
+    def observe_answer(self, machine: Machine) -> None:
         """It answered a direct request: it hears."""
         evidence = self._evidence.get(machine.name)
-        if evidence is not None and evidence.doubted:
-            self._note(machine, evidence, DeliverySignal.HEARD, now_us())
+        if evidence is not None and evidence.suspected:
+            self._add_evidence(machine, evidence, DeliverySignal.HEARD, now_us())
 
-    def unanswered(self, machine: Machine) -> None:
+    def observe_no_answer(self, machine: Machine) -> None:
         """It did not answer a direct request.
 
         One whose reports come over another controller may only be out of our reach.
@@ -101,96 +103,99 @@
         if evidence is None or machine.relayed or machine.name not in self._term.cluster.machines:
             return
         at_us = now_us()
-        if at_us - machine.seen_us <= self._term.silence_us:
-            self._note(machine, evidence, DeliverySignal.UNANSWERED, at_us)
+        if at_us - machine.last_message_us <= self._term.silence_us:
+            self._add_evidence(machine, evidence, DeliverySignal.UNANSWERED, at_us)
 
-    def gone(self, machine: Machine) -> None:
+    def remove(self, machine: Machine) -> None:
         """A machine is gone for good."""
         self._evidence.pop(machine.name, None)
-        self._doubted.pop(machine.name, None)
+        self._suspects.pop(machine.name, None)
 
-    def _note(
+    def _add_evidence(
         self, machine: Machine, evidence: DeliveryEvidence, sign: DeliverySignal, at_us: int
     ) -> None:
-        since_us = evidence.deaf_us
-        changed = evidence.note(sign, at_us)
-        if evidence.doubted:
-            self._doubted[machine.name] = machine
+        since_us = evidence.unreachable_since_us
+        changed = evidence.add(sign, at_us)
+        if evidence.suspected:
+            self._suspects[machine.name] = machine
         else:
-            self._doubted.pop(machine.name, None)
+            self._suspects.pop(machine.name, None)
         if not changed:
             return
-        machine.deaf = evidence.deaf_us > 0
-        machine.touch()
-        if machine.deaf:
-            log.info("machine %s hears nothing: %s", machine.name, evidence.why())
-            evidence.ask_us = 0
-            self.withdraw(machine)
+        machine.not_receiving = evidence.unreachable_since_us > 0
+        machine.notify_changed()
+        if machine.not_receiving:
+            log.info("machine %s hears nothing: %s", machine.name, evidence.describe())
+            evidence.next_probe_us = 0
+            self.withdraw_unstarted(machine)
         else:
             log.info(
                 "machine %s hears again after %.1f s", machine.name, to_seconds(at_us - since_us)
             )
-        self._term.place.set()
+        self._term.placement_wanted.set()
 
-    def withdraw(self, machine: Machine) -> None:
+    def withdraw_unstarted(self, machine: Machine) -> None:
         """Take back what has not begun on a machine that hears nothing."""
         count = withdraw_unbegun(self._term.cluster, machine)
         if count:
             log.info("machine %s: %d tasks that have not begun go elsewhere", machine.name, count)
             if not machine.attempts:
                 machine.idle_since_us = now_us()
-            self._term.place.set()
+            self._term.placement_wanted.set()
 
     # -- questions ---------------------------------------------------------------------------
 
-    async def attend(self) -> None:
+    async def watch_suspects(self) -> None:
         """Ask the doubted machines, and give back those that hear nothing; a duty."""
         while True:
             await asyncio.sleep(to_seconds(LOOK_US))
-            if self._doubted and self._term.valid:
+            if self._suspects and self._term.valid:
                 at_us = now_us()
-                self._look(at_us)
-                self._return_some(at_us)
+                self._probe_suspects(at_us)
+                self._replace_unreachable(at_us)
 
-    def _look(self, at_us: int) -> None:
-        for name, machine in list(self._doubted.items()):
+    def _probe_suspects(self, at_us: int) -> None:
+        for name, machine in list(self._suspects.items()):
             evidence = self._evidence[name]
-            if not evidence.deaf_us and at_us - evidence.evidence_us > 2 * self._term.lease_us:
-                evidence.note(DeliverySignal.HEARD, at_us)
-                del self._doubted[name]
+            if (
+                not evidence.unreachable_since_us
+                and at_us - evidence.evidence_us > 2 * self._term.lease_us
+            ):
+                evidence.add(DeliverySignal.HEARD, at_us)
+                del self._suspects[name]
                 continue
-            if machine.deaf:
-                self.withdraw(machine)
-            speaks = at_us - machine.seen_us <= self._term.silence_us
+            if machine.not_receiving:
+                self.withdraw_unstarted(machine)
+            speaks = at_us - machine.last_message_us <= self._term.silence_us
             if (
                 speaks
-                and at_us >= evidence.ask_us
-                and self._asked < ASKED_AT_ONCE
+                and at_us >= evidence.next_probe_us
+                and self._probes_in_flight < ASKED_AT_ONCE
                 and machine.address
             ):
-                evidence.ask_us = at_us + ASK_PAUSE_US
-                self._asked += 1
-                self._term.duties.once("reachability", self._ask(machine))
+                evidence.next_probe_us = at_us + ASK_PAUSE_US
+                self._probes_in_flight += 1
+                self._term.background_tasks.once("reachability", self._probe(machine))
 
-    async def _ask(self, machine: Machine) -> None:
+    async def _probe(self, machine: Machine) -> None:
         try:
-            report = await self._dispatcher.question(
+            report = await self._dispatcher.probe(
                 machine.name, machine.address, max(1, machine.session)
             )
         finally:
-            self._asked -= 1
+            self._probes_in_flight -= 1
         if self._term.cluster.machines.get(machine.name) is not machine:
             return
         if report is None or report.machine != machine.name:
-            self.unanswered(machine)
+            self.observe_no_answer(machine)
         else:
             self._apply(machine, report)
 
-    def _return_some(self, at_us: int) -> None:
+    def _replace_unreachable(self, at_us: int) -> None:
         deaf = {
-            name: self._evidence[name].deaf_us
-            for name, machine in self._doubted.items()
-            if machine.deaf and not machine.deleting
+            name: self._evidence[name].unreachable_since_us
+            for name, machine in self._suspects.items()
+            if machine.not_receiving and not machine.deleting
         }
         if not deaf:
             return
@@ -205,11 +210,11 @@
                 "machine %s has heard nothing for %.0f s: replacing it costs no more",
                 machine.name, to_seconds(at_us - deaf[machine.name]),
             )  # fmt: skip
-        self._return({machine.name: machine for machine in found})
+        self._return_machines({machine.name: machine for machine in found})
 
     # -- machines on no record ---------------------------------------------------------------
 
-    def meet(self, report: Heartbeat, enter: Callable[[Heartbeat], None]) -> None:
+    def probe_unrecorded(self, report: Heartbeat, enter: Callable[[Heartbeat], None]) -> None:
         """Ask a machine that no record names whether it is there; only then is it entered.
 
         Its report may be a copy from before it was deleted, in an earlier term even: entered by
@@ -217,17 +222,23 @@
         entered by the cloud's list.
         """
         name = report.machine
-        if name in self._meeting or len(self._meeting) >= ASKED_AT_ONCE or not report.address:
+        if (
+            name in self._unrecorded_probes
+            or len(self._unrecorded_probes) >= ASKED_AT_ONCE
+            or not report.address
+        ):
             return
-        self._meeting.add(name)
-        self._term.duties.once("stranger", self._meet(report, enter))
+        self._unrecorded_probes.add(name)
+        self._term.background_tasks.once("stranger", self._probe_unrecorded(report, enter))
 
-    async def _meet(self, report: Heartbeat, enter: Callable[[Heartbeat], None]) -> None:
+    async def _probe_unrecorded(
+        self, report: Heartbeat, enter: Callable[[Heartbeat], None]
+    ) -> None:
         try:
-            shown = await self._dispatcher.question(
+            shown = await self._dispatcher.probe(
                 report.machine, report.address, max(1, report.session)
             )
         finally:
-            self._meeting.discard(report.machine)
+            self._unrecorded_probes.discard(report.machine)
         if shown is not None and shown.machine == report.machine:
             enter(shown)
--- a/weldhead/emulator/calendars.py
+++ b/weldhead/emulator/calendars.py
@@ -34,7 +34,7 @@
 
     def recorded(self, record: JobRecord) -> None:
         """A job's record was read from the store."""
-        due_us = record.bound.due_us if record.bound is not None else 0
+        due_us = record.deadline.due_us if record.deadline is not None else 0
         known_us = self._due_us.setdefault(record.spec.id, due_us)
         if known_us and not record.cancelled and not 0 < due_us <= known_us:
             self._checker.breaks(
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -213,11 +213,11 @@
     def check_lease(self, controller: Controller, what: str) -> None:
         """Who answers as a leader must hold a lease that the store knows, or all promises."""
         node = controller.node
-        if node is None or not node.campaign.authority.token:
+        if node is None or not node.election.lease.token:
             return
-        authority = node.campaign.authority
-        if now_us() < authority.lease_until_us and not self.store.service.store.has_grant(
-            authority.lease
+        authority = node.election.lease
+        if now_us() < authority.lease_valid_until_us and not self.store.service.store.has_grant(
+            authority.lease_id
         ):
             self.checker.breaks(
                 "outlived_lease", f"{controller.name} answers {what}, token {authority.token}"
@@ -278,7 +278,7 @@
                 leader = node.leader if node is not None else None
                 if leader is None or life is None or life.frozen:
                     continue
-                self._tallies[leader.token] = leader.term.tally
+                self._tallies[leader.token] = leader.term.reconciliation_counts
                 self._see_blame(leader)
                 self._see_deaf(leader)
                 if leader.token not in self.led_s:
@@ -292,7 +292,7 @@
 
     def _see_blame(self, leader: Leader) -> None:
         """No healthy machine is called faulty, whatever is submitted."""
-        for name in leader.watch.failures.faulty - self._blamed:
+        for name in leader.machine_monitor.failures.faulty - self._blamed:
             self._blamed.add(name)
             self.checker.counts["called faulty"] += 1
             machine = self.cloud.machines.get(name)
--- a/weldhead/emulator/hand_overs.py
+++ b/weldhead/emulator/hand_overs.py
@@ -127,7 +127,7 @@
         cluster = leader.cluster
         for team in cluster.teams:
             job = next((job for job in cluster.jobs.values() if job.team == team), None)
-            if job is not None and cluster.within_limit(job) < 1:
+            if job is not None and cluster.tasks_within_limit(job) < 1:
                 self._full.add(team)
             elif job is not None:
                 self._full.discard(team)
@@ -227,7 +227,7 @@
 
 
 def _valid(leader: Leader) -> bool:
-    return leader.term._authority.valid(now_us())
+    return leader.term._lease.valid(now_us())
 
 
 def observe_hand_overs(scenario: Scenario, seed: int) -> HandOverObserver:
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/planted.py
@@ -54,15 +54,18 @@
 
 def _lease_from_the_answer() -> Iterator[Any]:
     """A leader counts its lease from when the renewal, or what shows its key, was answered."""
-    renewed, kept = LeaderLease.renewed, LeaderLease.kept
+    renewed, kept = LeaderLease.confirm_renewal, LeaderLease.confirm_key
 
     def late(self: LeaderLease, sent_us: int) -> None:
         # What shows nothing new was answered long ago.
-        if sent_us > self._kept_us:
+        if sent_us > self._key_confirmed_us:
             kept(self, now_us())
 
-    yield patch.object(LeaderLease, "renewed", lambda self, sent_us: renewed(self, now_us()))
-    yield patch.object(LeaderLease, "kept", late)
+    def late_renewal(self: LeaderLease, sent_us: int) -> None:
+        renewed(self, now_us())
+
+    yield patch.object(LeaderLease, "confirm_renewal", late_renewal)
+    yield patch.object(LeaderLease, "confirm_key", late)
 
 
 def _attempt_used_twice() -> Iterator[Any]:
@@ -89,7 +92,7 @@
 
 def _does_not_wait() -> Iterator[Any]:
     """A new leader starts work before it knows what runs."""
-    yield patch.object(TermRecovery, "check_known", lambda self: self.known.set())
+    yield patch.object(TermRecovery, "check_known", lambda self: self.all_known.set())
 
 
 def _everything_settled() -> Iterator[Any]:
@@ -142,7 +145,7 @@
 
 def _deaf_as_healthy() -> Iterator[Any]:
     """Nothing that a machine shows of not being reached counts."""
-    yield patch.object(DeliveryEvidence, "note", lambda *_: False)
+    yield patch.object(DeliveryEvidence, "add", lambda *_: False)
 
 
 def _calendar_of_the_term() -> Iterator[Any]:
@@ -150,10 +153,16 @@
     enter = JobDeadlines.enter
 
     def anew(self: JobDeadlines, job: Job, at_us: int, wall_us: int) -> None:
-        kept = state_of(self.cache, job.bound.calendar) if self.cache and job.bound else None
+        kept = (
+            state_of(self.cache, job.calendar_deadline.calendar)
+            if self.cache and job.calendar_deadline
+            else None
+        )
         due_us = kept.value.after(wall_us) if kept is not None else None
-        if job.bound is not None and due_us is not None:
-            job.bound = CalendarDeadline(job.bound.calendar, job.bound.edition, due_us)
+        if job.calendar_deadline is not None and due_us is not None:
+            job.calendar_deadline = CalendarDeadline(
+                job.calendar_deadline.calendar, job.calendar_deadline.edition, due_us
+            )
         enter(self, job, at_us, wall_us)
 
     yield patch.object(JobDeadlines, "enter", anew)
@@ -219,16 +228,16 @@
         if attempt.job.active.get(attempt.index) is attempt:
             self.release(attempt)
 
-    yield patch.object(Cluster, "lose", lose)
+    yield patch.object(Cluster, "mark_unconfirmed", lose)
 
 
 def _lease_kept_by_an_unloaded_leader() -> Iterator[Any]:
     """A leader that has not read the jobs keeps all workers, for as long as that takes."""
 
     def answer(self: TermRecovery, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
-        return self.early.answer(report, at_us, relayed=relayed)
+        return self.heartbeat_buffer.answer(report, at_us, relayed=relayed)
 
-    yield patch.object(TermRecovery, "answer_early", answer)
+    yield patch.object(TermRecovery, "buffer_heartbeat", answer)
 
 
 def _cancelled_only_when_answered() -> Iterator[Any]:
@@ -240,7 +249,7 @@
             stop_tasks(self, job)
 
     yield patch.object(JobDependencies, "stop_tasks", stop)
-    yield patch.object(Job, "cancel_asked", property(lambda _: False, lambda *_: None))
+    yield patch.object(Job, "cancel_requested", property(lambda _: False, lambda *_: None))
 
 
 def _cancel_clock_of_the_term() -> Iterator[Any]:
@@ -291,7 +300,7 @@
     mark_up = RentalManager.mark_up
 
     async def at_once(self: RentalManager, machine: Machine) -> None:
-        machine.up = True
+        machine.enrolled = True
         await mark_up(self, machine)
 
     yield patch.object(RentalManager, "mark_up", at_once)
@@ -299,13 +308,13 @@
 
 def _old_report_taken_before_the_load() -> Iterator[Any]:
     """What a leader hears before it is loaded is taken for what runs then, however old it is."""
-    apply = Leader._apply_early
+    apply = Leader._apply_buffered
 
     def take(self: Leader, early: BufferedHeartbeat) -> None:
         shown = structs.replace(early.report, token=self.token)
         apply(self, replace(early, report=shown))
 
-    yield patch.object(Leader, "_apply_early", take)
+    yield patch.object(Leader, "_apply_buffered", take)
     # Of several the first that came stays.
     yield patch.object(early_reports, "_order", lambda _: (0, 0))
 
@@ -319,24 +328,24 @@
         hold = structs.replace(hold, token=max(hold.token, self.highest_token))
         return PromiseAnswer(hold.id, await self.promise(hold))
 
-    yield patch.object(LeaderElection, "answer_hold", promise_anyhow)
-    yield patch.object(LeaderElection, "learn_token", lambda *_: None)
+    yield patch.object(LeaderElection, "answer_promise_request", promise_anyhow)
+    yield patch.object(LeaderElection, "observe_token", lambda *_: None)
     yield patch.object(LeaderLease, "unreplaced_until_us", lambda *_: now_us())
 
 
 def _room_given_away_at_a_hung_machine() -> Iterator[Any]:
     """What was told to go, on a machine that has been silent since, is taken for gone."""
-    in_trouble = MachineMonitor.in_trouble
+    in_trouble = MachineMonitor.with_overdue_stops
 
     def given(self: MachineMonitor, at_us: int) -> list[Machine]:
         cluster, silence_us = self._term.cluster, self._term.silence_us
         for attempt in list(cluster.stopping.values()):
             machine = cluster.machines[attempt.machine]
-            if attempt.job.unwanted and at_us - machine.heard_us > silence_us:
+            if attempt.job.unwanted and at_us - machine.last_heartbeat_us > silence_us:
                 cluster.release(attempt)
         return in_trouble(self, at_us)
 
-    yield patch.object(MachineMonitor, "in_trouble", given)
+    yield patch.object(MachineMonitor, "with_overdue_stops", given)
 
 
 def _answer_from_an_old_read() -> Iterator[Any]:
@@ -373,7 +382,7 @@
     waiting = Job.waiting
 
     def without(self: Job) -> int:
-        return 0 if self.restarts else waiting.__get__(self)
+        return 0 if self.restart_queue else waiting.__get__(self)
 
     yield patch.object(Job, "waiting", property(without))
 
--- a/weldhead/emulator/watched.py
+++ b/weldhead/emulator/watched.py
@@ -34,7 +34,7 @@
         """Look at whoever answers."""
         super().check_lease(controller, what)
         node = controller.node
-        token = node.campaign.authority.token if node is not None else 0
+        token = node.election.lease.token if node is not None else 0
         later_s = [at_s for other, at_s in self.led_s.items() if other > token]
         if token and later_s and self.loop.true_s > min(later_s) + self._unaware_s:
             self.checker.breaks(
@@ -44,7 +44,7 @@
 
 @contextmanager
 def _watched(arrivals: Arrivals) -> Iterator[None]:
-    report, serve = ControllerProcess._report, Machine._serve
+    report, serve = ControllerProcess._handle_heartbeat, Machine._serve
 
     async def reported(self: ControllerProcess, body: bytes, *, relayed: bool) -> Response:
         if not relayed:
@@ -61,7 +61,7 @@
         return await serve(self, method, path, body)
 
     with (
-        patch.object(ControllerProcess, "_report", reported),
+        patch.object(ControllerProcess, "_handle_heartbeat", reported),
         patch.object(Machine, "_serve", served),
     ):
         yield
--- a/weldhead/failure_attribution/failure_tracker.py
+++ b/weldhead/failure_attribution/failure_tracker.py
@@ -80,9 +80,9 @@
     def failed(self, attempt: Attempt, at_us: int) -> None:
         """Note that a task failed by itself, and put its job's next try off if need be."""
         job = attempt.job
-        ran_us = at_us - attempt.running_us if attempt.running_us else 0
+        ran_us = at_us - attempt.running_since_us if attempt.running_since_us else 0
         job.failures += 1
-        job.failed_on |= {attempt.machine}
+        job.failed_machines |= {attempt.machine}
         against = self._machines.setdefault(attempt.machine, {}).setdefault(job.id, _FailureCount())
         suspect = self._suspects.setdefault(job.id, _FailingJob(job))
         against.count += 1
@@ -126,7 +126,7 @@
                 continue
             standing = job_health(
                 succeeds=_succeeds(cluster, suspect),
-                failed_on=len(suspect.job.failed_on - self._faulty),
+                failed_on=len(suspect.job.failed_machines - self._faulty),
                 on_proven=len(suspect.on_proven - self._faulty),
             )
             if standing is not suspect.standing:
@@ -144,7 +144,7 @@
             return False
         if suspect.standing is JobHealth.BROKEN and at_us < suspect.last_us + RENT_PAUSE_US:
             return False
-        tried = job.failed_on if suspect.standing is JobHealth.OPEN else frozenset[str]()
+        tried = job.failed_machines if suspect.standing is JobHealth.OPEN else frozenset[str]()
         return not any(
             machine.name not in tried
             and not machine.draining
@@ -162,9 +162,9 @@
             if (
                 attempt.phase is AttemptPhase.RUNNING
                 and not attempt.adopted
-                and machine.heard_us - attempt.running_us >= least_us
+                and machine.last_heartbeat_us - attempt.running_since_us >= least_us
             ):
-                self.succeeded(machine, attempt.running_us)
+                self.succeeded(machine, attempt.running_since_us)
                 if machine.name not in self._machines:
                     return
 
@@ -178,7 +178,7 @@
                 suspect = self._suspects.get(job_id)
                 if suspect is None or cluster.jobs.get(job_id) is not suspect.job:
                     continue
-                others = suspect.job.failed_on - self._faulty - {name}
+                others = suspect.job.failed_machines - self._faulty - {name}
                 evidence.append(
                     FailureEvidence(
                         failures.count,
@@ -199,6 +199,7 @@
     return any(
         attempt.phase in (AttemptPhase.RUNNING, AttemptPhase.SAVING)
         and attempt.machine != but_on
-        and cluster.machines[attempt.machine].heard_us - attempt.running_us >= least_us
+        and cluster.machines[attempt.machine].last_heartbeat_us - attempt.running_since_us
+        >= least_us
         for attempt in suspect.job.active.values()
     )
--- a/weldhead/gates/gate_tracker.py
+++ b/weldhead/gates/gate_tracker.py
@@ -49,44 +49,52 @@
         """Whether it is open for a job that is bound to it."""
         if self.gone:
             return True
-        if self.document is None or self.state is None or job.hold is None:
+        if self.document is None or self.state is None or job.gate_hold is None:
             return False
-        former, least = self.document.former, job.hold.edition
+        former, least = self.document.former, job.gate_hold.edition
         if self.coming is not None and not permits(former, self.coming, least):
             return False
         return permits(former, self.state, least)
 
     def enter(self, job: Job) -> None:
         """Take up a job that is bound to it; one whose record does not say so by what holds now."""
-        if job.hold is None:
+        if job.gate_hold is None:
             known = self.coming or self.state
-            job.hold = GateHold(self.name, needed_now(known) if known is not None else 1)
+            job.gate_hold = GateHold(self.name, needed_now(known) if known is not None else 1)
         self.jobs[job.id] = job
-        job.held = None if self.may_start(job) else self.opening
+        job.blocking_gate = None if self.may_start(job) else self.opening
 
     def hold_back(self) -> list[Job]:
         """Hold the jobs for which it is not open any more, and return them."""
-        found = [job for job in self.jobs.values() if job.held is None and not self.may_start(job)]
+        found = [
+            job
+            for job in self.jobs.values()
+            if job.blocking_gate is None and not self.may_start(job)
+        ]
         for job in found:
-            job.held = self.opening
+            job.blocking_gate = self.opening
         return found
 
     def releasable(self) -> list[Job]:
         """Return the jobs for which it is open and that are held still, most urgent first."""
-        found = [job for job in self.jobs.values() if job.held is not None and self.may_start(job)]
+        found = [
+            job
+            for job in self.jobs.values()
+            if job.blocking_gate is not None and self.may_start(job)
+        ]
         return sorted(found, key=urgency)
 
     def opened_us(self, job: Job) -> int:
         """Return the time of day since when it is open for a job; 0: it is not, or is gone."""
-        if self.state is None or job.hold is None:
+        if self.state is None or job.gate_hold is None:
             return 0
-        least = job.hold.edition
+        least = job.gate_hold.edition
         found = [e.opened_us for e in self.state.editions if e.open and e.number >= least]
         return min(found, default=0)
 
     def held(self) -> int:
         """How many jobs it holds."""
-        return sum(1 for job in self.jobs.values() if job.held is not None)
+        return sum(1 for job in self.jobs.values() if job.blocking_gate is not None)
 
     def stops(self, job: Job) -> Iterator[tuple[Attempt, StopRequest]]:
         """Iterate over what has to be stopped of a job that is held, and how."""
@@ -97,7 +105,7 @@
                 wanted = StopRequest.HARD
             elif attempt.phase is AttemptPhase.RUNNING and stop_running:
                 wanted = StopRequest.SOFT
-            if wanted.value > attempt.stop.value:
+            if wanted.value > attempt.stop_request.value:
                 yield attempt, wanted
 
     def why(self) -> str:
@@ -114,10 +122,10 @@
 
 def urgency(job: Job) -> tuple[int, int, int]:
     """Order jobs by priority, deadline and age."""
-    due_us = job.chain_due_us[0] if job.chain_due_us else 1 << 62
+    due_us = job.inherited_due_us[0] if job.inherited_due_us else 1 << 62
     if job.spec.deadline_s is not None:
         due_us = min(due_us, job.first_seen_us + round(job.spec.deadline_s * 1_000_000))
-    return -job.level, due_us, job.first_seen_us
+    return -job.effective_level, due_us, job.first_seen_us
 
 
 def opens_us(book: GateTracker, ends_us: dict[str, int | None]) -> int | None:
--- a/weldhead/membership/isolation.py
+++ b/weldhead/membership/isolation.py
@@ -39,18 +39,18 @@
 
     def __init__(self, started_us: int) -> None:
         self._since_us = self._looked_us = started_us
-        self.alone = False
+        self.isolated = False
         #: Whether the state service has to be asked to tell.
-        self.ask = False
+        self.probe_wanted = False
 
-    def look(self, contact: LastContact, at_us: int) -> bool:
+    def update(self, contact: LastContact, at_us: int) -> bool:
         """Look again; whether that has changed."""
-        if at_us - self._looked_us > STOOD_STILL_US and not self.alone:
+        if at_us - self._looked_us > STOOD_STILL_US and not self.isolated:
             self._since_us = at_us
         self._looked_us = at_us
         silent = at_us - max(contact.answered_us, self._since_us) >= SILENT_US
         called_us = max(contact.served_us, contact.failed_us)
-        self.ask = silent and at_us - called_us >= ASK_AGAIN_US
+        self.probe_wanted = silent and at_us - called_us >= ASK_AGAIN_US
         alone = silent and contact.failed_us > contact.served_us
-        changed, self.alone = alone != self.alone, alone
+        changed, self.isolated = alone != self.isolated, alone
         return changed
--- a/weldhead/membership/peer_verdict.py
+++ b/weldhead/membership/peer_verdict.py
@@ -131,7 +131,7 @@
         """Return what a controller is taken to be."""
         return self._states.get(name, PeerState.ALIVE)
 
-    def enter(self, name: str, verdict: PeerVerdict) -> bool:
+    def update(self, name: str, verdict: PeerVerdict) -> bool:
         """Take up a verdict; whether it is another state than before."""
         if self.state(name) is verdict.state:
             return False
--- a/weldhead/provisioning/boot_times.py
+++ b/weldhead/provisioning/boot_times.py
@@ -95,7 +95,7 @@
     def ready_us(self, machine: Machine, at_us: int) -> int:
         """Return when a machine that boots is expected to be up: not in the past."""
         boot_us = seconds_us(machine.type.boot_s)
-        return max(at_us, machine.hired_us + round(boot_us * self.of(machine).ready))
+        return max(at_us, machine.rented_us + round(boot_us * self.of(machine).ready))
 
     def is_late(self, machine: Machine, at_us: int) -> bool:
         """Whether a machine is not to be counted on any more."""
@@ -106,13 +106,13 @@
         return (
             machine.booting
             and self._over(machine, self.of(machine).give_up, at_us)
-            and at_us - machine.hired_us >= self._minimum_charge_us
+            and at_us - machine.rented_us >= self._minimum_charge_us
         )
 
     @staticmethod
     def _over(machine: Machine, ratio: float, at_us: int) -> bool:
         limit_us = seconds_us(machine.type.boot_s * ratio) + SLACK_US
-        return at_us - machine.hired_us > limit_us
+        return at_us - machine.rented_us > limit_us
 
 
 class BootHistory:
@@ -124,8 +124,8 @@
     def came(self, machine: Machine, at_us: int) -> None:
         """A machine that this leader saw boot has reported for the first time."""
         if machine.type.boot_s > 0:
-            ratio = (at_us - machine.hired_us) / seconds_us(machine.type.boot_s)
-            self._came[machine.zone].append(_Boot(machine.hired_us, ratio))
+            ratio = (at_us - machine.rented_us) / seconds_us(machine.type.boot_s)
+            self._came[machine.zone].append(_Boot(machine.rented_us, ratio))
 
     def look(
         self,
@@ -156,7 +156,7 @@
 ) -> dict[str, BootExpectation]:
     """Judge a zone's machines, the latest hires first."""
     boots = sorted(came, key=lambda boot: -boot.hired_us)
-    booting = sorted(booting, key=lambda machine: -machine.hired_us)
+    booting = sorted(booting, key=lambda machine: -machine.rented_us)
     found: dict[str, BootExpectation] = {}
     ratios: list[float] = []
     waiting: list[float] = []
@@ -165,14 +165,14 @@
         if first < next_waiting:
             continue
         # All hired within a span of this one, or later.
-        from_us = machine.hired_us - SPAN_US
+        from_us = machine.rented_us - SPAN_US
         while next_boot < len(boots) and boots[next_boot].hired_us >= from_us:
             insort(ratios, boots[next_boot].ratio)
             next_boot += 1
         together = []
-        while next_waiting < len(booting) and booting[next_waiting].hired_us >= from_us:
+        while next_waiting < len(booting) and booting[next_waiting].rented_us >= from_us:
             other = booting[next_waiting]
-            waiting.append((at_us - other.hired_us) / seconds_us(other.type.boot_s))
+            waiting.append((at_us - other.rented_us) / seconds_us(other.type.boot_s))
             together.append(other)
             next_waiting += 1
         expected = expected_of(ratios, waiting, usual)
--- a/weldhead/reachability/evidence.py
+++ b/weldhead/reachability/evidence.py
@@ -47,10 +47,10 @@
     One is made for each report: a frozen one takes three times as long to make.
     """
 
-    order: tuple[int, int]
+    heartbeat: tuple[int, int]
     #: The token that the report showed, and the one that the answer told.
-    shown: int
-    token: int
+    shown_token: int
+    sent_token: int
     relayed: bool
     at_us: int
     runs: tuple[tuple[str, int], ...] = ()
@@ -81,10 +81,10 @@
     ``seen`` is the newest stamp seen before it: a worker that took the answer stays where it is,
     so the next stamp comes next. A kill shows nothing: what is stopped may run on for a while.
     """
-    if last.shown < last.token <= report.token:
+    if last.shown_token < last.sent_token <= report.token:
         return DeliverySignal.HEARD
-    if report.session != last.order[0]:
-        if report.token < last.shown or at_us > last.at_us + lease_us * 3 // 4:
+    if report.session != last.heartbeat[0]:
+        if report.token < last.shown_token or at_us > last.at_us + lease_us * 3 // 4:
             # A process that began anew without its memory; or its lease could run out.
             return DeliverySignal.NOTHING
         return DeliverySignal.NEW_SESSION
@@ -94,7 +94,7 @@
             return DeliverySignal.HEARD
     if at_us - last.at_us < SOON_US:
         return DeliverySignal.NOTHING
-    if last.runs or last.forgets or report.token < last.token:
+    if last.runs or last.forgets or report.token < last.sent_token:
         return DeliverySignal.UNSHOWN
     if relayed != last.relayed or report.sequence > seen + 1:
         return DeliverySignal.MOVED
@@ -106,32 +106,36 @@
     """The evidence on one machine."""
 
     lease_us: int
-    last: SentAnswer
+    last_answer: SentAnswer
     #: When its present session was first seen.
     session_us: int
     score: int = 0
     moves: int = 0
     #: Direct requests unanswered: they count once. Where a filter keeps us from its port, what
     #: its reports are answered arrives all the same.
-    refusals: int = 0
+    unanswered: int = 0
     #: Since when it is taken to hear nothing; 0: it is not.
-    deaf_us: int = 0
+    unreachable_since_us: int = 0
     #: When the last evidence came, and what there was.
     evidence_us: int = 0
     evidence: set[DeliverySignal] = field(default_factory=set)
     #: A report came since a direct request was last unanswered.
-    spoke: bool = True
+    heard_since_probe: bool = True
     #: It is asked again from then on.
-    ask_us: int = 0
+    next_probe_us: int = 0
 
-    def listen(self, report: Heartbeat, seen: int, at_us: int, *, relayed: bool) -> DeliverySignal:
+    def observe_heartbeat(
+        self, report: Heartbeat, seen: int, at_us: int, *, relayed: bool
+    ) -> DeliverySignal:
         """Take a report that is newer than all seen; return what it shows."""
-        sign = delivery_signal(self.last, report, seen, at_us, self.lease_us, relayed=relayed)
-        self.spoke = True
-        if report.session != self.last.order[0]:
+        sign = delivery_signal(
+            self.last_answer, report, seen, at_us, self.lease_us, relayed=relayed
+        )
+        self.heard_since_probe = True
+        if report.session != self.last_answer.heartbeat[0]:
             self.session_us = at_us
-        elif self.deaf_us and sign is not DeliverySignal.HEARD:
-            since_us = max(self.deaf_us, self.session_us)
+        elif self.unreachable_since_us and sign is not DeliverySignal.HEARD:
+            since_us = max(self.unreachable_since_us, self.session_us)
             if at_us > surely_over_us(since_us, self.lease_us) + TRANSIT_US:
                 # Its session would be over if no answer had arrived.
                 sign = DeliverySignal.HEARD
@@ -139,42 +143,42 @@
             self.moves = 0
         return sign
 
-    def note(self, sign: DeliverySignal, at_us: int) -> bool:
+    def add(self, sign: DeliverySignal, at_us: int) -> bool:
         """Take a sign; whether that changes what the machine is taken for."""
         if sign is DeliverySignal.HEARD:
-            changed = self.deaf_us > 0
-            self.score = self.moves = self.refusals = self.deaf_us = 0
+            changed = self.unreachable_since_us > 0
+            self.score = self.moves = self.unanswered = self.unreachable_since_us = 0
             self.evidence.clear()
             return changed
         weight = _WEIGHT.get(sign, 0)
         if sign is DeliverySignal.UNANSWERED:
-            if not self.spoke:
+            if not self.heard_since_probe:
                 return False
-            self.spoke = False
+            self.heard_since_probe = False
         if not weight:
             return False
-        if not self.deaf_us and at_us - self.evidence_us > 2 * self.lease_us:
+        if not self.unreachable_since_us and at_us - self.evidence_us > 2 * self.lease_us:
             # An answer is lost now and then.
-            self.score = self.moves = self.refusals = 0
+            self.score = self.moves = self.unanswered = 0
             self.evidence.clear()
         self.evidence_us = at_us
         self.evidence.add(sign)
         if sign is DeliverySignal.MOVED:
             self.moves += weight
         elif sign is DeliverySignal.UNANSWERED:
-            self.refusals = weight
+            self.unanswered = weight
         else:
             self.score += weight
-        if self.deaf_us or self.score + self.moves + self.refusals < ENOUGH:
+        if self.unreachable_since_us or self.score + self.moves + self.unanswered < ENOUGH:
             return False
-        self.deaf_us = at_us
+        self.unreachable_since_us = at_us
         return True
 
     @property
-    def doubted(self) -> bool:
+    def suspected(self) -> bool:
         """Whether there is anything to be asked."""
-        return bool(self.deaf_us or self.score or self.moves or self.refusals)
+        return bool(self.unreachable_since_us or self.score or self.moves or self.unanswered)
 
-    def why(self) -> str:
+    def describe(self) -> str:
         """Say the evidence in words."""
         return "; ".join(sorted(sign.value for sign in self.evidence))
--- a/weldhead/reachability/freshness.py
+++ b/weldhead/reachability/freshness.py
@@ -37,9 +37,9 @@
     """Judge a report of a machine on record before anything of it is used."""
     if report.session <= machine.expired_session:
         return Freshness.COPY
-    if (report.session, report.sequence) > machine.order:
+    if (report.session, report.sequence) > machine.newest_message:
         return Freshness.FRESH if report.token == token else Freshness.UNTOLD
-    if report.session == machine.session and report.sequence >= machine.report_sequence:
+    if report.session == machine.session and report.sequence >= machine.heartbeat_sequence:
         return Freshness.OVERTAKEN
     return Freshness.COPY
 
@@ -52,9 +52,9 @@
     report after the answer; one that does not after several would hold up a new leader for
     as long as it is answered.
     """
-    if machine.synced or not machine.up:
+    if machine.reconciled or not machine.enrolled:
         return True
     if machine.relayed:
-        return machine.unshown < MOST_UNSHOWN + RELAYED_MORE
+        return machine.stale_token_answers < MOST_UNSHOWN + RELAYED_MORE
     # Two direct questions in vain and one answer to a report: that is several as well.
-    return machine.unshown < MOST_UNSHOWN - machine.asked_in_vain
+    return machine.stale_token_answers < MOST_UNSHOWN - machine.probes_failed
--- a/weldhead/reachability/replacement.py
+++ b/weldhead/reachability/replacement.py
@@ -42,7 +42,7 @@
         for machine in live
         if machine.name in deaf
         and not machine.attempts
-        and not machine.posting
+        and not machine.command_in_flight
         and at_us - deaf[machine.name] >= max(lease_us, replacement_cost_us(machine))
-        and at_us - machine.hired_us >= minimum_charge_us
+        and at_us - machine.rented_us >= minimum_charge_us
     ]
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -84,11 +84,11 @@
     if state == TaskState.ACTIVE or task.task in machine.attempts:
         return AttemptVerdict.SECOND
     # A type that left the catalog has no amounts: what runs there has its room.
-    if machine.fits(job) < 1 and not machine.boundless:
+    if machine.capacity_for(job) < 1 and not machine.has_unknown_capacity:
         return AttemptVerdict.CROWDED
     if job.unwanted:
         return AttemptVerdict.CANCELLED
-    if cluster.within_limit(job) < 1 or job.team not in cluster.teams:
+    if cluster.tasks_within_limit(job) < 1 or job.team not in cluster.teams:
         return AttemptVerdict.OVER_LIMIT
     return AttemptVerdict.ADOPTED
 
@@ -99,10 +99,10 @@
         return MachineStanding.UNKNOWN
     if machine.deleting:
         return MachineStanding.LEAVING
-    if machine.synced:
+    if machine.reconciled:
         gone = machine.expired_session and machine.expired_session >= machine.session
         return MachineStanding.GONE if gone else MachineStanding.KNOWN
-    return MachineStanding.SILENT if machine.up else MachineStanding.UNUSED
+    return MachineStanding.SILENT if machine.enrolled else MachineStanding.UNUSED
 
 
 class ReconciliationCounts:
--- a/weldhead/reconciliation/command_queue.py
+++ b/weldhead/reconciliation/command_queue.py
@@ -33,11 +33,11 @@
 
 def _rank_of(cluster: Cluster, attempt: Attempt) -> QueuePosition:
     job = attempt.job
-    if attempt.stop is not StopRequest.NO:
+    if attempt.stop_request is not StopRequest.NO:
         return (CommandPriority.RULES if job.unwanted else CommandPriority.ROOM), 0
     if attempt.phase is not AttemptPhase.ASSIGNED:
         return CommandPriority.REST, _NO_DUE_US
-    due_us = job.chain_due_us[0] if job.chain_due_us else _NO_DUE_US
+    due_us = job.inherited_due_us[0] if job.inherited_due_us else _NO_DUE_US
     team, usage = cluster.teams.get(job.team), cluster.usage[job.team]
     inside = team is not None and usage.cpus <= team.cpus and usage.gpus <= team.gpus
     return (CommandPriority.GUARANTEED if inside else CommandPriority.REST), due_us
@@ -45,12 +45,12 @@
 
 def queue_position(cluster: Cluster, machine: Machine) -> QueuePosition:
     """Return how urgent it is to tell a machine what it has to do."""
-    if machine.ghosts:
+    if machine.orphans:
         return CommandPriority.RULES, 0
     best: QueuePosition = (CommandPriority.REST, _NO_DUE_US)
     for attempt in machine.attempts.values():
         # Of what runs on and is not to stop there is nothing to tell: it has the last rank.
-        if attempt.phase is AttemptPhase.ASSIGNED or attempt.stop is not StopRequest.NO:
+        if attempt.phase is AttemptPhase.ASSIGNED or attempt.stop_request is not StopRequest.NO:
             best = min(best, _rank_of(cluster, attempt))
     return best
 
--- a/weldhead/reconciliation/partial_view.py
+++ b/weldhead/reconciliation/partial_view.py
@@ -59,7 +59,7 @@
 
 def partial_view_of(machines: Iterable[Machine], safe_from: int | None) -> PartialView:
     """Return what is known while some machines on record have not shown themselves."""
-    return PartialView(safe_from, tuple(m for m in machines if m.up and not m.synced))
+    return PartialView(safe_from, tuple(m for m in machines if m.enrolled and not m.reconciled))
 
 
 def _could_hold(machine: Machine, job: Job) -> bool:
@@ -71,7 +71,7 @@
     if not machine.allows(job):
         return False
     kind, spec = machine.type, job.spec
-    if machine.boundless:
+    if machine.has_unknown_capacity:
         return True
     return spec.cpus <= kind.cpus and spec.gpus <= kind.gpus and spec.memory_gb <= kind.memory_gb
 
@@ -84,7 +84,7 @@
     """
     if not partial.unknown:
         return {}
-    boundless = any(machine.boundless for machine in partial.unknown)
+    boundless = any(machine.has_unknown_capacity for machine in partial.unknown)
     cpus = float("inf") if boundless else sum(m.type.cpus for m in partial.unknown)
     gpus = float("inf") if boundless else sum(m.type.gpus for m in partial.unknown)
     wanted: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
--- a/weldhead/scheduling/autoscaling/fleet.py
+++ b/weldhead/scheduling/autoscaling/fleet.py
@@ -117,7 +117,7 @@
         and (job.spec.zone is None or job.spec.zone == offer.zone)
         and (job.spec.spot or not offer.spot)
         # Tasks that are about to be lost still count in their zones.
-        and (not (job.spec.one_zone or job.spec.spread) or job.room_in_zone(offer.zone) > 0)
+        and (not (job.spec.one_zone or job.spec.spread) or job.capacity_in_zone(offer.zone) > 0)
     )
 
 
@@ -131,7 +131,7 @@
     """
     lost: dict[str, tuple[Job, int, int]] = {}
     for machine in silent:
-        over_us = max(at_us, machine.heard_us + lease_us)
+        over_us = max(at_us, machine.last_heartbeat_us + lease_us)
         for attempt in machine.attempts.values():
             job = attempt.job
             if not job.cancelled and not job.spec.is_service:
@@ -195,13 +195,13 @@
                     pools[boots.ready_us(machine, at_us)] += amount
             elif (amount := machine.gpus if cards else machine.cpus) > EPSILON:
                 pools[at_us] += amount
-        for job in cluster.holders.values():
+        for job in cluster.active_jobs.values():
             if job.spec.is_service:
                 continue
             task_us, amount = estimates.task_us(job), job.spec.gpus if cards else job.spec.cpus
             if cards and amount <= 0:
                 continue
-            for end_us in job.ends_us(task_us, at_us, away):
+            for end_us in job.expected_ends_us(task_us, at_us, away):
                 pools[end_us] += amount
         #: When how many CPUs are given back. What comes at one moment is one item, as are
         #: tasks that start together: their number is not what this costs.
@@ -294,7 +294,7 @@
         # No money brings in time what is late already; it only must not wait for ever.
         lost = up_us + task_us > target_us
         # The forecast is hopeful: it knows neither preemption nor leftover room.
-        target_us -= round((target_us - job.ready_us) * settings.goal_margin)
+        target_us -= round((target_us - job.runnable_since_us) * settings.goal_margin)
         # What a team is guaranteed need not wait for others, however patient the job is.
         # (A job that still waits for others has no waiting tasks by which to count.)
         team = cluster.teams[job.team]
@@ -383,7 +383,7 @@
         return demand.stretch(level, owned, at_us) if demand is not None else 1.0
 
     def stretches(job: Job) -> float:
-        return stretch_at(job.level)
+        return stretch_at(job.effective_level)
 
     boot_us = seconds_us(min(offer.type.boot_s for offer in offers))
     boots = boots or usual_boots(settings)
@@ -498,7 +498,7 @@
     open_machines = [
         m
         for m in cluster.machines.values()
-        if m.synced and not m.draining and not m.deleting and not m.deaf
+        if m.reconciled and not m.draining and not m.deleting and not m.not_receiving
     ]
     if plan.unplaced or not open_machines:
         return set()
@@ -553,7 +553,7 @@
     for machine in cluster.machines.values():
         if not usable(machine, at_us, silence_us):
             continue
-        if not machine.closing:
+        if not machine.scale_in_candidate:
             if machine.cpus > EPSILON:
                 targets.append((machine, [machine.cpus, machine.gpus, machine.memory_gb]))
         elif machine.attempts:
@@ -578,7 +578,7 @@
 def _may_move(attempt: Attempt) -> bool:
     spec = attempt.job.spec
     # What a gate holds goes on where it runs, and would not start again elsewhere.
-    free = attempt.job.held is None
+    free = attempt.job.blocking_gate is None
     return free and not spec.is_service and not spec.one_zone and not spec.spread
 
 
@@ -590,9 +590,9 @@
     Only idle work that nobody waits for: where tasks with deadlines and of chains began anew
     as well, nine days of other sites lost 0.014 on the mean, as estimates are rough.
     """
-    if not _may_move(attempt) or attempt.adopted or attempt.job.level > 0:
+    if not _may_move(attempt) or attempt.adopted or attempt.job.effective_level > 0:
         return False
-    if attempt.job.due_us is not None or attempt.job.chain_due_us:
+    if attempt.job.due_us is not None or attempt.job.inherited_due_us:
         return False
     job, task_us = attempt.job, estimates.task_us(attempt.job)
     remaining_us = estimates.remaining_us(attempt, at_us)
@@ -619,7 +619,7 @@
     saving_us = staying_us = leaving_us = anew_us = 0
     lost = 0.0
     for attempt in machine.attempts.values():
-        if attempt.phase is not AttemptPhase.RUNNING or attempt.stop is not StopRequest.NO:
+        if attempt.phase is not AttemptPhase.RUNNING or attempt.stop_request is not StopRequest.NO:
             return None
         remaining_us = estimates.remaining_us(attempt, at_us)
         if movable(attempt):
@@ -681,20 +681,20 @@
     boots = boots or usual_boots(settings)
     found = []
     for machine in cluster.machines.values():
-        if machine.deleting or machine.posting or machine.deaf:
+        if machine.deleting or machine.command_in_flight or machine.not_receiving:
             # What hears nothing is returned by a rule of its own (``reachability/replacement.py``).
             continue
         if boots.is_given_up(machine, at_us):
             found.append(machine)
             continue
-        if machine.booting or machine.attempts or machine.ghosts or not machine.synced:
+        if machine.booting or machine.attempts or machine.orphans or not machine.reconciled:
             continue
         if _lists_unsaved(cluster, machine):
             continue
         idle_us = at_us - machine.idle_since_us
-        paid = at_us - machine.hired_us >= settings.minimum_charge_us
+        paid = at_us - machine.rented_us >= settings.minimum_charge_us
         keep_us = settings.keep_idle_spot_us if machine.spot else settings.keep_idle_us
-        if machine.closing:
+        if machine.scale_in_candidate:
             keep_us = 0
         if machine.draining or (paid and idle_us >= max(keep_us, weights_worth_us(machine))):
             found.append(machine)
@@ -703,7 +703,7 @@
 
 def _lists_unsaved(cluster: Cluster, machine: Machine) -> bool:
     """Whether a machine lists a completion that the store has not yet."""
-    for task, _ in machine.forget:
+    for task, _ in machine.unacknowledged:
         try:
             job_id, index = split_task(task)
         except ValueError:
--- a/weldhead/scheduling/forecast/completion_times.py
+++ b/weldhead/scheduling/forecast/completion_times.py
@@ -23,7 +23,7 @@
 def boot_forecast_of(machines: Iterable[Machine]) -> BootForecast:
     """Return what a forecast has to know of the machines."""
     machines = list(machines)
-    boots = [m.hired_us + seconds_us(m.type.boot_s) for m in machines if m.booting]
+    boots = [m.rented_us + seconds_us(m.type.boot_s) for m in machines if m.booting]
     usual_us = max((seconds_us(m.type.boot_s) for m in machines), default=0)
     return BootForecast(min(boots, default=None), usual_us)
 
@@ -50,9 +50,9 @@
         # Nothing runs yet: the next machine to come up, or else one that is still to be
         # rented, will take as many tasks as the team's limit allows at once.
         next_us = at_us + boots.usual_us if boots.next_us is None else boots.next_us
-        slots = max(1, min(waiting, cluster.within_limit(job)))
+        slots = max(1, min(waiting, cluster.tasks_within_limit(job)))
         return max(at_us, next_us) + -(-waiting // slots) * task_us
-    ends = sorted(job.ends_us(task_us, at_us))
+    ends = sorted(job.expected_ends_us(task_us, at_us))
     if waiting == 0:
         return ends[-1]
     # The places that the job holds now take the waiting tasks one after the other.
@@ -70,23 +70,26 @@
 
     Those that are needed come first, so each edge is looked at once.
     """
-    for job in chains.waiting_order():
-        ends = [cluster.jobs[n].forecast_us if n in cluster.jobs else None for n in job.blockers]
+    for job in chains.topological_order():
+        ends = [
+            cluster.jobs[n].expected_finish_us if n in cluster.jobs else None
+            for n in job.unmet_dependencies
+        ]
         known = [end_us for end_us in ends if end_us is not None]
-        job.starts_us = max(at_us, *known) if len(known) == len(ends) else None
-        if job.starts_us is None or job.spec.is_service:
-            job.forecast_us = None
+        job.expected_start_us = max(at_us, *known) if len(known) == len(ends) else None
+        if job.expected_start_us is None or job.spec.is_service:
+            job.expected_finish_us = None
         else:
-            job.forecast_us = job.starts_us + stage_us(job)
+            job.expected_finish_us = job.expected_start_us + stage_us(job)
 
 
 def holding_up(cluster: Cluster, job: Job) -> Job:
     """Return the job that makes a chain's job wait longest: one that waits for none itself."""
     while True:
-        needs = [cluster.jobs[name] for name in job.blockers if name in cluster.jobs]
+        needs = [cluster.jobs[name] for name in job.unmet_dependencies if name in cluster.jobs]
         if not needs:
             return job
-        job = max(needs, key=lambda need: (need.forecast_us or math.inf, need.id))
+        job = max(needs, key=lambda need: (need.expected_finish_us or math.inf, need.id))
 
 
 def due_us(job: Job) -> int | None:
@@ -94,4 +97,4 @@
     own_us = job.due_us
     if own_us is not None:
         return own_us
-    return job.chain_due_us[0] if job.chain_due_us else None
+    return job.inherited_due_us[0] if job.inherited_due_us else None
--- a/weldhead/scheduling/forecast/job_forecasts.py
+++ b/weldhead/scheduling/forecast/job_forecasts.py
@@ -61,7 +61,7 @@
         self._known[name] = machine.type.boot_s
         self._types[machine.type.boot_s] += 1
         if machine.booting:
-            up_us = machine.hired_us + seconds_us(machine.type.boot_s)
+            up_us = machine.rented_us + seconds_us(machine.type.boot_s)
             self._booting.set(name, machine.serial, up_us)
 
     def boots(self) -> BootForecast:
@@ -117,18 +117,22 @@
 
     def tell(self, job: Job, at_us: int) -> None:
         """Bring a job's forecast up to date, if it waits for no others."""
-        if job.blockers or (job.forecast_at_us and at_us - job.forecast_at_us < FRESH_US):
+        if job.unmet_dependencies or (
+            job.forecast_made_us and at_us - job.forecast_made_us < FRESH_US
+        ):
             return
         self._forecast(job, at_us, self._boots.boots())
 
     def _forecast(self, job: Job, at_us: int, boots: BootForecast) -> None:
-        if job.held is None or job.cancelled:
-            job.forecast_us = forecast_us(self._cluster, job, self._estimates, at_us, boots)
-        elif job.held.starts_us is None or job.spec.is_service:
-            job.forecast_us = None
+        if job.blocking_gate is None or job.cancelled:
+            job.expected_finish_us = forecast_us(self._cluster, job, self._estimates, at_us, boots)
+        elif job.blocking_gate.expected_open_us is None or job.spec.is_service:
+            job.expected_finish_us = None
         else:
-            job.forecast_us = max(at_us, job.held.starts_us) + self._stage_us(job)
-        job.forecast_at_us = at_us
+            job.expected_finish_us = max(
+                at_us, job.blocking_gate.expected_open_us
+            ) + self._stage_us(job)
+        job.forecast_made_us = at_us
 
     def look(self, at_us: int) -> list[Job]:
         """Bring forecasts up to date; return the jobs that may have turned late, or not late."""
@@ -139,8 +143,8 @@
                 self._next.drop(job.id)
         boots = self._boots.boots()
         if self._chains.blocked:
-            for job in self._chains.needed():
-                if not job.blockers:
+            for job in self._chains.required_jobs():
+                if not job.unmet_dependencies:
                     self._forecast(job, at_us, boots)
             forecast_chains(self._chains, self._cluster, self._stage_us, at_us)
         looked: list[Job] = []
@@ -152,9 +156,9 @@
             due = due_us(job)
             if due is None:
                 # Nothing hangs on its forecast; whether it is stuck only changes with it.
-                job.forecast_us = None if looks_unable(job) else job.forecast_us
+                job.expected_finish_us = None if looks_unable(job) else job.expected_finish_us
                 continue
-            if not job.blockers:
+            if not job.unmet_dependencies:
                 self._forecast(job, at_us, boots)
             self._plan(job, self._next_us(job, due, at_us))
         first_us = self._next.first_us()
@@ -170,13 +174,13 @@
     def _next_us(self, job: Job, due: int, at_us: int) -> int:
         """Return when a job with a deadline is looked at next if nothing happens to it."""
         soon_us = at_us + self._period_us
-        if job.blockers:
+        if job.unmet_dependencies:
             return soon_us
-        left_us = due - (job.forecast_us if job.forecast_us is not None else at_us)
+        left_us = due - (job.expected_finish_us if job.expected_finish_us is not None else at_us)
         # Half of what is left: a forecast moves away with time at most as fast as it passes.
         pause_us = abs(left_us) // 2
         recheck_us = self._recheck_us
-        if job.bound_due_us is not None:
+        if job.calendar_due_us is not None:
             # Thousands are bound to one hour of the night, hours ahead.
             recheck_us = max(recheck_us, min(abs(left_us) // 16, FAR_US))
         return max(soon_us, min(at_us + pause_us, at_us + recheck_us))
--- a/weldhead/scheduling/forecast/run_times.py
+++ b/weldhead/scheduling/forecast/run_times.py
@@ -65,7 +65,7 @@
         of_class.add(ratio, FADING)
         self._jobs.setdefault(job.id, Mean()).add(ratio)
         self._tell(name, of_class)
-        job.touch()
+        job.notify_changed()
 
     def _tell(self, name: str, of_class: Mean) -> None:
         fresh, told = of_class.ratio(1.0), self._told.get(name)
--- a/weldhead/scheduling/inherited_priority.py
+++ b/weldhead/scheduling/inherited_priority.py
@@ -58,17 +58,17 @@
     """
     paths_us: dict[str, int] = {}
     for job in chains.upstream(jobs):
-        lent_level, lent_us = chains.lent.get(job.id, (0, ()))
+        lent_level, lent_us = chains.gate_inheritance.get(job.id, (0, ()))
         level = max(job.spec.level, lent_level)
         bounds = set(lent_us)
-        for follower in chains.followers(job.id):
-            level = max(level, follower.level)
-            ends = (*goals.deadlines_us(follower), *follower.chain_due_us)
+        for follower in chains.dependents(job.id):
+            level = max(level, follower.effective_level)
+            ends = (*goals.deadlines_us(follower), *follower.inherited_due_us)
             if ends:
                 if follower.id not in paths_us:
                     paths_us[follower.id] = path_us(follower)
                 bounds.update(end_us - paths_us[follower.id] for end_us in ends)
-        job.level = level
+        job.effective_level = level
         # Those that can still be kept; of bounds that are all missed the last one.
         kept = sorted(bound for bound in bounds if bound > at_us) or sorted(bounds)[-1:]
-        job.chain_due_us = tuple(kept[:MOST_BOUNDS])
+        job.inherited_due_us = tuple(kept[:MOST_BOUNDS])
--- a/weldhead/scheduling/objectives.py
+++ b/weldhead/scheduling/objectives.py
@@ -97,11 +97,11 @@
         expected of the jobs that need it counts as well.
         """
         name = job.spec.job_class
-        since_us = job.ready_us
+        since_us = job.runnable_since_us
         bounds = [since_us + wait_us + task_us for wait_us in self._wait_us.get(name, ())]
         bounds += [since_us + finish_us for finish_us in self._finish_us.get(name, ())]
         bounds += self.deadlines_us(job)
-        bounds += job.chain_due_us
+        bounds += job.inherited_due_us
         if not bounds:
             bounds = [since_us + 3 * task_us + 60 * SECOND_US]
         least_us = at_us + task_us - slack_us(task_us)
@@ -114,7 +114,7 @@
         The instant to which a calendar binds it is one more: whichever comes first and can
         still be kept is gone for.
         """
-        bound_us = job.bound_due_us
+        bound_us = job.calendar_due_us
         found = [] if bound_us is None else [bound_us]
         if job.spec.deadline_s is None:
             return found
--- a/weldhead/scheduling/placement/backlog.py
+++ b/weldhead/scheduling/placement/backlog.py
@@ -61,8 +61,10 @@
     def of(cls, job: Job) -> "JobKind":
         """Return a job's kind."""
         spec = job.spec
-        own = job.id if spec.one_zone or spec.spread or job.failed_on else ""
-        return cls(job.team, job.level, spec.job_class, spec.is_service, TaskShape.of(job), own)
+        own = job.id if spec.one_zone or spec.spread or job.failed_machines else ""
+        return cls(
+            job.team, job.effective_level, spec.job_class, spec.is_service, TaskShape.of(job), own
+        )
 
 
 class BacklogEntry(NamedTuple):
@@ -89,7 +91,7 @@
     press, start_us, until_us = goals.standing(job, task_us, at_us, patience_us)
     return BacklogEntry(
         int(press),
-        -job.level if press is not Urgency.PATIENT else 0,
+        -job.effective_level if press is not Urgency.PATIENT else 0,
         1 if job.spec.is_service else 0,
         start_us,
         job.first_seen_us,
--- a/weldhead/scheduling/placement/placement.py
+++ b/weldhead/scheduling/placement/placement.py
@@ -112,7 +112,7 @@
         """Return the images that tasks there use or wait for."""
         if self.images is None:
             self.images = {a.job.spec.image for a in self.machine.attempts.values()}
-            self._pulls = self.machine.pulls()
+            self._pulls = self.machine.image_pulls()
             if self.machine.type.gpus > 0:
                 self._pulls = coming_images(self.machine)
         return self.images
@@ -201,7 +201,7 @@
             else:
                 # Once the cards are not wanted any more, it has room with no change of its own.
                 kept = kept or room.keep is not None
-        self._free.found(shape, bool(fitting) or kept)
+        self._free.record_search(shape, bool(fitting) or kept)
         if not fitting:
             self._hopeless.add(shape)
         return fitting
@@ -221,13 +221,13 @@
 def usable(machine: Machine, at_us: int, silence_us: int) -> bool:
     """Whether new work may be placed on a machine."""
     return (
-        machine.synced
+        machine.reconciled
         and not machine.draining
         and not machine.deleting
-        and not machine.deaf
-        and not machine.ghosts
-        and not machine.notice_until_us
-        and at_us - max(machine.heard_us, machine.met_us) < silence_us
+        and not machine.not_receiving
+        and not machine.orphans
+        and not machine.interruption_us
+        and at_us - max(machine.last_heartbeat_us, machine.first_probe_us) < silence_us
     )
 
 
@@ -258,7 +258,7 @@
     # A started machine's money is spent anyway: fill used ones so that others fall idle.
     idle = 0.0 if room.used else IDLE_PENALTY
     dear = 0.0 if room.machine.spot else DEAR_PENALTY
-    if room.machine.closing:
+    if room.machine.scale_in_candidate:
         dear += CLOSING_PENALTY
     left = FIT_WEIGHT * room.cpus / room.machine.type.cpus if room.machine.type.cpus else 0.0
     if room.machine.type.gpus > 0:
@@ -310,7 +310,7 @@
             given[job.team] = TeamAllowance(scene.cluster, job.team)
         reserve = given[job.team]
         count = min(job.waiting, reserve.within_limit(job))
-        if count > 0 and (not job.probing or job.stranded):
+        if count > 0 and (not job.on_probation or job.stranded):
             reserve.give(job, count)
             plan.unplaced.add(BacklogEntry(0, 0, 0, 0, 0, number, job), count)
     return plan
@@ -382,7 +382,7 @@
         self._plan = plan
         self._rooms = rooms
         self._fetch_weight = fetch_weight
-        doubts = scene.cluster.doubts
+        doubts = scene.cluster.unverified_usage
         self._reserves = {
             team: TeamAllowance(scene.cluster, team, doubts.get(team, NO_UNVERIFIED_USAGE))
             for team in {kind.team for kind in self._queues}
@@ -445,7 +445,7 @@
                 # Neither is there any for those behind it: the team only gets more.
                 heappop(heap)
                 continue
-            wants_room = not job.probing or job.stranded
+            wants_room = not job.on_probation or job.stranded
             if self._rooms.hopeless(job):
                 heappop(heap)
                 if not guaranteed and wants_room:
@@ -508,9 +508,9 @@
 ) -> int:
     """Place up to ``most`` tasks of a job; return how many were placed."""
     fitting = rooms.for_job(job)
-    if job.failed_on:
+    if job.failed_machines:
         # A task that failed somewhere is first tried elsewhere.
-        fitting = [r for r in fitting if r.machine.name not in job.failed_on] or fitting
+        fitting = [r for r in fitting if r.machine.name not in job.failed_machines] or fitting
     if not fitting:
         return 0
     # No more tasks are looked up than there is room for.
@@ -523,7 +523,7 @@
         zone = room.machine.zone
         if job.spec.one_zone and any(n for z, n in zones.items() if z != zone):
             return 0
-        return min(room.fits(job), job.room_in_zone(zone) - zones.get(zone, 0))
+        return min(room.fits(job), job.capacity_in_zone(zone) - zones.get(zone, 0))
 
     rest: list[int] = []
     for index in indexes:
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -76,14 +76,17 @@
 
     def __init__(self, run: "PreemptionPass") -> None:
         self._run = run
-        holders = sorted(run.cluster.holders.values(), key=gpu_holder_key)
+        holders = sorted(run.cluster.active_jobs.values(), key=gpu_holder_key)
         self._rank = {job.id: number for number, job in enumerate(holders)}
         #: The lowest level and the first place of a job on each machine that has cards.
         self._least: dict[str, tuple[int, int]] = {}
         for machine in run.cluster.machines.values():
             if machine.type.gpus > 0 and machine.attempts:
                 jobs = [attempt.job for attempt in machine.attempts.values()]
-                least = min(job.level for job in jobs), min(self._rank[job.id] for job in jobs)
+                least = (
+                    min(job.effective_level for job in jobs),
+                    min(self._rank[job.id] for job in jobs),
+                )
                 self._least[machine.name] = least
         self._kinds: dict[tuple[object, ...], list[tuple[Order, Machine]]] = {}
 
@@ -123,7 +126,12 @@
         for attempt in machine.attempts.values():
             if run.may_stop(claimant, attempt, guaranteed):
                 job = attempt.job
-                key = (job.level, job.spec.is_service, self._rank[job.id], *run.key_of(attempt))
+                key = (
+                    job.effective_level,
+                    job.spec.is_service,
+                    self._rank[job.id],
+                    *run.key_of(attempt),
+                )
                 may.append((key, attempt))
         may.sort(key=lambda item: item[0])
         chosen: list[tuple[tuple[int, ...], Attempt]] = []
@@ -202,9 +210,12 @@
 def gpu_holder_key(job: Job) -> tuple[float, ...]:
     """Sort the jobs that hold room: in each level first the one that holds the most cards."""
     return (
-        job.level, job.spec.is_service, -len(job.active) * job.spec.gpus, -job.first_seen_us,
+        job.effective_level,
+        job.spec.is_service,
+        -len(job.active) * job.spec.gpus,
+        -job.first_seen_us,
         job.serial,
-    )  # fmt: skip
+    )
 
 
 def _missing(short: Iterable[float], *, only_cards: bool = False) -> bool:
--- a/weldhead/scheduling/preemption/preemptor.py
+++ b/weldhead/scheduling/preemption/preemptor.py
@@ -69,8 +69,8 @@
     job = attempt.job
     if job.spec.tasks < 2 or job.done or len(job.active) > 1 or attempt.adopted:
         return False
-    begun_us = attempt.running_us or at_us
-    return at_us - begun_us < BEGUN_US and begun_us - job.ready_us >= WAITED_US
+    begun_us = attempt.running_since_us or at_us
+    return at_us - begun_us < BEGUN_US and begun_us - job.runnable_since_us >= WAITED_US
 
 
 class _ClaimProgress:
@@ -122,7 +122,7 @@
         #: How that differs from what is free, where it does.
         self._moved: dict[str, list[float]] = {}
         self.account = QuotaAccount(cluster.teams, cluster.usage)
-        self._taken = lists.taken
+        self._taken = lists.preemption_history
         for attempt in cluster.stopping.values():
             self._move(attempt.machine, attempt.job, 1)
             self.account.free(attempt.job.team, attempt.job.spec)
@@ -162,9 +162,9 @@
         """Jobs that hold room: the lowest level first, in it the one that holds most."""
         if self._order is None:
             self._order = sorted(
-                self.cluster.holders.values(),
+                self.cluster.active_jobs.values(),
                 key=lambda job: (
-                    job.level,
+                    job.effective_level,
                     job.spec.is_service,
                     # Its cards would lie idle for want of the CPUs.
                     job.spec.gpus > 0,
@@ -179,7 +179,9 @@
     def nobody_to_stop(self, claimant: Job, guaranteed: bool) -> bool:
         """Whether no job that holds room is one that the claimant may stop tasks of."""
         if self._holders is None:
-            self._holders = {(job.level, job.team) for job in self.cluster.holders.values()}
+            self._holders = {
+                (job.effective_level, job.team) for job in self.cluster.active_jobs.values()
+            }
         return not any(
             self.may_stop_work(claimant, level, team, guaranteed) for level, team in self._holders
         )
@@ -210,7 +212,9 @@
 
     def may_stop_of(self, claimant: Job, job: Job, guaranteed: bool) -> bool:
         """Whether the rules let the claimant stop tasks of this job."""
-        return job is not claimant and self.may_stop_work(claimant, job.level, job.team, guaranteed)
+        return job is not claimant and self.may_stop_work(
+            claimant, job.effective_level, job.team, guaranteed
+        )
 
     def within(self, claimant: Job) -> bool:
         """Whether one more task of the job is inside its team's guarantee."""
@@ -230,13 +234,17 @@
     ) -> bool:
         """Whether the rules let the claimant stop a team's work of a level."""
         borrowed = self.borrows(team, resource)
-        if level < claimant.level:
+        if level < claimant.effective_level:
             return team == claimant.team or borrowed or guaranteed
         return guaranteed and borrowed and team != claimant.team
 
     def may_stop(self, claimant: Job, victim: Attempt, guaranteed: bool) -> bool:
         """Whether the rules let the claimant stop this task."""
-        if victim.stop is not StopRequest.NO or id(victim) in self.taken or victim.job is claimant:
+        if (
+            victim.stop_request is not StopRequest.NO
+            or id(victim) in self.taken
+            or victim.job is claimant
+        ):
             return False
         if not guaranteed and just_begun(victim, self.at_us):
             return False
@@ -244,7 +252,7 @@
         # Cards are judged as cards where it is cards that are claimed.
         resource = min(claimed_resource(claimant.spec), claimed_resource(job.spec))
         return self.may_stop_work(
-            claimant, job.level, job.team, guaranteed, Resource(resource)
+            claimant, job.effective_level, job.team, guaranteed, Resource(resource)
         ) and self._may_lose_cards(claimant, victim)
 
     def _may_lose_cards(
@@ -257,7 +265,7 @@
         spec = victim.job.spec
         if spec.gpus <= 0:
             return True
-        if self._taken.kept(victim, self.at_us):
+        if self._taken.is_protected(victim, self.at_us):
             return False
         team = victim.job.team
         if team == claimant.team:
@@ -279,11 +287,17 @@
         """Return what claimants have in common that look for room alike."""
         spec = claimant.spec
         return (
-            claimant.team, claimant.level, spec.cpus, spec.gpus, spec.memory_gb, spec.types,
-            spec.zone, spec.spot,
+            claimant.team,
+            claimant.effective_level,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+            spec.types,
+            spec.zone,
+            spec.spot,
             # Its own tasks limit where it may go.
             claimant.id if spec.one_zone or spec.spread else None,
-        )  # fmt: skip
+        )
 
     def _claim(self, claimant: Job, kind: tuple[object, ...]) -> _ClaimProgress:
         """Return what claimants of the same kind share."""
@@ -296,7 +310,7 @@
     def _rooms_for(self, claimant: Job) -> list[str]:
         """Return the machines where room for the claimant is free or being freed, last first."""
         spec = claimant.spec
-        names = {machine.name for machine in self._index.with_room(spec.cpus, spec.memory_gb)}
+        names = {machine.name for machine in self._index.machines_with(spec.cpus, spec.memory_gb)}
         names.update(self._moved)
         names.update(self._free)
         found = []
@@ -313,7 +327,7 @@
             return False
         if machine.type.gpus > 0 and self._kept is not None and self._kept.keep_from(claimant):
             return False
-        return machine.allows(claimant) and claimant.room_in_zone(machine.zone) > 0
+        return machine.allows(claimant) and claimant.capacity_in_zone(machine.zone) > 0
 
     def choose(self, claimant: Job) -> Reclaim | None:
         """Choose victims for one task of the claimant; None if nobody may be stopped."""
@@ -340,7 +354,7 @@
                 while claim.attempt < len(attempts):
                     attempt = attempts[claim.attempt]
                     claim.attempt += 1
-                    if attempt.stop is not StopRequest.NO or id(attempt) in self.taken:
+                    if attempt.stop_request is not StopRequest.NO or id(attempt) in self.taken:
                         continue
                     if not guaranteed and just_begun(attempt, self.at_us):
                         continue
@@ -544,11 +558,11 @@
     hard = [
         entry
         for entry in lists.entries()
-        if not entry.hard_us and at_us - entry.asked_us >= settings.kill_timeout_us
+        if not entry.hard_kill_us and at_us - entry.requested_us >= settings.kill_timeout_us
     ]
     expired = [
         entry
         for entry in lists.entries()
-        if entry.hard_us and at_us - entry.hard_us >= settings.expiry_us
+        if entry.hard_kill_us and at_us - entry.hard_kill_us >= settings.expiry_us
     ]
     return hard, expired
--- a/weldhead/scheduling/reservations/holding.py
+++ b/weldhead/scheduling/reservations/holding.py
@@ -131,7 +131,7 @@
         # One that began and was stopped has had its turn.
         begun = job.active or job.done or job.last_machine
         if self._jobs.get(job.id) is job and job.waiting > 0 and not begun:
-            self._ages.set(job.id, job.serial, job.ready_us + self._age_us)
+            self._ages.set(job.id, job.serial, job.runnable_since_us + self._age_us)
 
     def first(self, at_us: int, most: int) -> list[Job]:
         """Return so many of those that are of age."""
@@ -235,7 +235,7 @@
             machine = self._cluster.machines.get(name)
             if machine is not None:
                 # Shapes that found no room without it are looked for again.
-                machine.touch()
+                machine.notify_changed()
         self.holds = holds
 
     # -- who ------------------------------------------------------------------------------
@@ -248,9 +248,11 @@
                 continue
             for entry in queue[:MOST_JOBS]:
                 job = entry.job
-                if at_us - job.ready_us >= self._settings.age_us and not job.probing:
+                if at_us - job.runnable_since_us >= self._settings.age_us and not job.on_probation:
                     found.append(job)
-        found.sort(key=lambda job: (job.ready_us - job.level * LEVEL_US, job.serial))
+        found.sort(
+            key=lambda job: (job.runnable_since_us - job.effective_level * LEVEL_US, job.serial)
+        )
         return found[:MOST_JOBS]
 
     def _choose(
@@ -269,7 +271,9 @@
         first = [
             job
             for job in self._unbegun.first(at_us, MOST_FIRST)
-            if self._backlog.place_of(job.id) is not None and not job.probing and not self.wide(job)
+            if self._backlog.place_of(job.id) is not None
+            and not job.on_probation
+            and not self.wide(job)
         ]
         if not waiting and not claimed and not first:
             return holds
@@ -283,9 +287,9 @@
     def soon_us(self, machine: Machine, job: Job, at_us: int) -> int | None:
         """Estimate when a machine has room for a task of the job; None: not by itself."""
         if machine.booting:
-            return max(at_us, machine.hired_us + seconds_us(machine.type.boot_s))
+            return max(at_us, machine.rented_us + seconds_us(machine.type.boot_s))
         known = self._soon.setdefault(machine.name, {})
-        key = TaskShape.of(job), job.level
+        key = TaskShape.of(job), job.effective_level
         if key not in known:
             if self._reckoned >= MOST_RECKONED:
                 return None
@@ -378,7 +382,10 @@
 def _end_us(attempt: Attempt, job: Job, estimates: RunTimeEstimates, at_us: int) -> int | None:
     """Estimate when an attempt leaves its machine to the job; None: it does not by itself."""
     spec = attempt.job.spec
-    if attempt.stop is not StopRequest.NO or attempt.job.level < job.level:
+    if (
+        attempt.stop_request is not StopRequest.NO
+        or attempt.job.effective_level < job.effective_level
+    ):
         return at_us + seconds_us(spec.save_s)
     if spec.is_service:
         return None
@@ -429,7 +436,8 @@
             return
         given = self._given[job.team]
         allowed = min(
-            most, cluster.within_limit(job, (required_units(given[0]), required_units(given[1])))
+            most,
+            cluster.tasks_within_limit(job, (required_units(given[0]), required_units(given[1]))),
         )
         if allowed <= 0:
             self._hold_limit(job)
@@ -477,7 +485,7 @@
         team = cluster.teams[job.team]
         services = [
             other
-            for other in cluster.holders.values()
+            for other in cluster.active_jobs.values()
             if other.team == job.team and other.spec.is_service
         ]
         cpus = team.cpus_max - sum(len(other.active) * other.spec.cpus for other in services)
@@ -494,7 +502,7 @@
 
         Not where it is coming up, or is used by wide work already: the next takes its place.
         """
-        if machine.booting or machine.fits(job):
+        if machine.booting or machine.capacity_for(job):
             return False
         wide = sum(a.job.spec.cpus for a in machine.attempts.values() if self._holding.wide(a.job))
         return wide < machine.type.cpus / 2
@@ -511,8 +519,8 @@
     def _best(self, job: Job, zones: dict[str, int]) -> Machine | None:
         """Return the machine that has room for a task of the job soonest."""
         spec = job.spec
-        own = job.id if spec.one_zone or spec.spread or job.failed_on else ""
-        key = TaskShape.of(job), job.level, own
+        own = job.id if spec.one_zone or spec.spread or job.failed_machines else ""
+        key = TaskShape.of(job), job.effective_level, own
         ranked = self._ranked.get(key)
         if ranked is None:
             if len(self._ranked) >= MOST_RANKED:
@@ -552,18 +560,18 @@
         """
         if machine.name in self._before or not self._is_emptied(machine, job):
             return True
-        wanted_us = job.ready_us + self._holding._settings.within_us
+        wanted_us = job.runnable_since_us + self._holding._settings.within_us
         return self._at_us + DRAIN_FACTOR * (soon_us - self._at_us) >= wanted_us
 
     def _may_hold(self, machine: Machine, job: Job, zones: dict[str, int]) -> bool:
         if machine.draining or machine.deleting or not machine.allows(job):
             return False
-        if machine.name in job.failed_on or not (machine.booting or self._usable(machine)):
+        if machine.name in job.failed_machines or not (machine.booting or self._usable(machine)):
             return False
         zone = machine.zone
         if job.spec.one_zone and any(n for z, n in zones.items() if z != zone):
             return False
-        if job.room_in_zone(zone) - zones.get(zone, 0) <= 0:
+        if job.capacity_in_zone(zone) - zones.get(zone, 0) <= 0:
             return False
         # One machine is always emptied, however small the share of a small fleet is.
         enough = self._left + EPSILON >= machine.type.cpus or not self._emptying
