--- a/tests/held_network.py
+++ b/tests/held_network.py
@@ -146,7 +146,7 @@
             watch = leader.machine_monitor
             doomed = watch.expired_or_silent(self.clock(), leader.term.leadership_verified_us)
             doomed += watch.with_overdue_stops(self.clock())
-            leader.rental_manager.delete({m.name: m for m in doomed if not m.deleting})
+            leader.rental_manager.return_machines({m.name: m for m in doomed if not m.deleting})
             leader._check_known()
         await settle()
 
@@ -169,12 +169,12 @@
         """Commit what has been completed."""
         job = self.leader.cluster.jobs[JOB]
         if job.uncommitted_chunks and not job.finishing:
-            self.leader.term.background_tasks.once("save", self.leader.completions._save(job))
+            self.leader.term.background_tasks.spawn("save", self.leader.completions._save(job))
             await settle()
 
     async def delete(self) -> None:
         """The cloud carries out what the leader has asked it to return, and answers."""
-        doomed = list(self.leader.rental_manager._doomed.values())
+        doomed = list(self.leader.rental_manager._to_delete.values())
         for machine in doomed:
             worker = self.hosts.pop(machine.name, None)
             if worker is not None:
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -52,9 +52,9 @@
             if usable(machine, at_us, silence_us)
         ]
 
-    def for_job(self, job: Job) -> list[FreeCapacity]:
+    def candidates_for(self, job: Job) -> list[FreeCapacity]:
         """Return the machines with room for the job's tasks."""
-        return [r for r in self.open if r.fits(job) > 0 and r.machine.allows(job)]
+        return [r for r in self.open if r.capacity_for(job) > 0 and r.machine.allows(job)]
 
 
 def order_key(
@@ -66,7 +66,7 @@
 ) -> tuple[int, ...]:
     """Sort waiting jobs: by need, then priority; those with time to spare by laxity alone."""
     task_us = estimates.order_us(job)
-    press = goals.press(job, task_us, at_us, patience_us)
+    press = goals.urgency_of(job, task_us, at_us, patience_us)
     return (
         press,
         -job.effective_level if press is not Urgency.PATIENT else 0,
@@ -152,12 +152,14 @@
                 if attempt.stop_request is not StopRequest.NO:
                     self._add(room, attempt.job, 1)
                     self.freed[attempt.job.team] += attempt.job.spec.cpus
-            self._free[machine.name] = room if usable(machine, at_us, settings.silence_us) else None
+            self._capacity[machine.name] = (
+                room if usable(machine, at_us, settings.silence_us) else None
+            )
         for entry in lists.entries():
             job = cluster.jobs.get(entry.job_id)
             if job is None:
                 continue
-            held = self._free.get(entry.machine)
+            held = self._capacity.get(entry.machine)
             if held is not None:
                 self._add(held, job, -1)
             self.claimed[job.team] += job.spec.cpus
@@ -182,7 +184,7 @@
             or usage.gpus > known.gpus + EPSILON
         )
 
-    def within(self, claimant: Job) -> bool:
+    def within_guarantee(self, claimant: Job) -> bool:
         """Whether one more task of the job is inside its team's guarantee."""
         team, usage = self.cluster.teams.get(claimant.team), self.cluster.usage[claimant.team]
         if team is None:
@@ -200,10 +202,10 @@
         self.claimed[claimant.team] += claimant.spec.cpus
         return super()._take(claimant, machine, room, victims)
 
-    def _rooms_for(self, claimant: Job) -> list[str]:
+    def _machines_for(self, claimant: Job) -> list[str]:
         return [
             name
-            for name, room in reversed(self._free.items())
+            for name, room in reversed(self._capacity.items())
             if room is not None and self._fits(room, claimant)
         ]
 
@@ -222,8 +224,8 @@
     run = PlainPass(cluster, lists, estimates, at_us, settings)
     reclaims: list[Reclaim] = []
     for job, unplaced in plan.listed:
-        if run.press(job, goals) is Urgency.PATIENT:
-            if not run.within(job):
+        if run.urgency_of(job, goals) is Urgency.PATIENT:
+            if not run.within_guarantee(job):
                 continue
         for _ in range(max(0, unplaced - lists.count(job.id))):
             if len(reclaims) >= most:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -108,7 +108,7 @@
     def __init__(self) -> None:
         self.store = Store(StateLimits(1e6, 1e6, 8.0, 12))
         self.store.revision = 1
-        self.creates = TokenBucket(1e6, 1e6)
+        self.submission_budget = TokenBucket(1e6, 1e6)
         self.max_writes = 12
         self.value_bytes = 8192
         #: What happens to the next transactions: ok, refused, lost, unanswered or late.
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -135,8 +135,8 @@
     position = account.position("tuning", Resource.CARDS)
     assert position is not None and position.lent == 4 * UNITS
     # Cards by right, though the CPUs that go with them are borrowed.
-    assert account.within("tuning", job_spec(team="tuning", gpus=4.0))
-    assert not account.within("tuning", job_spec(team="tuning", gpus=4.5))
+    assert account.within_guarantee("tuning", job_spec(team="tuning", gpus=4.0))
+    assert not account.within_guarantee("tuning", job_spec(team="tuning", gpus=4.5))
 
 
 # -- who gives way -------------------------------------------------------------------------
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -59,7 +59,7 @@
 ) -> None:
     attempt = run_on(into, job, index, on, at_us - S // 10)
     into.release(attempt)
-    failures.failed(attempt, at_us)
+    failures.record_failure(attempt, at_us)
 
 
 def judged(failures: FailureTracker, into: Cluster) -> dict[str, JobHealth]:
@@ -126,9 +126,9 @@
     fail(failures, into, job, 0, machine, S)
     assert judged(failures, into) == {job.id: JobHealth.OPEN}
     # What began before the failure proves nothing: machines fall sick.
-    failures.succeeded(machine, S)
+    failures.record_success(machine, S)
     assert judged(failures, into) == {}
-    failures.succeeded(machine, 3 * S)
+    failures.record_success(machine, 3 * S)
     assert judged(failures, into) == {job.id: JobHealth.BROKEN}
 
 
@@ -171,16 +171,16 @@
     job = add_job(into, job_spec(1))
     fail(failures, into, job, 0, machine, S)
     judged(failures, into)
-    assert failures.stranded(job, into, 2 * S)
+    assert failures.is_stranded(job, into, 2 * S)
     other = add_machine(into, "vm-2")
-    assert not failures.stranded(job, into, 2 * S)
+    assert not failures.is_stranded(job, into, 2 * S)
     fail(failures, into, job, 0, other, 3 * S)
     judged(failures, into)
-    assert not failures.stranded(job, into, 4 * S + RENT_PAUSE_US)
+    assert not failures.is_stranded(job, into, 4 * S + RENT_PAUSE_US)
     for gone in (machine, other):
         into.remove_machine(gone)
     judged(failures, into)
-    assert not failures.stranded(job, into, 3 * S + RENT_PAUSE_US - 1)
-    assert failures.stranded(job, into, 3 * S + RENT_PAUSE_US)
+    assert not failures.is_stranded(job, into, 3 * S + RENT_PAUSE_US - 1)
+    assert failures.is_stranded(job, into, 3 * S + RENT_PAUSE_US)
     job.stranded = True
     assert starts(into, 4 * S + RENT_PAUSE_US).unplaced
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -45,12 +45,12 @@
 
 def come(boots: BootHistory, machines: list[Machine], at_us: int) -> None:
     for machine in machines:
-        boots.came(machine, at_us)
+        boots.record_boot(machine, at_us)
         machine.newest_message = (1, 1)
 
 
 def look(boots: BootHistory, into: Cluster, at_us: int) -> BootExpectations:
-    return boots.look(into.machines.values(), at_us, USUAL, 60 * S)
+    return boots.expectations(into.machines.values(), at_us, USUAL, 60 * S)
 
 
 def test_where_all_are_late_none_is_lost_and_none_is_rented_twice() -> None:
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -141,9 +141,9 @@
 
 def test_the_example_that_operators_start_from_is_good() -> None:
     text = (Path(__file__).parents[1] / "deploy" / "documents.toml").read_text()
-    assert CalendarKeeper.vet(parse_source("documents.toml", text, 8_000)) is None
+    assert CalendarKeeper.validate(parse_source("documents.toml", text, 8_000)) is None
     wrong = parse_source("documents.toml", text.replace("FREQ=WEEKLY", "FREQ=HOURLY"), 8_000)
-    assert str(CalendarKeeper.vet(wrong)).startswith("calendar/counters: rule: FREQ is one of")
+    assert str(CalendarKeeper.validate(wrong)).startswith("calendar/counters: rule: FREQ is one of")
 
 
 def test_a_rule_that_ends_has_no_more_instants() -> None:
@@ -304,14 +304,16 @@
     state = StandInState()
     node = StandInNode()
     node.documents = documents_of(state)
-    node.documents.table.put("run-000001", CalendarDeadline("morning", 1, us("2026-03-01 05:30")))
+    node.documents.deadline_table.put(
+        "run-000001", CalendarDeadline("morning", 1, us("2026-03-01 05:30"))
+    )
     front = desk(state, node)
 
     async def poll() -> Any:
         async def gone(*_: Any, **__: Any) -> None:
             raise CallError("down")
 
-        front._read = gone  # type: ignore[method-assign]
+        front._read_record = gone  # type: ignore[method-assign]
         return await front.poll("run-000001")
 
     status, body = run(poll())
@@ -326,17 +328,17 @@
     )
     record = JobRecord(job_spec(1), 0, deadline=CalendarDeadline("morning", 3, 9 * H))
     for number in range(3):
-        table.read(f"run-{number}", msgspec.json.encode(record))
-    table.read("run-9", msgspec.json.encode(JobRecord(job_spec(1), 0)))
+        table.read_record(f"run-{number}", msgspec.json.encode(record))
+    table.read_record("run-9", msgspec.json.encode(JobRecord(job_spec(1), 0)))
     assert len(table) == 3 and len({id(bound) for bound in table._jobs.values()}) == 1
     table.as_of_us = 5 * S
-    line = table.line(cache, S, 9 * S)
+    line = table.summary(cache, S, 9 * S)
     assert line.startswith(
         "3 jobs are bound; due within the hour: 3, past: 0; first run-0, by 1970"
     )
     assert line.endswith("as of 4 s ago")
     record.cancelled = True
-    table.read("run-0", msgspec.json.encode(record))
+    table.read_record("run-0", msgspec.json.encode(record))
     table.keep_only({"run-1"})
     assert len(table) == 1
 
@@ -372,8 +374,8 @@
 
     def look(self, leader: Leader) -> None:
         assert leader.calendar_keeper is not None
-        notes = leader.calendar_keeper.notes
-        leader.forecaster.look_ahead(self.clock())
+        notes = leader.calendar_keeper.late_notifications
+        leader.forecaster.refresh_due(self.clock())
         while notes._waiting:
             self.act(leader, notes.commit)
 
@@ -449,9 +451,9 @@
     assert job.due_us == at_us + H - leader.term.job_deadlines.error_us
     assert leader.calendar_keeper is not None
     assert leader.term.objectives.deadlines_us(job)[0] == job.due_us
-    leader.calendar_keeper.keep_time(at_us + S, at_us + 5 * S)
+    leader.calendar_keeper.follow_clock(at_us + S, at_us + 5 * S)
     assert job.due_us == at_us - 4 * S + H - leader.term.job_deadlines.error_us
-    leader.calendar_keeper.keep_time(at_us + 2 * S, at_us + 6 * S + 1000)
+    leader.calendar_keeper.follow_clock(at_us + 2 * S, at_us + 6 * S + 1000)
     assert job.due_us == at_us - 4 * S + H - leader.term.job_deadlines.error_us
     # The earlier of the two counts.
     assert leader.cluster.jobs[name].first_seen_us + 7200 * S > job.due_us
@@ -491,13 +493,14 @@
     status = successor.status(names[0])
     assert status is not None and status.late
     assert (
-        successor.forecaster.standing(successor.cluster.jobs[fine], 0) is DeadlineStanding.UNKNOWN
+        successor.forecaster.deadline_standing(successor.cluster.jobs[fine], 0)
+        is DeadlineStanding.UNKNOWN
     )
     for _ in range(2):
         leader = terms.lead()
         leader.term.estimates.observe(leader.cluster.jobs[names[0]], 300 * S)
         terms.look(leader)
-        leader.forecaster.say_account(terms.clock())
+        leader.forecaster.log_summary(terms.clock())
     assert len(late_lines(caplog)) == 30
     status = leader.status(names[0])
     assert status is not None and status.late
@@ -511,15 +514,15 @@
     caplog.set_level(logging.INFO)
     name = bound_job(terms, 1, terms.clock() - 5 * S)
     leader = terms.lead()
-    leader.forecaster.look_ahead(terms.clock())
+    leader.forecaster.refresh_due(terms.clock())
     successor = terms.lead()
     # The first one's note is refused by the store, so it says nothing.
     assert leader.calendar_keeper is not None
-    terms.act(leader, leader.calendar_keeper.notes.commit)
+    terms.act(leader, leader.calendar_keeper.late_notifications.commit)
     assert not late_lines(caplog)
     terms.look(successor)
     assert len(late_lines(caplog)) == 1 and "is late" in late_lines(caplog)[0]
-    successor.forecaster.say_account(terms.clock())
+    successor.forecaster.log_summary(terms.clock())
     line = caplog.records[-1].message
     assert "1 jobs are bound; due within the hour: 1, on track 0, late 1, unknown 0" in line
     assert f"(late: {name})" in line
@@ -527,27 +530,27 @@
 
 def history_of(leader: Leader) -> RunTimeHistory:
     assert leader.calendar_keeper is not None
-    return leader.calendar_keeper.history
+    return leader.calendar_keeper.run_time_history
 
 
 def test_a_successor_knows_what_its_predecessors_saw(terms: Terms) -> None:
     name = bound_job(terms, 1, terms.clock() + 9 * H)
     first = terms.lead()
-    assert history_of(first)._news() is None
+    assert history_of(first)._changes() is None
     for _ in range(5):
         first.term.estimates.observe(first.cluster.jobs[name], 300 * S)
-    record = history_of(first)._news()
+    record = history_of(first)._changes()
     assert first.publisher is not None and record is not None
     terms.act(first, lambda: first.publisher.write({KEY: record}))
-    assert history_of(first)._news() is None
+    assert history_of(first)._changes() is None
     second = terms.lead()
     job = second.cluster.jobs[name]
-    assert not second.term.estimates.knows(job)
+    assert not second.term.estimates.has_observations(job)
     history_of(second).load()
     assert second.term.estimates.task_us(job) == pytest.approx(
         first.term.estimates.task_us(job), rel=0.4
     )
-    assert second.term.estimates.knows(job) and history_of(second)._news() is None
+    assert second.term.estimates.has_observations(job) and history_of(second)._changes() is None
 
 
 class Lines(logging.Handler):
@@ -582,13 +585,13 @@
                 case "look":
                     terms.look(leader)
                 case "found only":
-                    leader.forecaster.look_ahead(at())
+                    leader.forecaster.refresh_due(at())
                     leader = terms.lead()
                 case "overlap":
                     former, leader = leader, terms.lead()
-                    former.forecaster.look_ahead(at())
+                    former.forecaster.refresh_due(at())
                     assert former.calendar_keeper is not None
-                    terms.act(former, former.calendar_keeper.notes.commit)
+                    terms.act(former, former.calendar_keeper.late_notifications.commit)
                 case "submit":
                     for _ in range(3):
                         count += 1
@@ -686,11 +689,11 @@
     outlook = JobForecasts(
         into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: 0, S, 4 * S, 100_000
     )
-    assert len(outlook.look(1)) == 5_000
-    looks = sum(len(outlook.look(1 + second * S)) for second in range(1, 61))
+    assert len(outlook.refresh(1)) == 5_000
+    looks = sum(len(outlook.refresh(1 + second * S)) for second in range(1, 61))
     assert looks <= 5_000 * 60 * S // FAR_US
     into.jobs["run-000007"].notify_changed()
-    assert [job.id for job in outlook.look(60 * S + 2)][:1] == ["run-000007"]
+    assert [job.id for job in outlook.refresh(60 * S + 2)][:1] == ["run-000007"]
 
 
 def test_unbound_work_is_due_as_before() -> None:
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -108,7 +108,7 @@
             if key.startswith("j/"):
                 self.leader.job_created(msgspec.convert(value, JobRecord), version)
         for job_id in list(self.leader.dependency_graph.unresolved):
-            self.run(self.leader.job_dependencies.learn_need(job_id))
+            self.run(self.leader.job_dependencies.resolve_dependency(job_id))
 
     def job(self, number: int) -> Job | None:
         return self.leader.cluster.jobs.get(name(number))
@@ -552,12 +552,12 @@
     # It presses while it can still be saved; by itself it has a minute and more to spare.
     goals = ServiceLevelObjectives([])
     task_us = RunTimeEstimates().task_us(first)
-    assert goals.press(first, task_us, 10 * S, 45 * S) is Urgency.PRESSING
+    assert goals.urgency_of(first, task_us, 10 * S, 45 * S) is Urgency.PRESSING
     last.cancelled = True
     chains.remove(last)
     inherit(chains, into, [middle], at_us=10 * S)
     assert (first.effective_level, first.inherited_due_us, middle.effective_level) == (1, (), 1)
-    assert goals.press(first, task_us, 10 * S, 45 * S) is Urgency.PATIENT
+    assert goals.urgency_of(first, task_us, 10 * S, 45 * S) is Urgency.PATIENT
 
 
 def test_placement_and_preemptor_use_the_inherited_priority_alike() -> None:
@@ -610,7 +610,7 @@
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
             world.clock.us += S
-            leader.forecaster.look_ahead(world.clock())
+            leader.forecaster.refresh_due(world.clock())
     said = [r.getMessage() for r in caplog.records if r.levelno >= logging.WARNING]
     assert len(said) == 1
     assert "run-000003 will be late" in said[0]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -467,11 +467,11 @@
     into = cluster()
     soon = add_job(into, job_spec(1, job_class="soon"))
     assert GOALS.target_us(soon, 10 * S, 0) == 50 * S
-    assert GOALS.press(soon, 10 * S, 0, 30 * S) is Urgency.PATIENT
-    assert GOALS.press(soon, 10 * S, 20 * S, 30 * S) is Urgency.PRESSING
-    assert GOALS.press(soon, 10 * S, 98 * S, 30 * S) is Urgency.LATE
+    assert GOALS.urgency_of(soon, 10 * S, 0, 30 * S) is Urgency.PATIENT
+    assert GOALS.urgency_of(soon, 10 * S, 20 * S, 30 * S) is Urgency.PRESSING
+    assert GOALS.urgency_of(soon, 10 * S, 98 * S, 30 * S) is Urgency.LATE
     prompt = add_job(into, job_spec(2, job_class="prompt", deadline_s=900.0))
-    assert GOALS.press(prompt, 10 * S, 0, 30 * S) is Urgency.PRESSING
+    assert GOALS.urgency_of(prompt, 10 * S, 0, 30 * S) is Urgency.PRESSING
 
 
 def test_the_nearest_bound_that_can_be_kept_counts() -> None:
@@ -479,13 +479,13 @@
     into = cluster()
     steady = add_job(into, job_spec(1, job_class="steady"))
     assert GOALS.target_us(steady, 20 * S, 0) == 200 * S
-    assert GOALS.press(steady, 20 * S, 10 * S, 30 * S) is Urgency.PATIENT
-    assert GOALS.press(steady, 20 * S, 170 * S, 30 * S) is Urgency.PRESSING
+    assert GOALS.urgency_of(steady, 20 * S, 10 * S, 30 * S) is Urgency.PATIENT
+    assert GOALS.urgency_of(steady, 20 * S, 170 * S, 30 * S) is Urgency.PRESSING
     soon = add_job(into, job_spec(2, job_class="soon"))
     assert [GOALS.target_us(soon, 12 * S, at * S) for at in (0, 42, 43, 200)] == [
         50 * S, 50 * S, 100 * S, 100 * S,
     ]  # fmt: skip
-    assert GOALS.press(soon, 12 * S, 43 * S, 30 * S) is Urgency.PATIENT
+    assert GOALS.urgency_of(soon, 12 * S, 43 * S, 30 * S) is Urgency.PATIENT
     twice = add_job(into, job_spec(3, job_class="twice", deadline_s=100.0))
     assert [GOALS.target_us(twice, 12 * S, at * S) for at in (0, 93)] == [100 * S, 150 * S]
 
@@ -523,15 +523,15 @@
     """Idle work seemed to start in time by what waited; each moment more came before it."""
     demand = ArrivalRates(100 * S)
     for at in range(300):
-        demand.arrived(2, 50.0 * S, at * S)
+        demand.record(2, 50.0 * S, at * S)
     # 50 CPU seconds a second are 50 CPUs; the memory has filled to 95 % of that.
-    assert demand.above(1, 300 * S) == pytest.approx(47, rel=0.05)
-    assert demand.above(2, 300 * S) == 0
-    assert demand.stretch(1, 100, 300 * S) == pytest.approx(1.9, rel=0.1)
-    assert demand.stretch(2, 100, 300 * S) == 1.0
-    assert demand.stretch(1, 10, 300 * S) == demand.stretch(1, 0.1, 300 * S) == 4.0
-    assert demand.stretch(1, 0, 300 * S) == 1.0
-    assert demand.above(1, 900 * S) < 1
+    assert demand.cpus_above(1, 300 * S) == pytest.approx(47, rel=0.05)
+    assert demand.cpus_above(2, 300 * S) == 0
+    assert demand.delay_factor(1, 100, 300 * S) == pytest.approx(1.9, rel=0.1)
+    assert demand.delay_factor(2, 100, 300 * S) == 1.0
+    assert demand.delay_factor(1, 10, 300 * S) == demand.delay_factor(1, 0.1, 300 * S) == 4.0
+    assert demand.delay_factor(1, 0, 300 * S) == 1.0
+    assert demand.cpus_above(1, 900 * S) < 1
 
     into = cluster(Team("red", 0, 1_000))
     fill = add_job(into, job_spec(1, tasks=50, cpus=4.0, priority="high"))
@@ -548,7 +548,7 @@
         return sum(found.values())
 
     busy = ArrivalRates(100 * S)
-    busy.arrived(2, 12_000.0 * S, S)
+    busy.record(2, 12_000.0 * S, S)
     assert rented(None) == rented(ArrivalRates(100 * S)) == 0
     assert rented(busy) > 0
 
@@ -560,10 +560,10 @@
     """A new leader reads jobs in the order of their names."""
     one, other = ArrivalRates(100 * S), ArrivalRates(100 * S)
     for arrival in arrivals:
-        one.arrived(*arrival)
+        one.record(*arrival)
     for arrival in reversed(arrivals):
-        other.arrived(*arrival)
-    assert one.above(-1, 500 * S) == pytest.approx(other.above(-1, 500 * S))
+        other.record(*arrival)
+    assert one.cpus_above(-1, 500 * S) == pytest.approx(other.cpus_above(-1, 500 * S))
 
 
 def moves(into: Cluster, plan: PlacementPlan | None = None) -> list[str]:
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -53,7 +53,7 @@
     head = cache.head
     found = {}
     for name in head.documents if head is not None else ():
-        kept = cache.kept(document_key(head.edition if head else 0, name), msgspec.Raw)
+        kept = cache.get(document_key(head.edition if head else 0, name), msgspec.Raw)
         if kept is None:
             return None
         found[name] = bytes(kept.value)
@@ -104,14 +104,14 @@
     cache = DocumentCache()
     newest = 0
     for what, body, mark in order:
-        before = cache.mark("d/x")
+        before = cache.version("d/x")
         if what == "put":
             cache.put("d/x", body, mark)
         else:
             cache.drop("d/x", mark)
         newest = max(newest, mark)
-        assert cache.mark("d/x") in (0, before, mark) and cache.mark("d/x") <= newest
-        assert not cache.mark("d/x") or cache.mark("d/x") >= before or what == "drop"
+        assert cache.version("d/x") in (0, before, mark) and cache.version("d/x") <= newest
+        assert not cache.version("d/x") or cache.version("d/x") >= before or what == "drop"
 
 
 @pytest.mark.parametrize(
@@ -169,7 +169,7 @@
             await asyncio.sleep(0)
         for task in tasks:
             task.cancel()
-        head = second.cache.kept(HEAD_KEY, HeadRecord)
+        head = second.cache.get(HEAD_KEY, HeadRecord)
         assert head is not None and head.value.edition == 3
         assert seen(second.cache) == {n: bytes(b) for n, b in offer.documents.items()}
         # Another one reads the same, and takes no older edition.
@@ -177,7 +177,7 @@
         await third.load()
         assert seen(third.cache) == seen(second.cache)
         older = msgspec.json.encode(DocumentSet(2, {}))
-        assert third.take(older).body == b'"older"'
+        assert third.accept_offer(older).body == b'"older"'
 
     asyncio.run(play())
 
--- a/tests/test_equivalence.py
+++ b/tests/test_equivalence.py
@@ -213,7 +213,7 @@
         counts = {job.id: count for job, count in plain.listed}
         backlog = self.scene.backlog
         for job in self.cluster.jobs.values():
-            found = plan.unplaced.count_of(job, backlog.place_of(job.id))
+            found = plan.unplaced.count_of(job, backlog.position_of(job.id))
             assert found == counts.get(job.id, 0)
         expected = plain_reclaims(
             self.cluster, self.lists, plain, self.estimates, self.now, PREEMPTOR, GOALS, 8
@@ -221,7 +221,7 @@
         self.compare_missing(plain, plan)
         reclaims = plan_preemptions(
             self.cluster, self.lists, plan, self.estimates, self.now, PREEMPTOR, GOALS, 8,
-            self.scene.free,
+            self.scene.capacity_index,
         )  # fmt: skip
         assert reclaims == expected
         for reclaim in reclaims:
@@ -240,12 +240,12 @@
         found = forecast_unmet_demand(self.cluster, plan, queues[0], *rest)
         listed = PlacementPlan(unplaced=UnplacedTasks(plain.listed))
         expected = forecast_unmet_demand(self.cluster, listed, queues[1], *rest)
-        assert found.patient == expected.patient
-        assert found.pressing == expected.pressing
+        assert found.deferrable == expected.deferrable
+        assert found.urgent == expected.urgent
         assert math.isclose(found.backlog_us, expected.backlog_us, rel_tol=1e-9)
 
     def compare_forecasts(self) -> None:
-        boots = self.boots.boots()
+        boots = self.boots.forecast()
         plain = boot_forecast_of(self.cluster.machines.values())
         assert boots == plain
         for job in self.cluster.jobs.values():
@@ -266,7 +266,7 @@
         town.compare_placement()
         town.cluster.check_invariants()
         town.scene.refresh(town.now)
-        assert town.scene.backlog.strays() == []
+        assert town.scene.backlog.inconsistent_jobs() == []
         town.compare_forecasts()
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -89,7 +89,7 @@
     counts: dict[str, int] = {}
     count_calls(monkeypatch, backlog, "entry_of", counts)
     count_calls(monkeypatch, placement.FreeCapacity, "__init__", counts)
-    count_calls(monkeypatch, placement.FreeCapacity, "fits", counts)
+    count_calls(monkeypatch, placement.FreeCapacity, "capacity_for", counts)
     count_calls(monkeypatch, placement, "usable", counts)
     plan = plan_pass(scene, 2 * S, 10 * S)
     assert plan.starts == [] and bool(plan.unplaced)
@@ -102,7 +102,7 @@
     assert len(plan.starts) == 1
     assert counts["entry_of"] == 1
     assert counts["__init__"] == 1
-    assert counts["usable"] <= 4 and counts["fits"] <= 8
+    assert counts["usable"] <= 4 and counts["capacity_for"] <= 8
 
 
 def test_time_alone_moves_only_the_jobs_that_it_carries_over_a_bound(
@@ -131,22 +131,22 @@
     watch = JobForecasts(
         into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: S, S, 4 * S, 50_000
     )
-    assert len(watch.look(S)) == jobs + 2
+    assert len(watch.refresh(S)) == jobs + 2
     counts: dict[str, int] = {}
     count_calls(monkeypatch, job_forecasts, "forecast_us", counts)
     count_calls(monkeypatch, job_forecasts.BootTracker, "_enter", counts)
-    assert watch.look(2 * S) == []
+    assert watch.refresh(2 * S) == []
     assert counts == {}
     into.jobs["run-000003"].notify_changed()
     due.notify_changed()
-    assert len(watch.look(3 * S)) == 2
+    assert len(watch.refresh(3 * S)) == 2
     # Only the second has a deadline; the other is forecast when somebody asks, once a second.
     assert counts == {"forecast_us": 1}
     for _ in range(3):
-        watch.tell(into.jobs["run-000003"], 3 * S)
+        watch.refresh_job(into.jobs["run-000003"], 3 * S)
     assert counts == {"forecast_us": 2}
     # What others take and what boots changes it as well: looked at again after a while.
-    assert watch.look(7 * S + 1) == [due]
+    assert watch.refresh(7 * S + 1) == [due]
 
 
 def test_a_look_ahead_has_a_bound_and_leaves_nobody_out() -> None:
@@ -157,7 +157,7 @@
     )
     seen: list[Job] = []
     for at_s in range(1, 5):
-        seen += watch.look(at_s * S)
+        seen += watch.refresh(at_s * S)
     assert watch.cut_short == 3
     assert {job.id for job in seen} >= {job.id for job in jobs}
 
@@ -175,7 +175,7 @@
     noticed: dict[str, int] = {}
     turned: dict[str, int] = {}
     for at_us in range(S, 200 * S, S):
-        for job in watch.look(at_us):
+        for job in watch.refresh(at_us):
             due = job.first_seen_us + round((job.spec.deadline_s or 0) * S)
             if job.expected_finish_us is not None and job.expected_finish_us > due:
                 noticed.setdefault(job.id, at_us)
@@ -195,7 +195,7 @@
     plan = plan_pass(scene, 2 * S, 10 * S)
     queue = CapacityForecast(into, [], RunTimeEstimates(), 2 * S, usual_boots(FLEET))
     pushed = itertools.count()
-    take = queue.take
+    take = queue.schedule
 
     def counted(*args: Any) -> Iterator[tuple[int | None, int]]:
         for found in take(*args):
@@ -207,7 +207,7 @@
     found = forecast_unmet_demand(
         into, plan, queue, RunTimeEstimates(), goals, 2 * S, 20 * S, lambda job: 1.0, FLEET
     )
-    assert found.patient and found.patient[0][0] is job
+    assert found.deferrable and found.deferrable[0][0] is job
     # 80 CPUs: 625 turns of 80 tasks.
     assert next(pushed) <= 700
 
@@ -224,8 +224,8 @@
         )
         for settings in (FLEET, FleetTunables(most_considered=10_000).settings())
     )  # fmt: skip
-    assert len(few.patient) == FLEET.most_considered
-    assert len(all_of_them.patient) == 5_000
+    assert len(few.deferrable) == FLEET.most_considered
+    assert len(all_of_them.deferrable) == 5_000
     assert few.backlog_us == pytest.approx(all_of_them.backlog_us, rel=0.05)
 
 
@@ -265,12 +265,12 @@
             await asyncio.sleep(0)
             turns, since = turns + 1, 0
         await loading
-        await leader.scheduling_loop.fill_scene()
+        await leader.scheduling_loop.load_backlog()
 
     asyncio.run(scenario())
     assert (len(leader.cluster.jobs), len(leader.cluster.machines)) == (20_000, 2_500)
     assert longest <= LOAD_BATCH_SIZE and turns >= 2 * 20_000 // LOAD_BATCH_SIZE
-    assert len(leader.scheduling_loop.kept_scene().backlog) == 20_000
+    assert len(leader.scheduling_loop.placement_input().backlog) == 20_000
     assert spec.id in leader.cluster.jobs
 
 
@@ -361,7 +361,7 @@
         f"run-{n:06}" for n in range(3)
     ]
     job = leader.cluster.jobs["run-000001"]
-    kept = leader.scheduling_loop.kept_scene().backlog
+    kept = leader.scheduling_loop.placement_input().backlog
     kept._remove(job)
     leader.scheduling_loop.place()
     assert len(leader.scheduling_loop.last_plan.unplaced) == 2
@@ -518,7 +518,7 @@
     clock.us += 3 * S
 
     async def look() -> int:
-        leader.autoscaler.hire_ahead(clock())
+        leader.autoscaler.rent_replacements(clock())
         duty = asyncio.create_task(leader.state_writer.run())
         await settle()
         duty.cancel()
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -276,7 +276,7 @@
         for machine in self.leader.cluster.machines.values():
             machine.reconciled = True
         if self.leader.gate_keeper is not None:
-            self.run(self.leader.gate_keeper._square())
+            self.run(self.leader.gate_keeper._reconcile_pending())
         self.look()
 
     def close(self) -> None:
@@ -300,7 +300,7 @@
         """The duty's look, once."""
         if self.leader.gate_keeper is None:
             return
-        self.run(self.gates._look(list(self.leader.cluster.jobs.values())))
+        self.run(self.gates._process_changes(list(self.leader.cluster.jobs.values())))
 
     def submit(self, number: int, job_class: str, *, documents: DocumentReplica | None = None,
                needs: tuple[int, ...] = (), **of: Any) -> int:  # fmt: skip
@@ -377,7 +377,7 @@
     # Cancelled like any other.
     world.run(world.leader.cancel(run_id(7)))
     world.look()
-    assert run_id(7) not in world.gates.books["book"].jobs
+    assert run_id(7) not in world.gates.trackers["book"].jobs
 
 
 def test_leaders_may_end_after_any_step(world: World) -> None:
@@ -538,9 +538,9 @@
     world.leader.job_created(record, world.state.revision)
 
     async def begin() -> None:
-        task = asyncio.create_task(world.gates._enter_acts())
+        task = asyncio.create_task(world.gates._enter_actions())
         await asyncio.sleep(0.02)
-        world.gates._settle()
+        world.gates._update_quiescence()
         assert world.job(10).waiting == 0 and world.gates.held_by(world.job(10)) is None
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -611,16 +611,16 @@
     world.clock.us += 2 * S
     world.look()
     at_us = world.clock()
-    assert not world.gates.outlook.upcoming(at_us, at_us + 3_600 * S)
+    assert not world.gates.forecast.expected_demand(at_us, at_us + 3_600 * S)
     world.submit(4, "post")
     world.clock.us += 2 * S
     world.look()
     at_us = world.clock()
-    found = world.gates.outlook.upcoming(at_us, at_us + 3_600 * S)
+    found = world.gates.forecast.expected_demand(at_us, at_us + 3_600 * S)
     assert [item.job.id for item in found] == [run_id(1)] and found[0].starts_us > at_us
-    assert not world.gates.outlook.upcoming(at_us, at_us + 1 * S)
+    assert not world.gates.forecast.expected_demand(at_us, at_us + 1 * S)
     later_us = at_us + 7_201 * S
-    assert not world.gates.outlook.upcoming(later_us, later_us + 3_600 * S)
+    assert not world.gates.forecast.expected_demand(later_us, later_us + 3_600 * S)
 
 
 def test_thousands_are_released_without_a_write(world: World) -> None:
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -57,7 +57,7 @@
             machine.record_heartbeat(self.now, SILENCE)
         self.scene.refresh(self.now)
         if self.hold:
-            self.scene.holds = self.holding.look(
+            self.scene.reservations = self.holding.update(
                 self.now, lambda machine: usable(machine, self.now, SILENCE)
             )
         return plan_pass(self.scene, self.now, SILENCE)
@@ -76,9 +76,9 @@
         if self.hold:
             self.check_share()
         for start in plan.starts:
-            held_for = self.scene.holds.machines.get(start.machine.name, start.job.id)
+            held_for = self.scene.reservations.machines.get(start.machine.name, start.job.id)
             if held_for != start.job.id:
-                until_us, _ = self.scene.holds.until_us[start.machine.name]
+                until_us, _ = self.scene.reservations.until_us[start.machine.name]
                 assert self.now + 2 * start.job.spec.estimate_us <= until_us
             attempt = self.cluster.start(start.job, start.index, start.machine, self.now)
             attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, self.now
@@ -88,7 +88,7 @@
         """What is emptied stays within the share, or is one machine."""
         emptied = [
             machine
-            for name, job_id in self.scene.holds.machines.items()
+            for name, job_id in self.scene.reservations.machines.items()
             if not (machine := self.cluster.machines[name]).capacity_for(self.cluster.jobs[job_id])
             and sum(a.job.spec.cpus for a in machine.attempts.values() if a.job.spec.cpus > 4)
             < machine.type.cpus / 2
@@ -134,8 +134,8 @@
     for _ in range(40):
         town.change()
         town.scene.refresh(town.now)
-        town.scene.holds = holding.look(town.now, lambda machine: True)
-        assert town.scene.holds == Reservations()
+        town.scene.reservations = holding.update(town.now, lambda machine: True)
+        assert town.scene.reservations == Reservations()
         town.compare_placement()
 
 
@@ -152,14 +152,14 @@
     filled(field, {"vm-000000": 80, "vm-000001": 45, "vm-000002": 70})
     wide = field.job(waited_us=20 * S, cpus=8.0)
     assert field.decide().starts == []
-    assert field.scene.holds.machines == {"vm-000001": wide.id}
+    assert field.scene.reservations.machines == {"vm-000001": wide.id}
     # Later by half more than is estimated it would be too late; not before that.
     field.now -= 15 * S
     early = CapacityReserver(field.cluster, field.scene.backlog, field.estimates, SETTINGS)
-    assert early.look(field.now, lambda machine: True).machines == {}
+    assert early.update(field.now, lambda machine: True).machines == {}
     field.now += 16 * S
     successor = CapacityReserver(field.cluster, field.scene.backlog, field.estimates, SETTINGS)
-    assert successor.look(field.now, lambda machine: True).machines == {"vm-000001": wide.id}
+    assert successor.update(field.now, lambda machine: True).machines == {"vm-000001": wide.id}
 
 
 def test_what_is_held_no_longer_is_looked_at_again() -> None:
@@ -184,7 +184,7 @@
     field.job(waited_us=5 * S)
     wide = field.job(waited_us=50 * S, cpus=6.0)
     assert field.decide().starts == []
-    assert field.scene.holds == Reservations({}, {}, {wide.team: (6.0, 0.0)})
+    assert field.scene.reservations == Reservations({}, {}, {wide.team: (6.0, 0.0)})
 
 
 def test_a_held_machine_is_emptied_as_a_set_and_nobody_else_claims_it() -> None:
@@ -199,7 +199,7 @@
     wide = field.job(waited_us=50 * S, cpus=6.0)
     field.job(waited_us=50 * S, job_class="prompt", cpus=1.0)
     plan = field.decide()
-    held = field.scene.holds.machines
+    held = field.scene.reservations.machines
     assert list(held.values()) == [wide.id]
     # What may not be stopped still runs there: nobody is stopped in vain.
     for expected in (0, 1):
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -223,11 +223,11 @@
     first = term(state, cloud)
 
     async def rent_and_return() -> None:
-        first.term.background_tasks.start("deletions", first.rental_manager._delete)
+        first.term.background_tasks.start("deletions", first.rental_manager._delete_returned)
         state.fates = list(fates)
-        first.rental_manager.hire(RentalOffer(machine_type(), "a", True), 2)
+        first.rental_manager.rent(RentalOffer(machine_type(), "a", True), 2)
         await settle()
-        first.rental_manager.delete(dict(first.cluster.machines))
+        first.rental_manager.return_machines(dict(first.cluster.machines))
         await settle()
         assert not first.cluster.machines
         state.release_late()
@@ -242,7 +242,7 @@
     second = term(state, cloud)
     run(played(second, begin))
     assert len(cloud.rented) == asked == 1
-    assert not second.cluster.machines and not second.rental_manager.coming()
+    assert not second.cluster.machines and not second.rental_manager.pending()
     # What had to be kept of it goes with the term that could not delete it for good.
     assert not [key for key in state.keys if key.startswith(RENTALS)]
 
@@ -253,7 +253,7 @@
     first = term(state, cloud)
 
     async def rent() -> None:
-        first.rental_manager.hire(RentalOffer(machine_type(), "a", True), 2)
+        first.rental_manager.rent(RentalOffer(machine_type(), "a", True), 2)
         await settle()
 
     run(played(first, rent))
@@ -272,7 +272,7 @@
         state.fates = list(fates)
         for number, machine in enumerate(list(first.cluster.machines.values())):
             machine.address = f"10.0.0.{number}:1"
-            await first.rental_manager.mark_up(machine)
+            await first.rental_manager.enroll(machine)
             if moves:
                 state.release_late()
         assert all(machine.enrolled for machine in first.cluster.machines.values())
--- a/tests/test_lone_leader.py
+++ b/tests/test_lone_leader.py
@@ -88,7 +88,7 @@
     job = site.leader.cluster.jobs[JOB]
     for index in range(job.spec.tasks):
         job.complete_waiting(index)
-    site.leader.term.background_tasks.once("end", site.leader.completions._end(job))
+    site.leader.term.background_tasks.spawn("end", site.leader.completions._end(job))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -249,14 +249,14 @@
         pass
 
     async def write(self) -> None:
-        self.leader.rental_manager.hire(RentalOffer(machine_type(), "a", True), 2)
+        self.leader.rental_manager.rent(RentalOffer(machine_type(), "a", True), 2)
         await eventually(lambda: self.cloud.rented or self.duty.done())
 
     async def meanwhile(self) -> None:
         assert not self.cloud.rented
 
     def succeeded(self, successor: Leader) -> None:
-        (self.name,) = successor.rental_manager._open()
+        (self.name,) = successor.rental_manager._unsettled()
         assert self.state.lost.keys() == {RENTALS + self.name}
 
     async def answered(self) -> None:
@@ -271,7 +271,7 @@
 
     async def write(self) -> None:
         await super().write()
-        await eventually(lambda: self.leader.rental_manager._open() == [] or self.duty.done())
+        await eventually(lambda: self.leader.rental_manager._unsettled() == [] or self.duty.done())
         await eventually(lambda: not self.leader.state_writer.unanswered_keys or self.duty.done())
 
     async def meanwhile(self) -> None:
@@ -364,7 +364,7 @@
         return [value["machines"] for key, (value, _) in self.state.keys.items() if RENTALS in key]
 
     async def write(self) -> None:
-        await self.leader.rental_manager._enter("x")
+        await self.leader.rental_manager._write_divided("x")
 
     async def meanwhile(self) -> None:
         kept = self.kept()
@@ -384,7 +384,7 @@
 
     async def write(self) -> None:
         attempt = self.start(index=1)
-        self.leader.scheduling_loop.lending.took(attempt, self.clock())
+        self.leader.scheduling_loop.preemption_recorder.record(attempt, self.clock())
         await eventually(lambda: self.state.lost)
         await eventually(lambda: not self.leader.state_writer.unanswered_keys or self.duty.done())
 
@@ -465,9 +465,9 @@
 
     async def answered(self) -> None:
         assert self.leader.gate_keeper is not None
-        await self.leader.gate_keeper._look(list(self.leader.cluster.jobs.values()))
+        await self.leader.gate_keeper._process_changes(list(self.leader.cluster.jobs.values()))
         assert self.job(9).blocking_gate is not None
-        state = self.leader.gate_keeper.books["book"].state
+        state = self.leader.gate_keeper.trackers["book"].state
         assert state is not None and state.pending[0].job == "run-000008"
 
 
@@ -514,13 +514,13 @@
         self.leader.term.ready = True
         assert self.leader.gate_keeper is not None
         self.gates = self.leader.gate_keeper
-        await self.gates._look([])
+        await self.gates._process_changes([])
         assert (await self.accepted(7, "quotes")).gate_hold == GateHold("book", 1)
         assert self.job(7).blocking_gate is None
 
     async def write(self) -> None:
         await self.accepted(8, CLASSES["rebuild"])
-        await self.gates._look([])
+        await self.gates._process_changes([])
 
     async def meanwhile(self) -> None:
         assert (await self.accepted(9, "quotes")).gate_hold == GateHold("book", 2)
@@ -530,15 +530,15 @@
 
     def succeeded(self, successor: Leader) -> None:
         assert successor.gate_keeper is not None
-        assert successor.gate_keeper.books["book"].state == self.kept()
+        assert successor.gate_keeper.trackers["book"].state == self.kept()
         assert successor.cluster.jobs["run-000009"].blocking_gate is not None
 
     def kept(self) -> GateState:
         return msgspec.convert(self.state.keys[KEY][0], GateState)
 
     async def answered(self) -> None:
-        assert self.gates.books["book"].state == self.kept()
-        await self.gates._look([])
+        assert self.gates.trackers["book"].state == self.kept()
+        await self.gates._process_changes([])
         assert self.job(8).blocking_gate is None
         assert self.job(9).blocking_gate is not None
 
@@ -558,7 +558,7 @@
         self.gates = self.leader.gate_keeper
         await self.accepted(7, "quotes")
         await self.accepted(8, CLASSES["publication"])
-        await self.gates._look([])
+        await self.gates._process_changes([])
         assert not self.kept().editions[0].open
 
     async def write(self) -> None:
@@ -567,14 +567,14 @@
     async def meanwhile(self) -> None:
         assert KEY in self.state.lost and self.kept().editions[0].open
         assert await self.told_by_both("run-000008") == ["done"] * 2
-        await self.gates._look([])
+        await self.gates._process_changes([])
         assert self.job(7).blocking_gate is not None
 
     def succeeded(self, successor: Leader) -> None:
         assert successor.cluster.jobs["run-000007"].blocking_gate is None
 
     async def answered(self) -> None:
-        await self.gates._look([])
+        await self.gates._process_changes([])
         assert self.job(7).blocking_gate is None
 
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -124,7 +124,7 @@
 def test_followers_of_a_full_leader_refuse_too() -> None:
     """Whoever accepts a job, the leader keeps it: its memory filled up by others' acceptances."""
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
-    node._state = cast(Any, SimpleNamespace(ok=True))
+    node._state = cast(Any, SimpleNamespace(available=True))
     # What the tests' own process holds is no matter here.
     node.memory = MemoryMonitor(100.0, lambda: 0)
     assert node.memory.admits(now_us())
--- a/tests/test_peer_directory.py
+++ b/tests/test_peer_directory.py
@@ -22,19 +22,19 @@
 class Link:
     """A link to a peer that answers everything, and says whether it is served."""
 
-    connected, format, heard_us = True, 4, 0
+    connected, format, last_message_us = True, 4, 0
 
     def __init__(self, name: str, state_ok: bool) -> None:
         self.name, self.state_ok = name, state_ok
         self.asked: list[str] = []
 
     def alive(self, at_us: int) -> bool:
-        return at_us - self.heard_us < 1_500_000
+        return at_us - self.last_message_us < 1_500_000
 
     def next_id(self) -> int:
         return 1
 
-    async def ask(self, message: ForwardedRequest, *_: Any) -> ForwardedAnswer:
+    async def request(self, message: ForwardedRequest, *_: Any) -> ForwardedAnswer:
         self.asked.append(message.kind)
         return ForwardedAnswer(1, 200, b"{}")
 
@@ -51,20 +51,20 @@
         )
         links = cast(dict[str, PeerLink], self.links)
         self.here = PeerDirectory("n-0", links, cast(LeaderElection, self.campaign), self.at_us)
-        self.state = SimpleNamespace(ok=True, served_us=self.at_us, failed_us=0)
+        self.state = SimpleNamespace(available=True, served_us=self.at_us, failed_us=0)
         self.here.open(cast(StateClient, self.state))
 
     def pass_time(self, seconds: int, *, heard: bool, served: bool) -> int:
         """Let time pass; return what ``/ready`` says then."""
         for _ in range(seconds * 5):
             self.at_us += S // 5
-            self.state.ok = served
+            self.state.available = served
             if served:
                 self.state.served_us = self.at_us
             else:
                 self.state.failed_us = self.at_us
             for link in self.links.values():
-                link.heard_us = self.at_us if heard else link.heard_us
+                link.last_message_us = self.at_us if heard else link.last_message_us
             self.here._update_isolation()
         return self.here.ready().status
 
@@ -110,9 +110,9 @@
     for own in names:
         links = {name: Link(name, name != "n-2") for name in names if name != own}
         for link in links.values():
-            link.heard_us = now_us()
+            link.last_message_us = now_us()
         here = PeerDirectory(own, cast(Any, links), cast(Any, None), 1)
-        here.open(cast(Any, SimpleNamespace(ok=own != "n-2")))
+        here.open(cast(Any, SimpleNamespace(available=own != "n-2")))
         for number in range(40):
             job_id = f"run-{number:06}"
             before = {name: len(link.asked) for name, link in links.items()}
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -211,7 +211,7 @@
     leader = new_leader(StandInState(), clock())
     entered: list[str] = []
     monkeypatch.setattr(
-        leader.rental_manager, "unexpected", lambda report: entered.append(report.machine)
+        leader.rental_manager, "adopt_unexpected", lambda report: entered.append(report.machine)
     )
     there: dict[str, Heartbeat] = {}
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -255,7 +255,7 @@
         for index in (3, 0, 5):
             clock.us += S
             attempt = leader.cluster.start(job, index, machine, clock())
-            leader.scheduling_loop.lending.took(attempt, clock())
+            leader.scheduling_loop.preemption_recorder.record(attempt, clock())
         for _ in range(50):
             await asyncio.sleep(0)
         leader.state_writer.close()
@@ -263,7 +263,7 @@
 
     asyncio.run(take())
     # Three tasks of one job, taken in one pass: one change.
-    assert state.revision == before + 1 and leader.scheduling_loop.lending.writes == 1
+    assert state.revision == before + 1 and leader.scheduling_loop.preemption_recorder.writes == 1
     # The third saves while the leader changes, the first is listed as halted.
     worker = StandInWorker("vm-000001", 4.0)
     worker.tasks["run-000001/5"] = StandInTask(9, "saving")
--- a/tests/test_short_jobs.py
+++ b/tests/test_short_jobs.py
@@ -34,7 +34,8 @@
 def kept(node: ControllerProcess) -> Counter[str]:
     """How much a controller keeps: of jobs that are over, and that is bounded otherwise."""
     sizes = Counter(
-        desk=len(node._request_handler._finals), waiting=len(node._request_handler._turns._waiting)
+        desk=len(node._request_handler._finals),
+        waiting=len(node._request_handler._poll_limiter._waiting),
     )
     leader = node.leader
     if leader is not None and leader.loaded:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -101,11 +101,11 @@
         into.adopt(attempt, into.machines[attempt.machine])
     small = add_job(into, job_spec(99, tasks=1, cpus=0.0, memory_gb=0.0))
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, placement.FreeCapacity, "fits", counts)
+    count_calls(monkeypatch, placement.FreeCapacity, "capacity_for", counts)
     plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert [start.job for start in plan.starts] == [small]
     # Three shapes over a hundred machines, not fifty jobs twice over.
-    assert counts["fits"] <= 5 * 100
+    assert counts["capacity_for"] <= 5 * 100
 
 
 def test_the_preemptor_looks_at_each_victim_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -237,8 +237,8 @@
 
     async def scenario() -> None:
         duty = asyncio.create_task(leader.state_writer.run())
-        leader.term.background_tasks.start("deletions", rentals._delete)
-        rentals.hire(RentalOffer(machine_type(), "a", True), 230)
+        leader.term.background_tasks.start("deletions", rentals._delete_returned)
+        rentals.rent(RentalOffer(machine_type(), "a", True), 230)
         await settle()
         machines = dict(leader.cluster.machines)
         assert len(machines) == 230
@@ -247,7 +247,7 @@
         before = state.revision
         for number, machine in enumerate(machines.values()):
             machine.address = f"10.1.0.{number}:9000"
-            leader.term.background_tasks.once("up", rentals.mark_up(machine))
+            leader.term.background_tasks.spawn("up", rentals.enroll(machine))
         await settle()
         assert all(machine.enrolled for machine in machines.values())
         assert state.revision - before <= 5
@@ -255,7 +255,7 @@
         marked = [address for record in stored for address in record["machines"].values()]
         assert len(marked) == 230 and None not in marked
         before = state.revision
-        rentals.delete(machines)
+        rentals.return_machines(machines)
         await settle()
         assert [len(names) for names in cloud.deleted] == [100, 100, 30]
         assert leader.cluster.machines == {}
@@ -277,7 +277,7 @@
 
     async def scenario() -> None:
         duty = asyncio.create_task(leader.state_writer.run())
-        rentals.hire(RentalOffer(machine_type(), "a", True), 500)
+        rentals.rent(RentalOffer(machine_type(), "a", True), 500)
         # What an earlier leader may have asked for has to be settled all the same.
         rentals._records["n-9-9-1"] = RentalRecord("m4", "a", True, 7, 0)
         await settle()
@@ -290,7 +290,7 @@
         await settle()
         # Nothing of what was refused, or never asked for, stays on record.
         assert len([key for key in state.keys if key.startswith(RENTALS)]) == 2
-        assert not rentals.coming() and not rentals._unsent
+        assert not rentals.pending() and not rentals._unsent
         await leader.close()
         await asyncio.gather(duty, return_exceptions=True)
 
@@ -310,16 +310,16 @@
 
     async def scenario() -> None:
         duty = asyncio.create_task(leader.state_writer.run())
-        leader.term.background_tasks.start("deletions", rentals._delete)
-        rentals.hire(RentalOffer(machine_type(), "a", True), 100)
+        leader.term.background_tasks.start("deletions", rentals._delete_returned)
+        rentals.rent(RentalOffer(machine_type(), "a", True), 100)
         await settle()
-        asked = {(offer.zone, offer.spot) for offer in market.offers(now_us())}
+        asked = {(offer.zone, offer.spot) for offer in market.available(now_us())}
         assert ("a", True) not in asked and ("b", True) in asked
         name = next(iter(leader.cluster.machines))
-        rentals.delete({name: leader.cluster.machines[name]})
+        rentals.return_machines({name: leader.cluster.machines[name]})
         await settle()
         assert name not in leader.cluster.machines
-        assert RentalOffer(machine_type(), "a", True) in market.offers(now_us())
+        assert RentalOffer(machine_type(), "a", True) in market.available(now_us())
         await leader.close()
         await asyncio.gather(duty, return_exceptions=True)
 
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -64,7 +64,7 @@
         return await self._chance.choice(self.peers).poll(job_id, elsewhere=False)
 
     async def ask_home(self, job_id: str) -> Response | None:
-        homes = [self, *(cast(Follower, peer._node) for peer in self.peers)]
+        homes = [self, *(cast(Follower, peer._controller) for peer in self.peers)]
         # Any choice will do that all make alike.
         home = max(homes, key=lambda node: crc32(f"{job_id}{node.number * 7919}".encode()))
         if home is self:
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -44,17 +44,17 @@
 
     async def scenario() -> None:
         duty = asyncio.create_task(leader.state_writer.run())
-        leader.term.background_tasks.start("deletions", rentals._delete)
-        rentals.hire(RentalOffer(machine_type(), "a", True), 3)
+        leader.term.background_tasks.start("deletions", rentals._delete_returned)
+        rentals.rent(RentalOffer(machine_type(), "a", True), 3)
         await settle()
         assert len(leader.cluster.machines) == 3
         async with cloud.turn:
             # The lease runs out while both wait for their turn.
-            rentals.hire(RentalOffer(machine_type(), "a", True), 5)
+            rentals.rent(RentalOffer(machine_type(), "a", True), 5)
             await settle()
             monkeypatch.setattr(authority, "valid", lambda at_us: False)
         machines = dict(leader.cluster.machines)
-        rentals.delete(machines)
+        rentals.return_machines(machines)
         await settle()
         assert [request.count for request in cloud.rented] == [3]
         assert cloud.deleted == []
@@ -93,7 +93,7 @@
     front, asked = desk(state), []
     rate = state.limits.rps * frontdesk.POLL_SHARE
     # Ten polls over the half that is kept for those that have waited.
-    front._turns._level = rate + 10 * frontdesk.POLL_REQUESTS
+    front._poll_limiter._level = rate + 10 * frontdesk.POLL_REQUESTS
     for _ in range(50):
         asked.append(run(front.poll("run-999999"))[0])
     assert asked == [404] * 10 + [503] * 40
@@ -114,7 +114,7 @@
     def next_id(self) -> int:
         return 1
 
-    async def ask(self, message: object, kind: type, timeout_us: int) -> Any:
+    async def request(self, message: object, kind: type, timeout_us: int) -> Any:
         await asyncio.sleep(0)
         self._clock.us += self._late_us
         if isinstance(self._answer, Exception):
@@ -140,7 +140,7 @@
     async def scenario() -> None:
         here = controller()
         here._state = cast(Any, StandInNode())
-        monkeypatch.setattr(here._state, "ok", True, raising=False)
+        monkeypatch.setattr(here._state, "available", True, raising=False)
         duty = asyncio.create_task(here._ping(cast(PeerLink, link)))
         for _ in range(5):
             await asyncio.sleep(0)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -139,8 +139,8 @@
     again = apply_report(into, machine, report(machine, 3, [told]), 0, direct=False)
     assert not again.verdicts
     tally = ReconciliationCounts()
-    tally.tasks.update(outcome.verdicts)
-    assert f"attempts: 1 {verdict.value}" in tally.line(into)
+    tally.attempts.update(outcome.verdicts)
+    assert f"attempts: 1 {verdict.value}" in tally.summary(into)
 
 
 def test_each_standing_of_a_machine() -> None:
@@ -183,22 +183,22 @@
     assert machine.reconciled and machine.relayed and "run-000001/0" in machine.attempts
     assert machine.last_heartbeat_us == machine.lease_from_us == answered_us
     # Whoever has shown the token is not asked for it.
-    assert leader.recovery.status_probes.next(clock()) == [other.name]
+    assert leader.recovery.status_probes.next_targets(clock()) == [other.name]
 
 
 def test_the_newest_message_of_a_machine_is_kept() -> None:
     early, into = HeartbeatBuffer(), cluster()
     machine = add_machine(into)
     messages: list[Heartbeat] = [report(machine, n, []) for n in range(5)]
-    assert early.answer(messages[1], 10, relayed=False)
-    early.shown(messages[0])
-    early.shown(messages[3])
+    assert early.add_answered(messages[1], 10, relayed=False)
+    early.add_probe_answer(messages[0])
+    early.add_probe_answer(messages[3])
     (kept,) = early.take()
-    assert (kept.report, kept.direct, kept.answered_us) == (messages[3], True, 10)
-    early.shown(messages[2])
-    assert early.answer(messages[4], 20, relayed=True)
+    assert (kept.heartbeat, kept.direct, kept.answered_us) == (messages[3], True, 10)
+    early.add_probe_answer(messages[2])
+    assert early.add_answered(messages[4], 20, relayed=True)
     (kept,) = early.take()
-    assert (kept.report, kept.direct, kept.answered_us) == (messages[4], False, 20)
+    assert (kept.heartbeat, kept.direct, kept.answered_us) == (messages[4], False, 20)
     assert len(early) == 0
 
 
@@ -214,25 +214,25 @@
     asking.add(f"vm-{n}" for n in range(60))
     events: list[tuple[int, str, bool]] = []
     at_us = 0
-    while at_us < 30 * S and not asking.over:
+    while at_us < 30 * S and not asking.finished:
         due = [event for event in events if event[0] <= at_us]
         events = [event for event in events if event[0] > at_us]
         for _, name, answers in due:
             if answers:
-                asking.answered(name, at_us)
-                asking.known(name)
+                asking.record_answer(name, at_us)
+                asking.mark_known(name)
             else:
-                asking.failed(name)
-        for name in asking.next(at_us):
+                asking.record_failure(name)
+        for name in asking.next_targets(at_us):
             answers = int(name[3:]) not in gone
             events.append((at_us + (answer_ms if answers else 400) * MS, name, answers))
         assert asking.under_way <= at_once
-        vain = asking.in_vain(at_us, 0)
+        vain = asking.unanswered(at_us, 0)
         assert vain <= {f"vm-{n}" for n in gone}
         if len(vain) == len(gone) > 0:
             break
         at_us += 20 * MS
-    assert asking.over == (not gone)
+    assert asking.finished == (not gone)
     if gone:
         assert len(vain) == len(gone) and at_us < 20 * S
 
@@ -240,10 +240,10 @@
 def test_silence_while_the_loop_is_late_tells_nothing() -> None:
     asking = StatusProbes(ProbeSettings())
     asking.add(["vm-1"])
-    assert asking.next(0) == ["vm-1"] and asking.next(100 * MS) == []
-    assert asking.next(150 * MS) == ["vm-1"]
-    assert asking.in_vain(S, 2 * S) == set()
-    assert asking.in_vain(S, 0) == {"vm-1"}
+    assert asking.next_targets(0) == ["vm-1"] and asking.next_targets(100 * MS) == []
+    assert asking.next_targets(150 * MS) == ["vm-1"]
+    assert asking.unanswered(S, 2 * S) == set()
+    assert asking.unanswered(S, 0) == {"vm-1"}
 
 
 # -- ready by parts ------------------------------------------------------------------------
@@ -284,7 +284,7 @@
     partial = partial_view_of(into.machines.values(), 10)
     into.unverified_usage = unverified_usage(into, partial)
     scene = PlacementInput(into, RunTimeEstimates(), ServiceLevelObjectives([]), 0)
-    plan = plan_pass(scene, 0, 10 * S, 1.0, partial.settled)
+    plan = plan_pass(scene, 0, 10 * S, 1.0, partial.is_settled)
     used = {team: into.usage[team].cpus + hidden_cpus[team] for team in into.teams}
     for start in plan.starts:
         assert (start.job.id, start.index) not in hidden
@@ -303,7 +303,7 @@
     job = add_job(into, job_spec(1, tasks=4))
     job.version, job.cancelled = 50, True
     partial = partial_view_of(into.machines.values(), 10)
-    assert not partial.settled(job)
+    assert not partial.is_settled(job)
     assert unverified_usage(into, partial)["red"].cpus == 4.0
 
 
@@ -315,7 +315,7 @@
     into.machines[machine.name] = machine
     job = add_job(into, job_spec(1, tasks=4))
     partial = partial_view_of(into.machines.values(), None)
-    assert not partial.settled(job)
+    assert not partial.is_settled(job)
     assert unverified_usage(into, partial)["red"].cpus == 8.0
 
 
@@ -328,7 +328,7 @@
     for at_us in range(0, 10 * S, 250 * MS):
         allowed = pace.allowed(0, 5_000, at_us)
         assert allowed is not None
-        pace.stopped(allowed)
+        pace.record(allowed)
         stopped.append(allowed)
     # Five a second, and in no 2 s more than a burst beyond that.
     assert 45 <= sum(stopped) <= 50
--- a/tests/test_uneven_ends.py
+++ b/tests/test_uneven_ends.py
@@ -56,7 +56,7 @@
         self.leader._check_known()
         while self.leader.dependency_graph.unresolved:
             for name in list(self.leader.dependency_graph.unresolved):
-                await self.leader.job_dependencies.learn_need(name)
+                await self.leader.job_dependencies.resolve_dependency(name)
 
     async def close(self) -> None:
         if self.leader is not None:
--- a/tests/test_unheard_machines.py
+++ b/tests/test_unheard_machines.py
@@ -32,7 +32,7 @@
     worker.sequence += 1
     clock.us += S // 2
     _, shown = worker.direct(leader.token, 1, [])
-    leader.recovery.heartbeat_buffer.shown(shown)
+    leader.recovery.heartbeat_buffer.add_probe_answer(shown)
     asyncio.run(leader.recovery.load())
     machine = leader.cluster.machines[worker.name]
     assert machine.reconciled and machine.attempts
@@ -85,7 +85,7 @@
         leader.cluster.jobs.remove(job.id)
     runner.tasks["run-000001/0"] = StandInTask(77, "running")
     meet(leader, runner, clock(), heard=False)
-    assert leader.term.reconciliation_counts.tasks == {verdict: 1}
+    assert leader.term.reconciliation_counts.attempts == {verdict: 1}
     if verdict is AttemptVerdict.UNRECORDED:
         # Accepted and started under the leader before; the watch tells it late.
         leader.cluster.jobs[job.id] = job
@@ -113,7 +113,7 @@
     for _ in range(2):
         meet(leader, worker, clock())
     watch, term = leader.machine_monitor, leader.term
-    leader.rental_manager.delete(dict(leader.cluster.machines))
+    leader.rental_manager.return_machines(dict(leader.cluster.machines))
     assert leader.handle_heartbeat(worker.report(), clock(), relayed=False) is None
     begun_us = clock()
     while not leader.recovery.all_known.is_set() or leader.cluster.machines[worker.name].attempts:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -232,7 +232,7 @@
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
     link = node._links["n-1"]
     link._writer = cast(Any, object())
-    link.heard_us, link.state_ok = 10**18, True
+    link.last_message_us, link.state_ok = 10**18, True
     sent: list[str] = []
 
     async def forward(_: Any, kind: str, *__: Any) -> None:
@@ -327,7 +327,7 @@
 ) -> None:
     """A peer that comes back may be another version: nothing is assumed of a new connection."""
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
-    node._state = cast(Any, SimpleNamespace(ok=True))
+    node._state = cast(Any, SimpleNamespace(available=True))
     pong = asyncio.run(node._peer_request("n-1", peer.Ping(7, 0, True)))
     assert pong == peer.Pong(7, True, FORMAT, False)
 
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -103,7 +103,7 @@
         leader.term.ready = True
         calendars = leader.calendar_keeper
         assert calendars is not None
-        notes = calendars.notes
+        notes = calendars.late_notifications
 
         async def play() -> None:
             running = asyncio.create_task(leader.state_writer.run())
@@ -121,7 +121,7 @@
             for _ in range(9):
                 leader.term.estimates.observe(job, 600 * S)
             before_all = state.requests, state.changes, state.bytes
-            leader.forecaster.look_ahead(clock())
+            leader.forecaster.refresh_due(clock())
             while notes._waiting:
                 await notes.commit()
             now = state.requests, state.changes, state.bytes
@@ -145,10 +145,10 @@
         outlook = JobForecasts(
             into, DependencyGraph(into.jobs), RunTimeEstimates(), lambda job: 0, S, 4 * S, 5_000
         )
-        outlook.look(1)
+        outlook.refresh(1)
         began, looks = time.process_time(), 0
         for second in range(1, 61):
-            looks += len(outlook.look(1 + second * S))
+            looks += len(outlook.refresh(1 + second * S))
         spent_ms = (time.process_time() - began) * 1000 / 60
         click.echo(f"{name}: {looks / 60:.0f} forecasts and {spent_ms:.2f} ms a pass")
 
@@ -173,7 +173,7 @@
     def table() -> DeadlineTable:
         made = DeadlineTable()
         for number, record in enumerate(bounds):
-            made.read(f"run-{number:06}", record)
+            made.read_record(f"run-{number:06}", record)
         return made
 
     def jobs(records: list[bytes]) -> list[Job]:
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -156,7 +156,7 @@
         return plain_starts(into, estimates, GOALS, next(moment), SILENCE, PATIENCE)
 
     def look_at_all() -> None:
-        while outlook.look(next(moment)):
+        while outlook.refresh(next(moment)):
             pass
 
     plain = cost(plain_pass)
@@ -170,8 +170,8 @@
         into, DependencyGraph(into.jobs), estimates, lambda job: S, S, 4 * S, 5_000
     )
     look_at_all()
-    quiet = cost(lambda: outlook.look(next(moment)))
-    looked = cost(lambda: (next(some), outlook.look(next(moment))))
+    quiet = cost(lambda: outlook.refresh(next(moment)))
+    looked = cost(lambda: (next(some), outlook.refresh(next(moment))))
     plan, plain_plan = plan_pass(scene, next(moment), SILENCE), plain_pass()
     listed = PlacementPlan(unplaced=UnplacedTasks(plain_plan.listed))
     at_us = next(moment)
@@ -271,7 +271,7 @@
 
     async def load() -> None:
         await leader.recovery.load()
-        await leader.scheduling_loop.fill_scene()
+        await leader.scheduling_loop.load_backlog()
 
     loading = asyncio.create_task(load())
     began = last = time.process_time()
--- a/weldhead/admission/fair_rate_limiter.py
+++ b/weldhead/admission/fair_rate_limiter.py
@@ -77,7 +77,7 @@
         self._fill(at_us)
         self._level = max(-self._burst, self._level - cost)
 
-    def give_back(self, cost: float) -> None:
+    def refund(self, cost: float) -> None:
         """An answer cost less than was taken for it."""
         self._level = min(self._burst, self._level + cost)
 
--- a/weldhead/admission/team_rate_limiter.py
+++ b/weldhead/admission/team_rate_limiter.py
@@ -80,7 +80,7 @@
         _note(self._taken, at_us)
         return 0
 
-    def turned_away(self, at_us: int) -> int:
+    def record_refusal(self, at_us: int) -> int:
         """The store did not take one that was admitted; return when to come back."""
         self._all.level = min(self._all.level, 0.0)
         return self._come_back_s(at_us)
--- a/weldhead/calendars/binding.py
+++ b/weldhead/calendars/binding.py
@@ -26,7 +26,7 @@
 
 def state_of(cache: DocumentCache, name: str) -> CacheEntry[CalendarState] | None:
     """Return what is kept of a calendar."""
-    return cache.kept(state_key(KIND, name), CalendarState)
+    return cache.get(state_key(KIND, name), CalendarState)
 
 
 def current_state(
@@ -34,7 +34,7 @@
 ) -> CacheEntry[CalendarState] | None:
     """Return what is kept of a calendar as it stands in an edition; None: not computed yet."""
     kept = state_of(cache, calendar.name)
-    body = cache.kept(document_key(edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
+    body = cache.get(document_key(edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
     if kept is None or body is None or kept.value.digest != digest_of(bytes(body.value)):
         return None
     return kept
@@ -52,7 +52,7 @@
     ``error_us`` is how far any time of day may be off. NotComputed: ask again later.
     """
     # That nothing binds it rests on the edition as well.
-    conditions = [Condition(HEAD_KEY, cache.mark(HEAD_KEY))]
+    conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
     first: CalendarDeadline | None = None
     head = cache.head
     for calendar in cache.in_force(KIND, Calendar):
@@ -62,7 +62,7 @@
         state = current_state(cache, head.edition, calendar.value)
         if state is None:
             raise InstantsNotComputedError(name)
-        conditions.append(Condition(state_key(KIND, name), state.mark))
+        conditions.append(Condition(state_key(KIND, name), state.version))
         due_us = state.value.after(wall_us + error_us)
         if due_us is None and state.value.until_us is not None:
             # There are more, and nobody leads who would have computed them.
--- a/weldhead/calendars/deadline_table.py
+++ b/weldhead/calendars/deadline_table.py
@@ -41,7 +41,7 @@
         """Enter what binds a job."""
         self._jobs[job_id] = self._shared.setdefault(bound, bound)
 
-    def read(self, job_id: str, record: bytes) -> None:
+    def read_record(self, job_id: str, record: bytes) -> None:
         """Enter a job by its record."""
         part = _decoder.decode(record)
         if part.bound is None or part.cancelled:
@@ -60,7 +60,7 @@
         for job_id in self._jobs.keys() - job_ids:
             self.drop(job_id)
 
-    def bound(self, job_id: str, cache: DocumentCache) -> CalendarDeadline | None:
+    def deadline(self, job_id: str, cache: DocumentCache) -> CalendarDeadline | None:
         """Return what binds a job now, as far as is known here."""
         found = self._jobs.get(job_id)
         return moved(cache, found) if found is not None else None
@@ -73,12 +73,12 @@
             if bound.due_us <= wall_us + SOON_US:
                 yield job_id, bound
 
-    def words(self, job_id: str, cache: DocumentCache) -> str:
+    def describe(self, job_id: str, cache: DocumentCache) -> str:
         """Say by when a job has to be finished; empty: nothing is known."""
-        bound = self.bound(job_id, cache)
+        bound = self.deadline(job_id, cache)
         return f"; {due(bound)}" if bound is not None else ""
 
-    def line(self, cache: DocumentCache, wall_us: int, at_us: int) -> str:
+    def summary(self, cache: DocumentCache, wall_us: int, at_us: int) -> str:
         """Say what has to be finished soon, for when nobody can be asked."""
         soon = sorted(self.soon(cache, wall_us), key=lambda found: (found[1].due_us, found[0]))
         past = sum(1 for _, bound in soon if bound.due_us < wall_us)
--- a/weldhead/calendars/job_deadlines.py
+++ b/weldhead/calendars/job_deadlines.py
@@ -31,7 +31,7 @@
         """How far any time of day may be off."""
         return self._error_us
 
-    def enter(self, job: Job, at_us: int, wall_us: int) -> None:
+    def add(self, job: Job, at_us: int, wall_us: int) -> None:
         """Enter the instant of a job that its record binds."""
         if job.calendar_deadline is None:
             return
@@ -44,7 +44,7 @@
         if job.calendar_deadline is not None and self._offset_us is not None:
             job.calendar_due_us = job.calendar_deadline.due_us - self._offset_us - self._error_us
 
-    def keep_time(self, jobs: Iterable[Job], at_us: int, wall_us: int) -> list[Job]:
+    def follow_clock(self, jobs: Iterable[Job], at_us: int, wall_us: int) -> list[Job]:
         """Follow a step of the clocks; return the jobs that are due at another moment."""
         offset_us = wall_us - at_us
         if self._offset_us is None or abs(offset_us - self._offset_us) < STEP_US:
--- a/weldhead/controller/configuration/calendars.py
+++ b/weldhead/controller/configuration/calendars.py
@@ -65,7 +65,7 @@
         self._documents = documents
         self._error_us = error_us
         documents.binders.append(self)
-        documents.accepted.append(self.accepted)
+        documents.on_accepted.append(self.accepted)
 
     def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
         """Return the instant that binds a job; Unready if it is not known yet."""
@@ -80,7 +80,7 @@
         bound = record.deadline
         if bound is None:
             return
-        self._documents.table.put(record.spec.id, bound)
+        self._documents.deadline_table.put(record.spec.id, bound)
         past_us = passed_us(self._documents.cache, bound, record.submitted_us, self._error_us)
         if past_us is not None:
             log.info(
@@ -95,11 +95,11 @@
     def __init__(self, documents: DocumentReplica, state: StateClient) -> None:
         self._documents = documents
         self._state = state
-        self._said_us = 0
+        self._logged_us = 0
 
     async def follow(self) -> None:
         """Keep the table; a duty."""
-        table, cache = self._documents.table, self._documents.cache
+        table, cache = self._documents.deadline_table, self._documents.cache
         while not any(True for _ in cache.in_force(KIND, Calendar)):  # noqa: ASYNC110
             await asyncio.sleep(TABLE_PAUSE_S)
         revision = await self._read()
@@ -111,39 +111,39 @@
                 revision = await self._read()
                 continue
             except CallError:
-                self._say(now_us())
+                self._log_deadlines(now_us())
                 await asyncio.sleep(TABLE_PAUSE_S)
                 continue
             for event in changes.events:
                 if event.put is not None:
-                    table.read(event.put.removeprefix(JOBS), bytes(event.value))
+                    table.read_record(event.put.removeprefix(JOBS), bytes(event.value))
                 elif event.delete is not None:
                     table.drop(event.delete.removeprefix(JOBS))
             table.as_of_us = max(table.as_of_us, sent_us)
-            self._said_us = 0
+            self._logged_us = 0
             revision = max(revision, changes.revision)
             await asyncio.sleep(TABLE_PAUSE_S)
 
     async def _read(self) -> int:
-        table, sent_us, revision = self._documents.table, now_us(), 0
+        table, sent_us, revision = self._documents.deadline_table, now_us(), 0
         seen: set[str] = set()
         async for page, revision in self._state.pages(JOBS):  # noqa: B007
             for entry in page:
                 job_id = entry.key.removeprefix(JOBS)
                 seen.add(job_id)
-                table.read(job_id, bytes(entry.value))
+                table.read_record(job_id, bytes(entry.value))
             await asyncio.sleep(0)
         table.keep_only(seen)
         table.as_of_us = max(table.as_of_us, sent_us)
         return revision
 
-    def _say(self, at_us: int) -> None:
+    def _log_deadlines(self, at_us: int) -> None:
         """Log what has to be finished while the store cannot be asked."""
-        table = self._documents.table
-        if not len(table) or (self._said_us and at_us - self._said_us < SAID_US):
+        table = self._documents.deadline_table
+        if not len(table) or (self._logged_us and at_us - self._logged_us < SAID_US):
             return
-        self._said_us = at_us
-        line = table.line(self._documents.cache, wall_us(), at_us)
+        self._logged_us = at_us
+        line = table.summary(self._documents.cache, wall_us(), at_us)
         log.warning("the state service is out of reach; %s", line)
 
 
@@ -160,25 +160,25 @@
         self._publisher = publisher
         self._refresh = refresh
         self._changed = asyncio.Event()
-        publisher.cache.listeners.append(self._heard)
-        publisher.vets.append(self.vet)
+        publisher.cache.listeners.append(self._on_change)
+        publisher.validators.append(self.validate)
         term.job_deadlines.cache = publisher.cache
-        self.notes = LateNotifications(term, publisher)
-        self.history = RunTimeHistory(term, publisher)
+        self.late_notifications = LateNotifications(term, publisher)
+        self.run_time_history = RunTimeHistory(term, publisher)
 
     def start(self, duties: BackgroundTasks) -> None:
         """Begin, once the term is loaded."""
-        self.history.load()
-        duties.start("calendars", self.keep)
-        duties.start("history", self.history.keep)
-        duties.start("late jobs", self.notes.keep)
+        self.run_time_history.load()
+        duties.start("calendars", self.run)
+        duties.start("history", self.run_time_history.run)
+        duties.start("late jobs", self.late_notifications.run)
 
-    def _heard(self, key: str) -> None:
+    def _on_change(self, key: str) -> None:
         if key == HEAD_KEY:
             self._changed.set()
 
     @staticmethod
-    def vet(offer: DocumentSet) -> str | None:
+    def validate(offer: DocumentSet) -> str | None:
         """Say why an edition's calendars cannot be used; None: they can."""
         for name, body in offer.documents.items():
             if not name.startswith(KIND + "/"):
@@ -192,7 +192,7 @@
                 return f"{name}: {error}"
         return None
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Keep the instants of the calendars in force; a duty."""
         while True:
             self._changed.clear()
@@ -211,7 +211,7 @@
             return True
         for kept in list(cache.in_force(KIND, Calendar)):
             calendar = kept.value
-            body = cache.kept(document_key(head.edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
+            body = cache.get(document_key(head.edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
             if body is None:
                 continue
             former = state_of(cache, calendar.name)
@@ -228,7 +228,7 @@
             except (LeadershipLostError, TransactionRejectedError, CallError) as error:
                 log.info("calendar %s: instants not committed: %s", calendar.name, error)
                 return False
-            await self._tell(calendar.name, fresh)
+            await self._announce(calendar.name, fresh)
         return True
 
     def _state(
@@ -255,7 +255,7 @@
         fresh = CalendarState(digest_of(body), edition, instants, until_us, problem=problem)
         return replaced(former, fresh, at_us, error_us, rebinds=calendar.rebinds)
 
-    async def _tell(self, name: str, state: CalendarState) -> None:
+    async def _announce(self, name: str, state: CalendarState) -> None:
         at_us = wall_us()
         due_us = state.after(at_us)
         log.info(
@@ -279,9 +279,9 @@
                 self._refresh([job for job, _ in changed])
                 await asyncio.sleep(0)
 
-    def keep_time(self, at_us: int, time_of_day_us: int) -> None:
+    def follow_clock(self, at_us: int, time_of_day_us: int) -> None:
         """Follow a step of the clocks."""
-        changed = self._term.job_deadlines.keep_time(
+        changed = self._term.job_deadlines.follow_clock(
             self._term.cluster.jobs.values(), at_us, time_of_day_us
         )
         if changed:
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -27,28 +27,28 @@
     ) -> None:
         self._term = term
         self._linking = linking
-        self._books = books
+        self._trackers = books
         #: Held since the last look at what they lend.
-        self.fresh: list[Job] = []
+        self.newly_held: list[Job] = []
         #: When it was looked last; 0: something has changed since.
-        self.looked_us = 0
+        self.refreshed_us = 0
 
-    def look(self, at_us: int) -> None:
+    def refresh(self, at_us: int) -> None:
         """Expect openings from the acts under way, and lend these what waits for them."""
-        if at_us < self.looked_us + EXPECT_US:
+        if at_us < self.refreshed_us + EXPECT_US:
             return
-        self.looked_us = at_us
-        for book in self._books.values():
+        self.refreshed_us = at_us
+        for book in self._trackers.values():
             if book.state is None or not (book.jobs or book.state.pending):
                 continue
             jobs = self._term.cluster.jobs
             acts = [jobs[p.job] for p in book.state.pending if p.job in jobs]
-            book.opening.reason = book.why()
-            book.opening.expected_open_us = opens_us(
+            book.status.reason = book.waiting_reason()
+            book.status.expected_open_us = opens_us(
                 book, {a.id: self._end_us(a, at_us) for a in acts}
             )
-            self._lend(book, acts, at_us)
-        self.fresh.clear()
+            self._inherit(book, acts, at_us)
+        self.newly_held.clear()
 
     def _end_us(self, job: Job, at_us: int) -> int | None:
         """Return when an act's job is expected to be done; None: it cannot be told."""
@@ -63,12 +63,12 @@
             return at_us + max(a.remaining_us(task_us, at_us) for a in job.active.values())
         return at_us + self._linking.stage_us(job)
 
-    def _lend(self, book: GateTracker, acts: list[Job], at_us: int) -> None:
+    def _inherit(self, book: GateTracker, acts: list[Job], at_us: int) -> None:
         """Let acts count with the priority and the deadlines of what waits for them."""
         chains, goals = self._term.dependency_graph, self._term.objectives
-        if book.left and at_us > book.lent_us + LENT_US:
+        if book.jobs_left and at_us > book.inheritance_checked_us + LENT_US:
             # Some may have gone that lent the most.
-            book.left, book.lent_us = False, at_us
+            book.jobs_left, book.inheritance_checked_us = False, at_us
             for act in acts:
                 chains.gate_inheritance.pop(act.id, None)
         for act in acts:
@@ -76,7 +76,9 @@
             bounds: list[tuple[int, list[int]]] = []
             if before is not None:
                 bounds.append((before[0], list(before[1])))
-                fresh = [j for j in self.fresh if j.gate_hold and j.gate_hold.gate == book.name]
+                fresh = [
+                    j for j in self.newly_held if j.gate_hold and j.gate_hold.gate == book.name
+                ]
             else:
                 fresh = list(held(book))
             for job in fresh:
@@ -86,21 +88,21 @@
             now = lent(bounds, MOST_BOUNDS, at_us)
             if now != before:
                 chains.gate_inheritance[act.id] = now
-                self._linking.refresh([act])
+                self._linking.refresh_inherited([act])
 
-    def upcoming(self, at_us: int, until_us: int) -> list[ExpectedDemand]:
+    def expected_demand(self, at_us: int, until_us: int) -> list[ExpectedDemand]:
         """Return held work that is expected to be released by then; machines may be rented.
 
         An act that takes longer than expected must not keep machines for ever: they are
         rented ahead for twice the time of foresight at most, until something changes.
         """
         found: list[ExpectedDemand] = []
-        for book in self._books.values():
-            starts_us = book.opening.expected_open_us
+        for book in self._trackers.values():
+            starts_us = book.status.expected_open_us
             if starts_us is None or starts_us > until_us:
                 continue
-            book.foreseen_us = book.foreseen_us or at_us
-            if at_us - book.foreseen_us > 2 * (until_us - at_us):
+            book.prerented_since_us = book.prerented_since_us or at_us
+            if at_us - book.prerented_since_us > 2 * (until_us - at_us):
                 continue
             teams = self._term.cluster.teams
             ready = (j for j in held(book) if j.team in teams and not j.unmet_dependencies)
--- a/weldhead/controller/configuration/gates.py
+++ b/weldhead/controller/configuration/gates.py
@@ -59,7 +59,7 @@
     for name in head.documents:
         kind, _, gate = name.partition("/")
         if kind == KIND:
-            kept = cache.kept(document_key(head.edition, name), Gate)
+            kept = cache.get(document_key(head.edition, name), Gate)
             found.append((gate, kept.value if kept is not None else None))
     return found
 
@@ -67,9 +67,9 @@
 def _state(cache: DocumentCache, name: str) -> GateState | None:
     """Return what is kept of a gate; None: it cannot be read."""
     key = state_key(KIND, name)
-    if not cache.mark(key):
+    if not cache.version(key):
         return GateState()
-    kept = cache.kept(key, GateState)
+    kept = cache.get(key, GateState)
     return kept.value if kept is not None else None
 
 
@@ -83,7 +83,7 @@
         """Return what a gate says of a job; Unready if its document cannot be read."""
         cache = self._cache
         # Whoever finds no gate for a job does so by this edition of the documents.
-        conditions = [Condition(HEAD_KEY, cache.mark(HEAD_KEY))]
+        conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
         hold: GateHold | None = None
         deed: GateAction | None = None
         for name, gate in _documents(cache, cache.head):
@@ -97,7 +97,7 @@
             if state is None:
                 raise DocumentsNotLoadedError
             key = state_key(KIND, name)
-            conditions.append(Condition(key, cache.mark(key)))
+            conditions.append(Condition(key, cache.version(key)))
             if holds:
                 hold = GateHold(name, needed_now(state))
             else:
@@ -119,47 +119,47 @@
         self._publisher = publisher
         self._linking = linking
         self._dispatcher = dispatcher
-        self.books: dict[str, GateTracker] = {}
+        self.trackers: dict[str, GateTracker] = {}
         #: Jobs that perform acts and are not entered yet: gate, act, and what was written
         #: at their acceptance.
-        self._acts: dict[str, tuple[Job, str, str, GateAction | None]] = {}
+        self._unentered_actions: dict[str, tuple[Job, str, str, GateAction | None]] = {}
         #: Held jobs of which something may run.
         self._draining: dict[str, Job] = {}
-        self.outlook = GateForecast(term, linking, self.books)
+        self.forecast = GateForecast(term, linking, self.trackers)
         #: One state is written at a time.
         self._lock = asyncio.Lock()
         self._wake = asyncio.Event()
         #: The documents have changed since they were read, and since all jobs were judged by them.
-        self._outdated = True
-        self._unjudged = False
+        self._documents_changed = True
+        self._jobs_unevaluated = False
         publisher.cache.listeners.append(self._changed)
 
     # -- what is known ---------------------------------------------------------------------
 
     def _changed(self, key: str) -> None:
         if not key.startswith("d/state/"):
-            self._outdated = self._unjudged = True
+            self._documents_changed = self._jobs_unevaluated = True
             self._wake.set()
 
     def reset(self) -> None:
         """Begin anew: the term's records are read, once more if that failed."""
-        self.books.clear()
-        self._acts.clear()
+        self.trackers.clear()
+        self._unentered_actions.clear()
         self._draining.clear()
-        self.outlook.fresh.clear()
-        self._outdated, self._unjudged = True, False
+        self.forecast.newly_held.clear()
+        self._documents_changed, self._jobs_unevaluated = True, False
 
-    def _read(self) -> None:
+    def _load_documents(self) -> None:
         """Take up the documents in force, and gates that are about to be."""
-        self._outdated = False
+        self._documents_changed = False
         names = set()
         for name, gate in self._documents():
             names.add(name)
-            book = self._book(name)
-            book.document, book.gone = gate, False
-        for book in self.books.values():
+            book = self._tracker(name)
+            book.document, book.retired = gate, False
+        for book in self.trackers.values():
             # Without any edition nothing is known, and nothing let through.
-            book.gone = book.name not in names and self._publisher.cache.head is not None
+            book.retired = book.name not in names and self._publisher.cache.head is not None
 
     def _documents(self) -> Iterable[tuple[str, Gate | None]]:
         """Return the gates in force, and those of the edition that is being written.
@@ -167,56 +167,58 @@
         Followers may have read that one and hold jobs by it before this term has its answer: a
         gate that only it has was taken for one of an edition that is over, and let them pass.
         """
-        cache, coming = self._publisher.cache, self._publisher.coming
+        cache, coming = self._publisher.cache, self._publisher.pending_head
         found = dict(_documents(cache, coming)) if coming is not None else {}
         found.update(_documents(cache, cache.head))
         return found.items()
 
-    def _book(self, name: str) -> GateTracker:
-        book = self.books.get(name)
+    def _tracker(self, name: str) -> GateTracker:
+        book = self.trackers.get(name)
         if book is None:
-            book = self.books[name] = GateTracker(name)
+            book = self.trackers[name] = GateTracker(name)
             book.state = _state(self._publisher.cache, name)
-            book.gone = not self._outdated and self._publisher.cache.head is not None
+            book.retired = not self._documents_changed and self._publisher.cache.head is not None
         return book
 
-    def enter(self, job: Job, record: JobRecord) -> None:
+    def add_job(self, job: Job, record: JobRecord) -> None:
         """Take up a job: hold it if a gate does, or until the act that it performs is entered."""
         if job.cancelled or not self._publisher.loaded:
             return
-        if self._outdated or self._publisher.coming is not None:
-            self._read()
+        if self._documents_changed or self._publisher.pending_head is not None:
+            self._load_documents()
         if record.gate_hold is not None:
-            self._hold(self._book(record.gate_hold.gate), job)
+            self._hold(self._tracker(record.gate_hold.gate), job)
         elif record.gate_action is not None:
-            self._act(job, record.gate_action.gate, record.gate_action.act, record.gate_action)
+            self._register_action(
+                job, record.gate_action.gate, record.gate_action.act, record.gate_action
+            )
         else:
             self._by_class(job)
 
     def _by_class(self, job: Job) -> None:
         """Take up a job that was accepted by somebody who knew of no gate."""
-        for book in self.books.values():
-            if book.document is None or book.gone:
+        for book in self.trackers.values():
+            if book.document is None or book.retired:
                 continue
             if book.document.holds_job(job.spec.job_class, job.team):
                 self._hold(book, job)
                 return
             act = book.document.act_of(job.spec.job_class, job.team)
             if act:
-                self._act(job, book.name, act, None)
+                self._register_action(job, book.name, act, None)
                 return
 
     def _hold(self, book: GateTracker, job: Job) -> None:
-        book.enter(job)
+        book.add_job(job)
         if job.blocking_gate is not None:
-            self.outlook.fresh.append(job)
+            self.forecast.newly_held.append(job)
         else:
             self._count_from_opening(book, job)
 
-    def _act(self, job: Job, gate: str, act: str, deed: GateAction | None) -> None:
-        book = self._book(gate)
-        job.blocking_gate = book.opening
-        self._acts[job.id] = job, gate, act, deed
+    def _register_action(self, job: Job, gate: str, act: str, deed: GateAction | None) -> None:
+        book = self._tracker(gate)
+        job.blocking_gate = book.status
+        self._unentered_actions[job.id] = job, gate, act, deed
         self._wake.set()
 
     def _count_from_opening(self, book: GateTracker, job: Job) -> None:
@@ -229,37 +231,39 @@
 
     # -- what is told ----------------------------------------------------------------------
 
-    def why(self, job: Job) -> str:
+    def hold_reason(self, job: Job) -> str:
         """Say why a job is held; "": no gate holds it. For warnings."""
         if job.gate_hold is None or job.blocking_gate is None or job.cancelled:
             return ""
-        book = self.books.get(job.gate_hold.gate)
-        return f"gate {book.name}: {book.why() or 'it opens'}" if book is not None else ""
+        book = self.trackers.get(job.gate_hold.gate)
+        return (
+            f"gate {book.name}: {book.waiting_reason() or 'it opens'}" if book is not None else ""
+        )
 
     def held_by(self, job: Job) -> str | None:
         """Say what holds a job, since when and who has to act; None: nothing does for sure."""
         if job.gate_hold is None or job.blocking_gate is None or job.cancelled:
             return None
-        book = self.books.get(job.gate_hold.gate)
-        if book is None or book.state is None or not book.settled or not book.why():
+        book = self.trackers.get(job.gate_hold.gate)
+        if book is None or book.state is None or not book.quiesced or not book.waiting_reason():
             return None
         since = ""
         if book.state.since_us:
             moment = datetime.fromtimestamp(book.state.since_us // SECOND_US, UTC)
             since = f", since {moment:%Y-%m-%dT%H:%M:%SZ}"
-        return f"{book.name}: {book.why()}{since}"
+        return f"{book.name}: {book.waiting_reason()}{since}"
 
-    def _say(self, book: GateTracker) -> None:
+    def _log_state(self, book: GateTracker) -> None:
         """Log what has become of a gate, once a change, when it is certain."""
-        if not book.settled or book.state is None or book.gone:
+        if not book.quiesced or book.state is None or book.retired:
             return
-        why = book.why()
+        why = book.waiting_reason()
         said = f"{book.state.edition}: {why}"
-        if said == book.said:
+        if said == book.last_logged:
             return
-        book.said = said
+        book.last_logged = said
         if why:
-            log.info("gate %s is closed, %d jobs wait: %s", book.name, book.held(), why)
+            log.info("gate %s is closed, %d jobs wait: %s", book.name, book.held_count(), why)
         else:
             log.info("gate %s is open for edition %d", book.name, book.state.edition)
 
@@ -269,15 +273,15 @@
         """Enter acts, stop what must not begin, release what may; a duty."""
         term = self._term
         feed = term.cluster.jobs.feeds.subscribe()
-        for book in self.books.values():
+        for book in self.trackers.values():
             # The last run of this duty may have failed in the midst of a release.
-            book.changed = True
+            book.needs_release = True
         try:
-            await self._square()
+            await self._reconcile_pending()
             for job in term.cluster.active_jobs.values():
-                self._follow(job)
+                self._track(job)
             while True:
-                await self._look(feed.take())
+                await self._process_changes(feed.take())
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._wake.wait(), LOOK_S)
                 self._wake.clear()
@@ -286,54 +290,58 @@
         finally:
             feed.close()
 
-    async def _look(self, changed: Iterable[Job]) -> None:
+    async def _process_changes(self, changed: Iterable[Job]) -> None:
         """Draw what follows from what has changed since the last look."""
         for job in changed:
-            self._follow(job)
-        if self._outdated or self._unjudged:
-            await self._read_anew()
-        await self._enter_acts()
+            self._track(job)
+        if self._documents_changed or self._jobs_unevaluated:
+            await self._reload_documents()
+        await self._enter_actions()
         self._drain()
-        self._settle()
-        self.outlook.look(now_us())
+        self._update_quiescence()
+        self.forecast.refresh(now_us())
         await self._release()
 
-    async def _read_anew(self) -> None:
+    async def _reload_documents(self) -> None:
         """Take up another edition of the documents: what holds, and who performs acts.
 
         Also where a job that came before this look has had it read already: those on record were
         left as the former edition had them, and stayed held by a gate that was gone.
         """
-        self._unjudged = False
-        self._read()
+        self._jobs_unevaluated = False
+        self._load_documents()
         for some in batches(list(self._term.cluster.jobs.values()), LOAD_BATCH_SIZE):
             for job in some:
-                if job.gate_hold is None and job.id not in self._acts and not job.cancelled:
-                    if not any(self._is_entered(book, job.id) for book in self.books.values()):
+                if (
+                    job.gate_hold is None
+                    and job.id not in self._unentered_actions
+                    and not job.cancelled
+                ):
+                    if not any(self._is_entered(book, job.id) for book in self.trackers.values()):
                         self._by_class(job)
-                        self._follow(job)
+                        self._track(job)
             await asyncio.sleep(0)
-        for book in self.books.values():
-            book.changed = True
-            self._keep_back(book)
+        for book in self.trackers.values():
+            book.needs_release = True
+            self._hold_jobs(book)
 
     @staticmethod
     def _is_entered(book: GateTracker, job_id: str) -> bool:
         return book.state is not None and any(p.job == job_id for p in book.state.pending)
 
-    async def _square(self) -> None:
+    async def _reconcile_pending(self) -> None:
         """Learn the ends of acts that an earlier leader committed without their consequence."""
-        for book in list(self.books.values()):
+        for book in list(self.trackers.values()):
             for entry in book.state.pending if book.state is not None else ():
                 if entry.job in self._term.cluster.jobs:
                     continue
-                final = await self._final(entry.job)
+                final = await self._read_final(entry.job)
                 async with self._lock:
                     assert book.state is not None
                     done = final is not None and final.status == "done"
                     await self._change(book, ended(book.state, entry.job, wall_us(), done=done))
 
-    async def _final(self, job_id: str) -> FinalRecord | None:
+    async def _read_final(self, job_id: str) -> FinalRecord | None:
         while True:
             try:
                 entry = await self._term.state.get(final_key(job_id))
@@ -343,31 +351,33 @@
                 continue
             return decode(bytes(entry.value), FinalRecord) if entry is not None else None
 
-    def _follow(self, job: Job) -> None:
+    def _track(self, job: Job) -> None:
         """Something about a job has changed."""
         gone = self._term.cluster.jobs.get(job.id) is not job or job.cancelled
         if job.gate_hold is not None:
-            book = self.books.get(job.gate_hold.gate)
+            book = self.trackers.get(job.gate_hold.gate)
             if gone and book is not None:
-                book.left = book.jobs.pop(job.id, None) is not None or book.left
+                book.jobs_left = book.jobs.pop(job.id, None) is not None or book.jobs_left
                 self._draining.pop(job.id, None)
             elif job.blocking_gate is not None and job.active:
                 self._draining[job.id] = job
-        elif gone and job.id in self._acts:
-            del self._acts[job.id]
+        elif gone and job.id in self._unentered_actions:
+            del self._unentered_actions[job.id]
 
     # -- acts ------------------------------------------------------------------------------
 
-    async def _enter_acts(self) -> None:
+    async def _enter_actions(self) -> None:
         """Enter the acts whose jobs were accepted, in the order of their acceptance."""
-        if not self._acts:
+        if not self._unentered_actions:
             return
         async with self._lock:
             taken: dict[str, GateState] = {}
             entered: list[tuple[GateTracker, Job, str]] = []
-            for job, gate, act, deed in sorted(self._acts.values(), key=lambda a: a[0].version):
-                book = self.books[gate]
-                if book.gone:
+            for job, gate, act, deed in sorted(
+                self._unentered_actions.values(), key=lambda a: a[0].version
+            ):
+                book = self.trackers[gate]
+                if book.retired:
                     entered.append((book, job, ""))
                     continue
                 before = taken.get(gate, book.state)
@@ -384,14 +394,14 @@
                     taken[gate] = after
                 entered.append((book, job, act if outcome is not ActionEntry.NOTHING else ""))
             for gate, state in taken.items():
-                await self._change(self.books[gate], state)
+                await self._change(self.trackers[gate], state)
             for book, job, act in entered:
-                self._acts.pop(job.id, None)
+                self._unentered_actions.pop(job.id, None)
                 if act in ("rebuild", "withdrawal"):
                     # It begins when nothing of what it ends can begin any more.
-                    book.waiting[job.id] = job
+                    book.pending_actions[job.id] = job
                 else:
-                    self._let_go(job)
+                    self._release_job(job)
 
     @staticmethod
     def _entry(
@@ -408,30 +418,30 @@
         """
         if also is None and state == book.state:
             return
-        book.coming = state
-        self._keep_back(book)
+        book.pending_state = state
+        self._hold_jobs(book)
         key = state_key(KIND, book.name)
         revision = await self._term.state_writer.write({**(also or {}), key: state}, urgent=True)
         self._publisher.cache.put(key, _encode(state), revision)
-        book.state, book.coming, book.changed = state, None, True
-        book.foreseen_us = self.outlook.looked_us = 0
+        book.state, book.pending_state, book.needs_release = state, None, True
+        book.prerented_since_us = self.forecast.refreshed_us = 0
         self._wake.set()
 
-    def _keep_back(self, book: GateTracker) -> None:
-        held = book.hold_back()
+    def _hold_jobs(self, book: GateTracker) -> None:
+        held = book.hold_jobs()
         if not held:
             return
-        book.settled = False
-        self.outlook.fresh += held
+        book.quiesced = False
+        self.forecast.newly_held += held
         self._draining.update((job.id, job) for job in held if job.active)
         self._drain()
 
     async def commit_end(self, job: Job, final: FinalRecord, changes: dict[str, Any]) -> bool:
         """Commit a job's end with what it does to a gate; False: it does nothing to any."""
-        known = self._acts.get(job.id)
-        book = self.books.get(known[1]) if known is not None else None
+        known = self._unentered_actions.get(job.id)
+        book = self.trackers.get(known[1]) if known is not None else None
         if book is None:
-            book = next((b for b in self.books.values() if self._is_entered(b, job.id)), None)
+            book = next((b for b in self.trackers.values() if self._is_entered(b, job.id)), None)
         if book is None:
             return False
         async with self._lock:
@@ -453,37 +463,37 @@
         at_us = now_us()
         cluster = self._term.cluster
         for job in list(self._draining.values()):
-            book = self.books[job.gate_hold.gate] if job.gate_hold is not None else None
+            book = self.trackers[job.gate_hold.gate] if job.gate_hold is not None else None
             if book is None or job.blocking_gate is None or not job.active:
                 del self._draining[job.id]
                 continue
-            for attempt, stop in list(book.stops(job)):
+            for attempt, stop in list(book.required_stops(job)):
                 machine = cluster.machines[attempt.machine]
                 if not request_stop(cluster, attempt, stop, at_us, f"gate {book.name}"):
                     self._dispatcher.schedule(machine)
                 else:
                     self._term.placement_wanted.set()
 
-    def _settle(self) -> None:
+    def _update_quiescence(self) -> None:
         """See which gates nothing can pass any more, and let the acts that closed them begin."""
         about = {
             job.gate_hold.gate
             for job in self._draining.values()
             if job.gate_hold is not None and job.blocking_gate is not None and unbegun(job)
         }
-        for book in self.books.values():
+        for book in self.trackers.values():
             # Before every machine is known, an earlier leader's command may start a task.
             certain = self._term.ready and self._term.valid
-            book.settled = certain and book.coming is None and book.name not in about
-            if book.settled:
-                for job in book.waiting.values():
-                    self._let_go(job)
-                book.waiting.clear()
-                self._say(book)
+            book.quiesced = certain and book.pending_state is None and book.name not in about
+            if book.quiesced:
+                for job in book.pending_actions.values():
+                    self._release_job(job)
+                book.pending_actions.clear()
+                self._log_state(book)
 
     # -- opening ---------------------------------------------------------------------------
 
-    def _let_go(self, job: Job) -> None:
+    def _release_job(self, job: Job) -> None:
         """Let a job's tasks begin."""
         if job.blocking_gate is None:
             return
@@ -494,15 +504,15 @@
 
     async def _release(self) -> None:
         """Release the jobs for which a gate is open, in slices, most urgent first."""
-        for book in [book for book in self.books.values() if book.changed]:
-            book.changed = False
+        for book in [book for book in self.trackers.values() if book.needs_release]:
+            book.needs_release = False
             found = book.releasable()
             for some in batches(found, RELEASED_AT_ONCE):
                 for job in some:
                     # It may have been closed, and the job be gone, since the last slice.
                     if book.jobs.get(job.id) is job and book.may_start(job):
                         self._count_from_opening(book, job)
-                        self._let_go(job)
+                        self._release_job(job)
                 await asyncio.sleep(RELEASE_PAUSE_S)
             if found:
                 log.info("gate %s: %d jobs released", book.name, len(found))
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -34,7 +34,7 @@
         self._term = term
         self._publisher = publisher
         self._chunks: dict[str, Chunk] | None = None
-        self._told: Chunk = {}
+        self._notified: Chunk = {}
         #: What waits to be committed, and is said then: instant, and in words.
         self._waiting: dict[str, tuple[int, str]] = {}
         self._wake = asyncio.Event()
@@ -45,26 +45,26 @@
             keys = self._publisher.cache.keys()
             for key in keys:
                 if key.startswith(f"{STATES}{KIND}/"):
-                    kept = self._publisher.cache.kept(key, Chunk)
+                    kept = self._publisher.cache.get(key, Chunk)
                     self._chunks[key] = dict(kept.value) if kept is not None else {}
             for chunk in self._chunks.values():
-                self._told.update(chunk)
+                self._notified.update(chunk)
         return self._chunks
 
-    def told(self, job: Job) -> bool:
+    def was_notified(self, job: Job) -> bool:
         """Whether a job was told late for its instant, or for a later one."""
         self._load()
         due_us = job.calendar_deadline.due_us if job.calendar_deadline is not None else 0
         waiting = self._waiting.get(job.id)
-        return max(self._told.get(job.id, -1), waiting[0] if waiting else -1) >= due_us
+        return max(self._notified.get(job.id, -1), waiting[0] if waiting else -1) >= due_us
 
-    def tell(self, job: Job, words: str) -> None:
+    def notify(self, job: Job, words: str) -> None:
         """Have it said that a job will be late."""
-        if job.calendar_deadline is not None and not self.told(job):
+        if job.calendar_deadline is not None and not self.was_notified(job):
             self._waiting[job.id] = job.calendar_deadline.due_us, words
             self._wake.set()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Commit what is told, and say it; a duty."""
         while True:
             await self._wake.wait()
@@ -92,7 +92,7 @@
                 chunks[key] = chunk
         for job_id in noted:
             due_us, words = self._waiting.pop(job_id)
-            self._told[job_id] = due_us
+            self._notified[job_id] = due_us
             log.warning("%s", words)
 
     def _plan(self, most: int, value_bytes: int) -> tuple[dict[str, Chunk | None], list[str]]:
--- a/weldhead/controller/configuration/publisher.py
+++ b/weldhead/controller/configuration/publisher.py
@@ -57,15 +57,15 @@
     ) -> None:
         self._state = state
         self._ask_leader = ask_leader
-        self._said: tuple[EditionVerdict, int] | None = None
-        self.offer = offer
+        self._logged: tuple[EditionVerdict, int] | None = None
+        self.own_documents = offer
         self.cache = DocumentCache()
         #: What binds jobs at acceptance: the packages that use documents add theirs.
         self.binders: list[AdmissionBinder] = []
         #: Called with the record of each bound or held job that this controller accepted.
-        self.accepted: list[Callable[[JobRecord], None]] = []
+        self.on_accepted: list[Callable[[JobRecord], None]] = []
         #: What has to be finished by when, as far as this controller knows.
-        self.table = DeadlineTable()
+        self.deadline_table = DeadlineTable()
 
     def bind(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
         """Return all that a job is bound to by what is in memory; Unready if nothing is."""
@@ -103,24 +103,26 @@
         self.cache.as_of_us = max(self.cache.as_of_us, sent_us)
         return revision
 
-    async def bring(self) -> None:
+    async def offer_own_documents(self) -> None:
         """Have the leader take up the edition that this controller brings; a duty."""
         while True:
             await asyncio.sleep(OFFER_PAUSE_S)
-            if self.offer is None or not self.cache.loaded:
+            if self.own_documents is None or not self.cache.loaded:
                 continue
-            verdict = judge_edition(self.cache.head, self.offer, self._state.limits.value_bytes)
-            self._say(verdict, self.offer)
+            verdict = judge_edition(
+                self.cache.head, self.own_documents, self._state.limits.value_bytes
+            )
+            self._log_verdict(verdict, self.own_documents)
             if verdict is EditionVerdict.TAKEN:
-                await self._ask_leader("documents", "", _encode(self.offer))
+                await self._ask_leader("documents", "", _encode(self.own_documents))
 
-    def _say(self, verdict: EditionVerdict, offer: DocumentSet) -> None:
+    def _log_verdict(self, verdict: EditionVerdict, offer: DocumentSet) -> None:
         """Log what becomes of this controller's edition, when that changes."""
         head = self.cache.head
         said = verdict, head.edition if head is not None else 0
-        if self._said == said:
+        if self._logged == said:
             return
-        self._said = said
+        self._logged = said
         match verdict:
             case EditionVerdict.SAME:
                 log.info("documents: edition %d is in force", offer.edition)
@@ -159,10 +161,10 @@
         self.cache = DocumentCache()
         #: The head that is being written: until that is answered it may be in force for whoever
         #: reads the store, and bind what they accept.
-        self.coming: HeadRecord | None = None
+        self.pending_head: HeadRecord | None = None
         self.loaded = False
         #: Say why an edition cannot be used; the packages that use documents add theirs.
-        self.vets: list[Callable[[DocumentSet], str | None]] = []
+        self.validators: list[Callable[[DocumentSet], str | None]] = []
         self._unusable: set[str] = set()
 
     async def load(self) -> None:
@@ -201,7 +203,7 @@
                 self.cache.put(key, bytes(body), revision)
         self.cache.as_of_us = now_us()
 
-    def take(self, body: bytes) -> Response:
+    def accept_offer(self, body: bytes) -> Response:
         """Answer another controller that brings an edition."""
         try:
             offer = _offer_decoder.decode(body)
@@ -216,8 +218,8 @@
 
     async def publish(self) -> None:
         """Bring editions into force, one after the other; a duty."""
-        if self._documents.offer is not None:
-            self._offers.put_nowait(self._documents.offer)
+        if self._documents.own_documents is not None:
+            self._offers.put_nowait(self._documents.own_documents)
         while True:
             offer = await self._offers.get()
             head = self.cache.head
@@ -229,7 +231,7 @@
             if offer.digest in self._unusable:
                 # It is brought again and again, and was said once.
                 continue
-            wrong = next((found for vet in self.vets if (found := vet(offer))), None)
+            wrong = next((found for vet in self.validators if (found := vet(offer))), None)
             if wrong is not None:
                 self._unusable.add(offer.digest)
                 log.error("documents: edition %d is refused: %s", offer.edition, wrong)
@@ -248,9 +250,9 @@
     async def _publish(self, offer: DocumentSet) -> None:
         most = self._state.max_writes
         for changes in steps(offer, self.cache.documents(), most):
-            self.coming = changes.get(HEAD_KEY)
+            self.pending_head = changes.get(HEAD_KEY)
             await self.write(changes, urgent=HEAD_KEY in changes)
-        self.coming = None
+        self.pending_head = None
         old = leftovers(self.cache.head, self.cache.documents())
         for start in range(0, len(old), most):
             await self.write(dict.fromkeys(old[start : start + most]))
--- a/weldhead/controller/configuration/run_time_history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -33,17 +33,17 @@
 
     def load(self) -> None:
         """Take up what was seen in earlier terms."""
-        kept = self._publisher.cache.kept(KEY, Record)
+        kept = self._publisher.cache.get(KEY, Record)
         if kept is not None:
             for name, (total, weight) in kept.value.items():
-                self._term.estimates.recall(name, total, weight)
-        self._written = dict(self._term.estimates.editions)
+                self._term.estimates.restore(name, total, weight)
+        self._written = dict(self._term.estimates.versions)
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Note what is seen of bound classes, where it has moved clearly; a duty."""
         while True:
             await asyncio.sleep(PAUSE_S)
-            record = self._news()
+            record = self._changes()
             if record is None:
                 continue
             try:
@@ -51,18 +51,18 @@
             except (LeadershipLostError, TransactionRejectedError, CallError):
                 continue
 
-    def _news(self) -> Record | None:
+    def _changes(self) -> Record | None:
         """Return the record as it has to be; None: nothing is new."""
         estimates = self._term.estimates
         jobs = self._term.cluster.jobs.values()
         bound = {job.spec.job_class for job in jobs if job.calendar_deadline is not None}
-        fresh = [n for n in bound if estimates.editions.get(n, 0) != self._written.get(n, 0)]
+        fresh = [n for n in bound if estimates.versions.get(n, 0) != self._written.get(n, 0)]
         if not fresh:
             return None
-        self._written = dict(estimates.editions)
-        kept = self._publisher.cache.kept(KEY, Record)
+        self._written = dict(estimates.versions)
+        kept = self._publisher.cache.get(KEY, Record)
         record = dict(kept.value) if kept is not None else {}
-        record |= {name: seen for name in fresh if (seen := estimates.seen(name)) is not None}
+        record |= {name: seen for name in fresh if (seen := estimates.export(name)) is not None}
         while len(msgspec.json.encode(record)) > self._publisher.value_bytes:
             # More classes than a record takes: those that nobody waits for go first.
             gone = next((name for name in record if name not in bound), next(iter(record)))
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -47,52 +47,52 @@
         gates: "GateKeeper | None" = None,
     ) -> None:
         self._term = term
-        self._deciding = deciding
-        self._rentals = rentals
-        self._watch = watch
-        self._gates = gates
-        self._said_summary = ""
+        self._scheduling_loop = deciding
+        self._rental_manager = rentals
+        self._machine_monitor = watch
+        self._gate_keeper = gates
+        self._logged_summary = ""
 
-    async def size_fleet(self) -> None:
+    async def run(self) -> None:
         """Look at the fleet's size, again and again; a duty."""
         said_us = 0
         while True:
-            await self._deciding.pacer.pause(
+            await self._scheduling_loop.loop_budget.pause(
                 "fleet", LoopPriority.FLEET, self._term.tunables.fleet.period_us
             )
             if not self._term.valid:
                 continue
             at_us = now_us()
-            with self._deciding.pacer.measure("fleet"):
+            with self._scheduling_loop.loop_budget.measure("fleet"):
                 if at_us >= said_us + FLEET_LOG_US:
                     said_us = at_us
                     self._log_fleet()
                     self.audit(at_us)
                 if self._term.ready:
-                    self._size_now(at_us)
+                    self._scale(at_us)
                 else:
-                    self.hire_ahead(at_us)
+                    self.rent_replacements(at_us)
 
-    def hire_ahead(self, at_us: int) -> None:
+    def rent_replacements(self, at_us: int) -> None:
         """Rent what replaces machines that recovery waits for in vain.
 
         After half of a fleet died together with its controllers, recovery waits for a whole
         lease, and the boots of what replaces them came on top of it (found on an own day).
         Nothing is started by this, and nothing given up on.
         """
-        if at_us - self._term.loaded_us < HIRE_AHEAD_US or self._rentals.busy:
+        if at_us - self._term.loaded_us < HIRE_AHEAD_US or self._rental_manager.busy:
             return
-        unknown = [m for m in self._watch.live() if not m.reconciled]
+        unknown = [m for m in self._machine_monitor.live() if not m.reconciled]
         if not unknown or not all(m.probes_failed for m in unknown):
             return
-        scene = self._deciding.kept_scene()
+        scene = self._scheduling_loop.placement_input()
         settings = self._term.tunables.fleet.settings()
         plan = plan_nothing(scene, at_us, settings.most_considered)
         fresh = [
             m for m in self._term.cluster.machines.values() if m.rented_us >= self._term.loaded_us
         ]
         missing = sum(m.type.cpus for m in unknown) - sum(m.type.cpus for m in fresh)
-        missing -= sum(item.type.cpus * item.count for item in self._rentals.coming())
+        missing -= sum(item.type.cpus * item.count for item in self._rental_manager.pending())
         hires = plan_scale_out(
             self._term.cluster,
             plan,
@@ -101,7 +101,7 @@
             self._term.objectives,
             at_us,
             settings,
-            self._rentals.coming(),
+            self._rental_manager.pending(),
             self._term.arrival_rates,
             backlog=len(scene.backlog),
             silent={m.name for m in unknown},
@@ -109,76 +109,85 @@
         for offer, count in replacements(hires, missing).items():
             log.info("%d machines do not answer: %d of %s asked for in %s (spot: %s)",
                 len(unknown), count, offer.type.name, offer.zone, offer.spot)  # fmt: skip
-            self._rentals.hire(offer, count)
+            self._rental_manager.rent(offer, count)
 
     def audit(self, at_us: int) -> None:
         """See that no waiting job was lost observation of, and say what the loop suffered from."""
-        scene = self._deciding.kept_scene()
+        scene = self._scheduling_loop.placement_input()
         scene.refresh(at_us)
-        strays = scene.backlog.strays()
+        strays = scene.backlog.inconsistent_jobs()
         if strays:
             log.error(
                 "%d jobs were out of order, %s first; the order is made anew",
                 len(strays), strays[0],
             )  # fmt: skip
             scene.close()
-            self._deciding.scene = None
-        summary = self._deciding.pacer.summary()
-        if summary != self._said_summary:
+            self._scheduling_loop.current_input = None
+        summary = self._scheduling_loop.loop_budget.summary()
+        if summary != self._logged_summary:
             # The counts only grow: repeated each time, an hour-old one looked like a load.
-            self._said_summary = summary
+            self._logged_summary = summary
             log.info("loop: %s", summary)
 
-    def _size_now(self, at_us: int) -> None:
+    def _scale(self, at_us: int) -> None:
         """Look once at what to rent, what to return, and what to empty."""
         settings = self._term.tunables.fleet.settings()
-        silent = self._watch.at_risk(at_us)
-        upcoming = self._upcoming(at_us + settings.foresight_us)
-        if self._gates is not None:
-            upcoming += self._gates.outlook.upcoming(at_us, at_us + settings.foresight_us)
+        silent = self._machine_monitor.at_risk(at_us)
+        upcoming = self._expected_demand(at_us + settings.foresight_us)
+        if self._gate_keeper is not None:
+            upcoming += self._gate_keeper.forecast.expected_demand(
+                at_us, at_us + settings.foresight_us
+            )
         upcoming += endangered(silent, at_us, self._term.lease_us)
         closing = choose_scale_in_candidates(
-            self._term.cluster, self._deciding.last_plan, settings, upcoming
+            self._term.cluster, self._scheduling_loop.last_plan, settings, upcoming
         )
         for machine in self._term.cluster.machines.values():
             machine.scale_in_candidate = machine.name in closing
         for move in plan_consolidation(
-            self._term.cluster, self._deciding.last_plan, self._term.estimates, at_us, settings,
-            self._term.silence_us, self._term.objectives,
-        ):  # fmt: skip
-            self._empty(move, at_us)
-        boots = self._term.boot_history.look(
+            self._term.cluster,
+            self._scheduling_loop.last_plan,
+            self._term.estimates,
+            at_us,
+            settings,
+            self._term.silence_us,
+            self._term.objectives,
+        ):
+            self._drain(move, at_us)
+        boots = self._term.boot_history.expectations(
             self._term.cluster.machines.values(), at_us, settings.boots, settings.minimum_charge_us
         )
         returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
         hopeless = [machine.name for machine in returned if machine.booting]
         if hopeless:
             log.info("%d machines never came up: %s", len(hopeless), ", ".join(hopeless))
-        self._rentals.delete({m.name: m for m in returned})
-        if self._rentals.busy:
+        self._rental_manager.return_machines({m.name: m for m in returned})
+        if self._rental_manager.busy:
             return
         hires = plan_scale_out(
             self._term.cluster,
-            self._deciding.last_plan,
+            self._scheduling_loop.last_plan,
             self._term.rental_offers,
             self._term.estimates,
             self._term.objectives,
             at_us,
             settings,
-            self._rentals.coming(),
+            self._rental_manager.pending(),
             self._term.arrival_rates,
             upcoming,
-            len(self._deciding.scene.backlog) if self._deciding.scene is not None else 0,
+            len(self._scheduling_loop.current_input.backlog)
+            if self._scheduling_loop.current_input is not None
+            else 0,
             {machine.name for machine in silent},
             boots,
-            lambda up_us: self._deciding.ahead(
-                ((item.type, item.count) for item in self._rentals.coming()), up_us
+            lambda up_us: self._scheduling_loop.wide_task_forecast(
+                ((item.type, item.count) for item in self._rental_manager.pending()), up_us
             ),
         )
         for offer, count in hires.items():
-            self._rentals.hire(offer, count)
+            self._rental_manager.rent(offer, count)
 
-    def _upcoming(self, until_us: int) -> list[ExpectedDemand]:
+    def _expected_demand(self, until_us: int) -> list[ExpectedDemand]:
         """Return the jobs that are expected to wait for nothing more by then."""
         return [
             ExpectedDemand(job, job.expected_start_us)
@@ -189,7 +198,7 @@
             and job.team in self._term.cluster.teams
         ]
 
-    def _empty(self, move: MachineDrain, at_us: int) -> None:
+    def _drain(self, move: MachineDrain, at_us: int) -> None:
         """Have a machine's tasks go on or begin anew elsewhere; it is returned when empty."""
         machine = move.machine
         log.info(
@@ -199,7 +208,7 @@
         machine.draining = True
         for attempt in move.attempts:
             stop = StopRequest.SOFT if movable(attempt) else StopRequest.HARD
-            self._deciding.stop(attempt, stop, at_us, "moved")
+            self._scheduling_loop.stop(attempt, stop, at_us, "moved")
 
     def _log_fleet(self) -> None:
         """Say how the fleet's CPUs are used, for operators and for measured rounds."""
@@ -217,11 +226,11 @@
             cost,
             ", ".join(f"{name} {amount:.0f}" for name, amount in cpus.items()),
             waiting,
-            sum(count * job.spec.cpus for job, count in self._deciding.last_plan.unplaced),
+            sum(count * job.spec.cpus for job, count in self._scheduling_loop.last_plan.unplaced),
         )
-        self._log_cards()
+        self._log_gpus()
 
-    def _log_cards(self) -> None:
+    def _log_gpus(self) -> None:
         """Say how the fleet's cards are used, where it has any; ``bare`` machines have no CPUs."""
         machines = [m for m in self._term.cluster.machines.values() if m.type.gpus > 0]
         if not machines:
@@ -233,7 +242,9 @@
             cards[state] += machine.gpus
             for attempt in machine.attempts.values():
                 cards[attempt.phase.value] += attempt.job.spec.gpus
-        unplaced = [(job, n) for job, n in self._deciding.last_plan.unplaced if job.spec.gpus > 0]
+        unplaced = [
+            (job, n) for job, n in self._scheduling_loop.last_plan.unplaced if job.spec.gpus > 0
+        ]
         log.info(
             "cards: %s, allowed %.0f of %d jobs",
             ", ".join(f"{name} {amount:.0f}" for name, amount in cards.items()),
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -36,15 +36,15 @@
 
     def __init__(self, term: Term, gone: Callable[[Machine], None]) -> None:
         self._term = term
-        self._gone = gone
+        self._on_gone = gone
         self._records: dict[str, RentalRecord] = {}
         self._count = 0
         #: Read with machines that another record holds as well.
-        self._untidy: set[str] = set()
+        self._duplicated: set[str] = set()
         self._adopting: set[str] = set()
         #: Names that are gone for good, though the cloud's list may show them for a while.
         self._returned: set[str] = set()
-        self._doomed: dict[str, Machine] = {}
+        self._to_delete: dict[str, Machine] = {}
         self._limit = term.state.limits.value_bytes
         self._deletion = asyncio.Event()
         #: Rentals of this term that were never sent to the cloud: only those can be dropped.
@@ -64,7 +64,7 @@
                 known.address = known.address or address or ""
                 self._records[known.rental_name].machines[machine_name] = known.address or None
                 del record.machines[machine_name]
-                self._untidy.add(name)
+                self._duplicated.add(name)
                 continue
             machine = self._add_machine(machine_name, name, at_us, wall)
             machine.enrolled = address is not None
@@ -73,25 +73,25 @@
 
     def start(self) -> None:
         """Begin the duties, and find out what became of an earlier leader's rentals."""
-        self._term.background_tasks.start("deletions", self._delete)
+        self._term.background_tasks.start("deletions", self._delete_returned)
         self._term.background_tasks.start("machine list", self._list_machines)
         for name in list(self._records):
             # Larger than a value may become: divided before anything has to be changed in it.
-            if name in self._untidy or len(self._parts(name)) > 1:
+            if name in self._duplicated or len(self._parts(name)) > 1:
                 log.info("rental %s: its record is divided", name)
-                self._term.background_tasks.once("rental record", self._enter(name))
+                self._term.background_tasks.spawn("rental record", self._write_divided(name))
             if self._is_dropped(name):
                 # An earlier term could not delete it for good.
-                self._term.background_tasks.once("rental record", self._write_or_drop(name))
-        self._untidy.clear()
-        for name in self._open():
-            self._term.background_tasks.once("hire", self._settle(name))
+                self._term.background_tasks.spawn("rental record", self._write_or_drop(name))
+        self._duplicated.clear()
+        for name in self._unsettled():
+            self._term.background_tasks.spawn("hire", self._settle(name))
 
     def _parts(self, name: str) -> list[dict[str, str | None]]:
         """Divide a rental's machines so that a value holds each part."""
         return divide_machines(self._records[name], self._limit)
 
-    async def _enter(self, name: str) -> None:
+    async def _write_divided(self, name: str) -> None:
         """Write a rental's record; machines for which it has no room go to new ones first.
 
         Whenever the leader ends in between, each machine is in one record or in two, and in
@@ -121,14 +121,14 @@
         for written in (*parts, name):
             self._drop_if_empty(written)
 
-    def _open(self) -> list[str]:
+    def _unsettled(self) -> list[str]:
         """Return the rentals of which it is not known what came of them."""
         return [name for name, record in self._records.items() if not record.settled]
 
-    def coming(self) -> list[PendingRental]:
+    def pending(self) -> list[PendingRental]:
         """Return what is being rented and not entered yet."""
         found = []
-        for name in self._open():
+        for name in self._unsettled():
             record = self._records[name]
             known = self._term.types.get(record.type)
             if known is not None:
@@ -165,7 +165,7 @@
             record.settled, dict(record.machines),
         )  # fmt: skip
 
-    async def mark_up(self, machine: Machine) -> None:
+    async def enroll(self, machine: Machine) -> None:
         """Record that something may run on a machine, before anything is started there."""
         try:
             record = self._records[machine.rental_name]
@@ -181,7 +181,7 @@
 
     # -- renting -------------------------------------------------------------------------
 
-    def hire(self, offer: RentalOffer, count: int) -> None:
+    def rent(self, offer: RentalOffer, count: int) -> None:
         """Rent machines, in as many requests as it takes."""
         while count > 0:
             part = min(count, MOST_RENTED)
@@ -191,7 +191,7 @@
                 offer.type.name, offer.zone, offer.spot, part, wall_us()
             )
             self._unsent.add(name)
-            self._term.background_tasks.once("hire", self._rent(name))
+            self._term.background_tasks.spawn("hire", self._record_and_settle(name))
 
     def _new_name(self) -> str:
         """Return a name that no rental ever had: tokens are unique."""
@@ -201,9 +201,9 @@
     @property
     def busy(self) -> bool:
         """Whether so many requests are under way that more would only wait for the cloud."""
-        return len(self._open()) > max(2, self._term.settings.facts.cloud.rps * 2)
+        return len(self._unsettled()) > max(2, self._term.settings.facts.cloud.rps * 2)
 
-    async def _rent(self, name: str) -> None:
+    async def _record_and_settle(self, name: str) -> None:
         """Record a rental's name, then ask for it."""
         try:
             await self._write(name, urgent=True)
@@ -255,7 +255,7 @@
         # is marked there first, and these writes are made in this order.
         for machine_name in fresh:
             self._add_machine(machine_name, name, at_us, wall_us())
-        await self._enter(name)
+        await self._write_divided(name)
 
     def _wanted(self, name: str) -> bool:
         """Whether a rental is to be asked for: what may have been sent must be settled."""
@@ -295,7 +295,7 @@
 
     # -- machines that nobody expected -----------------------------------------------------
 
-    def unexpected(self, report: Heartbeat) -> None:
+    def adopt_unexpected(self, report: Heartbeat) -> None:
         """A machine that is not in the books and surely is: enter it, then use or return it."""
         if self.is_unexpected(report):
             record = RentalRecord(report.type, report.zone, report.spot, 1, wall_us())
@@ -318,7 +318,7 @@
 
     def _adopt_soon(self, name: str, record: RentalRecord) -> None:
         self._adopting.add(name)
-        self._term.background_tasks.once("adoption", self._adopt(name, record))
+        self._term.background_tasks.spawn("adoption", self._adopt(name, record))
 
     async def _adopt(self, name: str, record: RentalRecord) -> None:
         hire = self._new_name()
@@ -336,26 +336,28 @@
 
     # -- returning -------------------------------------------------------------------------
 
-    def delete(self, machines: dict[str, Machine]) -> None:
+    def return_machines(self, machines: dict[str, Machine]) -> None:
         """Return machines; what runs there counts until the deletion is answered."""
         if not machines:
             return
         for machine in machines.values():
             machine.deleting = True
         self._returned.update(machines)
-        self._doomed.update(machines)
+        self._to_delete.update(machines)
         self._deletion.set()
         log.info("returning %s", ", ".join(machines))
 
-    async def _delete(self) -> None:
+    async def _delete_returned(self) -> None:
         """Return machines, many in a call."""
         while True:
             await self._deletion.wait()
             self._deletion.clear()
             await asyncio.sleep(DELETE_GATHER_S)
-            while self._doomed:
+            while self._to_delete:
                 # What holds work up goes first.
-                order = sorted(self._doomed.values(), key=lambda m: m.reconciled and not m.attempts)
+                order = sorted(
+                    self._to_delete.values(), key=lambda m: m.reconciled and not m.attempts
+                )
                 batch = order[:MOST_DELETED]
                 if not self._term.valid:
                     # Decided before this process stood still: a successor may use them now.
@@ -378,8 +380,8 @@
         """Answered, so the machines and everything on them are gone."""
         hires = set()
         for machine in machines:
-            self._doomed.pop(machine.name, None)
-            self._gone(machine)
+            self._to_delete.pop(machine.name, None)
+            self._on_gone(machine)
             # Its place is free again: a refusal from before says nothing any more. After a
             # fall of half the fleet the cloud was not asked for 15 s (found on an own day).
             offer = (machine.type.name, machine.zone, machine.spot)
@@ -389,7 +391,7 @@
                 del record.machines[machine.name]
                 hires.add(machine.rental_name)
         for hire in hires:
-            self._term.background_tasks.once("rental record", self._write_or_drop(hire))
+            self._term.background_tasks.spawn("rental record", self._write_or_drop(hire))
 
     # -- the cloud's list ------------------------------------------------------------------
 
@@ -433,4 +435,4 @@
                     doomed[machine.name] = machine
         if doomed:
             log.info("%d machines gone by the list", len(doomed))
-        self.delete(doomed)
+        self.return_machines(doomed)
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -79,7 +79,7 @@
         self.completions = Completions(
             term,
             self._ended,
-            self.job_dependencies.withdraw_with_followers,
+            self.job_dependencies.withdraw_with_dependents,
             self.job_dependencies.stop_tasks,
         )
         self.job_dependencies.start(self.completions)
@@ -89,18 +89,18 @@
         self.scheduling_loop = SchedulingLoop(term, self._dispatcher, self.loop_budget)
         self.rental_manager = RentalManager(term, self._machine_gone)
         self.machine_monitor = MachineMonitor(
-            term, self._dispatcher, self.rental_manager.delete, self._check_known
+            term, self._dispatcher, self.rental_manager.return_machines, self._check_known
         )
         #: The term's gates; None: this node is given no documents.
         self.gate_keeper: GateKeeper | None = None
         if self.publisher is not None:
             self.gate_keeper = self._open_gates(self.publisher)
-            self.completions.with_gate = self.gate_keeper.commit_end
+            self.completions.commit_gate_end = self.gate_keeper.commit_end
         self.reachability = ReachabilityMonitor(
             term,
             self._dispatcher,
             self._answered,
-            self.rental_manager.delete,
+            self.rental_manager.return_machines,
             self.machine_monitor.silent_live,
         )
         self.recovery = TermRecovery(
@@ -115,7 +115,7 @@
             self.publisher,
             self.gate_keeper,
         )
-        self.scheduling_loop.partial = self.recovery.partial_view
+        self.scheduling_loop.partial_view = self.recovery.partial_view
         self.autoscaler = Autoscaler(
             term, self.scheduling_loop, self.rental_manager, self.machine_monitor, self.gate_keeper
         )
@@ -126,10 +126,10 @@
         self.calendar_keeper: CalendarKeeper | None = None
         if self.publisher is not None:
             self.calendar_keeper = self._open_calendars(self.publisher)
-            self.forecaster.notes = self.calendar_keeper.notes
-            self.forecaster.keep_time = self.calendar_keeper.keep_time
+            self.forecaster.late_notices = self.calendar_keeper.late_notifications
+            self.forecaster.follow_clock = self.calendar_keeper.follow_clock
         if self.gate_keeper is not None:
-            self.forecaster.held = self.gate_keeper.why
+            self.forecaster.hold_reason = self.gate_keeper.hold_reason
 
     def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
         # Loaded by controllers that are given documents only.
@@ -141,14 +141,14 @@
         # Loaded by controllers that are given documents only.
         from weldhead.controller.configuration.calendars import CalendarKeeper
 
-        return CalendarKeeper(self.term, publisher, self.job_dependencies.refresh)
+        return CalendarKeeper(self.term, publisher, self.job_dependencies.refresh_inherited)
 
     # -- the term's life ------------------------------------------------------------
 
     def start(self) -> None:
         """Begin the term's duties."""
-        self._background_tasks.once("ledger", self._run_state_writer())
-        self._background_tasks.once("recovery", self._recover())
+        self._background_tasks.spawn("ledger", self._run_state_writer())
+        self._background_tasks.spawn("recovery", self._recover())
 
     async def close(self) -> None:
         """End the term."""
@@ -197,40 +197,40 @@
     async def _recover(self) -> None:
         """Read everything, learn what runs where, then start the other duties."""
         term, duties, deciding = self.term, self._background_tasks, self.scheduling_loop
-        duties.once("questions", self.recovery.probe_machines())
-        duties.once("safe revision", self.recovery.find_safe_revision())
+        duties.spawn("questions", self.recovery.probe_machines())
+        duties.spawn("safe revision", self.recovery.find_safe_revision())
         await self.recovery.load_until_done()
-        duties.once("settling", self.recovery.clear_unsettled())
+        duties.spawn("settling", self.recovery.clear_unsettled())
         duties.start("job watch", self._watch_jobs)
         duties.start("machine watch", self.machine_monitor.watch)
         duties.start("reachability", self.reachability.watch_suspects)
-        duties.start("needed jobs", self.job_dependencies.learn_needs, 0.2)
-        duties.start("forecasts", self.forecaster.forecast)
+        duties.start("needed jobs", self.job_dependencies.resolve_dependencies, 0.2)
+        duties.start("forecasts", self.forecaster.run)
         duties.start("loop watch", self.loop_budget.watch_lag)
         if self.publisher is not None:
             duties.start("documents", self.publisher.publish)
         if self.calendar_keeper is not None:
             self.calendar_keeper.start(duties)
-        duties.once("account", self._log_lateness())
+        duties.spawn("account", self._log_lateness())
         if self.gate_keeper is not None:
             duties.start("gates", self.gate_keeper.run)
         self.completions.start()
         self.rental_manager.start()
         term.commit_wanted.set()
         self._check_known()
-        await deciding.fill_scene()
-        duties.start("fleet", self.autoscaler.size_fleet)
-        duties.start("placement", deciding.place_tasks, 0.2)
+        await deciding.load_backlog()
+        duties.start("fleet", self.autoscaler.run)
+        duties.start("placement", deciding.run_placement, 0.2)
         await self.recovery.finish(self._start_preempting)
 
     async def _log_lateness(self) -> None:
         """Say how bound jobs stand, as soon as it is known what runs where, or late enough."""
         with contextlib.suppress(asyncio.TimeoutError):
             await asyncio.wait_for(self.term.became_ready.wait(), ACCOUNT_S)
-        self.forecaster.say_account(now_us())
+        self.forecaster.log_summary(now_us())
 
     def _start_preempting(self) -> None:
-        self._background_tasks.start("preemptor", self.scheduling_loop.preempt)
+        self._background_tasks.start("preemptor", self.scheduling_loop.run_preemption)
 
     def _check_known(self) -> None:
         self.recovery.check_known()
@@ -247,9 +247,9 @@
         if not self.loaded or job_id in self.cluster.jobs or job_id in self.completions.finals:
             return
         job = self.recovery.add_job(record, version, now_us(), wall_us())
-        self.job_dependencies.link(job)
+        self.job_dependencies.add(job)
         if not job.cancelled:
-            self.job_dependencies.refresh([job])
+            self.job_dependencies.refresh_inherited([job])
         self.term.placement_wanted.set()
 
     def status(self, job_id: str) -> JobStatus | None:
@@ -276,7 +276,7 @@
     def _status_of(self, job: Job) -> JobStatus:
         answer = JobStatus(job.id, job.status, job.done, job.running)
         if not job.cancelled:
-            self.forecaster.tell(job)
+            self.forecaster.refresh(job)
             answer.due_at = (
                 utc(job.calendar_deadline.due_us) if job.calendar_deadline is not None else None
             )
@@ -287,7 +287,9 @@
         answer.forecast_s = round(to_seconds(job.expected_finish_us - job.first_seen_us), 1)
         due = due_us(job)
         stands = (
-            self.forecaster.standing(job, now_us()) if job.calendar_deadline is not None else None
+            self.forecaster.deadline_standing(job, now_us())
+            if job.calendar_deadline is not None
+            else None
         )
         if stands is DeadlineStanding.UNKNOWN:
             # Nothing is guessed of a job of no history.
@@ -351,7 +353,7 @@
             return None
         if machine.reconciled and not machine.enrolled and not machine.enrollment_pending:
             machine.enrollment_pending = True
-            self._background_tasks.once("machine up", self.rental_manager.mark_up(machine))
+            self._background_tasks.spawn("machine up", self.rental_manager.enroll(machine))
         commands = pending_commands(
             machine,
             self.completions.is_committed,
@@ -376,7 +378,7 @@
     def _handle_unrecorded_machine(self, report: Heartbeat) -> None:
         """A report of a machine that no record names."""
         if self.rental_manager.is_unexpected(report):
-            self.reachability.probe_unrecorded(report, self.rental_manager.unexpected)
+            self.reachability.probe_unrecorded(report, self.rental_manager.adopt_unexpected)
 
     def _answered(self, machine: Machine, report: Heartbeat) -> None:
         """Take a worker's answer to direct commands."""
@@ -389,12 +391,12 @@
 
     def _apply_buffered(self, early: BufferedHeartbeat) -> None:
         """Take what a machine said before its records were loaded."""
-        machine = self.cluster.machines.get(early.report.machine)
+        machine = self.cluster.machines.get(early.heartbeat.machine)
         if machine is None:
-            self._handle_unrecorded_machine(early.report)
+            self._handle_unrecorded_machine(early.heartbeat)
             return
-        freshness = self.reachability.freshness(machine, early.report)
-        self._apply_message(machine, early.report, direct=early.direct)
+        freshness = self.reachability.freshness(machine, early.heartbeat)
+        self._apply_message(machine, early.heartbeat, direct=early.direct)
         if early.answered_us:
             from_us = machine.lease_from_us
             self._count_answer(machine, freshness, early.answered_us)
@@ -405,7 +407,7 @@
             machine.relayed = early.relayed
             if early.answered:
                 self.reachability.record_answer(
-                    machine, early.report, [], early.answered_us, relayed=early.relayed
+                    machine, early.heartbeat, [], early.answered_us, relayed=early.relayed
                 )
 
     def _apply_message(self, machine: Machine, report: Heartbeat, *, direct: bool) -> None:
@@ -414,7 +416,7 @@
         at_us = now_us()
         if machine.booting and not machine.enrolled and machine.rented_us > self.term.loaded_us:
             # Those of earlier terms may have come up long ago.
-            self.term.boot_history.came(machine, at_us)
+            self.term.boot_history.record_boot(machine, at_us)
         had_notice = machine.interruption_us
         outcome = apply_report(self.cluster, machine, report, at_us, direct=direct)
         self._apply_effect(machine, outcome, at_us)
@@ -426,13 +428,13 @@
     def _apply_effect(self, machine: Machine, outcome: HeartbeatEffect, at_us: int) -> None:
         self._check_known()
         if outcome.verdicts:
-            self.term.reconciliation_counts.tasks.update(outcome.verdicts)
+            self.term.reconciliation_counts.attempts.update(outcome.verdicts)
         if outcome.completed:
             self.term.commit_wanted.set()
         for job, run_us in outcome.run_times:
             self.term.estimates.observe(job, run_us)
         if outcome.verified_start_us:
-            self.machine_monitor.failures.succeeded(machine, outcome.verified_start_us)
+            self.machine_monitor.failures.record_success(machine, outcome.verified_start_us)
         for attempt in outcome.failed:
             self.machine_monitor.record_failure(attempt, at_us)
         for attempt, reason in outcome.lost:
@@ -476,4 +478,4 @@
         self.cluster.forget_attempt_numbers(job.id)
         self.scheduling_loop.reclaims.trim(job.id, 0)
         self.dependency_graph.remove(job)
-        self.job_dependencies.over(job.id, final)
+        self.job_dependencies.job_ended(job.id, final)
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -173,7 +173,7 @@
         self.known_leader, self.known_token = record, entry.version
         self._key_absent.clear()
         if record.name == self.settings.name:
-            self._background_tasks.once("return", self._replace_own_key(record, entry.version))
+            self._background_tasks.spawn("return", self._replace_own_key(record, entry.version))
         elif record.name in self._links and self._links[record.name].refused_us:
             # It ended before anybody had read that it led, and nobody was looking any more.
             self.failure_detector.suspect(record.name)
@@ -280,7 +280,7 @@
                 urgent=True,
             )
         except (ConflictError, LeaseNotFoundError):
-            self._background_tasks.once("lease returned", self._state.revoke(lease))
+            self._background_tasks.spawn("lease returned", self._state.revoke(lease))
             await self.read_leader()
             return
         except CallError:
@@ -319,7 +319,7 @@
         )  # fmt: skip
         self.leader = Leader(term, self._documents)
         self.leader.start()
-        self._background_tasks.once("lease renewal", self._renew(self.leader))
+        self._background_tasks.spawn("lease renewal", self._renew(self.leader))
 
     async def _renew(self, leader: Leader) -> None:
         """Keep the lease; the term ends with the authority."""
@@ -428,8 +428,8 @@
         self.leader = None
         self.lease.end()
         self.known_leader = None
-        self._background_tasks.once("end of term", self._release_term(leader))
-        self._background_tasks.once("leader lookup", self.read_leader())
+        self._background_tasks.spawn("end of term", self._release_term(leader))
+        self._background_tasks.spawn("leader lookup", self.read_leader())
 
     async def _release_term(self, leader: Leader) -> None:
         """Close a term that is over, and have its memory back (``RELEASE_S``)."""
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -79,7 +79,7 @@
         await asyncio.Event().wait()
 
     def _update_isolation(self) -> None:
-        answered_us = max(link.heard_us for link in self._links.values())
+        answered_us = max(link.last_message_us for link in self._links.values())
         contact = LastContact(answered_us, self._state.served_us, self._state.failed_us)
         if self._isolation.update(contact, now_us()):
             if self.isolated:
@@ -97,7 +97,7 @@
             return refusal(503, "machine types not known yet", retry_after_s=1)
         if self.isolated:
             return refusal(503, "this node is alone", retry_after_s=1)
-        if not self._state.ok and self._served_peers(now_us()):
+        if not self._state.available and self._served_peers(now_us()):
             return refusal(503, "the state service refuses this node", retry_after_s=1)
         # In an outage all stay: a balancer without a healthy node serves nobody.
         return Response(200, b"{}")
@@ -142,7 +142,7 @@
         id. None: that is this one. CallFailed if it does not answer in time.
         """
         links = {link.name: link for link in self._served_peers(now_us(), DOCUMENTS_FORMAT)}
-        served = [*links, self._name] if self._state.ok else [*links]
+        served = [*links, self._name] if self._state.available else [*links]
         home = max(
             served, key=lambda name: sha256(f"{job_id} {name}".encode()).digest(), default=""
         )
@@ -175,7 +175,7 @@
             return None
         at_us = now_us()
         try:
-            answer = await link.ask(
+            answer = await link.request(
                 ForwardedRequest(link.next_id(), kind, job_id, body), ForwardedAnswer, FORWARD_US
             )
         except CallError:
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -50,13 +50,13 @@
         self._state = state
         self._read_leader = read_leader
         for link in self._links.values():
-            link.on_lost = self.suspect
+            link.on_refused = self.suspect
 
     def suspect(self, name: str) -> None:
         """A controller refuses connections: is it dead?"""
         if name not in self._being_judged:
             self._being_judged.add(name)
-            self._background_tasks.once(f"suspicion of {name}", self._judge_until_settled(name))
+            self._background_tasks.spawn(f"suspicion of {name}", self._judge_until_settled(name))
 
     async def _judge_until_settled(self, name: str) -> None:
         """Judge a controller until it is alive again, or dead and replaced."""
@@ -96,8 +96,8 @@
     def _judge(
         self, link: PeerLink, observations: list[tuple[str, IndirectProbeResult]]
     ) -> PeerVerdict:
-        others = [other.observed() for other in self._links.values() if other is not link]
-        return judge_peer(link.observed(), others, observations, now_us(), self._state.failed_us)
+        others = [other.observation() for other in self._links.values() if other is not link]
+        return judge_peer(link.observation(), others, observations, now_us(), self._state.failed_us)
 
     async def _indirect_probes(self, name: str) -> list[tuple[str, IndirectProbeResult]]:
         """Ask the others what they see of a controller."""
@@ -107,7 +107,7 @@
             if link.name != name and link.alive(at_us) and link.format >= LOOK_FORMAT
         ]  # fmt: skip
         looks = [
-            link.ask(IndirectProbe(link.next_id(), name), IndirectProbeAnswer, LOOK_US)
+            link.request(IndirectProbe(link.next_id(), name), IndirectProbeAnswer, LOOK_US)
             for link in asked
         ]
         answers = await asyncio.gather(*looks, return_exceptions=True)
@@ -125,8 +125,8 @@
             return IndirectProbeResult.LOST
         if link.connected:
             try:
-                ping = Ping(link.next_id(), 0, self._state.ok)
-                await link.ask(ping, Pong, LOOK_US // 2)
+                ping = Ping(link.next_id(), 0, self._state.available)
+                await link.request(ping, Pong, LOOK_US // 2)
                 return IndirectProbeResult.HEARD
             except CallError:
                 if link.connected:
--- a/weldhead/controller/leadership/promises.py
+++ b/weldhead/controller/leadership/promises.py
@@ -30,7 +30,7 @@
     """Ask all for a promise and enter those that count; return who denied one, if anybody."""
     token, sent_us = authority.token, now_us()
     asked = [
-        link.ask(
+        link.request(
             PromiseRequest(link.next_id(), token, timing.promise_us), PromiseAnswer, timing.renew_us
         )
         for link in links
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -139,7 +139,7 @@
                 self._rental_manager.load(entry.key.removeprefix(RENTALS), hire, at_us, wall)
             await asyncio.sleep(0)
         self._unknown = {m.name: m for m in term.cluster.machines.values() if m.enrolled}
-        shown = (m for m in self._unknown if not self.heartbeat_buffer.showed(m, term.token))
+        shown = (m for m in self._unknown if not self.heartbeat_buffer.has_shown(m, term.token))
         self.status_probes.add(shown)
         revision = 0
         async for entries, revision in term.state.pages(JOBS):  # noqa: B007
@@ -153,10 +153,10 @@
         jobs = list(term.cluster.jobs.values())
         for loaded in batches(jobs):
             for job in loaded:
-                self._job_dependencies.link(job)
+                self._job_dependencies.add(job)
             await asyncio.sleep(0)
         # All others have their own priority and deadline.
-        self._job_dependencies.refresh(term.dependency_graph.blocked.values())
+        self._job_dependencies.refresh_inherited(term.dependency_graph.blocked.values())
         await load_preemption_history(term, at_us, wall)
         async for entries, _ in term.state.pages(PROGRESS):
             for part in batches(entries):
@@ -195,8 +195,8 @@
             # Whoever is given no gates starts nothing that concerns one.
             job.blocking_gate = UNKNOWN_GATE_STATUS
         if self._gates is not None:
-            self._gates.enter(job, record)
-        term.job_deadlines.enter(job, at_us, wall)
+            self._gates.add_job(job, record)
+        term.job_deadlines.add(job, at_us, wall)
         term.cluster.jobs[job.id] = job
         term.state_writer.record_version(job_key(job.id), version)
         return job
@@ -211,8 +211,8 @@
         this one did not know (``docs/incidents/meetings.md``).
         """
         if at_us < self._term.answer_unloaded_until_us or self._runs_live_jobs_only(report):
-            return self.heartbeat_buffer.answer(report, at_us, relayed=relayed)
-        self.heartbeat_buffer.unanswered(report, relayed=relayed)
+            return self.heartbeat_buffer.add_answered(report, at_us, relayed=relayed)
+        self.heartbeat_buffer.add_unanswered(report, relayed=relayed)
         if not self._logged_unanswered:
             self._logged_unanswered = True
             log.warning(
@@ -264,43 +264,43 @@
             await asyncio.sleep(to_seconds(ASK_PAUSE_US))
 
     def _probe_next(self) -> None:
-        for name in self.status_probes.next(now_us()):
-            self._term.background_tasks.once("question", self._probe(name))
+        for name in self.status_probes.next_targets(now_us()):
+            self._term.background_tasks.spawn("question", self._probe(name))
 
     async def _probe(self, name: str) -> None:
         machine = self._term.cluster.machines.get(name)
         if machine is None or machine.reconciled:
-            self.status_probes.failed(name)
-            self.status_probes.known(name)
+            self.status_probes.record_failure(name)
+            self.status_probes.mark_known(name)
             return
         report = await self._dispatcher.probe(name, machine.address, max(1, machine.session))
         if report is None:
-            self.status_probes.failed(name)
+            self.status_probes.record_failure(name)
             return
-        self.status_probes.answered(name, now_us())
+        self.status_probes.record_answer(name, now_us())
         if report.token == self._term.token:
-            self.status_probes.known(name)
+            self.status_probes.mark_known(name)
         # Its turn is another's at once, not at the next look.
         self._probe_next()
         early = BufferedHeartbeat(report, True, 0, False)
         if self._term.loaded:
             self._apply(early)
         else:
-            self.heartbeat_buffer.shown(report)
+            self.heartbeat_buffer.add_probe_answer(report)
 
     def _return_lost_machines(self, at_us: int) -> None:
         """Return machines that were asked in vain, if they look gone rather than cut off.
 
         Most are gone already and only still on record; the answered deletion proves it.
         """
-        for name in self.status_probes.in_vain(at_us, self._loop_budget.lag_us):
+        for name in self.status_probes.unanswered(at_us, self._loop_budget.lag_us):
             machine = self._term.cluster.machines.get(name)
             if machine is not None:
                 machine.probes_failed = True
         live = self._machine_monitor.live()
         unknown = [machine for machine in live if not machine.reconciled]
         if unknown and all(m.probes_failed for m in unknown) and look_lost(unknown, live):
-            self._rental_manager.delete({machine.name: machine for machine in unknown})
+            self._rental_manager.return_machines({machine.name: machine for machine in unknown})
 
     def check_known(self) -> None:
         """See whether every machine on which something may run has been heard or is gone."""
@@ -310,7 +310,7 @@
         for name, machine in list(self._unknown.items()):
             if machine.reconciled or name not in machines:
                 del self._unknown[name]
-                self.status_probes.known(name)
+                self.status_probes.mark_known(name)
         if not self._unknown:
             self.all_known.set()
 
@@ -324,7 +324,7 @@
         log.info(
             "term %d: ready after %.3f s, %d questions; %s",
             term.token, to_seconds(now_us() - term.won_us), self.status_probes.sent,
-            term.reconciliation_counts.line(term.cluster),
+            term.reconciliation_counts.summary(term.cluster),
         )  # fmt: skip
         start_preempting()
         term.placement_wanted.set()
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -150,7 +150,7 @@
 
         documents = DocumentReplica(self._state, offer, self.peers.ask_leader)
         self._background_tasks.start("documents", documents.follow)
-        self._background_tasks.start("edition", documents.bring)
+        self._background_tasks.start("edition", documents.offer_own_documents)
         documents.binders.append(GateBinder(documents.cache))
         CalendarBinder(documents, round(self.settings.facts.clock_error_ms * MILLISECOND_US))
         self._background_tasks.start(
@@ -174,9 +174,9 @@
             token = self.election.lease.token if self.election.lease.valid(at_us) else 0
             silent = self.leader.silent_machines(at_us) if self.leader is not None else ()
             full, known = self.memory.exhausted(at_us), self.election.highest_token
-            ping = Ping(link.next_id(), token, self._state.ok, silent, full, known)
+            ping = Ping(link.next_id(), token, self._state.available, silent, full, known)
             try:
-                pong = await link.ask(ping, Pong, PONG_US)
+                pong = await link.request(ping, Pong, PONG_US)
                 self.election.observe_pong(link.name, pong, at_us)
             except CallError:
                 # Where this process stood still, the silence was its own: what the peer has
@@ -189,14 +189,14 @@
         at_us = now_us()
         match message:
             case Ping():
-                self._links[name].word_us = at_us
+                self._links[name].last_request_us = at_us
                 self.election.observe_token(name, message.known_token)
                 if message.token:
                     self.election.observe_leader(name, message.token)
                     self.memory.observe_leader(at_us, full=message.full)
                     self._forwarding.record_missed(message.silent, at_us)
                 leads, known = self.leader is not None, self.election.highest_token
-                return Pong(message.id, self._state.ok, FORMAT, leads, known)
+                return Pong(message.id, self._state.available, FORMAT, leads, known)
             case ForwardedRequest():
                 answer = await self._answer_peer(message)
                 return ForwardedAnswer(message.id, answer.status, answer.body)
@@ -207,7 +207,9 @@
                     message.id, (await self.election.failure_detector.probe(message.name)).value
                 )
             case LeaderResigned():
-                self._background_tasks.once("succession", self.election.take_over_resigned(message))
+                self._background_tasks.spawn(
+                    "succession", self.election.take_over_resigned(message)
+                )
                 return None
             case _:
                 log.error("peer %s asked with an answer", name)
@@ -226,13 +228,13 @@
             case "read":
                 return await self._request_handler.poll(ask.job_id, elsewhere=False)
             case "known":
-                return self._request_handler.known(ask.job_id)
+                return self._request_handler.known_status(ask.job_id)
             case "cancel":
                 return await self._request_handler.cancel(ask.job_id, forwarded=True)
             case "report":
                 return await self._handle_heartbeat(ask.body, relayed=True)
             case "documents" if self.leader is not None and self.leader.publisher is not None:
-                return self.leader.publisher.take(ask.body)
+                return self.leader.publisher.accept_offer(ask.body)
             case _:
                 return refusal(503, "unknown kind", retry_after_s=1)
 
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -51,7 +51,7 @@
         self._withdrawn = withdrawn
         self._stop = stop
         #: Commits an end that does something to a gate; False: it does not.
-        self.with_gate: WithGate | None = None
+        self.commit_gate_end: WithGate | None = None
         self.finals: dict[str, FinalRecord] = {}
         self._written_chunks: dict[str, set[int]] = {}
         self._leftovers: list[str] = []
@@ -71,7 +71,7 @@
             job.notify_changed()
         self._term.background_tasks.start("ends of jobs", self._finish_jobs)
         self._term.background_tasks.start("progress", self._commit_progress)
-        self._term.background_tasks.once("leftovers", self._clear(self._leftovers))
+        self._term.background_tasks.spawn("leftovers", self._clear(self._leftovers))
 
     def load(self, job: Job, chunk: int, done: list[int]) -> None:
         """Take up a chunk of progress read from the store."""
@@ -128,7 +128,7 @@
             for job in over:
                 if job.saving:
                     # Its end waits for that write, so that it leaves nothing behind.
-                    self._hasten(job)
+                    self._prioritize_progress(job)
             over = [job for job in over if not job.saving]
             if any(term.cluster.has_orphans_of(job) for job in over):
                 # Nobody else would tell that they have gone.
@@ -165,7 +165,7 @@
         unknown = job.cancelled and not self._term.ready
         return not unknown and not self._term.cluster.has_orphans_of(job)
 
-    def _hasten(self, job: Job) -> None:
+    def _prioritize_progress(self, job: Job) -> None:
         for chunk in range(-(-job.spec.tasks // CHUNK_TASKS)):
             self._term.state_writer.prioritize(progress_key(job.id, chunk))
 
@@ -230,9 +230,11 @@
         changes: dict[str, Any] = {final_key(job.id): final, job_key(job.id): None}
         written = sorted(self._written_chunks.get(job.id, ()))
         # What does not fit into one transaction is cleared away afterwards.
-        first = written[: max(0, term.state.max_writes - (2 if self.with_gate is None else 3))]
+        first = written[
+            : max(0, term.state.max_writes - (2 if self.commit_gate_end is None else 3))
+        ]
         changes.update({progress_key(job.id, chunk): None for chunk in first})
-        if self.with_gate is None or not await self.with_gate(job, final, changes):
+        if self.commit_gate_end is None or not await self.commit_gate_end(job, final, changes):
             await term.state_writer.write(changes, urgent=True)
         self.remember_final(job.id, final)
         term.state_writer.forget_version(final_key(job.id))
@@ -257,7 +259,7 @@
         if task is None:
             job.cancel_requested = True
             self._stop(job)
-            task = self._term.background_tasks.once("cancellation", self._commit_cancel(job))
+            task = self._term.background_tasks.spawn("cancellation", self._commit_cancel(job))
             self.cancelling[job.id] = task
         await asyncio.wait({task}, timeout=to_seconds(patience_us))
         return job.cancelled
--- a/weldhead/controller/requests/job_dependencies.py
+++ b/weldhead/controller/requests/job_dependencies.py
@@ -34,7 +34,7 @@
     ) -> None:
         self._term = term
         self._dispatcher = dispatcher
-        self._take_up = take_up
+        self._on_job_found = take_up
         self._completions: Completions
         #: Set when jobs are needed of which only the store knows what became of them.
         self._needed = asyncio.Event()
@@ -43,33 +43,33 @@
         """Learn ends from there."""
         self._completions = completions
 
-    def link(self, job: Job) -> None:
+    def add(self, job: Job) -> None:
         """Enter what a job waits for, and draw what follows from it."""
         needs = job.spec.needs or ()
         if not job.cancelled:
             self._term.dependency_graph.add(job, needs)
             for name in needs:
-                self._learned(name)
+                self._apply_known_end(name)
         # Others may have named it before this node had heard of it.
         self._term.dependency_graph.unresolved.discard(job.id)
         if job.cancelled:
-            self.withdraw_with_followers(job)
+            self.withdraw_with_dependents(job)
         elif not job.unmet_dependencies and not needs:
             self.runnable(job)
         if self._term.dependency_graph.unresolved:
             self._needed.set()
 
-    def _learned(self, job_id: str) -> None:
+    def _apply_known_end(self, job_id: str) -> None:
         """Draw what follows from a needed job that is over or cancelled, as far as is known."""
         final = self._completions.finals.get(job_id)
         if final is not None:
-            self.over(job_id, final)
+            self.job_ended(job_id, final)
             return
         need = self._term.cluster.jobs.get(job_id)
         if need is not None and need.cancelled:
-            self.withdraw_with_followers(need)
+            self.withdraw_with_dependents(need)
 
-    def over(self, job_id: str, final: FinalRecord) -> None:
+    def job_ended(self, job_id: str, final: FinalRecord) -> None:
         """A job is over, and that is committed: those that wait for it go on, or go too."""
         if final.status == "done":
             ended_us = now_us() - max(0, wall_us() - final.ended_us)
@@ -85,9 +85,9 @@
         if job.blocking_gate is not None:
             return
         work = job.spec.tasks * job.spec.cpus * self._term.estimates.task_us(job)
-        self._term.arrival_rates.arrived(job.effective_level, work, job.runnable_since_us)
+        self._term.arrival_rates.record(job.effective_level, work, job.runnable_since_us)
 
-    def withdraw_with_followers(self, job: Job) -> None:
+    def withdraw_with_dependents(self, job: Job) -> None:
         """A job's cancellation is committed: all that need it are withdrawn by that alone.
 
         So they are called withdrawn at once, by every leader, though it takes several
@@ -105,9 +105,9 @@
             self.stop_tasks(job)
         if needed:
             # What they gave to the jobs that they need goes with them.
-            self.refresh(needed.values())
+            self.refresh_inherited(needed.values())
 
-    def in_doubt(self, job_id: str) -> bool:
+    def has_unanswered_write(self, job_id: str) -> bool:
         """Whether the store may say already that a job is over or withdrawn.
 
         Until the write of that is answered this term says something older, while other
@@ -123,27 +123,27 @@
         names = {key[len(JOBS) :] for key in ledger.unanswered_keys if key.startswith(keys)}
         return job_id in names or self._term.dependency_graph.depends_on_any(job, names)
 
-    def refresh(self, jobs: Iterable[Job]) -> None:
+    def refresh_inherited(self, jobs: Iterable[Job]) -> None:
         """Bring up to date what these jobs and those that they need inherit."""
         refresh(self._term.dependency_graph, jobs, self._term.objectives, self.stage_us, now_us())
 
-    async def learn_needs(self) -> None:
+    async def resolve_dependencies(self) -> None:
         """Read what became of needed jobs that were over before this term began."""
         while True:
             await self._needed.wait()
             self._needed.clear()
             while self._term.dependency_graph.unresolved:
                 names = list(self._term.dependency_graph.unresolved)[:NEEDS_AT_ONCE]
-                await asyncio.gather(*(self.learn_need(name) for name in names))
+                await asyncio.gather(*(self.resolve_dependency(name) for name in names))
 
-    async def learn_need(self, job_id: str) -> None:
+    async def resolve_dependency(self, job_id: str) -> None:
         """Read what became of one needed job."""
         try:
             final = await self._term.state.get(final_key(job_id))
             if final is not None:
                 outcome = decode(bytes(final.value), FinalRecord)
                 self._completions.remember_final(job_id, outcome)
-                self.over(job_id, outcome)
+                self.job_ended(job_id, outcome)
                 return
             entry = await self._term.state.get(job_key(job_id))
         except CallError as error:
@@ -151,7 +151,7 @@
             await asyncio.sleep(0.2)
             return
         if entry is not None:
-            self._take_up(decode(bytes(entry.value), JobRecord), entry.version)
+            self._on_job_found(decode(bytes(entry.value), JobRecord), entry.version)
         else:
             # On its way from one key to the other, or named by a record that is nonsense.
             await asyncio.sleep(0.5)
--- a/weldhead/controller/requests/request_handler.py
+++ b/weldhead/controller/requests/request_handler.py
@@ -153,21 +153,23 @@
         controllers: int = 1,
         memory: MemoryMonitor | None = None,
     ) -> None:
-        self._node = node
+        self._controller = node
         self._memory = memory or MemoryMonitor(0.0)
         self._state = state
         self._teams = {team.name: team for team in teams}
         # All controllers' polls together leave the store to its leader and to submissions:
         # in a storm of polls without a leader it refused both (found on an own day).
         rate, at_us = state.limits.rps * POLL_SHARE / controllers, now_us()
-        self._turns = FairRateLimiter(rate, 2 * rate, at_us)
-        self._chain_turns = FairRateLimiter(rate * CHAIN_SHARE, 2 * rate * CHAIN_SHARE, at_us)
+        self._poll_limiter = FairRateLimiter(rate, 2 * rate, at_us)
+        self._dependency_limiter = FairRateLimiter(
+            rate * CHAIN_SHARE, 2 * rate * CHAIN_SHARE, at_us
+        )
         #: How jobs ended, and whether accepted ones are services, as the store said.
         self._finals: dict[str, FinalRecord] = {}
         self._services: dict[str, bool] = {}
-        self._shares = TeamRateLimiter(state.limits.write_rps * 0.4)
+        self._submission_limiter = TeamRateLimiter(state.limits.write_rps * 0.4)
         #: How many polls the leader is being asked just now.
-        self._at_leader = 0
+        self._polls_at_leader = 0
 
     async def submit(self, body: bytes, *, forwarded: bool = False) -> Response:
         """Accept a job: 201 only when it is in the store."""
@@ -178,48 +180,48 @@
         known = self._in_memory(spec.id)
         if known is not None:
             return Response(200, _encode(known))
-        if self._node.isolated:
+        if self._controller.isolated:
             return _ALONE
-        if not self._node.catalog:
+        if not self._controller.catalog:
             return refusal(503, "machine types not known yet", retry_after_s=1)
         if not self._memory.admits(now_us()):
-            return await self._turn_away(spec.id, COME_BACK_S, forwarded, "no memory is left")
+            return await self._refuse_for_now(spec.id, COME_BACK_S, forwarded, "no memory is left")
         # Names that the settings do not know share one part, or many of them took all.
         team = spec.team if spec.team in self._teams else ""
-        wait_s = self._shares.admit(team, self._state.creates.rate, now_us())
+        wait_s = self._submission_limiter.admit(team, self._state.submission_budget.rate, now_us())
         if wait_s:
-            return await self._turn_away(spec.id, wait_s, forwarded)
+            return await self._refuse_for_now(spec.id, wait_s, forwarded)
         try:
             return await self._accept(spec)
         except RateLimitedError as busy:
             # Another controller uses the same rate: passed on, it would cost two.
             log.debug("submission of %s: %s", spec.id, busy)
-            wait_s = self._shares.turned_away(now_us())
-            return await self._turn_away(spec.id, wait_s, forwarded)
+            wait_s = self._submission_limiter.record_refusal(now_us())
+            return await self._refuse_for_now(spec.id, wait_s, forwarded)
         except CallError as error:
             log.info("submission of %s not committed: %s", spec.id, error)
             if not forwarded:
-                answer = await self._node.ask_served_peer(
+                answer = await self._controller.ask_served_peer(
                     "submit", spec.id, body, chained=bool(spec.needs)
                 )
                 if answer is not None:
                     return answer
             return refusal(503, "state service unavailable", retry_after_s=1)
 
-    async def _turn_away(
+    async def _refuse_for_now(
         self, job_id: str, wait_s: int, forwarded: bool, why: str = "too much is submitted at once"
     ) -> Response:
         """Ask to come back later, unless the job was accepted long ago: that costs nothing.
 
         A repeated submission to a follower was refused as long as others submitted much.
         """
-        if not forwarded and self._node.leader is None:
-            answer = await self._node.ask_leader("known", job_id, b"")
+        if not forwarded and self._controller.leader is None:
+            answer = await self._controller.ask_leader("known", job_id, b"")
             if answer is not None and answer.status == 200:
                 return answer
         return refusal(503, why, retry_after_s=wait_s)
 
-    def known(self, job_id: str) -> Response:
+    def known_status(self, job_id: str) -> Response:
         """Tell a job's state if it is in memory; the store is not asked."""
         known = self._in_memory(job_id)
         if known is None:
@@ -230,8 +232,8 @@
         """Judge a job by what the store says, and create it."""
         trouble: SubmissionRefusedError | CallError
         try:
-            record, binding = self._bound(spec, wall_us())
-            check_feasible(spec, self._teams, self._node.catalog)
+            record, binding = self._admit(spec, wall_us())
+            check_feasible(spec, self._teams, self._controller.catalog)
             size = len(_encode(record))
             check_size(spec, size, self._state.limits.value_bytes)
             await self._check_needs(spec)
@@ -244,16 +246,16 @@
                 trouble = error
         # An accepted job stays accepted, whatever has changed since, and whatever cannot be
         # told just now of what it needs or is bound to.
-        stored = await self._from_store(spec.id)
+        stored = await self._read_status(spec.id)
         if stored is not None:
             return Response(200, _encode(stored))
         if isinstance(trouble, CallError):
             raise trouble
         return refusal(trouble.status, trouble.reason, trouble.field)
 
-    def _bound(self, spec: JobSpec, at_us: int) -> tuple[JobRecord, AdmissionBinding]:
+    def _admit(self, spec: JobSpec, at_us: int) -> tuple[JobRecord, AdmissionBinding]:
         """Return a job's record with what calendars and gates say; CallFailed if unknown."""
-        documents = self._node.documents
+        documents = self._controller.documents
         if documents is None:
             return JobRecord(spec, at_us), AdmissionBinding()
         try:
@@ -261,7 +263,7 @@
         except DocumentsNotLoadedError:
             raise CallError("calendars and gates are not known yet") from None
         gate = binding.gate_hold or binding.gate_action
-        if gate is not None and not self._node.peers_know(DOCUMENTS_FORMAT):
+        if gate is not None and not self._controller.peers_know(DOCUMENTS_FORMAT):
             raise CallError("a peer's version would start a job that a gate holds")
         return admitted_record(spec, at_us, binding), binding
 
@@ -275,7 +277,7 @@
             return
         if spec.id in spec.needs:
             raise refuse_need(spec.id, "cannot wait for itself")
-        if not self._node.peers_know(CHAINS_FORMAT):
+        if not self._controller.peers_know(CHAINS_FORMAT):
             raise CallError("a peer's version does not know job chains yet")
         found = await asyncio.gather(*(self._is_service(name) for name in spec.needs))
         for name, service in zip(spec.needs, found, strict=True):
@@ -286,12 +288,12 @@
 
     async def _is_service(self, job_id: str) -> bool | None:
         """Whether an accepted job is a service; None if it was never accepted."""
-        leader = self._node.leader
+        leader = self._controller.leader
         known = leader.is_service(job_id) if leader is not None else None
         if known is None:
             known = self._services.get(job_id)
         if known is None:
-            stored = await self._read(job_id)
+            stored = await self._read_record(job_id)
             if stored is None:
                 return None
             known = stored.spec.is_service if isinstance(stored, JobRecord) else stored.service
@@ -307,7 +309,7 @@
         conditions += bound_by
         # A term that begins before the answer comes may have found the job ended by the leader
         # before it: taken up as new, it ran once more. Its own reading and watch show the rest.
-        leader = self._node.leader
+        leader = self._controller.leader
         try:
             version = await self._state.transact(
                 conditions, [PutKey(job_key(spec.id), record)], timeout_us=1_000_000,
@@ -320,43 +322,47 @@
                 422, f"the state service takes no record of {size} bytes"
             ) from error
         except ConflictError:
-            stored = self._in_memory(spec.id) or await self._from_store(spec.id)
+            stored = self._in_memory(spec.id) or await self._read_status(spec.id)
             if stored is None:
                 raise CallError("job is neither new nor known") from None
             return Response(200, _encode(stored))
         if leader is not None:
             leader.job_created(record, version)
         log.debug("%s accepted", spec.id)
-        if self._node.documents is not None and (record.deadline or record.gate_hold):
-            for tell in self._node.documents.accepted:
+        if self._controller.documents is not None and (record.deadline or record.gate_hold):
+            for tell in self._controller.documents.on_accepted:
                 tell(record)
         return Response(201, _encode(JobStatus(spec.id, "pending", due_at=self._due_at(record))))
 
     def _due_at(self, record: JobRecord) -> str | None:
         """Say by when a calendar has a job finished."""
-        documents = self._node.documents
+        documents = self._controller.documents
         if documents is None or record.deadline is None or record.cancelled:
             return None
         return utc(moved(documents.cache, record.deadline).due_us)
 
     def _known_of(self, job_id: str) -> str:
         """Say in a refusal by when a job is due, as far as this node knows."""
-        documents = self._node.documents
-        return documents.table.words(job_id, documents.cache) if documents is not None else ""
+        documents = self._controller.documents
+        return (
+            documents.deadline_table.describe(job_id, documents.cache)
+            if documents is not None
+            else ""
+        )
 
     def _in_memory(self, job_id: str) -> JobStatus | None:
         final = self._finals.get(job_id)
         if final is not None:
             # Before the leader's memory: it may have been told while that was not to be used.
             return JobStatus(job_id, final.status, final.done, 0)
-        leader = self._node.leader
+        leader = self._controller.leader
         known: JobStatus | None = None
         try:
             known = leader.status(job_id) if leader is not None else None
             if (
                 known is not None
                 and leader is not None
-                and leader.job_dependencies.in_doubt(job_id)
+                and leader.job_dependencies.has_unanswered_write(job_id)
             ):
                 known = None
         except Exception:
@@ -365,12 +371,12 @@
             log.exception("status of %s", job_id)
         return known
 
-    async def _from_store(self, job_id: str, *, urgent: bool = False) -> JobStatus | None:
+    async def _read_status(self, job_id: str, *, urgent: bool = False) -> JobStatus | None:
         """Read a job's status; it moves from j/ to f/ only, so that order is safe."""
         at_us = now_us()
         try:
             async with asyncio.timeout(to_seconds(STALE_US)):
-                stored = await self._read(job_id, urgent=urgent)
+                stored = await self._read_record(job_id, urgent=urgent)
                 if isinstance(stored, FinalRecord):
                     return JobStatus(job_id, stored.status, stored.done, 0)
                 if stored is not None and (
@@ -386,12 +392,14 @@
             return None
         return JobStatus(job_id, "pending", due_at=self._due_at(stored))
 
-    async def _read(self, job_id: str, *, urgent: bool = False) -> JobRecord | FinalRecord | None:
+    async def _read_record(
+        self, job_id: str, *, urgent: bool = False
+    ) -> JobRecord | FinalRecord | None:
         """Read a job's record."""
         kept = self._finals.get(job_id)
         if kept is not None:
             return kept
-        leader = self._node.leader
+        leader = self._controller.leader
         entry = await self._state.get(job_key(job_id), urgent=urgent)
         if entry is not None:
             record = decode(bytes(entry.value), JobRecord)
@@ -417,14 +425,16 @@
         """
         job_id, seen = record.spec.id, set(without_gate(record.spec).needs or ())
         names = list(seen)
-        if names and not self._chain_turns.take(job_id, min(len(names), NEEDS_AT_ONCE), now_us()):
+        if names and not self._dependency_limiter.take(
+            job_id, min(len(names), NEEDS_AT_ONCE), now_us()
+        ):
             raise CallError("too many needed jobs are to be read at once")
         # It has had its turn: a chain that is too long each time must not go first each time.
-        self._chain_turns.answered(job_id)
+        self._dependency_limiter.answered(job_id)
         while names:
             batch, names = names[:NEEDS_AT_ONCE], names[NEEDS_AT_ONCE:]
             fresh: set[str] = set()
-            for need in await asyncio.gather(*(self._read(n, urgent=urgent) for n in batch)):
+            for need in await asyncio.gather(*(self._read_record(n, urgent=urgent) for n in batch)):
                 if isinstance(need, FinalRecord):
                     if need.status == "withdrawn":
                         return True
@@ -434,7 +444,7 @@
                     fresh |= set(without_gate(need.spec).needs or ())
             names += fresh - seen
             seen |= fresh
-            self._chain_turns.charge(min(len(names), NEEDS_AT_ONCE), now_us())
+            self._dependency_limiter.charge(min(len(names), NEEDS_AT_ONCE), now_us())
         return False
 
     async def poll(
@@ -448,53 +458,53 @@
             return refusal(404, "no such job")
         known = self._in_memory(job_id)
         if known is not None:
-            self._turns.answered(job_id)
+            self._poll_limiter.answered(job_id)
             return Response(200, _encode(known))
-        if self._node.isolated:
+        if self._controller.isolated:
             return _alone(self._known_of(job_id))
-        if not forwarded and self._node.leader is None:
+        if not forwarded and self._controller.leader is None:
             answer = await self._poll_leader(job_id)
             if answer is not None and answer.status in (200, 404):
-                self._turns.answered(job_id)
+                self._poll_limiter.answered(job_id)
                 return answer
         at_us = now_us()
-        waited = self._turns.waited_us(job_id, at_us) > URGENT_US
+        waited = self._poll_limiter.waited_us(job_id, at_us) > URGENT_US
         why = TOO_MANY
-        taken = self._turns.take_spare(POLL_REQUESTS, at_us)
+        taken = self._poll_limiter.take_spare(POLL_REQUESTS, at_us)
         lost = False
         if not taken and elsewhere and not forwarded:
             # Each node counted waits that had ended when another answered: some jobs were
             # answered again and again, and others waited for over 120 s.
             try:
-                answer = await self._node.ask_home(job_id)
+                answer = await self._controller.ask_home(job_id)
             except CallError:
                 answer, lost = None, True
             if answer is not None and answer.status in (200, 404):
-                self._turns.answered(job_id)
+                self._poll_limiter.answered(job_id)
                 return answer
             if answer is not None and answer.status == NO_TURN:
                 return refusal(503, why + self._known_of(job_id), retry_after_s=1)
             at_us = now_us()
-        if taken or self._turns.take(job_id, POLL_REQUESTS, at_us, lost=lost):
+        if taken or self._poll_limiter.take(job_id, POLL_REQUESTS, at_us, lost=lost):
             try:
-                stored = await self._from_store(job_id, urgent=waited)
+                stored = await self._read_status(job_id, urgent=waited)
             except CallError as error:
                 log.debug("poll of %s: %s", job_id, error)
                 why, waited = "state service unavailable", True
             else:
-                self._turns.answered(job_id)
+                self._poll_limiter.answered(job_id)
                 if stored is None:
                     return refusal(404, "no such job")
                 if stored.state == "pending":
                     # Found under its first key.
-                    self._turns.give_back(POLL_REQUESTS / 2)
+                    self._poll_limiter.refund(POLL_REQUESTS / 2)
                 return Response(200, _encode(stored))
         if waited and elsewhere and not forwarded:
-            answer = await self._node.ask_served_peer("poll", job_id, b"")
+            answer = await self._controller.ask_served_peer("poll", job_id, b"")
             if answer is not None and answer.status in (200, 404):
-                self._turns.answered(job_id)
+                self._poll_limiter.answered(job_id)
                 return answer
-        self._turns.failed(job_id, now_us())
+        self._poll_limiter.failed(job_id, now_us())
         if not elsewhere and why == TOO_MANY:
             return refusal(NO_TURN, why)
         return refusal(503, why + self._known_of(job_id), retry_after_s=1)
@@ -505,24 +515,24 @@
         Followers passed on whatever they were asked, and a storm of polls kept a small leader
         from renewing its lease and from answering workers (docs/design/pressure.md).
         """
-        if self._at_leader >= POLLS_AT_LEADER:
+        if self._polls_at_leader >= POLLS_AT_LEADER:
             return None
-        self._at_leader += 1
+        self._polls_at_leader += 1
         try:
-            return await self._node.ask_leader("poll", job_id, b"")
+            return await self._controller.ask_leader("poll", job_id, b"")
         finally:
-            self._at_leader -= 1
+            self._polls_at_leader -= 1
 
     async def cancel(self, job_id: str, *, forwarded: bool = False) -> Response:
         """Cancel a job; only the leader does, as it knows what runs."""
         if not is_job_id(job_id):
             return refusal(404, "no such job")
-        if self._node.isolated:
+        if self._controller.isolated:
             return _ALONE
-        leader = self._node.leader
+        leader = self._controller.leader
         if leader is None:
             if not forwarded:
-                answer = await self._node.ask_leader("cancel", job_id, b"")
+                answer = await self._controller.ask_leader("cancel", job_id, b"")
                 if answer is not None:
                     return answer
             return refusal(503, "no leader", retry_after_s=1)
@@ -530,7 +540,7 @@
             answer_now = await leader.cancel(job_id)
             if answer_now is not None:
                 return Response(200, _encode(answer_now))
-            stored = await self._from_store(job_id)
+            stored = await self._read_status(job_id)
         except (CallError, NotReadyError):
             return refusal(503, "cannot be decided yet", retry_after_s=1)
         if stored is None:
