--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -21,10 +21,10 @@
 class LateNotices(Protocol):
     """What was told of bound jobs, by any term."""
 
-    def told(self, job: Job) -> bool:
+    def was_notified(self, job: Job) -> bool:
         """Whether a job was told late for its instant, or for a later one."""
 
-    def tell(self, job: Job, words: str) -> None:
+    def notify(self, job: Job, words: str) -> None:
         """Have it said that a job will be late."""
 
 
@@ -33,24 +33,24 @@
 
     def __init__(self, term: Term, pacer: EventLoopBudget, stage_us: Callable[[Job], int]) -> None:
         self._term = term
-        self._pacer = pacer
+        self._loop_budget = pacer
         self._stage_us = stage_us
         #: What was told of bound jobs, and who follows the clocks; None: no calendars here.
-        self.notes: LateNotices | None = None
-        self.keep_time: Callable[[int, int], None] | None = None
+        self.late_notices: LateNotices | None = None
+        self.follow_clock: Callable[[int, int], None] | None = None
         #: Says why a job is held; "": no gate holds it.
-        self.held: Callable[[Job], str] = lambda job: ""
+        self.hold_reason: Callable[[Job], str] = lambda job: ""
         #: Made when first needed, and made anew after a failure.
-        self._outlook: JobForecasts | None = None
+        self._forecasts: JobForecasts | None = None
 
-    def tell(self, job: Job) -> None:
+    def refresh(self, job: Job) -> None:
         """Bring a job's forecast up to date for somebody who asks."""
-        self._kept_outlook().tell(job, now_us())
+        self._current_forecasts().refresh_job(job, now_us())
 
-    def _kept_outlook(self) -> JobForecasts:
-        if self._outlook is None:
+    def _current_forecasts(self) -> JobForecasts:
+        if self._forecasts is None:
             tunables = self._term.tunables
-            self._outlook = JobForecasts(
+            self._forecasts = JobForecasts(
                 self._term.cluster,
                 self._term.dependency_graph,
                 self._term.estimates,
@@ -59,38 +59,38 @@
                 tunables.forecast_recheck_us,
                 tunables.most_forecasts,
             )
-        return self._outlook
+        return self._forecasts
 
-    async def forecast(self) -> None:
+    async def run(self) -> None:
         """Forecast each job's finish, and say when one turns late."""
         while True:
-            await self._pacer.pause(
+            await self._loop_budget.pause(
                 "forecasts", LoopPriority.FORECASTS, self._term.tunables.forecast_period_us
             )
-            with self._pacer.measure("forecasts"):
-                self.look_ahead(now_us())
+            with self._loop_budget.measure("forecasts"):
+                self.refresh_due(now_us())
 
-    def look_ahead(self, at_us: int) -> None:
+    def refresh_due(self, at_us: int) -> None:
         """Bring the forecasts that are due up to date."""
-        if self.keep_time is not None:
-            self.keep_time(at_us, wall_us())
-        outlook = self._kept_outlook()
+        if self.follow_clock is not None:
+            self.follow_clock(at_us, wall_us())
+        outlook = self._current_forecasts()
         try:
-            for job in outlook.look(at_us):
-                self._say_if_late(job, at_us)
+            for job in outlook.refresh(at_us):
+                self._report_if_late(job, at_us)
         except Exception:
             # It may have lost a job out of its observation: made anew at the next look.
             outlook.close()
-            self._outlook = None
+            self._forecasts = None
             raise
 
-    def _say_if_late(self, job: Job, at_us: int) -> None:
+    def _report_if_late(self, job: Job, at_us: int) -> None:
         """Log a job that turns late; of a chain, that whose users set the deadline."""
         if job.cancelled:
             return
         due = due_us(job)
         if job.calendar_deadline is not None:
-            self._say_of_bound(job, at_us)
+            self._report_calendar_lateness(job, at_us)
             if job.spec.deadline_s is None:
                 return
             # Its owner's deadline is told of as that of any other job.
@@ -119,52 +119,56 @@
 
     # -- bound jobs ------------------------------------------------------------------------
 
-    def standing(self, job: Job, at_us: int) -> DeadlineStanding:
+    def deadline_standing(self, job: Job, at_us: int) -> DeadlineStanding:
         """Say how a bound job stands, by its latest forecast, or as it was told last.
 
         A successor of no history called those unknown that its predecessor had told late.
         """
         # Who does not know yet what runs where would take all that runs for waiting.
-        known = self._term.ready and self._term.estimates.knows(job)
+        known = self._term.ready and self._term.estimates.has_observations(job)
         least_us = self._stage_us(job) if job.blocking_gate is not None else 0
         stands = lateness.standing(job, at_us, has_history=known, least_us=least_us)
-        if stands is DeadlineStanding.UNKNOWN and self.notes is not None and self.notes.told(job):
+        if (
+            stands is DeadlineStanding.UNKNOWN
+            and self.late_notices is not None
+            and self.late_notices.was_notified(job)
+        ):
             return DeadlineStanding.LATE
         return stands
 
-    def _say_of_bound(self, job: Job, at_us: int) -> None:
+    def _report_calendar_lateness(self, job: Job, at_us: int) -> None:
         """Have it said once, by whichever term, that a bound job will be late."""
-        notes, due_us = self.notes, job.calendar_due_us
-        if due_us is None or self.standing(job, at_us) is not DeadlineStanding.LATE:
+        notes, due_us = self.late_notices, job.calendar_due_us
+        if due_us is None or self.deadline_standing(job, at_us) is not DeadlineStanding.LATE:
             return
         if not self._term.ready or not self._term.valid:
             return
-        if notes.told(job) if notes is not None else job.reported_late:
+        if notes.was_notified(job) if notes is not None else job.reported_late:
             return
         job.reported_late = job.reported_late or notes is None
         forecast_us = job.expected_finish_us
         expected = "no end in observation"
         if forecast_us is not None and not job.broken:
             expected = f"expected {span(max(0, forecast_us - due_us))} after that"
-        boots = self._kept_outlook().boots()
-        why = lateness.reason(self._term.cluster, job, boots, at_us, self.held)
+        boots = self._current_forecasts().boot_forecast()
+        why = lateness.reason(self._term.cluster, job, boots, at_us, self.hold_reason)
         state = "is late" if at_us > due_us else "will be late"
         assert job.calendar_deadline is not None
         words = f"{job.id} {state}: {due_words(job.calendar_deadline)}, {expected}: {why}"
         if notes is not None:
-            notes.tell(job, words)
+            notes.notify(job, words)
         else:
             log.warning("%s", words)
 
-    def say_account(self, at_us: int) -> None:
+    def log_summary(self, at_us: int) -> None:
         """Log how the bound jobs stand that a new term has found."""
         jobs = [
             job for job in self._term.cluster.jobs.values() if job.calendar_deadline is not None
         ]
-        if self.notes is None and not jobs:
+        if self.late_notices is None and not jobs:
             return
         for job in jobs:
             if job.calendar_due_us is not None and job.calendar_due_us - at_us <= lateness.SOON_US:
-                self.tell(job)
-        found = lateness.account(((job, self.standing(job, at_us)) for job in jobs), at_us)
+                self.refresh(job)
+        found = lateness.account(((job, self.deadline_standing(job, at_us)) for job in jobs), at_us)
         log.info("term %d: %s", self._term.token, found.line())
--- a/weldhead/controller/scheduling_loop/preemption_recorder.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -52,9 +52,9 @@
         self._term = term
         #: How many changes this has asked for.
         self.writes = 0
-        self._asked: set[int] = set()
+        self._scheduled: set[int] = set()
 
-    def took(self, attempt: Attempt, at_us: int) -> None:
+    def record(self, attempt: Attempt, at_us: int) -> None:
         """Note that a task which holds cards is stopped for another."""
         self._term.preemption_history.record_preemption(attempt, at_us)
         self._write_soon(shard_of(attempt.job.id))
@@ -66,12 +66,12 @@
                 continue
             known = self._term.preemption_history.of_job(attempt.job.id).get(attempt.index)
             if attempt.phase is AttemptPhase.SAVING and known is None:
-                self.took(attempt, at_us - INHERITED_US)
+                self.record(attempt, at_us - INHERITED_US)
 
     def _write_soon(self, shard: int) -> None:
-        if shard not in self._asked:
-            self._asked.add(shard)
-            self._term.background_tasks.once("taken", self._write(shard))
+        if shard not in self._scheduled:
+            self._scheduled.add(shard)
+            self._term.background_tasks.spawn("taken", self._write(shard))
 
     async def _write(self, shard: int) -> None:
         """Write a record once, with what has been taken until its turn comes."""
@@ -81,7 +81,7 @@
             )
 
     def _record(self, shard: int) -> PreemptedRecord:
-        self._asked.discard(shard)
+        self._scheduled.discard(shard)
         self.writes += 1
         at_us = now_us()
         self._term.preemption_history.expire(at_us, self._term.cluster.jobs)
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -36,63 +36,67 @@
     def __init__(self, term: Term, dispatcher: CommandDispatcher, pacer: EventLoopBudget) -> None:
         self._term = term
         self._dispatcher = dispatcher
-        self.pacer = pacer
+        self.loop_budget = pacer
         self.reclaims = ReclaimLists(term.preemption_history)
-        self.lending = PreemptionRecorder(term)
-        self._pace = PreemptionRateLimit(term.tunables.recovery.pace())
+        self.preemption_recorder = PreemptionRecorder(term)
+        self._rate_limit = PreemptionRateLimit(term.tunables.recovery.pace())
         self.last_plan = PlacementPlan()
         #: What placement and forecasts keep in order; made when first needed, and made anew
         #: after a failure.
-        self.scene: PlacementInput | None = None
-        self._holding: CapacityReserver | None = None
+        self.current_input: PlacementInput | None = None
+        self._reserver: CapacityReserver | None = None
         #: What is known while recovery goes on.
-        self.partial: Callable[[], PartialView] | None = None
+        self.partial_view: Callable[[], PartialView] | None = None
 
-    def kept_scene(self) -> PlacementInput:
+    def placement_input(self) -> PlacementInput:
         """Return what placement keeps in order."""
-        if self.scene is None:
-            self.scene = PlacementInput(
+        if self.current_input is None:
+            self.current_input = PlacementInput(
                 self._term.cluster, self._term.estimates, self._term.objectives,
                 self._term.tunables.preemptor.patience_us,
             )  # fmt: skip
-            if self._holding is not None:
-                self._holding.close()
-            self._holding = CapacityReserver(
-                self._term.cluster, self.scene.backlog, self._term.estimates,
+            if self._reserver is not None:
+                self._reserver.close()
+            self._reserver = CapacityReserver(
+                self._term.cluster, self.current_input.backlog, self._term.estimates,
                 self._term.tunables.holding.settings(),
             )  # fmt: skip
-        return self.scene
+        return self.current_input
 
-    def ahead(self, coming: Iterable[tuple[MachineType, int]], up_us: int) -> WideTaskForecast:
+    def wide_task_forecast(
+        self, coming: Iterable[tuple[MachineType, int]], up_us: int
+    ) -> WideTaskForecast:
         """Return which wide tasks will find machines by a time."""
-        holds = self.scene.holds if self.scene is not None else Reservations()
+        holds = (
+            self.current_input.reservations if self.current_input is not None else Reservations()
+        )
         least = self._term.tunables.holding.least
         return WideTaskForecast(self._term.cluster.machines.values(), coming, holds, least, up_us)
 
-    def _hold(self, scene: PlacementInput, at_us: int) -> None:
+    def _update_reservations(self, scene: PlacementInput, at_us: int) -> None:
         """Decide what is kept free for wide work; nothing while machines are unknown."""
-        if self._holding is None or not self._term.ready:
+        if self._reserver is None or not self._term.ready:
             return
-        before = scene.holds
-        scene.holds = self._holding.look(
+        before = scene.reservations
+        scene.reservations = self._reserver.update(
             at_us,
             lambda machine: usable(machine, at_us, self._term.silence_us),
             ((entry.machine, entry.job_id) for entry in self.reclaims.entries()),
         )
-        if scene.holds is not before:
-            for name, job_id in scene.holds.machines.items():
+        if scene.reservations is not before:
+            for name, job_id in scene.reservations.machines.items():
                 if name not in before.machines:
                     log.info("%s is held for %s", name, job_id)
 
-    async def fill_scene(self) -> None:
+    async def load_backlog(self) -> None:
         """Put all waiting jobs in order while workers are still being asked what they run."""
-        backlog = self.kept_scene().backlog
+        backlog = self.placement_input().backlog
         more = True
         while more:
-            more = backlog.fill(now_us(), LOAD_BATCH_SIZE)
+            more = backlog.load_batch(now_us(), LOAD_BATCH_SIZE)
             await asyncio.sleep(0)
 
-    async def place_tasks(self) -> None:
+    async def run_placement(self) -> None:
         """Place tasks whenever something has changed; a duty."""
         while True:
             await self._term.placement_wanted.wait()
@@ -101,10 +105,10 @@
             pause_us = self._term.tunables.placement_pause_us
             if not self._term.ready:
                 pause_us = max(pause_us, PARTIAL_PAUSE_US)
-            await self.pacer.pause("placement", LoopPriority.PLACEMENT, pause_us)
+            await self.loop_budget.pause("placement", LoopPriority.PLACEMENT, pause_us)
 
     def _place_now(self) -> None:
-        with self.pacer.measure("placement"):
+        with self.loop_budget.measure("placement"):
             self.place()
 
     def place(self) -> None:
@@ -112,20 +116,20 @@
         if not self._term.valid:
             return
         at_us = now_us()
-        scene = self.kept_scene()
+        scene = self.placement_input()
         may_start = None
         if not self._term.ready:
-            assert self.partial is not None
-            may_start = self.partial().settled
+            assert self.partial_view is not None
+            may_start = self.partial_view().is_settled
         try:
-            self._hold(scene, at_us)
+            self._update_reservations(scene, at_us)
             plan = plan_pass(
                 scene, at_us, self._term.silence_us, self._term.tunables.fetch_weight, may_start
             )
         except Exception:
             # What it had read of the feeds may be lost with it: made anew at the next pass.
             scene.close()
-            self.scene = None
+            self.current_input = None
             raise
         self.last_plan = plan
         touched: dict[str, Machine] = {}
@@ -142,20 +146,20 @@
             for machine in touched.values():
                 self._dispatcher.schedule(machine)
 
-    async def preempt(self) -> None:
+    async def run_preemption(self) -> None:
         """Make room for those who found none; a duty."""
-        self.lending.inherit(now_us())
+        self.preemption_recorder.inherit(now_us())
         while True:
-            await self.pacer.pause(
+            await self.loop_budget.pause(
                 "preemptor", LoopPriority.PREEMPTOR, self._term.tunables.preemptor.period_us
             )
             if not self._term.valid:
                 continue
             self._place_now()
-            with self.pacer.measure("preemptor"):
-                self._make_room(now_us())
+            with self.loop_budget.measure("preemptor"):
+                self._preempt_for_waiting(now_us())
 
-    def _make_room(self, at_us: int) -> None:
+    def _preempt_for_waiting(self, at_us: int) -> None:
         """Ask for room on behalf of those who found none."""
         settings = self._term.tunables.preemptor.settings(self._term.silence_us)
         self._trim_reclaims()
@@ -175,19 +179,21 @@
             at_us,
             settings,
             self._term.objectives,
-            free=self.scene.free if self.scene is not None else None,
-            held=self.scene.holds.machines if self.scene is not None else None,
+            free=self.current_input.capacity_index if self.current_input is not None else None,
+            held=self.current_input.reservations.machines
+            if self.current_input is not None
+            else None,
         )
         running = sum(len(job.active) for job in self._term.cluster.active_jobs.values())
-        allowed = self._pace.allowed(self._term.ready_us, running, at_us)
+        allowed = self._rate_limit.allowed(self._term.ready_us, running, at_us)
         for reclaim in planned:
             if allowed is not None:
                 if allowed <= 0:
                     # Asked for again at the next run, if it is still wanted then.
-                    self._pace.put_off += 1
+                    self._rate_limit.deferred += 1
                     continue
                 allowed -= len(reclaim.victims)
-                self._pace.stopped(len(reclaim.victims))
+                self._rate_limit.record(len(reclaim.victims))
             self.reclaims.add(reclaim)
             for victim in reclaim.victims:
                 log.info(
@@ -200,7 +206,7 @@
                 )
                 claimant = self._term.cluster.jobs[reclaim.job_id]
                 if victim.job.spec.gpus > 0:
-                    self.lending.took(victim, at_us)
+                    self.preemption_recorder.record(victim, at_us)
                 stop = stop_for(claimant, victim.job, self._term.objectives)
                 self.stop(victim, stop, at_us, "room")
 
@@ -209,8 +215,8 @@
         for job_id in self.reclaims.jobs():
             job = self._term.cluster.jobs.get(job_id)
             waiting = 0
-            if job is not None and self.scene is not None:
-                place = self.scene.backlog.place_of(job_id)
+            if job is not None and self.current_input is not None:
+                place = self.current_input.backlog.position_of(job_id)
                 waiting = self.last_plan.unplaced.count_of(job, place)
             self.reclaims.trim(job_id, waiting)
 
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -98,7 +98,7 @@
             # Who does not answer at once keeps nobody else waiting.
             loop = asyncio.get_running_loop()
             loop.call_later(to_seconds(TURN_US), self._release_slot, self._count)
-            self._term.background_tasks.once(
+            self._term.background_tasks.spawn(
                 "direct commands", self._send_commands(machine, self._count)
             )
 
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -271,7 +271,7 @@
 
     def record_failure(self, attempt: Attempt, at_us: int) -> None:
         """A task failed by itself: mostly the machine's fault, sometimes the job's."""
-        self.failures.failed(attempt, at_us)
+        self.failures.record_failure(attempt, at_us)
         log.info("%s failed on %s", attempt.task, attempt.machine)
 
     def review_failures(self, at_us: int) -> None:
@@ -290,7 +290,7 @@
                 job.failures, len(job.failed_machines))  # fmt: skip
             self._on_probation[job.id] = job
         for job_id, job in list(self._on_probation.items()):
-            job.stranded = job.on_probation and self.failures.stranded(job, cluster, at_us)
+            job.stranded = job.on_probation and self.failures.is_stranded(job, cluster, at_us)
             if not job.on_probation or cluster.jobs.get(job_id) is not job:
                 del self._on_probation[job_id]
 
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -175,7 +175,7 @@
             ):
                 evidence.next_probe_us = at_us + ASK_PAUSE_US
                 self._probes_in_flight += 1
-                self._term.background_tasks.once("reachability", self._probe(machine))
+                self._term.background_tasks.spawn("reachability", self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
         try:
@@ -229,7 +229,7 @@
         ):
             return
         self._unrecorded_probes.add(name)
-        self._term.background_tasks.once("stranger", self._probe_unrecorded(report, enter))
+        self._term.background_tasks.spawn("stranger", self._probe_unrecorded(report, enter))
 
     async def _probe_unrecorded(
         self, report: Heartbeat, enter: Callable[[Heartbeat], None]
--- a/weldhead/documents/cache.py
+++ b/weldhead/documents/cache.py
@@ -21,7 +21,7 @@
     """A value, its mark (0: there is none in the store), and as of when it was current."""
 
     value: T
-    mark: int
+    version: int
     as_of_us: int
 
 
@@ -74,7 +74,7 @@
         for listener in self.listeners:
             listener(key)
 
-    def kept(self, key: str, kind: type[T]) -> CacheEntry[T] | None:
+    def get(self, key: str, kind: type[T]) -> CacheEntry[T] | None:
         """Return a key's value, decoded; None: it is not there, or cannot be read."""
         entry = self._entries.get(key)
         if entry is None:
@@ -88,7 +88,7 @@
         value = self._decoded[key, kind]
         return None if value is None else CacheEntry(value, entry[1], self.as_of_us)
 
-    def mark(self, key: str) -> int:
+    def version(self, key: str) -> int:
         """Return a key's mark; 0: it is not there."""
         entry = self._entries.get(key)
         return entry[1] if entry is not None else 0
@@ -96,7 +96,7 @@
     @property
     def head(self) -> HeadRecord | None:
         """The edition in force; None: there is none."""
-        kept = self.kept(HEAD_KEY, HeadRecord)
+        kept = self.get(HEAD_KEY, HeadRecord)
         return kept.value if kept is not None else None
 
     def in_force(self, kind: str, structure: type[T]) -> Iterator[CacheEntry[T]]:
@@ -106,7 +106,7 @@
             return
         for name in head.documents:
             if name.startswith(kind + "/"):
-                kept = self.kept(document_key(head.edition, name), structure)
+                kept = self.get(document_key(head.edition, name), structure)
                 if kept is not None:
                     yield kept
 
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -314,7 +314,7 @@
 
     def verdicts(self) -> Counter[AttemptVerdict]:
         """Return how often each verdict was given, over all terms."""
-        return sum((tally.tasks for tally in self._tallies.values()), Counter[AttemptVerdict]())
+        return sum((tally.attempts for tally in self._tallies.values()), Counter[AttemptVerdict]())
 
     def _calls(self) -> Counter[str]:
         """What the controllers have sent so far, by whom it was for."""
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/planted.py
@@ -97,7 +97,7 @@
 
 def _everything_settled() -> Iterator[Any]:
     """While machines are unknown, any waiting task is taken to run nowhere."""
-    yield patch.object(PartialView, "settled", lambda self, job: True)
+    yield patch.object(PartialView, "is_settled", lambda self, job: True)
 
 
 def _in_flight_not_counted() -> Iterator[Any]:
@@ -140,7 +140,7 @@
 def _below_a_guarantee() -> Iterator[Any]:
     """Whatever a team runs counts as borrowed."""
     yield patch.object(preemptor, "over_guarantee", lambda *_: True)
-    yield patch.object(QuotaAccount, "may_lose_cards", lambda *_: True)
+    yield patch.object(QuotaAccount, "may_lose_gpus", lambda *_: True)
 
 
 def _deaf_as_healthy() -> Iterator[Any]:
@@ -150,7 +150,7 @@
 
 def _calendar_of_the_term() -> Iterator[Any]:
     """A new term binds the jobs that it finds anew, to the instants that come then."""
-    enter = JobDeadlines.enter
+    enter = JobDeadlines.add
 
     def anew(self: JobDeadlines, job: Job, at_us: int, wall_us: int) -> None:
         kept = (
@@ -165,7 +165,7 @@
             )
         enter(self, job, at_us, wall_us)
 
-    yield patch.object(JobDeadlines, "enter", anew)
+    yield patch.object(JobDeadlines, "add", anew)
 
 
 def _gate_from_memory() -> Iterator[Any]:
@@ -235,7 +235,7 @@
     """A leader that has not read the jobs keeps all workers, for as long as that takes."""
 
     def answer(self: TermRecovery, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
-        return self.heartbeat_buffer.answer(report, at_us, relayed=relayed)
+        return self.heartbeat_buffer.add_answered(report, at_us, relayed=relayed)
 
     yield patch.object(TermRecovery, "buffer_heartbeat", answer)
 
@@ -263,21 +263,21 @@
 
 def _follower_answers_from_an_old_read() -> Iterator[Any]:
     """A follower remembers the jobs that it has read, as if they could not change."""
-    read = RequestHandler._read
+    read = RequestHandler._read_record
     remembered: WeakKeyDictionary[RequestHandler, dict[str, JobRecord]] = WeakKeyDictionary()
 
     async def from_memory(
         self: RequestHandler, job_id: str, *, urgent: bool = False
     ) -> JobRecord | FinalRecord | None:
         records = remembered.setdefault(self, {})
-        if self._node.leader is None and job_id in records:
+        if self._controller.leader is None and job_id in records:
             return records[job_id]
         stored = await read(self, job_id, urgent=urgent)
         if isinstance(stored, JobRecord):
             records[job_id] = stored
         return stored
 
-    yield patch.object(RequestHandler, "_read", from_memory)
+    yield patch.object(RequestHandler, "_read_record", from_memory)
 
 
 def _lost_answer_as_a_refusal() -> Iterator[Any]:
@@ -297,13 +297,13 @@
 
 def _work_on_an_unrecorded_machine() -> Iterator[Any]:
     """Tasks are sent to a machine before the store says that something may run there."""
-    mark_up = RentalManager.mark_up
+    mark_up = RentalManager.enroll
 
     async def at_once(self: RentalManager, machine: Machine) -> None:
         machine.enrolled = True
         await mark_up(self, machine)
 
-    yield patch.object(RentalManager, "mark_up", at_once)
+    yield patch.object(RentalManager, "enroll", at_once)
 
 
 def _old_report_taken_before_the_load() -> Iterator[Any]:
@@ -311,8 +311,8 @@
     apply = Leader._apply_buffered
 
     def take(self: Leader, early: BufferedHeartbeat) -> None:
-        shown = structs.replace(early.report, token=self.token)
-        apply(self, replace(early, report=shown))
+        shown = structs.replace(early.heartbeat, token=self.token)
+        apply(self, replace(early, heartbeat=shown))
 
     yield patch.object(Leader, "_apply_buffered", take)
     # Of several the first that came stays.
@@ -350,7 +350,7 @@
 
 def _answer_from_an_old_read() -> Iterator[Any]:
     """A controller tells for two seconds what the store said once."""
-    from_store = RequestHandler._from_store
+    from_store = RequestHandler._read_status
     kept: dict[tuple[RequestHandler, str], tuple[int, JobStatus | None]] = {}
 
     async def old(self: RequestHandler, job_id: str, *, urgent: bool = False) -> JobStatus | None:
@@ -360,7 +360,7 @@
             kept[self, job_id] = at_us, read
         return read
 
-    yield patch.object(RequestHandler, "_from_store", old)
+    yield patch.object(RequestHandler, "_read_status", old)
 
 
 def _any_job_accepted() -> Iterator[Any]:
--- a/weldhead/emulator/processor.py
+++ b/weldhead/emulator/processor.py
@@ -58,7 +58,7 @@
 
 def _fleet_us(sizing: Autoscaler, _: Any) -> float:
     """Return the charge of a look at the fleet's size."""
-    deciding, scene = sizing._deciding, sizing._deciding.scene
+    deciding, scene = sizing._scheduling_loop, sizing._scheduling_loop.current_input
     waiting = len(scene.backlog) if scene is not None else 0
     considered = min(waiting, sizing._term.tunables.fleet.most_considered)
     return _preemptor_us(deciding, None) + SIZED_JOB_US * considered
@@ -72,10 +72,10 @@
 #: Whose methods are charged after they have returned, and how much.
 _METERS: tuple[tuple[type, str, Callable[[Any, Any], float]], ...] = (
     (SchedulingLoop, "place", _placement_us),
-    (SchedulingLoop, "_make_room", _preemptor_us),
-    (Autoscaler, "_size_now", _fleet_us),
-    (Autoscaler, "hire_ahead", _fleet_us),
-    (JobForecasts, "look", _forecasts_us),
+    (SchedulingLoop, "_preempt_for_waiting", _preemptor_us),
+    (Autoscaler, "_scale", _fleet_us),
+    (Autoscaler, "rent_replacements", _fleet_us),
+    (JobForecasts, "refresh", _forecasts_us),
 )
 
 
--- a/weldhead/failure_attribution/failure_tracker.py
+++ b/weldhead/failure_attribution/failure_tracker.py
@@ -77,7 +77,7 @@
     def __bool__(self) -> bool:
         return bool(self._machines or self._suspects)
 
-    def failed(self, attempt: Attempt, at_us: int) -> None:
+    def record_failure(self, attempt: Attempt, at_us: int) -> None:
         """Note that a task failed by itself, and put its job's next try off if need be."""
         job = attempt.job
         ran_us = at_us - attempt.running_since_us if attempt.running_since_us else 0
@@ -97,7 +97,7 @@
             # Judged in a moment, not started as often as can be until then.
             job.not_before_us = max(job.not_before_us, at_us + REVIEW_US)
 
-    def succeeded(self, machine: Machine, began_us: int) -> None:
+    def record_success(self, machine: Machine, began_us: int) -> None:
         """A task that began there at that time has completed, or has long not failed."""
         against = self._machines.get(machine.name)
         if not against:
@@ -134,7 +134,7 @@
                 found.changed.append((suspect.job, standing))
         return found
 
-    def stranded(self, job: Job, cluster: Cluster, at_us: int) -> bool:
+    def is_stranded(self, job: Job, cluster: Cluster, at_us: int) -> bool:
         """Whether a job that is tried finds no machine to be tried on, and one may be rented.
 
         Rented for at once where nobody can tell yet; rarely where it has failed everywhere.
@@ -164,7 +164,7 @@
                 and not attempt.adopted
                 and machine.last_heartbeat_us - attempt.running_since_us >= least_us
             ):
-                self.succeeded(machine, attempt.running_since_us)
+                self.record_success(machine, attempt.running_since_us)
                 if machine.name not in self._machines:
                     return
 
--- a/weldhead/gates/gate_tracker.py
+++ b/weldhead/gates/gate_tracker.py
@@ -25,46 +25,46 @@
         self.document: Gate | None = None
         self.state: GateState | None = None
         #: The state that is being written.
-        self.coming: GateState | None = None
+        self.pending_state: GateState | None = None
         #: The edition of the documents that is in force has no such gate: it holds nothing.
-        self.gone = False
+        self.retired = False
         #: It may be open for more than when its jobs were looked at last.
-        self.changed = True
+        self.needs_release = True
         #: All jobs that are bound to it, held or not.
         self.jobs: dict[str, Job] = {}
-        self.opening = GateStatus(name)
+        self.status = GateStatus(name)
         #: Acts that are entered and wait until it is surely closed.
-        self.waiting: dict[str, Job] = {}
+        self.pending_actions: dict[str, Job] = {}
         #: No task of a job that it holds can begin any more.
-        self.settled = False
+        self.quiesced = False
         #: What was said of it last.
-        self.said = ""
+        self.last_logged = ""
         #: Since when machines are rented ahead for it (0: they are not).
-        self.foreseen_us = 0
+        self.prerented_since_us = 0
         #: A job has left since what it lends was reckoned anew, and when that was.
-        self.left = False
-        self.lent_us = 0
+        self.jobs_left = False
+        self.inheritance_checked_us = 0
 
     def may_start(self, job: Job) -> bool:
         """Whether it is open for a job that is bound to it."""
-        if self.gone:
+        if self.retired:
             return True
         if self.document is None or self.state is None or job.gate_hold is None:
             return False
         former, least = self.document.former, job.gate_hold.edition
-        if self.coming is not None and not permits(former, self.coming, least):
+        if self.pending_state is not None and not permits(former, self.pending_state, least):
             return False
         return permits(former, self.state, least)
 
-    def enter(self, job: Job) -> None:
+    def add_job(self, job: Job) -> None:
         """Take up a job that is bound to it; one whose record does not say so by what holds now."""
         if job.gate_hold is None:
-            known = self.coming or self.state
+            known = self.pending_state or self.state
             job.gate_hold = GateHold(self.name, needed_now(known) if known is not None else 1)
         self.jobs[job.id] = job
-        job.blocking_gate = None if self.may_start(job) else self.opening
+        job.blocking_gate = None if self.may_start(job) else self.status
 
-    def hold_back(self) -> list[Job]:
+    def hold_jobs(self) -> list[Job]:
         """Hold the jobs for which it is not open any more, and return them."""
         found = [
             job
@@ -72,7 +72,7 @@
             if job.blocking_gate is None and not self.may_start(job)
         ]
         for job in found:
-            job.blocking_gate = self.opening
+            job.blocking_gate = self.status
         return found
 
     def releasable(self) -> list[Job]:
@@ -92,11 +92,11 @@
         found = [e.opened_us for e in self.state.editions if e.open and e.number >= least]
         return min(found, default=0)
 
-    def held(self) -> int:
+    def held_count(self) -> int:
         """How many jobs it holds."""
         return sum(1 for job in self.jobs.values() if job.blocking_gate is not None)
 
-    def stops(self, job: Job) -> Iterator[tuple[Attempt, StopRequest]]:
+    def required_stops(self, job: Job) -> Iterator[tuple[Attempt, StopRequest]]:
         """Iterate over what has to be stopped of a job that is held, and how."""
         stop_running = self.document is not None and self.document.former == "stop"
         for attempt in job.active.values():
@@ -108,7 +108,7 @@
             if wanted.value > attempt.stop_request.value:
                 yield attempt, wanted
 
-    def why(self) -> str:
+    def waiting_reason(self) -> str:
         """Say in words what its newest edition waits for; "": it is open."""
         if self.document is None or self.state is None:
             return "its document or state cannot be read"
--- a/weldhead/provisioning/boot_times.py
+++ b/weldhead/provisioning/boot_times.py
@@ -119,15 +119,15 @@
     """The boots of late, by zone."""
 
     def __init__(self) -> None:
-        self._came: dict[str, deque[_Boot]] = defaultdict(deque)
+        self._boots: dict[str, deque[_Boot]] = defaultdict(deque)
 
-    def came(self, machine: Machine, at_us: int) -> None:
+    def record_boot(self, machine: Machine, at_us: int) -> None:
         """A machine that this leader saw boot has reported for the first time."""
         if machine.type.boot_s > 0:
             ratio = (at_us - machine.rented_us) / seconds_us(machine.type.boot_s)
-            self._came[machine.zone].append(_Boot(machine.rented_us, ratio))
+            self._boots[machine.zone].append(_Boot(machine.rented_us, ratio))
 
-    def look(
+    def expectations(
         self,
         machines: Iterable[Machine],
         at_us: int,
@@ -142,11 +142,11 @@
         found: dict[str, BootExpectation] = {}
         for zone, booting in waiting.items():
             self._forget(zone, at_us)
-            found.update(_judge(booting, self._came[zone], at_us, usual))
+            found.update(_judge(booting, self._boots[zone], at_us, usual))
         return BootExpectations(usual, minimum_charge_us, found)
 
     def _forget(self, zone: str, at_us: int) -> None:
-        came = self._came[zone]
+        came = self._boots[zone]
         while came and at_us - came[0].hired_us > MEMORY_US:
             came.popleft()
 
--- a/weldhead/quota/teams.py
+++ b/weldhead/quota/teams.py
@@ -140,11 +140,11 @@
         self._freed: dict[str, list[int]] = {}
         self._claimed: dict[str, list[int]] = {}
 
-    def free(self, team: str, spec: JobSpec) -> None:
+    def record_freed(self, team: str, spec: JobSpec) -> None:
         """Note that a task of a team stops."""
         _add(self._freed, team, spec)
 
-    def claim(self, team: str, spec: JobSpec) -> None:
+    def record_claim(self, team: str, spec: JobSpec) -> None:
         """Note that room is made for a task of a team."""
         _add(self._claimed, team, spec)
 
@@ -168,12 +168,12 @@
         position = self.position(team, resource)
         return position is None or position.borrowed > 0
 
-    def may_lose_cards(self, team: str, units: int) -> bool:
+    def may_lose_gpus(self, team: str, units: int) -> bool:
         """Whether a team keeps its guarantee in cards without so many units of them."""
         position = self.position(team, Resource.CARDS)
         return position is None or units == 0 or position.borrowed >= units
 
-    def within(self, team: str, spec: JobSpec) -> bool:
+    def within_guarantee(self, team: str, spec: JobSpec) -> bool:
         """Whether one more task is inside its team's guarantee, with what is claimed already."""
         resource = claimed_resource(spec)
         position = self.position(team, resource)
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -109,13 +109,15 @@
     """How often each verdict was given since the term began."""
 
     def __init__(self) -> None:
-        self.tasks: Counter[AttemptVerdict] = Counter()
+        self.attempts: Counter[AttemptVerdict] = Counter()
 
-    def line(self, cluster: Cluster) -> str:
+    def summary(self, cluster: Cluster) -> str:
         """Say in one line how the start went."""
         machines = Counter(machine_standing(machine) for machine in cluster.machines.values())
         said = [f"{count} {kind.value}" for kind, count in _in_order(machines, MachineStanding)]
-        found = [f"{count} {kind.value}" for kind, count in _in_order(self.tasks, AttemptVerdict)]
+        found = [
+            f"{count} {kind.value}" for kind, count in _in_order(self.attempts, AttemptVerdict)
+        ]
         return f"machines: {', '.join(said) or 'none'}; attempts: {', '.join(found) or 'none'}"
 
 
--- a/weldhead/reconciliation/buffered_heartbeats.py
+++ b/weldhead/reconciliation/buffered_heartbeats.py
@@ -14,7 +14,7 @@
 class BufferedHeartbeat:
     """The newest message of a machine, and when its last report was answered (0: never)."""
 
-    report: Heartbeat
+    heartbeat: Heartbeat
     #: It was the body of a direct command's answer.
     direct: bool
     answered_us: int
@@ -32,12 +32,12 @@
     def __len__(self) -> int:
         return len(self._kept)
 
-    def showed(self, machine: str, token: int) -> bool:
+    def has_shown(self, machine: str, token: int) -> bool:
         """Whether a machine has shown that token in a message of its own."""
         kept = self._kept.get(machine)
-        return kept is not None and kept.report.token >= token
+        return kept is not None and kept.heartbeat.token >= token
 
-    def answer(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
+    def add_answered(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
         """Keep a report; whether to answer it.
 
         One that is older than what was seen was held back on the way: its sender has given
@@ -47,30 +47,30 @@
         if kept is None:
             self._kept[report.machine] = BufferedHeartbeat(report, False, at_us, relayed, True)
             return True
-        if _order(report) < _order(kept.report):
+        if _order(report) < _order(kept.heartbeat):
             return False
-        if _order(report) == _order(kept.report):
+        if _order(report) == _order(kept.heartbeat):
             # The same once more: its sender had sent it when it was first counted.
             return True
-        kept.report, kept.direct, kept.answered = report, False, True
+        kept.heartbeat, kept.direct, kept.answered = report, False, True
         kept.answered_us, kept.relayed = at_us, relayed
         return True
 
-    def shown(self, report: Heartbeat) -> None:
+    def add_probe_answer(self, report: Heartbeat) -> None:
         """Keep what a machine answered to a direct request, unless something newer is here."""
         kept = self._kept.get(report.machine)
         if kept is None:
             self._kept[report.machine] = BufferedHeartbeat(report, True, 0, False)
-        elif _order(report) > _order(kept.report):
-            kept.report, kept.direct, kept.answered = report, True, False
+        elif _order(report) > _order(kept.heartbeat):
+            kept.heartbeat, kept.direct, kept.answered = report, True, False
 
-    def unanswered(self, report: Heartbeat, *, relayed: bool) -> None:
+    def add_unanswered(self, report: Heartbeat, *, relayed: bool) -> None:
         """Keep a report that is not answered, unless something newer is here."""
         kept = self._kept.get(report.machine)
         if kept is None:
             self._kept[report.machine] = BufferedHeartbeat(report, False, 0, relayed)
-        elif _order(report) > _order(kept.report):
-            kept.report, kept.direct, kept.answered = report, False, False
+        elif _order(report) > _order(kept.heartbeat):
+            kept.heartbeat, kept.direct, kept.answered = report, False, False
 
     def take(self) -> list[BufferedHeartbeat]:
         """Return everything, and keep nothing."""
--- a/weldhead/reconciliation/partial_view.py
+++ b/weldhead/reconciliation/partial_view.py
@@ -21,20 +21,24 @@
 class PartialView:
     """What is known of a cluster of which not all machines are.
 
-    ``safe_from`` is a revision of the store at which every earlier leader had surely stopped:
+    ``safe_revision`` is a revision of the store at which every earlier leader had surely stopped:
     jobs created later were started by none of them. None: that moment has not come yet.
     """
 
-    safe_from: int | None
+    safe_revision: int | None
     unknown: tuple[Machine, ...]
 
-    def settled(self, job: Job) -> bool:
+    def is_settled(self, job: Job) -> bool:
         """Whether what may run of a job is all known.
 
         A cancellation writes a job's record anew, so its version does not tell when the job
         was created.
         """
-        if self.safe_from is not None and not job.cancelled and job.version > self.safe_from:
+        if (
+            self.safe_revision is not None
+            and not job.cancelled
+            and job.version > self.safe_revision
+        ):
             return True
         return not self._may_hold(job)
 
@@ -91,7 +95,7 @@
     for job in cluster.jobs.values():
         # Cancelled and blocked ones too: what runs of them runs until it has shown itself.
         left = job.spec.tasks - job.done - len(job.active)
-        if left > 0 and not partial.settled(job):
+        if left > 0 and not partial.is_settled(job):
             amounts = wanted[job.team]
             amounts[0] += left * job.spec.cpus
             amounts[1] += left * job.spec.gpus
--- a/weldhead/reconciliation/preemption_rate_limit.py
+++ b/weldhead/reconciliation/preemption_rate_limit.py
@@ -30,7 +30,7 @@
         self._level = 0.0
         self._filled_us = 0
         #: How many stops were put off, over all runs.
-        self.put_off = 0
+        self.deferred = 0
 
     def allowed(self, ready_us: int, running: int, at_us: int) -> int | None:
         """Return how many attempts may be stopped now; None: as many as the rules say.
@@ -46,6 +46,6 @@
         self._filled_us = at_us
         return int(self._level)
 
-    def stopped(self, count: int) -> None:
+    def record(self, count: int) -> None:
         """So many were stopped: victims for one place stop together, also if over the pace."""
         self._level -= count
--- a/weldhead/reconciliation/status_probes.py
+++ b/weldhead/reconciliation/status_probes.py
@@ -42,8 +42,8 @@
     def __init__(self, settings: ProbeSettings) -> None:
         self._settings = settings
         self._waiting: deque[str] = deque()
-        self._asked: dict[str, _Probe] = {}
-        self._done: set[str] = set()
+        self._probes: dict[str, _Probe] = {}
+        self._known: set[str] = set()
         self._answer_us = 0
         self.under_way = 0
         #: Questions sent so far.
@@ -52,31 +52,31 @@
     def add(self, names: Iterable[str]) -> None:
         """Ask these as well."""
         for name in names:
-            if name not in self._done and name not in self._asked:
+            if name not in self._known and name not in self._probes:
                 self._waiting.append(name)
 
-    def known(self, name: str) -> None:
+    def mark_known(self, name: str) -> None:
         """Nothing has to be asked of it any more."""
-        self._done.add(name)
-        self._asked.pop(name, None)
+        self._known.add(name)
+        self._probes.pop(name, None)
 
-    def next(self, at_us: int) -> list[str]:
+    def next_targets(self, at_us: int) -> list[str]:
         """Return whom to ask now; they count as asked from here on."""
         found: list[str] = []
         room = self._settings.at_once - self.under_way
         while self._waiting and len(found) < room:
             name = self._waiting.popleft()
-            if name not in self._done:
-                self._asked[name] = _Probe(at_us, at_us)
+            if name not in self._known:
+                self._probes[name] = _Probe(at_us, at_us)
                 found.append(name)
         if len(found) < room:
             # Who was asked least comes first: in the order of asking, those that are gone
             # held all turns, and the last of them was never asked twice (found on an own day).
-            due = [(a.times, a.last_us, name) for name, a in self._asked.items()]
-            for _, _, name in sorted(d for d in due if self._due(self._asked[d[2]], at_us)):
+            due = [(a.times, a.last_us, name) for name, a in self._probes.items()]
+            for _, _, name in sorted(d for d in due if self._due(self._probes[d[2]], at_us)):
                 if len(found) >= room:
                     break
-                asked = self._asked[name]
+                asked = self._probes[name]
                 asked.last_us = at_us
                 asked.times += 1
                 asked.open += 1
@@ -90,22 +90,22 @@
             return at_us - asked.last_us >= self._settings.again_us
         return asked.open == 0 and at_us - asked.last_us >= self._settings.pause_us
 
-    def answered(self, name: str, at_us: int) -> None:
+    def record_answer(self, name: str, at_us: int) -> None:
         """A question was answered."""
         self._closed(name)
         self._answer_us = max(self._answer_us, at_us)
 
-    def failed(self, name: str) -> None:
+    def record_failure(self, name: str) -> None:
         """A question was not answered."""
         self._closed(name)
 
     def _closed(self, name: str) -> None:
         self.under_way -= 1
-        asked = self._asked.get(name)
+        asked = self._probes.get(name)
         if asked is not None:
             asked.open -= 1
 
-    def in_vain(self, at_us: int, late_us: int) -> set[str]:
+    def unanswered(self, at_us: int, late_us: int) -> set[str]:
         """Return who was asked in vain; ``late_us`` is how late the loop is."""
         if self._waiting:
             return set()
@@ -114,11 +114,11 @@
             return set()
         return {
             name
-            for name, asked in self._asked.items()
+            for name, asked in self._probes.items()
             if asked.times > 1 and at_us - asked.first_us >= self._settings.again_us + quiet_us
         }
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether nobody is left to be asked."""
-        return not self._waiting and not self._asked
+        return not self._waiting and not self._probes
--- a/weldhead/scheduling/autoscaling/arrival_rates.py
+++ b/weldhead/scheduling/autoscaling/arrival_rates.py
@@ -18,7 +18,7 @@
         self._memory_us = memory_us
         self._levels: dict[int, tuple[float, int]] = {}
 
-    def arrived(self, level: int, cpu_us: float, at_us: int) -> None:
+    def record(self, level: int, cpu_us: float, at_us: int) -> None:
         """Note work that arrived."""
         total, since_us = self._levels.get(level, (0.0, at_us))
         if at_us >= since_us:
@@ -29,7 +29,7 @@
             total += cpu_us * math.exp((at_us - since_us) / self._memory_us)
             self._levels[level] = (total, since_us)
 
-    def above(self, level: int, at_us: int) -> float:
+    def cpus_above(self, level: int, at_us: int) -> float:
         """Return how many CPUs the work that arrives above a level would keep busy."""
         return sum(
             total * math.exp(min(0, since_us - at_us) / self._memory_us) / self._memory_us
@@ -37,8 +37,8 @@
             if other > level
         )
 
-    def stretch(self, level: int, capacity: float, at_us: int) -> float:
+    def delay_factor(self, level: int, capacity: float, at_us: int) -> float:
         """By what factor waiting at a level takes longer than what waits now lets it seem."""
         if capacity <= 0:
             return 1.0
-        return 1 / max(LEAST_SHARE, 1 - self.above(level, at_us) / capacity)
+        return 1 / max(LEAST_SHARE, 1 - self.cpus_above(level, at_us) / capacity)
--- a/weldhead/scheduling/autoscaling/fleet.py
+++ b/weldhead/scheduling/autoscaling/fleet.py
@@ -75,17 +75,17 @@
     """Work that does not wait for room yet, and when it is expected to.
 
     A job that waits for others, until those are done; or tasks on machines that are silent
-    (``lost``), until their leases are over.
+    (``at_risk``), until their leases are over.
     """
 
     job: Job
     starts_us: int
-    lost: int = 0
+    at_risk: int = 0
 
     def tasks(self, cluster: Cluster) -> int:
         """How many of its tasks will want room at once, as its team's limit allows."""
-        if self.lost:
-            return self.lost
+        if self.at_risk:
+            return self.at_risk
         team = cluster.teams[self.job.team]
         return tasks_that_fit(self.job.spec, team.cpus_max, team.gpus_max)
 
@@ -98,7 +98,7 @@
     #: Until when an offer is not asked for again, because it was refused.
     refused_until_us: dict[tuple[str, str, bool], int] = field(default_factory=dict)
 
-    def offers(self, at_us: int) -> list[RentalOffer]:
+    def available(self, at_us: int) -> list[RentalOffer]:
         """Return what may be asked for now."""
         found = []
         for machine_type in self.types:
@@ -208,7 +208,7 @@
         self._heap = list(pools.items())
         heapq.heapify(self._heap)
 
-    def take(
+    def schedule(
         self, cpus: float, run_us: int, ready_us: int = 0, count: int = 1
     ) -> Iterator[tuple[int | None, int]]:
         """Let tasks run as early as they can; yield when how many of them start.
@@ -245,9 +245,9 @@
     """Waiting tasks that want machines, as many of each job as are to run side by side."""
 
     #: Those that would wait for long.
-    patient: list[tuple[Job, int]] = field(default_factory=list)
+    deferrable: list[tuple[Job, int]] = field(default_factory=list)
     #: Those that would be late.
-    pressing: list[tuple[Job, int]] = field(default_factory=list)
+    urgent: list[tuple[Job, int]] = field(default_factory=list)
     #: All work that would start later than a machine that is rented now.
     backlog_us: float = 0.0
 
@@ -284,7 +284,7 @@
     more = any(True for _ in waiting)
     for item in upcoming:
         # What will be lost is no use that stands in its own way.
-        held[item.job.team] -= item.lost * item.job.spec.cpus
+        held[item.job.team] -= item.at_risk * item.job.spec.cpus
     wanted += [(item.job, item.tasks(cluster), item.starts_us) for item in upcoming]
     for job, count, ready_us in wanted:
         # Nothing can be too late for a job before it is released.
@@ -307,14 +307,14 @@
         bound_us = up_us if guaranteed else up_us + late_us
         stretch = stretches(job)
         slow = late = 0
-        taken = queue.take(job.spec.cpus, task_us, ready_us, count)
+        taken = queue.schedule(job.spec.cpus, task_us, ready_us, count)
         if job.spec.gpus > 0 and cards is not None:
             of_cards = of_cards or cards()
             deque(taken, maxlen=0)
-            taken = of_cards.take(job.spec.gpus, task_us, ready_us, count)
+            taken = of_cards.schedule(job.spec.gpus, task_us, ready_us, count)
         starts = list(taken)
         if job.spec.zone is not None and in_zone is not None:
-            there = in_zone(job.spec.zone).take(job.spec.cpus, task_us, ready_us, count)
+            there = in_zone(job.spec.zone).schedule(job.spec.cpus, task_us, ready_us, count)
             starts = max(starts, list(there), key=_last_start_us)
         for start_us, together in starts:
             never = start_us is None
@@ -327,15 +327,15 @@
                 slow += together
             if never or start_us > bound_us:
                 late += together
-        if ahead is not None and (short := ahead.short(job, count)):
+        if ahead is not None and (short := ahead.shortfall(job, count)):
             slow, late = max(slow, short), max(late, short)
         # Tasks that a new machine can run one after the other and still be in time.
         turns = max(1, (target_us - up_us) // max(1, task_us))
         if slow:
             short = max(1, settings.spot_patience_us // max(1, task_us))
-            missing.patient.append((job, -(-slow // short)))
+            missing.deferrable.append((job, -(-slow // short)))
         if late:
-            missing.pressing.append((job, -(-late // turns)))
+            missing.urgent.append((job, -(-late // turns)))
     if more:
         # Those behind are taken to be like those that were looked at.
         missing.backlog_us *= max(1.0, backlog / len(wanted))
@@ -368,7 +368,7 @@
     Two patiences: cheap machines are rented as soon as work would wait longer than
     ``spot_patience``; dear ones only for work that would otherwise miss its goal.
     """
-    offers = market.offers(at_us)
+    offers = market.available(at_us)
     if not (plan.unplaced or upcoming) or not offers:
         return {}
     owned = sum(
@@ -380,7 +380,7 @@
 
     @cache
     def stretch_at(level: int) -> float:
-        return demand.stretch(level, owned, at_us) if demand is not None else 1.0
+        return demand.delay_factor(level, owned, at_us) if demand is not None else 1.0
 
     def stretches(job: Job) -> float:
         return stretch_at(job.effective_level)
@@ -411,12 +411,12 @@
     )
     hires: dict[RentalOffer, int] = defaultdict(int)
     cheap = [offer for offer in offers if offer.spot]
-    rooms = _rent_for(missing.patient, cheap, hires, [], settings)
+    rooms = _rent_for(missing.deferrable, cheap, hires, [], settings)
     # More dear machines than this would share the backlog so thinly that they are idle
     # before they have been paid for; one is always allowed.
     capacity = owned + sum(offer.type.cpus * number for offer, number in hires.items())
     worthwhile = missing.backlog_us / settings.payback_us - capacity
-    _rent_for(missing.pressing, offers, hires, rooms, settings, worthwhile)
+    _rent_for(missing.urgent, offers, hires, rooms, settings, worthwhile)
     return dict(hires)
 
 
--- a/weldhead/scheduling/forecast/job_forecasts.py
+++ b/weldhead/scheduling/forecast/job_forecasts.py
@@ -64,7 +64,7 @@
             up_us = machine.rented_us + seconds_us(machine.type.boot_s)
             self._booting.set(name, machine.serial, up_us)
 
-    def boots(self) -> BootForecast:
+    def forecast(self) -> BootForecast:
         """Return what a forecast has to know of them."""
         for machine in self._feed.take():
             self._enter(machine)
@@ -92,7 +92,7 @@
         self._recheck_us = recheck_us
         self._most = most
         self._feed = cluster.jobs.feeds.subscribe()
-        self._boots = BootTracker(cluster.machines)
+        self._boot_tracker = BootTracker(cluster.machines)
         #: When each job is looked at next.
         self._next = DeadlineHeap()
         for job in cluster.jobs.values():
@@ -103,7 +103,7 @@
     def close(self) -> None:
         """Stop following the cluster."""
         self._feed.close()
-        self._boots.close()
+        self._boot_tracker.close()
 
     def _plan(self, job: Job, at_us: int) -> None:
         """Look at a job at that time, or earlier if that is planned already."""
@@ -111,17 +111,17 @@
         if planned_us is None or planned_us > at_us:
             self._next.set(job.id, job.serial, at_us)
 
-    def boots(self) -> BootForecast:
+    def boot_forecast(self) -> BootForecast:
         """Return what is to be expected of machines that boot."""
-        return self._boots.boots()
+        return self._boot_tracker.forecast()
 
-    def tell(self, job: Job, at_us: int) -> None:
+    def refresh_job(self, job: Job, at_us: int) -> None:
         """Bring a job's forecast up to date, if it waits for no others."""
         if job.unmet_dependencies or (
             job.forecast_made_us and at_us - job.forecast_made_us < FRESH_US
         ):
             return
-        self._forecast(job, at_us, self._boots.boots())
+        self._forecast(job, at_us, self._boot_tracker.forecast())
 
     def _forecast(self, job: Job, at_us: int, boots: BootForecast) -> None:
         if job.blocking_gate is None or job.cancelled:
@@ -134,14 +134,14 @@
             ) + self._stage_us(job)
         job.forecast_made_us = at_us
 
-    def look(self, at_us: int) -> list[Job]:
+    def refresh(self, at_us: int) -> list[Job]:
         """Bring forecasts up to date; return the jobs that may have turned late, or not late."""
         for job in self._feed.take():
             if self._cluster.jobs.get(job.id) is job:
                 self._plan(job, at_us)
             else:
                 self._next.drop(job.id)
-        boots = self._boots.boots()
+        boots = self._boot_tracker.forecast()
         if self._chains.blocked:
             for job in self._chains.required_jobs():
                 if not job.unmet_dependencies:
--- a/weldhead/scheduling/forecast/run_times.py
+++ b/weldhead/scheduling/forecast/run_times.py
@@ -51,9 +51,9 @@
         self._classes: dict[str, Mean] = {}
         self._jobs: dict[str, Mean] = {}
         #: What is told of each class: its mean ratio, as it was when it last moved clearly.
-        self._told: dict[str, float] = {}
+        self._published: dict[str, float] = {}
         #: Counts the changes of what is told, per class.
-        self.editions: dict[str, int] = {}
+        self.versions: dict[str, int] = {}
 
     def observe(self, job: Job, run_us: int) -> None:
         """Learn from a completed task."""
@@ -64,33 +64,33 @@
         of_class = self._classes.setdefault(name, Mean())
         of_class.add(ratio, FADING)
         self._jobs.setdefault(job.id, Mean()).add(ratio)
-        self._tell(name, of_class)
+        self._publish(name, of_class)
         job.notify_changed()
 
-    def _tell(self, name: str, of_class: Mean) -> None:
-        fresh, told = of_class.ratio(1.0), self._told.get(name)
+    def _publish(self, name: str, of_class: Mean) -> None:
+        fresh, told = of_class.ratio(1.0), self._published.get(name)
         if told is None or abs(fresh - told) > TOLD_STEP * told:
             # Every waiting job of the class has to be put in order anew: not at each task.
-            self._told[name] = fresh
-            self.editions[name] = self.editions.get(name, 0) + 1
+            self._published[name] = fresh
+            self.versions[name] = self.versions.get(name, 0) + 1
 
-    def seen(self, name: str) -> tuple[float, float] | None:
-        """Return what was seen of a class, for ``recall`` in a later term."""
+    def export(self, name: str) -> tuple[float, float] | None:
+        """Return what was seen of a class, for ``restore`` in a later term."""
         of_class = self._classes.get(name)
         return (round(of_class.total, 4), round(of_class.weight, 2)) if of_class else None
 
-    def recall(self, name: str, total: float, weight: float) -> None:
+    def restore(self, name: str, total: float, weight: float) -> None:
         """Take up what was seen of a class in an earlier term."""
         if name not in self._classes and weight > 0:
             of_class = self._classes[name] = Mean()
             of_class.total, of_class.weight = total, weight
-            self._tell(name, of_class)
+            self._publish(name, of_class)
 
     def forget(self, job_id: str) -> None:
         """Drop what was kept for a job that is over."""
         self._jobs.pop(job_id, None)
 
-    def knows(self, job: Job) -> bool:
+    def has_observations(self, job: Job) -> bool:
         """Whether any task of the job or of its class was seen to end."""
         return job.id in self._jobs or job.spec.job_class in self._classes
 
@@ -105,7 +105,7 @@
         Waiting jobs are put in order by this: else the end of each task would put all jobs
         of its class in their places anew.
         """
-        return self._by_job(job, self._told.get(job.spec.job_class, 1.0))
+        return self._by_job(job, self._published.get(job.spec.job_class, 1.0))
 
     def _by_job(self, job: Job, ratio: float) -> int:
         of_job = self._jobs.get(job.id)
--- a/weldhead/scheduling/objectives.py
+++ b/weldhead/scheduling/objectives.py
@@ -55,15 +55,15 @@
         """Return how long the job's tasks could still wait and be in time."""
         return self.target_us(job, task_us, at_us) - at_us - task_us
 
-    def press(self, job: Job, task_us: int, at_us: int, patience_us: int) -> Urgency:
+    def urgency_of(self, job: Job, task_us: int, at_us: int, patience_us: int) -> Urgency:
         """Say how urgent it is that the job's tasks get room.
 
         The paper's laxity (Natjam-R), used by placement and preemptor alike: if one gave
         room by a rule that contradicts the other's, jobs would start and stop in a circle.
         """
-        return self._press_by(job, task_us, self.laxity_us(job, task_us, at_us), patience_us)
+        return self._urgency_by(job, task_us, self.laxity_us(job, task_us, at_us), patience_us)
 
-    def _press_by(self, job: Job, task_us: int, laxity_us: int, patience_us: int) -> Urgency:
+    def _urgency_by(self, job: Job, task_us: int, laxity_us: int, patience_us: int) -> Urgency:
         """Say the same of a job that could still wait for so long."""
         wait_us = self.wait_us(job)
         if wait_us is not None and wait_us <= patience_us:
@@ -73,7 +73,7 @@
         # Estimates are rough: only what is clearly late gives way to what can be in time.
         return Urgency.PRESSING if laxity_us >= -slack_us(task_us) else Urgency.LATE
 
-    def standing(
+    def urgency_window(
         self, job: Job, task_us: int, at_us: int, patience_us: int
     ) -> tuple[Urgency, int, int]:
         """Return the press, the latest start that is in time, and until when both stay so.
@@ -83,7 +83,7 @@
         """
         target_us = self.target_us(job, task_us, at_us)
         start_us = target_us - task_us
-        press = self._press_by(job, task_us, start_us - at_us, patience_us)
+        press = self._urgency_by(job, task_us, start_us - at_us, patience_us)
         missed_us = start_us + slack_us(task_us)
         if press is Urgency.PATIENT:
             return press, start_us, min(start_us - patience_us, missed_us)
--- a/weldhead/scheduling/placement/backlog.py
+++ b/weldhead/scheduling/placement/backlog.py
@@ -70,7 +70,7 @@
 class BacklogEntry(NamedTuple):
     """A job's place in the order; the first differing field decides, the serial at last."""
 
-    press: int
+    urgency: int
     level: int
     service: int
     start_us: int
@@ -88,7 +88,7 @@
 ) -> tuple[BacklogEntry, int]:
     """Return a job's place in the order, and until when it is that."""
     task_us = estimates.order_us(job)
-    press, start_us, until_us = goals.standing(job, task_us, at_us, patience_us)
+    press, start_us, until_us = goals.urgency_window(job, task_us, at_us, patience_us)
     return BacklogEntry(
         int(press),
         -job.effective_level if press is not Urgency.PATIENT else 0,
@@ -115,12 +115,12 @@
         self._goals = goals
         self._patience_us = patience_us
         self.queues: dict[JobKind, list[BacklogEntry]] = {}
-        self._places: dict[str, tuple[JobKind, BacklogEntry]] = {}
+        self._positions: dict[str, tuple[JobKind, BacklogEntry]] = {}
         #: Until when a job's place stays as it is.
         self._timers = DeadlineHeap()
         self._classes: dict[str, dict[str, Job]] = {}
-        self._editions: dict[str, int] = {}
-        self._stale: dict[str, Job] = {}
+        self._estimate_versions: dict[str, int] = {}
+        self._outdated: dict[str, Job] = {}
         self._feed = cluster.jobs.feeds.subscribe()
         self._fresh = dict(cluster.jobs)
 
@@ -129,9 +129,9 @@
         self._feed.close()
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
-    def fill(self, at_us: int, most: int) -> bool:
+    def load_batch(self, at_us: int, most: int) -> bool:
         """Take up some of the jobs that were there before this followed them; False: no more.
 
         At the start of a term, so that the loop lives in between.
@@ -143,22 +143,22 @@
     def refresh(self, at_us: int) -> None:
         """Take up what has changed, and what time has brought."""
         while self._fresh:
-            self.fill(at_us, len(self._fresh))
+            self.load_batch(at_us, len(self._fresh))
         for job in self._feed.take():
             self._put(job, at_us)
-        for name, edition in self._estimates.editions.items():
-            if self._editions.get(name) != edition:
-                self._editions[name] = edition
-                self._stale.update(self._classes.get(name, {}))
-        for job in list(islice(self._stale.values(), MAX_REORDERED_JOBS)):
+        for name, edition in self._estimates.versions.items():
+            if self._estimate_versions.get(name) != edition:
+                self._estimate_versions[name] = edition
+                self._outdated.update(self._classes.get(name, {}))
+        for job in list(islice(self._outdated.values(), MAX_REORDERED_JOBS)):
             self._put(job, at_us)
         while (job_id := self._timers.pop(at_us - 1)) is not None:
             self._put(self._cluster.jobs[job_id], at_us)
 
     def _remove(self, job: Job) -> None:
-        self._stale.pop(job.id, None)
+        self._outdated.pop(job.id, None)
         self._timers.drop(job.id)
-        place = self._places.pop(job.id, None)
+        place = self._positions.pop(job.id, None)
         if place is None:
             return
         kind, entry = place
@@ -187,12 +187,12 @@
         entry, until_us = entry_of(job, self._estimates, self._goals, at_us, self._patience_us)
         kind = JobKind.of(job)
         insort(self.queues.setdefault(kind, []), entry)
-        self._places[job.id] = kind, entry
+        self._positions[job.id] = kind, entry
         self._classes.setdefault(job.spec.job_class, {})[job.id] = job
         if until_us < FOR_EVER_US:
             self._timers.set(job.id, job.serial, until_us)
 
-    def strays(self) -> list[str]:
+    def inconsistent_jobs(self) -> list[str]:
         """Return the jobs that stand in the order and do not wait, or the other way round.
 
         None ever, unless a change was not told of: asked from time to time, as a job that is
@@ -204,12 +204,12 @@
             if job.waiting > 0 and not job.finishing and job.team in self._cluster.teams
         }
         # Those that are not to start yet are known by their time alone.
-        kept = self._places.keys() | (self._timers.names() & expected)
+        kept = self._positions.keys() | (self._timers.names() & expected)
         return sorted(expected ^ kept)
 
-    def place_of(self, job_id: str) -> tuple[JobKind, BacklogEntry] | None:
+    def position_of(self, job_id: str) -> tuple[JobKind, BacklogEntry] | None:
         """Return where a job stands; None: nothing of it waits for room."""
-        return self._places.get(job_id)
+        return self._positions.get(job_id)
 
     def __iter__(self) -> Iterator[Job]:
         """Iterate over the waiting jobs in order."""
@@ -227,7 +227,7 @@
 class TeamAllowance:
     """What a plan has given to a team so far, and when in the order it was given."""
 
-    __slots__ = ("_given", "_left", "_marks", "_team", "_used", "given")
+    __slots__ = ("_given", "_marks", "_remaining", "_team", "_used", "allocated")
 
     def __init__(
         self, cluster: Cluster, team: str, doubt: UnverifiedUsage = NO_UNVERIFIED_USAGE
@@ -237,52 +237,52 @@
         self._used: Amount = cpus, cards
         limit = bounds_of(self._team).limit
         # While machines are unknown, what they may hold of the team counts as used.
-        self._left: Amount = (
+        self._remaining: Amount = (
             left(limit[0], cpus, required_units(doubt.cpus)),
             left(limit[1], cards, required_units(doubt.gpus)),
         )
         #: What was given so far, in units.
-        self.given: Amount = NOTHING
+        self.allocated: Amount = NOTHING
         self._marks: list[BacklogEntry] = []
         self._given: list[Amount] = [NOTHING]
 
-    def give(self, job: Job, count: int) -> None:
+    def allocate(self, job: Job, count: int) -> None:
         """Reserve room for tasks."""
         cpus, cards = required_amounts(job.spec)
-        self.given = self.given[0] + cpus * count, self.given[1] + cards * count
+        self.allocated = self.allocated[0] + cpus * count, self.allocated[1] + cards * count
 
     def within_limit(self, job: Job) -> int:
         """How many more tasks of a job the limit allows."""
-        return self._left_beside(job, self.given)
+        return self._remaining_after(job, self.allocated)
 
     def within_guarantee(self, job: Job) -> int:
         """How many more tasks of a job are inside the guarantee."""
-        used = self._used[0] + self.given[0], self._used[1] + self.given[1]
+        used = self._used[0] + self.allocated[0], self._used[1] + self.allocated[1]
         return within_guarantee(self._team, used, job.spec, job.spec.tasks)
 
-    def withhold(self, cpus: float, gpus: float) -> None:
+    def reserve(self, cpus: float, gpus: float) -> None:
         """Keep some of the limit out of reach for the rest of the pass."""
-        self._left = (
-            left(self._left[0], required_units(cpus)),
-            left(self._left[1], required_units(gpus)),
+        self._remaining = (
+            left(self._remaining[0], required_units(cpus)),
+            left(self._remaining[1], required_units(gpus)),
         )
 
-    def _left_beside(self, job: Job, given: Amount) -> int:
-        rest = left(self._left[0], given[0]), left(self._left[1], given[1])
+    def _remaining_after(self, job: Job, given: Amount) -> int:
+        rest = left(self._remaining[0], given[0]), left(self._remaining[1], given[1])
         return times_in(rest, required_amounts(job.spec), job.spec.tasks)
 
-    def mark(self, entry: BacklogEntry | None) -> None:
+    def record_position(self, entry: BacklogEntry | None) -> None:
         """Note that all so far was given up to that place in the order (None: before it)."""
         if entry is None:
-            self._given[0] = self.given
+            self._given[0] = self.allocated
             return
         self._marks.append(entry)
-        self._given.append(self.given)
+        self._given.append(self.allocated)
 
-    def left_at(self, entry: BacklogEntry) -> int:
+    def remaining_at(self, entry: BacklogEntry) -> int:
         """How many tasks of a job the limit allows, by what was given before its place."""
         number = bisect_left(self._marks, entry)
-        return self._left_beside(entry.job, self._given[number])
+        return self._remaining_after(entry.job, self._given[number])
 
 
 class UnplacedTasks:
@@ -318,7 +318,7 @@
         self._kinds[kind] = len(self._tails)
         self._tails.append((queue[number:], reserve))
 
-    def given(self, job: Job, count: int) -> None:
+    def record_placed(self, job: Job, count: int) -> None:
         """Note that the plan gives room to so many tasks of a job."""
         self._waiting[job.id] = job.waiting - count
 
@@ -339,19 +339,19 @@
         if job.finishing:
             return 0
         waiting = min(job.waiting, self._waiting.get(job.id, job.spec.tasks))
-        return max(0, min(waiting, reserve.left_at(entry)))
+        return max(0, min(waiting, reserve.remaining_at(entry)))
 
-    def walk(self) -> "QueueScan":
+    def scan(self) -> "QueueScan":
         """Return a walk over them in order."""
         return QueueScan(self, self._entries, self._counts, self._tails)
 
     def __iter__(self) -> Iterator[tuple[Job, int]]:
-        walk = self.walk()
+        walk = self.scan()
         while (found := walk.next()) is not None:
             yield found
 
     def __bool__(self) -> bool:
-        return self.walk().next() is not None
+        return self.scan().next() is not None
 
     def __len__(self) -> int:
         return sum(1 for _ in self)
@@ -375,7 +375,7 @@
         heapify(self._heap)
         #: The job that was given last: its place, and which queue's.
         self._at: tuple[BacklogEntry, int] | None = None
-        self._left: dict[int, int] = {}
+        self._skipped: dict[int, int] = {}
 
     def next(self) -> tuple[Job, int] | None:
         """Return the next job and how many of its tasks found no room."""
@@ -399,20 +399,20 @@
         else:
             heappop(self._heap)
 
-    def leave(self) -> None:
+    def skip_queue(self) -> None:
         """Leave out what stands behind the last job in its queue, until it is revived."""
         assert self._at is not None
         _, tail = self._at
         if tail:
             for place, (_, number, other) in enumerate(self._heap):
                 if other == tail:
-                    self._left[tail] = number
+                    self._skipped[tail] = number
                     self._heap[place] = self._heap[-1]
                     self._heap.pop()
                     heapify(self._heap)
                     return
 
-    def skip_to(self, press: Urgency) -> None:
+    def skip_to_urgency(self, press: Urgency) -> None:
         """Leave out what stands behind the last job in its queue and presses otherwise.
 
         ``press`` comes later in the order than the last job's own.
@@ -427,19 +427,19 @@
                 number = bisect_left(queue, (int(press),), number)
                 self._heap[place] = self._heap[-1]
                 self._heap.pop()
-                if number < len(queue) and queue[number].press == press:
+                if number < len(queue) and queue[number].urgency == press:
                     self._heap.append((queue[number], number, tail))
                 heapify(self._heap)
                 return
 
-    def revive(self) -> None:
+    def resume_skipped(self) -> None:
         """Take up again the queues that were left, behind the last job."""
-        if not self._left or self._at is None:
+        if not self._skipped or self._at is None:
             return
         at, _ = self._at
-        for tail, number in self._left.items():
+        for tail, number in self._skipped.items():
             queue = self._tails[tail]
             number = bisect_left(queue, at, number)
             if number < len(queue):
                 heappush(self._heap, (queue[number], number, tail))
-        self._left.clear()
+        self._skipped.clear()
--- a/weldhead/scheduling/placement/placement.py
+++ b/weldhead/scheduling/placement/placement.py
@@ -65,20 +65,27 @@
     #: Jobs whose tasks found no room, with how many of them the limits would allow.
     unplaced: UnplacedTasks = field(default_factory=UnplacedTasks)
     #: Work that takes cards waits: from whom what free cards need beside them was kept.
-    kept: GpuReservation | None = None
+    gpu_reservation: GpuReservation | None = None
 
 
 class FreeCapacity:
     """A machine's free amounts while a plan is made."""
 
     __slots__ = (
-        "_pulls", "cpus", "gpus", "images", "keep", "machine", "memory_gb", "used",
+        "_pulls",
+        "cpus",
+        "gpu_reservation",
+        "gpus",
+        "images",
+        "machine",
+        "memory_gb",
+        "used",
     )  # fmt: skip
 
     def __init__(self, machine: Machine, keep: GpuReservation | None = None) -> None:
         self.machine = machine
         #: Free cards keep their share of the CPUs and the memory for work that takes cards.
-        self.keep = keep if machine.type.gpus > 0 else None
+        self.gpu_reservation = keep if machine.type.gpus > 0 else None
         self.cpus = machine.cpus
         self.gpus = machine.gpus
         self.memory_gb = machine.memory_gb
@@ -87,16 +94,20 @@
         self.images: set[str] | None = None
         self._pulls = 0
 
-    def fits(self, job: Job) -> int:
+    def capacity_for(self, job: Job) -> int:
         """How many tasks of the job fit."""
-        if self.keep is not None and self.gpus > 0 and self.keep.keep_from(job):
+        if (
+            self.gpu_reservation is not None
+            and self.gpus > 0
+            and self.gpu_reservation.excludes(job)
+        ):
             share = self.gpus / self.machine.type.gpus
             cpus = self.cpus - self.machine.type.cpus * share
             memory_gb = self.memory_gb - self.machine.type.memory_gb * share
             return tasks_that_fit(job.spec, max(0.0, cpus), self.gpus, max(0.0, memory_gb))
         return tasks_that_fit(job.spec, self.cpus, self.gpus, self.memory_gb)
 
-    def take(self, job: Job, count: int) -> None:
+    def allocate(self, job: Job, count: int) -> None:
         """Reserve room for tasks of the job."""
         self.cpus -= job.spec.cpus * count
         self.gpus -= job.spec.gpus * count
@@ -117,7 +128,7 @@
                 self._pulls = coming_images(self.machine)
         return self.images
 
-    def pulls(self) -> int:
+    def image_pulls(self) -> int:
         """How many images are being fetched there."""
         self.wanted_images()
         return self._pulls
@@ -147,7 +158,7 @@
     ) -> None:
         self._free = free
         #: Machines that are held for others' work, and until when that cannot begin there.
-        self._held = holds.machines if holds is not None else {}
+        self._reserved = holds.machines if holds is not None else {}
         self._until_us = holds.until_us if holds is not None else {}
         self._estimates = estimates
         self._at_us = at_us
@@ -155,17 +166,17 @@
         self._rooms: dict[str, FreeCapacity] = {}
         self._hopeless: set[TaskShape] = set()
         #: Set before the first job is placed: cards are wanted (``FreeCapacity.keep``).
-        self.keep: GpuReservation | None = None
+        self.gpu_reservation: GpuReservation | None = None
 
-    def hopeless(self, job: Job) -> bool:
+    def has_no_capacity_for(self, job: Job) -> bool:
         """Whether it is known that no machine has room for the job's tasks."""
         return TaskShape.of(job) in self._hopeless
 
-    def room_of(self, machine: Machine) -> FreeCapacity:
+    def capacity_of(self, machine: Machine) -> FreeCapacity:
         """Return what is left of a machine in this pass."""
         room = self._rooms.get(machine.name)
         if room is None:
-            room = self._rooms[machine.name] = FreeCapacity(machine, self.keep)
+            room = self._rooms[machine.name] = FreeCapacity(machine, self.gpu_reservation)
         return room
 
     def _may_fill(self, job: Job, room: FreeCapacity) -> bool:
@@ -179,7 +190,7 @@
             self._at_us + fetch_delay_us(job, room) + FILL_FACTOR * task_us <= until_us
         )
 
-    def for_job(self, job: Job) -> list[FreeCapacity]:
+    def candidates_for(self, job: Job) -> list[FreeCapacity]:
         """Return the machines with room for the job's tasks."""
         shape = TaskShape.of(job)
         if shape in self._hopeless:
@@ -193,14 +204,14 @@
                 continue
             if not usable(machine, self._at_us, self._silence_us):
                 continue
-            room = self.room_of(machine)
-            if machine.name in self._held and not self._may_fill(job, room):
+            room = self.capacity_of(machine)
+            if machine.name in self._reserved and not self._may_fill(job, room):
                 continue
-            if room.fits(job) > 0:
+            if room.capacity_for(job) > 0:
                 fitting.append(room)
             else:
                 # Once the cards are not wanted any more, it has room with no change of its own.
-                kept = kept or room.keep is not None
+                kept = kept or room.gpu_reservation is not None
         self._free.record_search(shape, bool(fitting) or kept)
         if not fitting:
             self._hopeless.add(shape)
@@ -213,9 +224,9 @@
     def __init__(self, room: FreeCapacity) -> None:
         self._room = room
 
-    def for_job(self, job: Job) -> list[FreeCapacity]:
+    def candidates_for(self, job: Job) -> list[FreeCapacity]:
         """Return the machine if it has room for the job's tasks."""
-        return [self._room] if self._room.fits(job) > 0 else []
+        return [self._room] if self._room.capacity_for(job) > 0 else []
 
 
 def usable(machine: Machine, at_us: int, silence_us: int) -> bool:
@@ -241,7 +252,7 @@
     alone_us = seconds_us(spec.image_gb / rate)
     if spec.image in room.wanted_images():
         return alone_us // 2
-    return alone_us * (1 + room.pulls())
+    return alone_us * (1 + room.image_pulls())
 
 
 def _too_large(spec: JobSpec, machine: Machine) -> bool:
@@ -282,19 +293,19 @@
         self.cluster = cluster
         self.estimates = estimates
         self.backlog = Backlog(cluster, estimates, goals, patience_us)
-        self.free = CapacityIndex(cluster.machines)
+        self.capacity_index = CapacityIndex(cluster.machines)
         #: What is kept free for wide work; nothing unless somebody decides it.
-        self.holds = Reservations()
+        self.reservations = Reservations()
 
     def refresh(self, at_us: int) -> None:
         """Take up what has changed, and what time has brought."""
         self.backlog.refresh(at_us)
-        self.free.refresh()
+        self.capacity_index.refresh()
 
     def close(self) -> None:
         """Stop following the cluster."""
         self.backlog.close()
-        self.free.close()
+        self.capacity_index.close()
 
 
 def plan_nothing(scene: PlacementInput, at_us: int, most: int) -> PlacementPlan:
@@ -311,7 +322,7 @@
         reserve = given[job.team]
         count = min(job.waiting, reserve.within_limit(job))
         if count > 0 and (not job.on_probation or job.stranded):
-            reserve.give(job, count)
+            reserve.allocate(job, count)
             plan.unplaced.add(BacklogEntry(0, 0, 0, 0, 0, number, job), count)
     return plan
 
@@ -350,13 +361,15 @@
     plan = PlacementPlan()
     if not scene.backlog.queues:
         return plan
-    rooms = PassCapacity(scene.free, at_us, silence_us, scene.holds, scene.estimates)
+    rooms = PassCapacity(
+        scene.capacity_index, at_us, silence_us, scene.reservations, scene.estimates
+    )
     run = _PlacementPass(scene, plan, rooms, fetch_weight, may_start)
-    if scene.holds.machines or scene.holds.limits:
-        run.give_held(scene, at_us, silence_us, may_start)
+    if scene.reservations.machines or scene.reservations.limits:
+        run.place_reserved(scene, at_us, silence_us, may_start)
     # Two rounds: first what each team is guaranteed, then what it borrows.
-    run.give(guaranteed=True)
-    run.give(guaranteed=False)
+    run.place_in_order(guaranteed=True)
+    run.place_in_order(guaranteed=False)
     return plan
 
 
@@ -383,19 +396,21 @@
         self._rooms = rooms
         self._fetch_weight = fetch_weight
         doubts = scene.cluster.unverified_usage
-        self._reserves = {
+        self._allowances = {
             team: TeamAllowance(scene.cluster, team, doubts.get(team, NO_UNVERIFIED_USAGE))
             for team in {kind.team for kind in self._queues}
         }
         if any(
-            kind.shape.gpus > 0 and self._reserves[kind.team].within_limit(queue[0].job) > 0
+            kind.shape.gpus > 0 and self._allowances[kind.team].within_limit(queue[0].job) > 0
             for kind, queue in self._queues.items()
         ):
-            plan.kept = rooms.keep = GpuReservation(scene.cluster.machines.values())
+            plan.gpu_reservation = rooms.gpu_reservation = GpuReservation(
+                scene.cluster.machines.values()
+            )
         self._planned: dict[str, int] = defaultdict(int)
         self._zones: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
 
-    def give_held(
+    def place_reserved(
         self,
         scene: PlacementInput,
         at_us: int,
@@ -406,47 +421,48 @@
 
         What is kept of their teams' limits is out of the others' reach.
         """
-        kept = {team: list(limit) for team, limit in scene.holds.limits.items()}
-        for name, job_id in scene.holds.machines.items():
-            place, machine = scene.backlog.place_of(job_id), self._cluster.machines.get(name)
+        kept = {team: list(limit) for team, limit in scene.reservations.limits.items()}
+        for name, job_id in scene.reservations.machines.items():
+            place, machine = scene.backlog.position_of(job_id), self._cluster.machines.get(name)
             if place is None or machine is None or not usable(machine, at_us, silence_us):
                 continue
             job = place[1].job
             if not machine.allows(job) or (may_start is not None and not may_start(job)):
                 continue
-            reserve = self._reserves[job.team]
+            reserve = self._allowances[job.team]
             allowed = min(
-                job.waiting - self._planned[job.id], self._most(job, reserve, guaranteed=False)
+                job.waiting - self._planned[job.id],
+                self._allowed_count(job, reserve, guaranteed=False),
             )
             if allowed <= 0:
                 continue
             placed = self._place(
-                job, allowed, reserve, ReservedCapacity(self._rooms.room_of(machine))
+                job, allowed, reserve, ReservedCapacity(self._rooms.capacity_of(machine))
             )
             if job.team in kept:
                 kept[job.team][0] -= placed * job.spec.cpus
                 kept[job.team][1] -= placed * job.spec.gpus
         for team, (cpus, gpus) in kept.items():
-            if team in self._reserves:
-                self._reserves[team].withhold(max(0.0, cpus), max(0.0, gpus))
+            if team in self._allowances:
+                self._allowances[team].reserve(max(0.0, cpus), max(0.0, gpus))
 
-    def give(self, *, guaranteed: bool) -> None:
+    def place_in_order(self, *, guaranteed: bool) -> None:
         """Go through the queues in one order, and leave those where no more is to be had."""
         if not guaranteed:
-            for reserve in self._reserves.values():
-                reserve.mark(None)
+            for reserve in self._allowances.values():
+                reserve.record_position(None)
         heap = [(queue[0], 0, kind) for kind, queue in self._queues.items()]
         heapify(heap)
         while heap:
             entry, number, kind = heap[0]
-            job, reserve = entry.job, self._reserves[kind.team]
-            most = self._most(job, reserve, guaranteed=guaranteed)
+            job, reserve = entry.job, self._allowances[kind.team]
+            most = self._allowed_count(job, reserve, guaranteed=guaranteed)
             if most <= 0:
                 # Neither is there any for those behind it: the team only gets more.
                 heappop(heap)
                 continue
             wants_room = not job.on_probation or job.stranded
-            if self._rooms.hopeless(job):
+            if self._rooms.has_no_capacity_for(job):
                 heappop(heap)
                 if not guaranteed and wants_room:
                     self._plan.unplaced.add_tail(kind, self._queues[kind], number, reserve)
@@ -456,7 +472,7 @@
                 placed = self._place(job, allowed, reserve)
                 if not guaranteed:
                     if placed:
-                        reserve.mark(entry)
+                        reserve.record_position(entry)
                     if allowed > placed and wants_room:
                         self._plan.unplaced.add(entry, allowed - placed)
             if number + 1 < len(self._queues[kind]):
@@ -464,7 +480,7 @@
             else:
                 heappop(heap)
 
-    def _most(self, job: Job, reserve: TeamAllowance, *, guaranteed: bool) -> int:
+    def _allowed_count(self, job: Job, reserve: TeamAllowance, *, guaranteed: bool) -> int:
         """How many tasks of a job its team may be given more."""
         most = reserve.within_limit(job)
         return min(most, reserve.within_guarantee(job)) if guaranteed else most
@@ -482,8 +498,8 @@
         )  # fmt: skip
         if placed:
             self._planned[job.id] += placed
-            self._plan.unplaced.given(job, self._planned[job.id])
-            reserve.give(job, placed)
+            self._plan.unplaced.record_placed(job, self._planned[job.id])
+            reserve.allocate(job, placed)
         return placed
 
 
@@ -491,7 +507,7 @@
     """How many of so many tasks of a job find room; no more rooms are looked at than it takes."""
     found = 0
     for room in rooms:
-        found += room.fits(job)
+        found += room.capacity_for(job)
         if found >= most:
             return most
     return found
@@ -507,7 +523,7 @@
     fetch_weight: float,
 ) -> int:
     """Place up to ``most`` tasks of a job; return how many were placed."""
-    fitting = rooms.for_job(job)
+    fitting = rooms.candidates_for(job)
     if job.failed_machines:
         # A task that failed somewhere is first tried elsewhere.
         fitting = [r for r in fitting if r.machine.name not in job.failed_machines] or fitting
@@ -523,13 +539,13 @@
         zone = room.machine.zone
         if job.spec.one_zone and any(n for z, n in zones.items() if z != zone):
             return 0
-        return min(room.fits(job), job.capacity_in_zone(zone) - zones.get(zone, 0))
+        return min(room.capacity_for(job), job.capacity_in_zone(zone) - zones.get(zone, 0))
 
     rest: list[int] = []
     for index in indexes:
         last = by_name.get(job.last_machine.get(index, ""))
         if last is not None and room_for(last) > 0:
-            last.take(job, 1)
+            last.allocate(job, 1)
             zones[last.machine.zone] = zones.get(last.machine.zone, 0) + 1
             plan.starts.append(TaskStart(job, index, last.machine))
             count += 1
@@ -542,7 +558,7 @@
         # Everything has to be in one zone: take the zone that holds most.
         best: dict[str, int] = defaultdict(int)
         for room in fitting:
-            best[room.machine.zone] += room.fits(job)
+            best[room.machine.zone] += room.capacity_for(job)
         choice = max(best, key=lambda zone: best[zone])
         fitting.sort(key=lambda room: room.machine.zone != choice)
     for room in fitting:
@@ -551,7 +567,7 @@
         number = min(len(rest), room_for(room))
         if number <= 0:
             continue
-        room.take(job, number)
+        room.allocate(job, number)
         zone = room.machine.zone
         zones[zone] = zones.get(zone, 0) + number
         plan.starts += [TaskStart(job, index, room.machine) for index in rest[:number]]
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -118,7 +118,7 @@
         run, spec = self._run, claimant.spec
         if not machine.type.fits(spec) or not run.may_be_on(claimant, machine):
             return None
-        room = run.room(machine.name)
+        room = run.capacity(machine.name)
         if room is None:
             return None
         short = [spec.cpus - room[0], spec.gpus - room[1], spec.memory_gb - room[2]]
@@ -171,7 +171,7 @@
         """Whether the victim's team keeps what it is guaranteed, with what the set takes of it."""
         team = attempt.job.team
         units = lost.get(team, 0) + required_units(attempt.job.spec.gpus)
-        if team != claimant.team and not self._run.account.may_lose_cards(team, units):
+        if team != claimant.team and not self._run.quota_account.may_lose_gpus(team, units):
             return False
         lost[team] = units
         return True
@@ -195,7 +195,7 @@
         )
         self._known: dict[TaskShape, bool] = {}
 
-    def keep_from(self, job: Job) -> bool:
+    def excludes(self, job: Job) -> bool:
         """Whether a job's tasks get nothing that free cards need beside them."""
         if job.spec.gpus > 0:
             return False
--- a/weldhead/scheduling/preemption/preemptor.py
+++ b/weldhead/scheduling/preemption/preemptor.py
@@ -81,11 +81,11 @@
     nothing is looked at twice: without this, a full fleet was searched anew for each task.
     """
 
-    __slots__ = ("attempt", "job", "rooms")
+    __slots__ = ("attempt", "job", "machines")
 
     def __init__(self, rooms: list[str]) -> None:
         #: Machines that may have room, the next one last.
-        self.rooms = rooms
+        self.machines = rooms
         #: Position in the order of victims: job, and attempt within it.
         self.job = 0
         self.attempt = 0
@@ -107,54 +107,54 @@
         held: Mapping[str, str] | None = None,
     ) -> None:
         #: Machines that are held, and the job that each is held for.
-        self.held = held or {}
+        self.reserved = held or {}
         self.cluster = cluster
         #: Work with cards waits, and some other work gets no room beside cards.
-        self._kept = kept
+        self._gpu_reservation = kept
         self.estimates = estimates
         self.at_us = at_us
         self._settings = settings
         self._index = free
-        self.taken: set[int] = set()
+        self.victims: set[int] = set()
         #: Room that is free or being freed on a machine, less what is promised already; as
         #: far as it has been looked at. None: the machine takes no new work.
-        self._free: dict[str, list[float] | None] = {}
+        self._capacity: dict[str, list[float] | None] = {}
         #: How that differs from what is free, where it does.
-        self._moved: dict[str, list[float]] = {}
-        self.account = QuotaAccount(cluster.teams, cluster.usage)
-        self._taken = lists.preemption_history
+        self._capacity_delta: dict[str, list[float]] = {}
+        self.quota_account = QuotaAccount(cluster.teams, cluster.usage)
+        self._preemption_history = lists.preemption_history
         for attempt in cluster.stopping.values():
             self._move(attempt.machine, attempt.job, 1)
-            self.account.free(attempt.job.team, attempt.job.spec)
+            self.quota_account.record_freed(attempt.job.team, attempt.job.spec)
         for entry in lists.entries():
             job = cluster.jobs.get(entry.job_id)
             if job is None:
                 continue
             self._move(entry.machine, job, -1)
-            self.account.claim(job.team, job.spec)
-        self._cards: GpuClaims | None = None
+            self.quota_account.record_claim(job.team, job.spec)
+        self._gpu_claims: GpuClaims | None = None
         self._order: list[Job] | None = None
         self._rank: dict[str, int] = {}
-        self._holders: set[tuple[int, str]] | None = None
+        self._levels_and_teams: set[tuple[int, str]] | None = None
         self._attempts: dict[str, list[Attempt]] = {}
-        self._claims: dict[tuple[object, ...], _ClaimProgress] = {}
+        self._progress: dict[tuple[object, ...], _ClaimProgress] = {}
         #: Room beyond what was asked for has appeared: claimants that found none look again.
-        self.reopened = False
+        self.capacity_reopened = False
 
     def _move(self, machine: str, job: Job, sign: int) -> None:
-        self._add(self._moved.setdefault(machine, [0.0, 0.0, 0.0]), job, sign)
+        self._add(self._capacity_delta.setdefault(machine, [0.0, 0.0, 0.0]), job, sign)
 
-    def room(self, name: str) -> list[float] | None:
+    def capacity(self, name: str) -> list[float] | None:
         """Return what is free or being freed on a machine; None: nothing may be put there."""
-        if name in self._free:
-            return self._free[name]
+        if name in self._capacity:
+            return self._capacity[name]
         machine = self.cluster.machines.get(name)
         found: list[float] | None = None
         if machine is not None and usable(machine, self.at_us, self._settings.silence_us):
             found = [machine.cpus, machine.gpus, machine.memory_gb]
-            for number, amount in enumerate(self._moved.get(name, ())):
+            for number, amount in enumerate(self._capacity_delta.get(name, ())):
                 found[number] += amount
-        self._free[name] = found
+        self._capacity[name] = found
         return found
 
     @property
@@ -176,14 +176,15 @@
             self._rank = {job.id: number for number, job in enumerate(self._order)}
         return self._order
 
-    def nobody_to_stop(self, claimant: Job, guaranteed: bool) -> bool:
+    def has_no_victims(self, claimant: Job, guaranteed: bool) -> bool:
         """Whether no job that holds room is one that the claimant may stop tasks of."""
-        if self._holders is None:
-            self._holders = {
+        if self._levels_and_teams is None:
+            self._levels_and_teams = {
                 (job.effective_level, job.team) for job in self.cluster.active_jobs.values()
             }
         return not any(
-            self.may_stop_work(claimant, level, team, guaranteed) for level, team in self._holders
+            self.may_stop_work(claimant, level, team, guaranteed)
+            for level, team in self._levels_and_teams
         )
 
     @staticmethod
@@ -216,13 +217,13 @@
             claimant, job.effective_level, job.team, guaranteed
         )
 
-    def within(self, claimant: Job) -> bool:
+    def within_guarantee(self, claimant: Job) -> bool:
         """Whether one more task of the job is inside its team's guarantee."""
-        return self.account.within(claimant.team, claimant.spec)
+        return self.quota_account.within_guarantee(claimant.team, claimant.spec)
 
     def borrows(self, team: str, resource: Resource) -> bool:
         """Whether a team uses more of a resource than it is guaranteed."""
-        return over_guarantee(self.account, team, resource)
+        return over_guarantee(self.quota_account, team, resource)
 
     def may_stop_work(
         self,
@@ -242,7 +243,7 @@
         """Whether the rules let the claimant stop this task."""
         if (
             victim.stop_request is not StopRequest.NO
-            or id(victim) in self.taken
+            or id(victim) in self.victims
             or victim.job is claimant
         ):
             return False
@@ -253,9 +254,9 @@
         resource = min(claimed_resource(claimant.spec), claimed_resource(job.spec))
         return self.may_stop_work(
             claimant, job.effective_level, job.team, guaranteed, Resource(resource)
-        ) and self._may_lose_cards(claimant, victim)
+        ) and self._may_lose_gpus(claimant, victim)
 
-    def _may_lose_cards(
+    def _may_lose_gpus(
         self, claimant: Job, victim: Attempt, others: Iterable[Attempt] = ()
     ) -> bool:
         """Whether a victim's cards may go: none that its team is guaranteed, none too soon.
@@ -265,23 +266,23 @@
         spec = victim.job.spec
         if spec.gpus <= 0:
             return True
-        if self._taken.is_protected(victim, self.at_us):
+        if self._preemption_history.is_protected(victim, self.at_us):
             return False
         team = victim.job.team
         if team == claimant.team:
             return True
         units = required_units(spec.gpus)
         units += sum(required_units(a.job.spec.gpus) for a in others if a.job.team == team)
-        return self.account.may_lose_cards(team, units)
+        return self.quota_account.may_lose_gpus(team, units)
 
     def key_of(self, attempt: Attempt) -> tuple[int, ...]:
         """Sort the tasks of a job, the first one stops first."""
         return victim_key(attempt, self.estimates, self.at_us)
 
-    def press(self, claimant: Job, goals: ServiceLevelObjectives) -> Urgency:
+    def urgency_of(self, claimant: Job, goals: ServiceLevelObjectives) -> Urgency:
         """Say how urgently a claimant needs room: the patient claim none by themselves."""
         task_us = self.estimates.order_us(claimant)
-        return goals.press(claimant, task_us, self.at_us, self._settings.claim_patience_us)
+        return goals.urgency_of(claimant, task_us, self.at_us, self._settings.claim_patience_us)
 
     def _kind(self, claimant: Job) -> tuple[object, ...]:
         """Return what claimants have in common that look for room alike."""
@@ -301,21 +302,21 @@
 
     def _claim(self, claimant: Job, kind: tuple[object, ...]) -> _ClaimProgress:
         """Return what claimants of the same kind share."""
-        claim = self._claims.get(kind)
+        claim = self._progress.get(kind)
         if claim is None:
-            rooms = self._rooms_for(claimant)
-            claim = self._claims[kind] = _ClaimProgress(rooms)
+            rooms = self._machines_for(claimant)
+            claim = self._progress[kind] = _ClaimProgress(rooms)
         return claim
 
-    def _rooms_for(self, claimant: Job) -> list[str]:
+    def _machines_for(self, claimant: Job) -> list[str]:
         """Return the machines where room for the claimant is free or being freed, last first."""
         spec = claimant.spec
         names = {machine.name for machine in self._index.machines_with(spec.cpus, spec.memory_gb)}
-        names.update(self._moved)
-        names.update(self._free)
+        names.update(self._capacity_delta)
+        names.update(self._capacity)
         found = []
         for name in names:
-            room = self.room(name)
+            room = self.capacity(name)
             if room is not None and self._fits(room, claimant):
                 found.append(self.cluster.machines[name])
         found.sort(key=lambda machine: machine.serial, reverse=True)
@@ -323,9 +324,13 @@
 
     def may_be_on(self, claimant: Job, machine: Machine) -> bool:
         """Whether a task of the claimant may be on a machine, by its kind and its zone."""
-        if self.held.get(machine.name, claimant.id) != claimant.id:
+        if self.reserved.get(machine.name, claimant.id) != claimant.id:
             return False
-        if machine.type.gpus > 0 and self._kept is not None and self._kept.keep_from(claimant):
+        if (
+            machine.type.gpus > 0
+            and self._gpu_reservation is not None
+            and self._gpu_reservation.excludes(claimant)
+        ):
             return False
         return machine.allows(claimant) and claimant.capacity_in_zone(machine.zone) > 0
 
@@ -335,17 +340,17 @@
         claim = self._claim(claimant, kind)
         # A victim larger than its claimant leaves room for others: without this, a
         # job of six small tasks stopped six large ones (found on the bench).
-        while claim.rooms:
-            name = claim.rooms[-1]
-            room = self.room(name)
+        while claim.machines:
+            name = claim.machines[-1]
+            room = self.capacity(name)
             if room is not None and self._fits(room, claimant):
                 if self.may_be_on(claimant, self.cluster.machines[name]):
                     return self._take(claimant, name, room, [])
-            claim.rooms.pop()
-        guaranteed = self.within(claimant)
+            claim.machines.pop()
+        guaranteed = self.within_guarantee(claimant)
         if claimant.spec.gpus > 0:
-            return self._choose_cards(claimant, kind, guaranteed)
-        if self._order is None and self.nobody_to_stop(claimant, guaranteed):
+            return self._choose_gpus(claimant, kind, guaranteed)
+        if self._order is None and self.has_no_victims(claimant, guaranteed):
             return None
         while claim.job < len(self.order):
             job = self.order[claim.job]
@@ -354,14 +359,14 @@
                 while claim.attempt < len(attempts):
                     attempt = attempts[claim.attempt]
                     claim.attempt += 1
-                    if attempt.stop_request is not StopRequest.NO or id(attempt) in self.taken:
+                    if attempt.stop_request is not StopRequest.NO or id(attempt) in self.victims:
                         continue
                     if not guaranteed and just_begun(attempt, self.at_us):
                         continue
-                    if not self._may_lose_cards(claimant, attempt):
+                    if not self._may_lose_gpus(claimant, attempt):
                         continue
                     machine = self.cluster.machines[attempt.machine]
-                    room = self.room(attempt.machine)
+                    room = self.capacity(attempt.machine)
                     if room is None or not self.may_be_on(claimant, machine):
                         continue
                     victims = self._complete(claimant, attempt, machine, room, guaranteed)
@@ -371,33 +376,33 @@
             claim.attempt = 0
         return None
 
-    def empty_held(self, claimant: Job, name: str) -> Reclaim | None:
+    def preempt_reserved(self, claimant: Job, name: str) -> Reclaim | None:
         """Choose what must go on a machine that is held for the claimant.
 
         None: not yet, as what may not be stopped leaves too little; or nothing need be.
         """
-        machine, room = self.cluster.machines.get(name), self.room(name)
+        machine, room = self.cluster.machines.get(name), self.capacity(name)
         if machine is None or room is None or not self.may_be_on(claimant, machine):
             return None
         if self._fits(room, claimant):
             return None
-        guaranteed = self.within(claimant)
-        if not self.order or self.nobody_to_stop(claimant, guaranteed):
+        guaranteed = self.within_guarantee(claimant)
+        if not self.order or self.has_no_victims(claimant, guaranteed):
             return None
         victims = self._add_victims(claimant, [], machine, list(room), guaranteed)
         return self._take(claimant, name, room, victims) if victims else None
 
-    def _choose_cards(
+    def _choose_gpus(
         self, claimant: Job, kind: tuple[object, ...], guaranteed: bool
     ) -> Reclaim | None:
         """Choose victims for one task that takes cards."""
-        if self._cards is None:
-            self._cards = GpuClaims(self)
-        victims = self._cards.choose(claimant, kind, guaranteed)
+        if self._gpu_claims is None:
+            self._gpu_claims = GpuClaims(self)
+        victims = self._gpu_claims.choose(claimant, kind, guaranteed)
         if victims is None:
             return None
         name = victims.machine.name
-        room = self.room(name)
+        room = self.capacity(name)
         assert room is not None
         return self._take(claimant, name, room, victims.attempts)
 
@@ -433,7 +438,7 @@
         ]
         others.sort(key=lambda a: (self._rank[a.job.id], victim_key(a, self.estimates, self.at_us)))
         for attempt in others:
-            if not self._may_lose_cards(claimant, attempt, victims):
+            if not self._may_lose_gpus(claimant, attempt, victims):
                 continue
             victims.append(attempt)
             self._add(room, attempt.job, 1)
@@ -445,15 +450,15 @@
         self, claimant: Job, machine: str, room: list[float], victims: list[Attempt]
     ) -> Reclaim:
         for victim in victims:
-            self.taken.add(id(victim))
+            self.victims.add(id(victim))
             self._add(room, victim.job, 1)
-            self.account.free(victim.job.team, victim.job.spec)
+            self.quota_account.record_freed(victim.job.team, victim.job.spec)
         self._add(room, claimant, -1)
-        self.account.claim(claimant.team, claimant.spec)
+        self.quota_account.record_claim(claimant.team, claimant.spec)
         if victims and room[0] > EPSILON:
-            for claim in self._claims.values():
-                claim.rooms.append(machine)
-            self.reopened = True
+            for claim in self._progress.values():
+                claim.machines.append(machine)
+            self.capacity_reopened = True
         return Reclaim(claimant.id, machine, victims, self.at_us)
 
 
@@ -470,14 +475,14 @@
     held: Mapping[str, str] | None = None,
 ) -> list[Reclaim]:
     """Return the new requests of one run; ``plan`` says who found no room."""
-    walk = plan.unplaced.walk()
+    walk = plan.unplaced.scan()
     following = free if free is not None else CapacityIndex(cluster.machines)
     try:
         following.refresh()
         return _reclaims(
             PreemptionPass(
                 cluster, lists, estimates, at_us, settings, following,
-                kept=plan.kept, held=held,
+                kept=plan.gpu_reservation, held=held,
             ),
             walk, lists, goals, most,
         )  # fmt: skip
@@ -499,26 +504,26 @@
     found nobody to stop, as then none behind it can or does.
     """
     reclaims: list[Reclaim] = []
-    held = _empty_held(run, lists, reclaims, most) if run.held else {}
+    held = _empty_held(run, lists, reclaims, most) if run.reserved else {}
     while (found := walk.next()) is not None:
         job, unplaced = found
-        press = run.press(job, goals)
-        if press is Urgency.PATIENT and not run.within(job):
+        press = run.urgency_of(job, goals)
+        if press is Urgency.PATIENT and not run.within_guarantee(job):
             # They stand in the order of their laxity: those behind have more of it. What is
             # late already claims, and comes after what can be in time.
-            walk.skip_to(Urgency.LATE)
+            walk.skip_to_urgency(Urgency.LATE)
             continue
         for _ in range(max(0, unplaced - lists.count(job.id) - held.get(job.id, 0))):
             if len(reclaims) >= most:
                 return reclaims
             reclaim = run.choose(job)
             if reclaim is None:
-                walk.leave()
+                walk.skip_queue()
                 break
             reclaims.append(reclaim)
-            if run.reopened:
-                run.reopened = False
-                walk.revive()
+            if run.capacity_reopened:
+                run.capacity_reopened = False
+                walk.resume_skipped()
     return reclaims
 
 
@@ -531,12 +536,12 @@
     """
     asked = {(entry.machine, entry.job_id) for entry in lists.entries()}
     held: dict[str, int] = defaultdict(int)
-    for name, job_id in run.held.items():
+    for name, job_id in run.reserved.items():
         job = run.cluster.jobs.get(job_id)
         if job is None or job.waiting <= 0 or (name, job_id) in asked:
             continue
         held[job_id] += 1
-        if len(reclaims) < most and (reclaim := run.empty_held(job, name)) is not None:
+        if len(reclaims) < most and (reclaim := run.preempt_reserved(job, name)) is not None:
             reclaims.append(reclaim)
     return held
 
--- a/weldhead/scheduling/reservations/holding.py
+++ b/weldhead/scheduling/reservations/holding.py
@@ -133,7 +133,7 @@
         if self._jobs.get(job.id) is job and job.waiting > 0 and not begun:
             self._ages.set(job.id, job.serial, job.runnable_since_us + self._age_us)
 
-    def first(self, at_us: int, most: int) -> list[Job]:
+    def largest(self, at_us: int, most: int) -> list[Job]:
         """Return so many of those that are of age."""
         for job in self._feed.take():
             self._enter(job)
@@ -158,7 +158,7 @@
         self._backlog = backlog
         self._estimates = estimates
         self._settings = settings
-        self._unbegun = UnstartedJobs(cluster, settings.within_us)
+        self._unstarted = UnstartedJobs(cluster, settings.within_us)
         self._feed = cluster.machines.feeds.subscribe()
         self._types: dict[str, MachineType] = {}
         self._by_type: dict[str, dict[str, Machine]] = {}
@@ -166,22 +166,22 @@
         self._cpus = 0.0
         self._wide: dict[TaskShape, bool] = {}
         #: When a machine will have room, while nothing changes there: by machine, shape, level.
-        self._soon: dict[str, dict[tuple[TaskShape, int], int | None]] = {}
+        self._available_us: dict[str, dict[tuple[TaskShape, int], int | None]] = {}
         self._looked_us: int | None = None
-        self._reckoned = 0
-        self.holds = Reservations()
+        self._evaluated = 0
+        self.reservations = Reservations()
         for machine in cluster.machines.values():
             self._enter(machine)
 
     def close(self) -> None:
         """Stop following the machines, and hold none."""
         self._feed.close()
-        self._unbegun.close()
+        self._unstarted.close()
         self._replace(Reservations())
 
     def _enter(self, machine: Machine) -> None:
         name = machine.name
-        self._soon.pop(name, None)
+        self._available_us.pop(name, None)
         known = self._cluster.machines.get(name) is machine
         if known and self._entered.get(name) is machine:
             return
@@ -202,7 +202,7 @@
                 self._wide.clear()
             self._by_type.setdefault(machine.type.name, {})[name] = machine
 
-    def wide(self, job: Job) -> bool:
+    def is_wide(self, job: Job) -> bool:
         """Whether a task takes a large part of each machine of ours that it may run on."""
         shape = TaskShape.of(job)
         found = self._wide.get(shape)
@@ -211,7 +211,7 @@
             found = self._wide[shape] = is_wide(job.spec, types, self._settings.least)
         return found
 
-    def look(
+    def update(
         self,
         at_us: int,
         usable: Callable[[Machine], bool],
@@ -222,21 +222,21 @@
         (machine and job of each). What is given up is told of as room that may have appeared.
         """
         if self._looked_us is not None and at_us - self._looked_us < LOOK_US:
-            return self.holds
-        self._looked_us, self._reckoned = at_us, 0
+            return self.reservations
+        self._looked_us, self._evaluated = at_us, 0
         for machine in self._feed.take():
             self._enter(machine)
         self._replace(self._choose(at_us, usable, claims))
-        return self.holds
+        return self.reservations
 
     def _replace(self, holds: Reservations) -> None:
         """Hold these instead; what is held no longer is room that may have appeared."""
-        for name in self.holds.machines.keys() - holds.machines.keys():
+        for name in self.reservations.machines.keys() - holds.machines.keys():
             machine = self._cluster.machines.get(name)
             if machine is not None:
                 # Shapes that found no room without it are looked for again.
                 machine.notify_changed()
-        self.holds = holds
+        self.reservations = holds
 
     # -- who ------------------------------------------------------------------------------
 
@@ -244,7 +244,7 @@
         """Return the wide jobs that have waited for long enough, whose turn is first first."""
         found: list[Job] = []
         for kind, queue in self._backlog.queues.items():
-            if not self._wide.get(kind.shape, True) or not self.wide(queue[0].job):
+            if not self._wide.get(kind.shape, True) or not self.is_wide(queue[0].job):
                 continue
             for entry in queue[:MOST_JOBS]:
                 job = entry.job
@@ -266,34 +266,34 @@
         claimed: dict[str, str] = {}
         for name, job_id in claims:
             job = self._cluster.jobs.get(job_id)
-            if job is not None and job.waiting > 0 and self.wide(job):
+            if job is not None and job.waiting > 0 and self.is_wide(job):
                 claimed.setdefault(name, job_id)
         first = [
             job
-            for job in self._unbegun.first(at_us, MOST_FIRST)
-            if self._backlog.place_of(job.id) is not None
+            for job in self._unstarted.largest(at_us, MOST_FIRST)
+            if self._backlog.position_of(job.id) is not None
             and not job.on_probation
-            and not self.wide(job)
+            and not self.is_wide(job)
         ]
         if not waiting and not claimed and not first:
             return holds
         choice = _ReservationPass(self, holds, at_us, usable, claimed)
         for job in waiting:
-            choice.hold_for(job, job.waiting)
+            choice.reserve_for(job, job.waiting)
         for job in first:
-            choice.hold_for(job, 1)
+            choice.reserve_for(job, 1)
         return holds
 
-    def soon_us(self, machine: Machine, job: Job, at_us: int) -> int | None:
+    def available_us(self, machine: Machine, job: Job, at_us: int) -> int | None:
         """Estimate when a machine has room for a task of the job; None: not by itself."""
         if machine.booting:
             return max(at_us, machine.rented_us + seconds_us(machine.type.boot_s))
-        known = self._soon.setdefault(machine.name, {})
+        known = self._available_us.setdefault(machine.name, {})
         key = TaskShape.of(job), job.effective_level
         if key not in known:
-            if self._reckoned >= MOST_RECKONED:
+            if self._evaluated >= MOST_RECKONED:
                 return None
-            self._reckoned += 1
+            self._evaluated += 1
             known[key] = room_us(machine, job, self._estimates, at_us)
         found = known[key]
         return None if found is None else max(at_us, found)
@@ -330,7 +330,7 @@
             self._types[kind.name] = kind
             self._rooms += [(None, kind, _whole(kind), None) for _ in range(count)]
 
-    def short(self, job: Job, count: int) -> int:
+    def shortfall(self, job: Job, count: int) -> int:
         """Return how many of a job's waiting tasks none of them takes; 0 if they are not wide."""
         spec = job.spec
         portions = [portion(spec, t) for t in self._types.values() if t.fits(spec)]
@@ -403,11 +403,11 @@
         usable: Callable[[Machine], bool],
         claimed: dict[str, str],
     ) -> None:
-        self._holding = holding
-        self._holds = holds
+        self._reserver = holding
+        self._reservations = holds
         self._at_us = at_us
         self._usable = usable
-        self._before = holding.holds.machines
+        self._before = holding.reservations.machines
         self._earlier: dict[str, list[str]] = defaultdict(list)
         for name, job_id in self._before.items():
             self._earlier[job_id].append(name)
@@ -427,9 +427,9 @@
             self._left -= machine.type.cpus
             self._emptying += 1
 
-    def hold_for(self, job: Job, most: int) -> None:
+    def reserve_for(self, job: Job, most: int) -> None:
         """Hold machines for so many tasks of the job, as its limit and the share allow."""
-        cluster, spec = self._holding._cluster, job.spec
+        cluster, spec = self._reserver._cluster, job.spec
         most = min(most, job.waiting)
         if most <= 0 or job.finishing:
             # It has changed since it was put in its place.
@@ -440,19 +440,19 @@
             cluster.tasks_within_limit(job, (required_units(given[0]), required_units(given[1]))),
         )
         if allowed <= 0:
-            self._hold_limit(job)
+            self._reserve_limit(job)
             return
         zones: dict[str, int] = defaultdict(int)
-        for name, holder in self._holds.machines.items():
+        for name, holder in self._reservations.machines.items():
             if holder == job.id and (machine := cluster.machines.get(name)) is not None:
                 fits = self._fitting(machine, job)
                 allowed -= fits
                 zones[machine.zone] += fits
         while allowed > 0:
-            machine = self._kept(job, zones) or self._best(job, zones)
+            machine = self._still_reserved(job, zones) or self._soonest(job, zones)
             if machine is None:
                 return
-            self._holds.machines[machine.name] = job.id
+            self._reservations.machines[machine.name] = job.id
             self._set_until(machine, job)
             if self._is_emptied(machine, job):
                 self._count(machine)
@@ -461,27 +461,27 @@
             zones[machine.zone] += count
             given[0] += spec.cpus * count
             given[1] += spec.gpus * count
-            cpus, gpus = self._holds.limits.get(job.team, (0.0, 0.0))
-            self._holds.limits[job.team] = cpus + spec.cpus * count, gpus + spec.gpus * count
+            cpus, gpus = self._reservations.limits.get(job.team, (0.0, 0.0))
+            self._reservations.limits[job.team] = cpus + spec.cpus * count, gpus + spec.gpus * count
 
     def _set_until(self, machine: Machine, job: Job) -> None:
         """Say until when others may use the machine."""
-        until_us = self._holding.soon_us(machine, job, self._at_us) or self._at_us
-        earlier = self._holding.holds.until_us.get(machine.name)
+        until_us = self._reserver.available_us(machine, job, self._at_us) or self._at_us
+        earlier = self._reserver.reservations.until_us.get(machine.name)
         if earlier is not None and self._before[machine.name] == job.id:
             if earlier[1] == job.waiting:
                 # What runs over its estimate is no reason to put more there.
                 until_us = min(until_us, earlier[0])
-        self._holds.until_us[machine.name] = until_us, job.waiting
+        self._reservations.until_us[machine.name] = until_us, job.waiting
 
-    def _hold_limit(self, job: Job) -> None:
+    def _reserve_limit(self, job: Job) -> None:
         """Keep the limit of a job's team free for one task: it fills with small work otherwise.
 
         Machines are held once it is free, and nothing of the kind for what cannot fall free.
         """
-        if job.team in self._holds.limits or job.active:
+        if job.team in self._reservations.limits or job.active:
             return
-        cluster, spec = self._holding._cluster, job.spec
+        cluster, spec = self._reserver._cluster, job.spec
         team = cluster.teams[job.team]
         services = [
             other
@@ -491,7 +491,7 @@
         cpus = team.cpus_max - sum(len(other.active) * other.spec.cpus for other in services)
         gpus = team.gpus_max - sum(len(other.active) * other.spec.gpus for other in services)
         if tasks_that_fit(spec, cpus, gpus):
-            self._holds.limits[job.team] = spec.cpus, spec.gpus
+            self._reservations.limits[job.team] = spec.cpus, spec.gpus
 
     def _fitting(self, machine: Machine, job: Job) -> int:
         kind = machine.type
@@ -504,19 +504,21 @@
         """
         if machine.booting or machine.capacity_for(job):
             return False
-        wide = sum(a.job.spec.cpus for a in machine.attempts.values() if self._holding.wide(a.job))
+        wide = sum(
+            a.job.spec.cpus for a in machine.attempts.values() if self._reserver.is_wide(a.job)
+        )
         return wide < machine.type.cpus / 2
 
-    def _kept(self, job: Job, zones: dict[str, int]) -> Machine | None:
+    def _still_reserved(self, job: Job, zones: dict[str, int]) -> Machine | None:
         """Return a machine that is held for the job already."""
         for name in self._earlier.get(job.id, ()):
-            machine = self._holding._cluster.machines.get(name)
-            if machine is not None and name not in self._holds.machines:
-                if self._may_hold(machine, job, zones):
+            machine = self._reserver._cluster.machines.get(name)
+            if machine is not None and name not in self._reservations.machines:
+                if self._may_reserve(machine, job, zones):
                     return machine
         return None
 
-    def _best(self, job: Job, zones: dict[str, int]) -> Machine | None:
+    def _soonest(self, job: Job, zones: dict[str, int]) -> Machine | None:
         """Return the machine that has room for a task of the job soonest."""
         spec = job.spec
         own = job.id if spec.one_zone or spec.spread or job.failed_machines else ""
@@ -530,29 +532,31 @@
         # leaves only shrinks: what one of them may not have, none behind it may.
         while ranked:
             soon_us, _, machine = heappop(ranked)
-            if machine.name in self._holds.machines or not self._may_hold(machine, job, zones):
+            if machine.name in self._reservations.machines or not self._may_reserve(
+                machine, job, zones
+            ):
                 continue
-            if self._is_time(machine, job, soon_us):
+            if self._is_due(machine, job, soon_us):
                 return machine
         return None
 
     def _rank(self, job: Job) -> list[tuple[int, int, Machine]]:
         """Return a heap of the machines by when they have room for a task of the job."""
         ranked: list[tuple[int, int, Machine]] = []
-        for name, kind in self._holding._types.items():
+        for name, kind in self._reserver._types.items():
             if not kind.fits(job.spec):
                 continue
-            for machine in self._holding._by_type[name].values():
-                if machine.name in self._holds.machines or not machine.allows(job):
+            for machine in self._reserver._by_type[name].values():
+                if machine.name in self._reservations.machines or not machine.allows(job):
                     continue
-                soon_us = self._holding.soon_us(machine, job, self._at_us)
+                soon_us = self._reserver.available_us(machine, job, self._at_us)
                 if soon_us is not None:
                     keep_us = KEEP_US if machine.name in self._before else 0
                     ranked.append((soon_us - keep_us, machine.serial, machine))
         heapify(ranked)
         return ranked
 
-    def _is_time(self, machine: Machine, job: Job, soon_us: int) -> bool:
+    def _is_due(self, machine: Machine, job: Job, soon_us: int) -> bool:
         """Whether a machine is to be held for the job now, if any is.
 
         One that has to be emptied costs what could run there until then: not before the job
@@ -560,10 +564,10 @@
         """
         if machine.name in self._before or not self._is_emptied(machine, job):
             return True
-        wanted_us = job.runnable_since_us + self._holding._settings.within_us
+        wanted_us = job.runnable_since_us + self._reserver._settings.within_us
         return self._at_us + DRAIN_FACTOR * (soon_us - self._at_us) >= wanted_us
 
-    def _may_hold(self, machine: Machine, job: Job, zones: dict[str, int]) -> bool:
+    def _may_reserve(self, machine: Machine, job: Job, zones: dict[str, int]) -> bool:
         if machine.draining or machine.deleting or not machine.allows(job):
             return False
         if machine.name in job.failed_machines or not (machine.booting or self._usable(machine)):
--- a/weldhead/site/keeper.py
+++ b/weldhead/site/keeper.py
@@ -86,8 +86,8 @@
             try:
                 self._lay_out(line)
                 for part in self.parts.values():
-                    self._duties.once(part.name, self._keep(part))
-                self._duties.once("announce", self._announce())
+                    self._duties.spawn(part.name, self._keep(part))
+                self._duties.spawn("announce", self._announce())
                 await until_told()
                 self._say("ending the site")
             finally:
--- a/weldhead/site/pool_process.py
+++ b/weldhead/site/pool_process.py
@@ -115,11 +115,11 @@
         return f"{self._settings.site}/{machine.name}"
 
     def _keep(self, machine: Machine) -> None:
-        self._keepers[machine.name] = self._duties.once(
+        self._keepers[machine.name] = self._duties.spawn(
             f"machine {machine.name}", self._keep_running(machine)
         )
         if machine.spot:
-            self._duties.once(f"recall {machine.name}", self._recall(machine))
+            self._duties.spawn(f"recall {machine.name}", self._recall(machine))
 
     async def _keep_running(self, machine: Machine) -> None:
         """Have a worker run on the machine until it is deleted."""
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -274,7 +274,7 @@
                         log.error("cannot remember the token, so this ends: %s", failed)
                         os._exit(1)
                 case Fetch(task, attempt):
-                    self._duties.once(f"fetch {task}", self._fetch(task, attempt))
+                    self._duties.spawn(f"fetch {task}", self._fetch(task, attempt))
                 case Start(task, attempt, work):
                     self._start(task, attempt, work)
                 case Signal(task, attempt, hard):
--- a/weldhead/transport/background_tasks.py
+++ b/weldhead/transport/background_tasks.py
@@ -20,7 +20,7 @@
         """Keep a duty running: it is expected never to return."""
         self._add(self._keep(name, duty, pause_s), name)
 
-    def once(self, name: str, job: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def spawn(self, name: str, job: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a single errand; a failure is logged."""
         return self._add(self._guard(name, job), name)
 
--- a/weldhead/transport/cloud_client.py
+++ b/weldhead/transport/cloud_client.py
@@ -51,7 +51,7 @@
     ) -> tuple[int, bytes]:
         await self._budget.take(urgent=urgent)
         if wanted is not None and not wanted():
-            self._budget.give_back(1.0)
+            self._budget.refund(1.0)
             raise NotSentError
         return await self._http.call(method, self._base + path, body, 6 * SECOND_US)
 
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -54,7 +54,7 @@
         self._writer: asyncio.StreamWriter | None = None
         self._pending: dict[int, asyncio.Future[Message]] = {}
         self._next_id = 0
-        self.heard_us = 0
+        self.last_message_us = 0
         self.refused = False
         #: Since when connections are refused, and when one ended last (0: never).
         self.refused_us = 0
@@ -62,14 +62,14 @@
         #: When the connection that is up came about (0: none is).
         self.connected_us = 0
         #: When the peer last spoke on its own connection to us.
-        self.word_us = 0
+        self.last_request_us = 0
         #: Set while a connection is up.
         self.up = asyncio.Event()
         self.state_ok = False
         #: The format that the peer's process has said to know; 0: it has not answered yet.
         self.format = 0
         #: Called with the peer's name when its process seems to be gone.
-        self.on_lost: Callable[[str], None] = lambda name: None
+        self.on_refused: Callable[[str], None] = lambda name: None
 
     @property
     def connected(self) -> bool:
@@ -78,11 +78,11 @@
 
     def alive(self, at_us: int, within_us: int = 1_500_000) -> bool:
         """Whether the peer answered lately."""
-        return self.connected and at_us - self.heard_us < within_us
+        return self.connected and at_us - self.last_message_us < within_us
 
-    def observed(self) -> PeerObservation:
+    def observation(self) -> PeerObservation:
         """Return what there is of the peer."""
-        heard_us = max(self.heard_us, self.word_us)
+        heard_us = max(self.last_message_us, self.last_request_us)
         return PeerObservation(self.name, self.connected, self.refused_us, self.lost_us, heard_us)
 
     def next_id(self) -> int:
@@ -106,7 +106,7 @@
             if not self.refused:
                 self.refused = True
                 self.refused_us = now_us()
-                self.on_lost(self.name)
+                self.on_refused(self.name)
             await asyncio.sleep(0.2)
             return
         except (OSError, asyncio.TimeoutError):
@@ -115,13 +115,13 @@
             return
         self.refused, self.refused_us = False, 0
         self._writer = writer
-        self.heard_us = self.connected_us = now_us()
+        self.last_message_us = self.connected_us = now_us()
         try:
             writer.write(encode_frame(Hello(self._own_name)))
             self.up.set()
             while True:
                 message = await read_message(reader)
-                self.heard_us = now_us()
+                self.last_message_us = now_us()
                 if isinstance(message, Pong):
                     self.state_ok = message.state_ok
                     if message.format != self.format:
@@ -168,7 +168,7 @@
             return False
         return True
 
-    async def ask(self, message: Message, kind: type[M], timeout_us: int) -> M:
+    async def request(self, message: Message, kind: type[M], timeout_us: int) -> M:
         """Send a request and return its answer; NotConnected if it was never sent."""
         request_id: int = getattr(message, "id")  # noqa: B009  (all requests have one)
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
@@ -216,7 +216,7 @@
                     await self._answer(name, message, writer)
                 else:
                     # A slow request must not hold up the pings behind it.
-                    self._duties.once("peer request", self._answer(name, message, writer))
+                    self._duties.spawn("peer request", self._answer(name, message, writer))
         except PeerProtocolError as error:
             log.error("peer %s sent nonsense, connection closed: %s", name, error)
         except (OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
--- a/weldhead/transport/state_client.py
+++ b/weldhead/transport/state_client.py
@@ -81,13 +81,15 @@
         self.limits = limits
         # Every controller calls the same service, and each gets an equal claim on most of
         # the rate: the leader writes most, so it may use what the others rarely need.
-        self.requests = TokenBucket(limits.rps * 0.6, limits.rps * 0.4, limits.rps * 0.1)
+        self.request_budget = TokenBucket(limits.rps * 0.6, limits.rps * 0.4, limits.rps * 0.1)
         burst = max(limits.write_rps * 0.6, 4.0)
         # The leader's: ends of jobs, machines, progress. They keep half of the rate when
         # more is submitted than there is room for, or nothing would be told done.
-        self.writes = TokenBucket(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.6)
+        self.write_budget = TokenBucket(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.6)
         #: Submissions, on every controller.
-        self.creates = TokenBucket(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.05)
+        self.submission_budget = TokenBucket(
+            limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.05
+        )
         #: A transaction larger than the burst would wait for ever.
         self.max_writes = min(limits.txn_ops, int(burst))
         #: When a call was last served, and when one last failed (steady clock, 0: never).
@@ -95,7 +97,7 @@
         self.failed_us = 0
 
     @property
-    def ok(self) -> bool:
+    def available(self) -> bool:
         """Whether the last call was served."""
         return self.served_us > self.failed_us
 
@@ -111,11 +113,11 @@
         patience_us: int | None = None,
     ) -> tuple[int, bytes]:
         limit_us = patience_us if urgent or patience_us is not None else SECOND_US
-        budget = self.writes if patience_us is None else self.creates
+        budget = self.write_budget if patience_us is None else self.submission_budget
         if writes and not await budget.take(writes, urgent=urgent, limit_us=limit_us):
             raise RateLimitedError("state service: write budget used up")
-        if not await self.requests.take(urgent=urgent, limit_us=limit_us):
-            budget.give_back(writes)
+        if not await self.request_budget.take(urgent=urgent, limit_us=limit_us):
+            budget.refund(writes)
             raise RateLimitedError("state service: request budget used up")
         started_us = now_us()
         try:
@@ -129,7 +131,7 @@
                 self.failed_us = now_us()
             else:
                 # Others use the same rate: what this node had saved up is not there.
-                (budget if writes else self.requests).drain()
+                (budget if writes else self.request_budget).drain()
                 raise RateLimitedError("state service: 429")
             raise RequestRefusedError(f"state service: {status}")
         if status not in (200, 400, 404, 409, 410):
--- a/weldhead/transport/token_bucket.py
+++ b/weldhead/transport/token_bucket.py
@@ -48,7 +48,7 @@
         self._level -= amount
         return True
 
-    def give_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """What was taken has not been used."""
         self._level = min(self._burst, self._level + amount)
 
