--- a/tests/held_network.py
+++ b/tests/held_network.py
@@ -14,9 +14,9 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, leader_of, put_job, put_machine
-from weldhead.cluster_state.jobs import StopRequest, TaskState
 from weldhead.cluster_state.records import decode_progress, progress_key
 from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.cluster_state.states import StopRequest, TaskState
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, DirectCommands, Heartbeat, split_task
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -12,26 +12,24 @@
 from weldhead.clock import seconds_us
 from weldhead.cluster_state.capacity_index import CapacityIndex
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, Job, StopRequest
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import EPSILON, tasks_that_fit
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
+from weldhead.cluster_state.states import StopRequest
 from weldhead.quota.amounts import Resource
-from weldhead.scheduling.autoscaling.fleet import (
-    CapacityForecast,
-    FleetSettings,
-    PendingRental,
-    usual_boots,
-)
+from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast
+from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
+from weldhead.scheduling.autoscaling.rental_offers import PendingRental
+from weldhead.scheduling.autoscaling.scale_out import usual_boots
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.placement import (
-    FreeCapacity,
-    PassCapacity,
-    PlacementPlan,
-    _place,
-    usable,
-)
-from weldhead.scheduling.preemption.preemptor import PreemptionPass, PreemptorSettings
+from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.free_capacity import FreeCapacity
+from weldhead.scheduling.placement.pass_capacity import PassCapacity
+from weldhead.scheduling.placement.placement_pass import _place
+from weldhead.scheduling.placement.placement_plan import PlacementPlan
+from weldhead.scheduling.preemption.preemption_pass import PreemptionPass
+from weldhead.scheduling.preemption.victim_rules import PreemptorSettings
 
 
 class PlainPlan(PlacementPlan):
--- a/tests/protocol/test_golden_bytes.py
+++ b/tests/protocol/test_golden_bytes.py
@@ -16,7 +16,7 @@
 from weldhead.calendars import calendar_document, calendar_state
 from weldhead.client import answers, decisions, policy
 from weldhead.cluster_state import preemption_history, records
-from weldhead.controller.configuration import gates, late_notifications, run_time_history
+from weldhead.controller.configuration import gate_binder, late_notifications, run_time_history
 from weldhead.controller.scheduling_loop import preemption_recorder as lending
 from weldhead.documents import records as document_records
 from weldhead.documents import source
@@ -145,7 +145,7 @@
         document_records.HEAD_KEY,
         document_records.document_key(7, "gate/g"),
         document_records.state_key(calendars.KIND, "c"),
-        document_records.state_key(gates.KIND, "g"),
+        document_records.state_key(gate_binder.KIND, "g"),
         document_records.state_key(late_notifications.KIND, "0"),
         run_time_history.KEY,
     ]
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -10,7 +10,7 @@
 
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.preemption_history import (
     MAX_PREEMPTIONS_PER_HOUR,
     MIN_UNDISTURBED_US,
@@ -21,7 +21,9 @@
     shard_of,
 )
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
-from weldhead.controller.workers.heartbeat_reconciler import apply_report, request_stop
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
+from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.settings import Objective, Team
 from weldhead.protocol.wire import ReportedTask
 from weldhead.quota.amounts import (
@@ -33,17 +35,17 @@
     required_units,
 )
 from weldhead.quota.teams import QuotaAccount, bounds_of
-from weldhead.scheduling.autoscaling.fleet import RentalOffers, plan_scale_in, plan_scale_out
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffers
+from weldhead.scheduling.autoscaling.scale_in import plan_scale_in
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement.placement import (
-    FreeCapacity,
-    PlacementPlan,
-    fetch_delay_us,
-    plan_starts,
-)
+from weldhead.scheduling.placement.free_capacity import FreeCapacity
+from weldhead.scheduling.placement.placement_pass import plan_starts
+from weldhead.scheduling.placement.placement_plan import PlacementPlan
+from weldhead.scheduling.placement.scoring import fetch_delay_us
 from weldhead.scheduling.preemption.gpu_claims import fetch_us
-from weldhead.scheduling.preemption.preemptor import plan_preemptions
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -20,7 +20,7 @@
     FailureTracker,
 )
 from weldhead.failure_attribution.judgement import FailureEvidence, JobHealth, is_faulty, job_health
-from weldhead.scheduling.placement.placement import PlacementPlan
+from weldhead.scheduling.placement.placement_plan import PlacementPlan
 
 EVIDENCE = st.lists(st.builds(FailureEvidence, st.integers(1, 9), st.booleans(), st.booleans()))
 
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -32,10 +32,12 @@
 from weldhead.calendars.lateness import DeadlineStanding, standing
 from weldhead.calendars.recurrence import UnusableCalendarError, check, compute, hour_us, instants
 from weldhead.cluster_state.dependency_graph import DependencyGraph
-from weldhead.cluster_state.jobs import GateStatus, Job
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import CalendarDeadline, JobRecord, job_key
-from weldhead.controller.configuration.calendars import CalendarBinder, CalendarKeeper
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.cluster_state.states import GateStatus
+from weldhead.controller.configuration.calendar_binder import CalendarBinder
+from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
+from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.configuration.run_time_history import KEY, RunTimeHistory
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.cache import DocumentCache
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -18,8 +18,9 @@
 from tests.test_wire import SETTINGS
 from weldhead.admission.team_rate_limiter import round_robin
 from weldhead.clock import now_us
-from weldhead.cluster_state.jobs import Job, StopRequest
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import LEADER_KEY, UNSETTLED_KEY, JobRecord, final_key, job_key
+from weldhead.cluster_state.states import StopRequest
 from weldhead.controller.leadership.leader import Leader, NotReadyError
 from weldhead.controller.leadership.leader_lease import Candidacy
 from weldhead.controller.process import ControllerProcess
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -37,18 +37,17 @@
 from weldhead.protocol.settings import Objective, Team
 from weldhead.protocol.wire import DeleteKey, JobSpec
 from weldhead.scheduling import inherited_priority as urgency
-from weldhead.scheduling.autoscaling.fleet import (
-    ExpectedDemand,
-    RentalOffers,
-    choose_scale_in_candidates,
-    plan_scale_out,
-)
+from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffers
+from weldhead.scheduling.autoscaling.scale_in import choose_scale_in_candidates
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.completion_times import forecast_chains
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.backlog import entry_of
-from weldhead.scheduling.placement.placement import PlacementPlan, plan_starts
-from weldhead.scheduling.preemption.preemptor import plan_preemptions
+from weldhead.scheduling.placement.backlog_entry import entry_of
+from weldhead.scheduling.placement.placement_pass import plan_starts
+from weldhead.scheduling.placement.placement_plan import PlacementPlan
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.transport.http_client import CallError
 from weldhead.tunables.defaults import Tunables
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,13 +1,11 @@
 """Each `run` is sent so that it cannot be executed a second time."""
 
 from tests.builders import add_job, add_machine, cluster, job_spec, report
-from weldhead.cluster_state.jobs import AttemptPhase, StopRequest
 from weldhead.cluster_state.machines import Machine
-from weldhead.controller.workers.heartbeat_reconciler import (
-    apply_report,
-    pending_commands,
-    request_stop,
-)
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
+from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.controller.workers.pending_commands import pending_commands
+from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.wire import Command, ReportedTask
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -11,27 +11,25 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
 from tests.stand_ins import StandInTask, StandInWorker
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
 from weldhead.controller.workers.heartbeat_reconciler import apply_report
 from weldhead.protocol.settings import Objective, Team
 from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
-from weldhead.scheduling.autoscaling.fleet import (
-    MachineDrain,
-    RentalOffer,
-    RentalOffers,
-    choose_scale_in_candidates,
-    plan_consolidation,
-    plan_scale_in,
-    plan_scale_out,
-)
+from weldhead.scheduling.autoscaling.consolidation import MachineDrain, plan_consolidation
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffer, RentalOffers
+from weldhead.scheduling.autoscaling.scale_in import choose_scale_in_candidates, plan_scale_in
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.completion_times import BootForecast, forecast_us
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.backlog import UnplacedTasks
-from weldhead.scheduling.placement.placement import PlacementPlan, plan_starts
-from weldhead.scheduling.preemption.preemptor import overdue, plan_preemptions, stop_for
+from weldhead.scheduling.placement.placement_pass import plan_starts
+from weldhead.scheduling.placement.placement_plan import PlacementPlan
+from weldhead.scheduling.placement.unplaced_tasks import UnplacedTasks
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
+from weldhead.scheduling.preemption.victim_rules import overdue, stop_for
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
--- a/tests/test_equivalence.py
+++ b/tests/test_equivalence.py
@@ -9,29 +9,24 @@
 from tests.builders import TOKEN, add_job, job_spec, machine_type
 from tests.plain import PlainPlan, PlainQueue, plain_reclaims, plain_starts
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, StopRequest
+from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
-from weldhead.controller.workers.heartbeat_reconciler import request_stop
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
+from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.settings import Objective, Team
-from weldhead.scheduling.autoscaling.fleet import (
-    CapacityForecast,
-    PendingRental,
-    forecast_unmet_demand,
-    usual_boots,
-)
+from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast
+from weldhead.scheduling.autoscaling.rental_offers import PendingRental
+from weldhead.scheduling.autoscaling.scale_out import usual_boots
+from weldhead.scheduling.autoscaling.unmet_demand import forecast_unmet_demand
 from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us
 from weldhead.scheduling.forecast.job_forecasts import BootTracker
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement.backlog import UnplacedTasks
-from weldhead.scheduling.placement.placement import (
-    PlacementInput,
-    PlacementPlan,
-    plan_pass,
-    plan_starts,
-)
-from weldhead.scheduling.preemption.preemptor import plan_preemptions
+from weldhead.scheduling.placement.placement_pass import plan_pass, plan_starts
+from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
+from weldhead.scheduling.placement.unplaced_tasks import UnplacedTasks
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -39,23 +39,19 @@
 )
 from weldhead.controller.term import LOAD_BATCH_SIZE
 from weldhead.protocol.settings import StateLimits
-from weldhead.scheduling.autoscaling.fleet import (
-    CapacityForecast,
-    ExpectedDemand,
-    RentalOffer,
-    RentalOffers,
-    endangered,
-    forecast_unmet_demand,
-    plan_scale_out,
-    replacements,
-    usual_boots,
-)
+from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast
+from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand, endangered
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffer, RentalOffers
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out, replacements, usual_boots
+from weldhead.scheduling.autoscaling.unmet_demand import forecast_unmet_demand
 from weldhead.scheduling.forecast import job_forecasts
 from weldhead.scheduling.forecast.job_forecasts import JobForecasts
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement import backlog, placement
-from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass
+from weldhead.scheduling.placement import backlog, pass_capacity, placement_pass
+from weldhead.scheduling.placement.free_capacity import FreeCapacity
+from weldhead.scheduling.placement.placement_pass import plan_pass
+from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
 from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.state_client import RequestRefusedError, StateClient
 from weldhead.tunables.defaults import FleetTunables, Tunables
@@ -88,9 +84,10 @@
     scene = scene_of(into)
     counts: dict[str, int] = {}
     count_calls(monkeypatch, backlog, "entry_of", counts)
-    count_calls(monkeypatch, placement.FreeCapacity, "__init__", counts)
-    count_calls(monkeypatch, placement.FreeCapacity, "capacity_for", counts)
-    count_calls(monkeypatch, placement, "usable", counts)
+    count_calls(monkeypatch, FreeCapacity, "__init__", counts)
+    count_calls(monkeypatch, FreeCapacity, "capacity_for", counts)
+    for module in (pass_capacity, placement_pass):
+        count_calls(monkeypatch, module, "usable", counts)
     plan = plan_pass(scene, 2 * S, 10 * S)
     assert plan.starts == [] and bool(plan.unplaced)
     assert counts == {}
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -14,7 +14,7 @@
 from tests.stand_ins import StandInState
 from tests.test_recovery import START, Clock, clock, fixed_clock, leader_of  # noqa: F401
 from tests.test_users import StandInNode, desk
-from weldhead.cluster_state.jobs import AttemptPhase, Job, StopRequest
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import (
     AdmissionBinding,
     FinalRecord,
@@ -26,8 +26,10 @@
     final_key,
     job_key,
 )
-from weldhead.controller.configuration.gates import GateBinder, GateKeeper
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
+from weldhead.controller.configuration.document_replica import DocumentReplica
+from weldhead.controller.configuration.gate_binder import GateBinder
+from weldhead.controller.configuration.gate_keeper import GateKeeper
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key, state_key
 from weldhead.documents.source import parse_source
--- a/tests/test_held_commands.py
+++ b/tests/test_held_commands.py
@@ -12,7 +12,7 @@
 from tests.loopback import eventually, served
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, clock, fixed_clock, new_leader, put_job, put_machine
-from weldhead.cluster_state.jobs import StopRequest
+from weldhead.cluster_state.states import StopRequest
 from weldhead.site.http import Reply
 from weldhead.transport import worker_commands as workers
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -8,21 +8,22 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
 from tests.test_equivalence import FLEET, GOALS, PATIENCE, PREEMPTOR, SILENCE, Town
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import AttemptPhase, Job
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
+from weldhead.cluster_state.states import AttemptPhase
 from weldhead.protocol.settings import Team
-from weldhead.scheduling.autoscaling.fleet import RentalOffers, plan_scale_out
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffers
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
-from weldhead.scheduling.placement.backlog import UnplacedTasks
-from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass, usable
-from weldhead.scheduling.preemption.preemptor import plan_preemptions
-from weldhead.scheduling.reservations.holding import (
-    CapacityReserver,
-    Reservations,
-    ReservationSettings,
-    WideTaskForecast,
-)
+from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.placement_pass import plan_pass
+from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
+from weldhead.scheduling.placement.unplaced_tasks import UnplacedTasks
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
+from weldhead.scheduling.reservations.capacity_reserver import CapacityReserver
+from weldhead.scheduling.reservations.reservations import Reservations, ReservationSettings
+from weldhead.scheduling.reservations.wide_tasks import WideTaskForecast
 
 S = 1_000_000
 SETTINGS = ReservationSettings(15 * S, 60 * S, 0.5, 0.25)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -33,7 +33,7 @@
 from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import StateLimits
-from weldhead.scheduling.autoscaling.fleet import RentalOffer
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffer
 from weldhead.site.store.server import StateService
 from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.state_client import StateClient
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -37,7 +37,7 @@
 #: As many modules as it loads without what an environment's own start adds, and not one more:
 #: of the interpreter's and of libraries, and of weldhead's own.
 MOST_FOREIGN_MODULES = 326
-MOST_OWN_MODULES = 126
+MOST_OWN_MODULES = 152
 FOREIGN = {
     "sqlite3",
     "sortedcontainers",
@@ -75,7 +75,9 @@
     program = """
 import sys
 sys.path[:0] = [{root!r}, {deps!r}]
-import weldhead.controller.configuration.calendars, weldhead.controller.configuration.gates
+from weldhead.controller.configuration import (
+    calendar_binder, calendar_keeper, deadline_table_follower, gate_binder, gate_keeper
+)
 import weldhead.documents.source
 print(sorted({{"dateutil", "zoneinfo"}} & set(sys.modules)))
 """.format(root=str(ROOT), deps=str(ROOT / "target/deps"))
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -14,20 +14,18 @@
 from tests.plain import plain_starts
 from tests.stand_ins import StandInWorker
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import AttemptPhase, StopRequest, TaskState
 from weldhead.cluster_state.machines import Machine
-from weldhead.controller.workers.heartbeat_reconciler import (
-    apply_report,
-    is_newer,
-    pending_commands,
-    request_stop,
-)
+from weldhead.cluster_state.states import AttemptPhase, StopRequest, TaskState
+from weldhead.controller.workers.heartbeat_reconciler import apply_report, is_newer
+from weldhead.controller.workers.pending_commands import pending_commands
+from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, Heartbeat, split_task
 from weldhead.reconciliation.command_queue import CommandPriority, _rank_of, queue_position
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement.placement import PlacementInput, plan_pass
+from weldhead.scheduling.placement.placement_pass import plan_pass
+from weldhead.scheduling.placement.placement_plan import PlacementInput
 
 NAMES = ["vm-000001", "vm-000002", "vm-000003"]
 LIMIT = 10.0
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -24,7 +24,6 @@
 from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine  # noqa: F401
 from tests.test_size import StandInCloud
 from tests.test_users import GOOD_BODY, JOB, StandInNode, desk
-from weldhead.cluster_state.jobs import StopRequest
 from weldhead.cluster_state.records import (
     LEADER_KEY,
     RENTALS,
@@ -38,8 +37,9 @@
     job_key,
 )
 from weldhead.cluster_state.state_writer import LeadershipLostError
-from weldhead.controller.configuration.gates import GateBinder
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.cluster_state.states import StopRequest
+from weldhead.controller.configuration.document_replica import DocumentReplica
+from weldhead.controller.configuration.gate_binder import GateBinder
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.previous_leaders import missed_from_us
 from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key
@@ -49,7 +49,7 @@
 from weldhead.emulator.scenario import read_scenario
 from weldhead.gates.gate_state import GateState, ended, enter
 from weldhead.protocol.wire import Command
-from weldhead.scheduling.autoscaling.fleet import RentalOffer
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffer
 from weldhead.transport.state_client import StateClient
 
 ONE, TWO = "run-000001", "run-000002"
--- a/tests/test_meet_limits.py
+++ b/tests/test_meet_limits.py
@@ -15,15 +15,11 @@
 from weldhead.emulator.hand_overs import STEPS, HandOverObserver, observe_hand_overs
 from weldhead.emulator.scenario import Scenario, read_scenario
 from weldhead.protocol.settings import Team
-from weldhead.scheduling.autoscaling.fleet import (
-    PendingRental,
-    RentalOffer,
-    RentalOffers,
-    plan_scale_out,
-)
+from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer, RentalOffers
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement.placement import plan_starts
+from weldhead.scheduling.placement.placement_pass import plan_starts
 from weldhead.tunables.defaults import Tunables
 
 __all__ = ["clock"]
--- a/tests/test_old_reports.py
+++ b/tests/test_old_reports.py
@@ -10,7 +10,7 @@
 from tests.builders import job_spec
 from tests.stand_ins import StandInState, StandInTask, StandInWorker
 from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine
-from weldhead.cluster_state.jobs import TaskState
+from weldhead.cluster_state.states import TaskState
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -12,8 +12,8 @@
 from tests.stand_ins import StandInState, StandInWorker
 from tests.test_recovery import START, Clock, clock, fixed_clock, new_leader, put_job, put_machine
 from weldhead.clock import surely_valid_us
-from weldhead.cluster_state.jobs import AttemptPhase
 from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.states import AttemptPhase
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer, ReportedTask
 from weldhead.reachability.evidence import (
@@ -24,7 +24,7 @@
 )
 from weldhead.reachability.freshness import MOST_UNSHOWN, RELAYED_MORE
 from weldhead.reachability.replacement import machines_to_replace
-from weldhead.scheduling.placement.placement import usable
+from weldhead.scheduling.placement.eligibility import usable
 
 S = 1_000_000
 LEASE = 12 * S
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,6 @@
 from tests.stand_ins import StandInState, StandInTask, StandInWorker
 from tests.test_wire import SETTINGS
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import AttemptPhase
 from weldhead.cluster_state.preemption_history import MIN_UNDISTURBED_US
 from weldhead.cluster_state.records import (
     LEADER_KEY,
@@ -27,7 +26,8 @@
     job_key,
     progress_key,
 )
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.cluster_state.states import AttemptPhase
+from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.leadership.leader import Leader, NotReadyError
 from weldhead.controller.leadership.leader_lease import LeaderLease, default_timing
 from weldhead.controller.term import Term
@@ -43,12 +43,15 @@
 
 #: The modules of a term that read the clock.
 CLOCKED = (
-    "configuration.calendars",
+    "configuration.calendar_binder",
+    "configuration.calendar_keeper",
+    "configuration.deadline_table_follower",
     "requests.completions",
     "scheduling_loop.scheduling_loop",
     "workers.command_dispatcher",
     "requests.request_handler",
-    "configuration.gates",
+    "configuration.gate_binder",
+    "configuration.gate_keeper",
     "leadership.leader",
     "scheduling_loop.preemption_recorder",
     "requests.job_dependencies",
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -16,26 +16,23 @@
 from tests.test_recovery import new_leader
 from weldhead.clock import now_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import AttemptPhase
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
 from weldhead.cluster_state.records import LEADER_KEY, RENTALS, RentalRecord, divide_machines
 from weldhead.cluster_state.state_writer import StateWriter
+from weldhead.cluster_state.states import AttemptPhase
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import RentalRequest
 from weldhead.reachability.silence import look_lost
-from weldhead.scheduling.autoscaling.fleet import (
-    PendingRental,
-    RentalOffer,
-    RentalOffers,
-    plan_scale_out,
-)
+from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer, RentalOffers
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement import placement
-from weldhead.scheduling.placement.placement import plan_starts
-from weldhead.scheduling.preemption import preemptor
-from weldhead.scheduling.preemption.preemptor import plan_preemptions
+from weldhead.scheduling.placement import pass_capacity, placement_pass
+from weldhead.scheduling.placement.free_capacity import FreeCapacity
+from weldhead.scheduling.placement.placement_pass import plan_starts
+from weldhead.scheduling.preemption import preemption_pass
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.transport.cloud_client import NoCapacityError, NotSentError
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
@@ -84,8 +81,9 @@
 ) -> None:
     into = full_fleet(100, 50)
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, placement, "usable", counts)
-    count_calls(monkeypatch, placement.FreeCapacity, "__init__", counts)
+    for module in (pass_capacity, placement_pass):
+        count_calls(monkeypatch, module, "usable", counts)
+    count_calls(monkeypatch, FreeCapacity, "__init__", counts)
     plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert len(plan.unplaced) == 50
     assert counts == {}
@@ -101,7 +99,7 @@
         into.adopt(attempt, into.machines[attempt.machine])
     small = add_job(into, job_spec(99, tasks=1, cpus=0.0, memory_gb=0.0))
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, placement.FreeCapacity, "capacity_for", counts)
+    count_calls(monkeypatch, FreeCapacity, "capacity_for", counts)
     plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert [start.job for start in plan.starts] == [small]
     # Three shapes over a hundred machines, not fifty jobs twice over.
@@ -112,8 +110,8 @@
     into = full_fleet(100, 50)
     plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, preemptor, "victim_key", counts)
-    count_calls(monkeypatch, preemptor, "over_guarantee", counts)
+    count_calls(monkeypatch, preemption_pass, "victim_key", counts)
+    count_calls(monkeypatch, preemption_pass, "over_guarantee", counts)
     found = plan_preemptions(
         into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S,
         TUNABLES.preemptor.settings(10 * S), ServiceLevelObjectives([]), most=64,
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -25,7 +25,7 @@
 from weldhead.protocol.peer import ForwardedAnswer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import KeyValue
-from weldhead.scheduling.autoscaling.fleet import RentalOffer
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffer
 from weldhead.transport.http_client import CallError
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import RequestRefusedError
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -15,9 +15,10 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
 from tests.stand_ins import StandInState, StandInTask
 from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine
-from weldhead.cluster_state.jobs import StopRequest
 from weldhead.cluster_state.machines import Machine
-from weldhead.controller.workers.heartbeat_reconciler import apply_report, pending_commands
+from weldhead.cluster_state.states import StopRequest
+from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.controller.workers.pending_commands import pending_commands
 from weldhead.emulator.experiment import play
 from weldhead.emulator.scenario import Fault, Scenario, read_scenario
 from weldhead.protocol.settings import Team
@@ -39,7 +40,8 @@
 from weldhead.reconciliation.status_probes import ProbeSettings, StatusProbes
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement.placement import PlacementInput, plan_pass
+from weldhead.scheduling.placement.placement_pass import plan_pass
+from weldhead.scheduling.placement.placement_plan import PlacementInput
 
 S = 1_000_000
 MS = 1_000
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -13,7 +13,7 @@
 from tests.stand_ins import StandInState
 from tests.test_validation import GOOD
 from weldhead.cluster_state.records import FinalRecord, final_key, job_key
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol.settings import Team
--- a/tools/measure_cards.py
+++ b/tools/measure_cards.py
@@ -16,13 +16,13 @@
 import click  # noqa: E402
 
 from tests.builders import add_job, add_machine, cluster, job_spec  # noqa: E402
-from weldhead.cluster_state.jobs import AttemptPhase  # noqa: E402
 from weldhead.cluster_state.reclaim import ReclaimLists  # noqa: E402
+from weldhead.cluster_state.states import AttemptPhase  # noqa: E402
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
 from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
-from weldhead.scheduling.placement.placement import plan_starts  # noqa: E402
-from weldhead.scheduling.preemption.preemptor import plan_preemptions  # noqa: E402
+from weldhead.scheduling.placement.placement_pass import plan_starts  # noqa: E402
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
 
 S = 1_000_000
--- a/tools/measure_ops.py
+++ b/tools/measure_ops.py
@@ -24,7 +24,8 @@
 from weldhead.protocol.settings import Team  # noqa: E402
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
 from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
-from weldhead.scheduling.placement.placement import PlacementInput, plan_pass  # noqa: E402
+from weldhead.scheduling.placement.placement_pass import plan_pass  # noqa: E402
+from weldhead.scheduling.placement.placement_plan import PlacementInput  # noqa: E402
 
 COUNTED = ("requests to the store", "writes", "direct requests", "bytes")
 LONG = JobClass("long", "red", 0.0, 20, 200.0, initial=12, cancelled=0.0)
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -27,23 +27,21 @@
 from weldhead.clock import now_us  # noqa: E402
 from weldhead.cluster_state.cluster import Cluster  # noqa: E402
 from weldhead.cluster_state.dependency_graph import DependencyGraph  # noqa: E402
-from weldhead.cluster_state.jobs import AttemptPhase, StopRequest  # noqa: E402
 from weldhead.cluster_state.machines import Machine  # noqa: E402
 from weldhead.cluster_state.records import RentalRecord  # noqa: E402
+from weldhead.cluster_state.states import AttemptPhase, StopRequest  # noqa: E402
 from weldhead.controller.leadership.leader import Leader  # noqa: E402
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
-from weldhead.scheduling.autoscaling.fleet import (  # noqa: E402
-    CapacityForecast,
-    UnmetDemand,
-    forecast_unmet_demand,
-    usual_boots,
-)
+from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast  # noqa: E402
+from weldhead.scheduling.autoscaling.scale_out import usual_boots  # noqa: E402
+from weldhead.scheduling.autoscaling.unmet_demand import UnmetDemand, forecast_unmet_demand  # noqa: E402
 from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us  # noqa: E402
 from weldhead.scheduling.forecast.job_forecasts import JobForecasts  # noqa: E402
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
 from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
-from weldhead.scheduling.placement.backlog import UnplacedTasks  # noqa: E402
-from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass  # noqa: E402
+from weldhead.scheduling.placement.placement_pass import plan_pass  # noqa: E402
+from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan  # noqa: E402
+from weldhead.scheduling.placement.unplaced_tasks import UnplacedTasks  # noqa: E402
 from weldhead.tunables.defaults import Tunables  # noqa: E402
 
 S = 1_000_000
--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass
 
 from weldhead.cluster_state.change_feed import Registry
-from weldhead.cluster_state.jobs import Attempt, Job, StopRequest, TaskState
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import EPSILON, Machine
+from weldhead.cluster_state.states import StopRequest, TaskState
 from weldhead.protocol.settings import Team
 from weldhead.quota.amounts import NOTHING, Amount
 from weldhead.quota.teams import ResourceUsage, within_limit
--- a/weldhead/cluster_state/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -1,45 +1,14 @@
-"""A job and its tasks in memory. No I/O."""
+"""A job and the attempts of its tasks in memory. No I/O."""
 
-import enum
 from collections import Counter
 from collections.abc import Container
 
 from weldhead.clock import seconds_us
 from weldhead.cluster_state.change_feed import ChangeFeeds, ObservedAttribute
 from weldhead.cluster_state.records import CHUNK_TASKS, CalendarDeadline, GateHold
+from weldhead.cluster_state.states import AttemptPhase, GateStatus, StopRequest, TaskState
 from weldhead.protocol.wire import JobSpec
 
-
-class AttemptPhase(enum.Enum):
-    """Where an attempt stands, as far as the leader knows."""
-
-    #: Promised a place; the worker has not reported it yet.
-    ASSIGNED = "assigned"
-    PULLING = "pulling"
-    RUNNING = "running"
-    SAVING = "saving"
-
-
-class StopRequest(enum.Enum):
-    """Whether an attempt was asked to stop, and how."""
-
-    NO = 0
-    #: May save first.
-    SOFT = 1
-    HARD = 2
-
-
-class TaskState(enum.IntEnum):
-    """A task's state."""
-
-    WAITING = 0
-    #: An attempt may exist somewhere.
-    ACTIVE = 1
-    #: Completed, not yet committed.
-    COMPLETED = 2
-    COMMITTED = 3
-
-
 #: By state: 1 if the task is completed, committed or not. Chunks of thousands of tasks are
 #: written again and again: flag by flag that took a thirtieth of a leader's time.
 _IS_COMPLETED = bytes(state >= TaskState.COMPLETED for state in range(256))
@@ -108,23 +77,6 @@
         return task_us if task_us > 0 else 0
 
 
-class GateStatus:
-    """What holds jobs that wait for the same; shared by all of them."""
-
-    __slots__ = ("expected_open_us", "name", "reason")
-
-    def __init__(self, name: str = "") -> None:
-        #: The gate, and what it waits for in words, as far as is known.
-        self.name = name
-        self.reason = ""
-        #: When they are expected to wait no more, on the steady clock; None: cannot be told.
-        self.expected_open_us: int | None = None
-
-
-#: Nobody knows yet whether a job is held, or by what: closed when in doubt.
-UNKNOWN_GATE_STATUS = GateStatus()
-
-
 class Job:
     """A job that is not over."""
 
--- a/weldhead/cluster_state/machines.py
+++ b/weldhead/cluster_state/machines.py
@@ -5,7 +5,8 @@
 
 from weldhead.clock import surely_over_us
 from weldhead.cluster_state.change_feed import ChangeFeeds
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job
+from weldhead.cluster_state.jobs import Attempt, Job
+from weldhead.cluster_state.states import AttemptPhase
 from weldhead.protocol.wire import JobSpec, MachineType, ReportedTask
 
 #: Amounts are decimals on the wire; sums of them are compared with this slack.
--- a/weldhead/cluster_state/preemption_history.py
+++ b/weldhead/cluster_state/preemption_history.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from weldhead.clock import SECOND_US
-from weldhead.cluster_state.jobs import Attempt, Job, TaskState
+from weldhead.cluster_state.jobs import Attempt, Job
+from weldhead.cluster_state.states import TaskState
 
 #: How long a task that was stopped is let run when it has begun again.
 MIN_UNDISTURBED_US = 120 * SECOND_US
--- a/weldhead/controller/configuration/calendars.py
+++ b/weldhead/controller/configuration/calendar_keeper.py
@@ -1,4 +1,4 @@
-"""Calendars: jobs are bound on every controller, instants are computed by the leader."""
+"""A term's deadline calendars: the leader computes and commits their instants."""
 
 import asyncio
 import logging
@@ -9,9 +9,6 @@
 from weldhead.calendars.binding import (
     JUST_PAST_US,
     KIND,
-    InstantsNotComputedError,
-    bind,
-    passed_us,
     state_of,
 )
 from weldhead.calendars.calendar_document import Calendar
@@ -24,25 +21,17 @@
     replaced,
 )
 from weldhead.calendars.formatting import utc
-from weldhead.clock import SECOND_US, now_us, to_seconds, wall_us
+from weldhead.clock import SECOND_US, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
-from weldhead.cluster_state.records import JOBS, AdmissionBinding, JobRecord
 from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.configuration.late_notifications import LateNotifications
-from weldhead.controller.configuration.publisher import (
-    DocumentPublisher,
-    DocumentReplica,
-    DocumentsNotLoadedError,
-)
 from weldhead.controller.configuration.run_time_history import RunTimeHistory
 from weldhead.controller.term import Term, batches
 from weldhead.documents.records import HEAD_KEY, DocumentSet, document_key, state_key
-from weldhead.protocol.wire import JobSpec
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import (
-    RevisionCompactedError,
-    StateClient,
     TransactionRejectedError,
 )
 
@@ -50,101 +39,10 @@
 
 #: Between two looks whether a calendar's instants run out.
 RENEW_US = 600 * SECOND_US
-#: After a failure, or when the clocks say something else.
-AGAIN_US = 2 * SECOND_US
-#: Between two readings of what was accepted and is over: no controller asks more often.
-TABLE_PAUSE_S = 2.0
-#: How often it is said what has to be finished while the store is out of reach.
-SAID_US = 60 * SECOND_US
-
-
-class CalendarBinder:
-    """Binds jobs at their acceptance; ``error_us`` is how far any time of day may be off."""
-
-    def __init__(self, documents: DocumentReplica, error_us: int) -> None:
-        self._documents = documents
-        self._error_us = error_us
-        documents.binders.append(self)
-        documents.on_accepted.append(self.accepted)
-
-    def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return the instant that binds a job; Unready if it is not known yet."""
-        try:
-            return bind(self._documents.cache, spec, wall_us, self._error_us)
-        except InstantsNotComputedError as error:
-            log.info("%s cannot be bound yet: no instants of calendar %s", spec.id, error)
-            raise DocumentsNotLoadedError from error
-
-    def accepted(self, record: JobRecord) -> None:
-        """Take up a job that this controller has accepted."""
-        bound = record.deadline
-        if bound is None:
-            return
-        self._documents.deadline_table.put(record.spec.id, bound)
-        past_us = passed_us(self._documents.cache, bound, record.submitted_us, self._error_us)
-        if past_us is not None:
-            log.info(
-                "%s came too late for %s of calendar %s; the next instant binds it: %s",
-                record.spec.id, utc(past_us), bound.calendar, utc(bound.due_us),
-            )  # fmt: skip
-
 
-class DeadlineTableFollower:
-    """Follows what has to be finished by when, for when nobody leads and the store is down."""
 
-    def __init__(self, documents: DocumentReplica, state: StateClient) -> None:
-        self._documents = documents
-        self._state = state
-        self._logged_us = 0
-
-    async def follow(self) -> None:
-        """Keep the table; a duty."""
-        table, cache = self._documents.deadline_table, self._documents.cache
-        while not any(True for _ in cache.in_force(KIND, Calendar)):  # noqa: ASYNC110
-            await asyncio.sleep(TABLE_PAUSE_S)
-        revision = await self._read()
-        while True:
-            sent_us = now_us()
-            try:
-                changes = await self._state.watch(JOBS, revision, 10 * SECOND_US)
-            except RevisionCompactedError:
-                revision = await self._read()
-                continue
-            except CallError:
-                self._log_deadlines(now_us())
-                await asyncio.sleep(TABLE_PAUSE_S)
-                continue
-            for event in changes.events:
-                if event.put is not None:
-                    table.read_record(event.put.removeprefix(JOBS), bytes(event.value))
-                elif event.delete is not None:
-                    table.drop(event.delete.removeprefix(JOBS))
-            table.as_of_us = max(table.as_of_us, sent_us)
-            self._logged_us = 0
-            revision = max(revision, changes.revision)
-            await asyncio.sleep(TABLE_PAUSE_S)
-
-    async def _read(self) -> int:
-        table, sent_us, revision = self._documents.deadline_table, now_us(), 0
-        seen: set[str] = set()
-        async for page, revision in self._state.pages(JOBS):  # noqa: B007
-            for entry in page:
-                job_id = entry.key.removeprefix(JOBS)
-                seen.add(job_id)
-                table.read_record(job_id, bytes(entry.value))
-            await asyncio.sleep(0)
-        table.keep_only(seen)
-        table.as_of_us = max(table.as_of_us, sent_us)
-        return revision
-
-    def _log_deadlines(self, at_us: int) -> None:
-        """Log what has to be finished while the store cannot be asked."""
-        table = self._documents.deadline_table
-        if not len(table) or (self._logged_us and at_us - self._logged_us < SAID_US):
-            return
-        self._logged_us = at_us
-        line = table.summary(self._documents.cache, wall_us(), at_us)
-        log.warning("the state service is out of reach; %s", line)
+#: After a failure, or when the clocks say something else.
+AGAIN_US = 2 * SECOND_US
 
 
 class CalendarKeeper:
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -8,7 +8,7 @@
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.term import Term
 from weldhead.gates.gate_tracker import GateTracker, lent, opens_us, urgency
-from weldhead.scheduling.autoscaling.fleet import ExpectedDemand
+from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
 from weldhead.scheduling.inherited_priority import MOST_BOUNDS
 
 #: Between two looks at what is expected of the acts under way.
--- a/weldhead/controller/configuration/gates.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -1,7 +1,7 @@
-"""Release gates: jobs are bound to them at acceptance, and the leader opens and closes them.
+"""A term's release gates: the leader opens and closes them.
 
-The decisions are those of ``weldhead/gates``; this commits them, stops what must not begin
-any more, and says a closing only when nothing can begin.
+The decisions are those of ``weldhead/gates``; this commits them, stops what must not start any
+more, and logs a closing only when nothing can start.
 """
 
 import asyncio
@@ -16,93 +16,39 @@
 from weldhead.clock import SECOND_US, now_us, wall_us
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import (
-    AdmissionBinding,
     FinalRecord,
     GateAction,
-    GateHold,
     JobRecord,
     final_key,
 )
 from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.configuration.document_publisher import DocumentPublisher
+from weldhead.controller.configuration.gate_binder import KIND, _documents, _state
 from weldhead.controller.configuration.gate_forecast import GateForecast
-from weldhead.controller.configuration.publisher import DocumentPublisher, DocumentsNotLoadedError
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.term import LOAD_BATCH_SIZE, Term, batches
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.heartbeat_reconciler import request_stop
-from weldhead.documents.cache import DocumentCache
-from weldhead.documents.records import HEAD_KEY, HeadRecord, document_key, state_key
+from weldhead.controller.workers.stop_requests import request_stop
+from weldhead.documents.records import state_key
 from weldhead.gates.gate_document import Gate
-from weldhead.gates.gate_state import ActionEntry, GateState, ended, enter, gate_action, needed_now
+from weldhead.gates.gate_state import ActionEntry, GateState, ended, enter
 from weldhead.gates.gate_tracker import GateTracker, unbegun
-from weldhead.protocol.wire import Condition, JobSpec
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import decode
 
 log = logging.getLogger(__name__)
 
-KIND = "gate"
+_encode = msgspec.json.Encoder().encode
+
 #: Between two looks while nothing wakes it.
 LOOK_S = 0.25
+
+
 #: How many jobs are released before others get their turn, and for how long.
 RELEASED_AT_ONCE = 250
-RELEASE_PAUSE_S = 0.02
-
-_encode = msgspec.json.Encoder().encode
 
 
-def _documents(cache: DocumentCache, head: HeadRecord | None) -> list[tuple[str, Gate | None]]:
-    """Return an edition's gates by name; None where the document cannot be read."""
-    if head is None:
-        return []
-    found: list[tuple[str, Gate | None]] = []
-    for name in head.documents:
-        kind, _, gate = name.partition("/")
-        if kind == KIND:
-            kept = cache.get(document_key(head.edition, name), Gate)
-            found.append((gate, kept.value if kept is not None else None))
-    return found
-
-
-def _state(cache: DocumentCache, name: str) -> GateState | None:
-    """Return what is kept of a gate; None: it cannot be read."""
-    key = state_key(KIND, name)
-    if not cache.version(key):
-        return GateState()
-    kept = cache.get(key, GateState)
-    return kept.value if kept is not None else None
-
-
-class GateBinder:
-    """Binds jobs to gates at acceptance, by a controller's copy of the documents."""
-
-    def __init__(self, cache: DocumentCache) -> None:
-        self._cache = cache
-
-    def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return what a gate says of a job; Unready if its document cannot be read."""
-        cache = self._cache
-        # Whoever finds no gate for a job does so by this edition of the documents.
-        conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
-        hold: GateHold | None = None
-        deed: GateAction | None = None
-        for name, gate in _documents(cache, cache.head):
-            if gate is None:
-                raise DocumentsNotLoadedError
-            holds = gate.holds_job(spec.job_class, spec.team)
-            act = gate.act_of(spec.job_class, spec.team)
-            if not holds and not act:
-                continue
-            state = _state(cache, name)
-            if state is None:
-                raise DocumentsNotLoadedError
-            key = state_key(KIND, name)
-            conditions.append(Condition(key, cache.version(key)))
-            if holds:
-                hold = GateHold(name, needed_now(state))
-            else:
-                deed = gate_action(gate, state, act)
-        return AdmissionBinding(gate_hold=hold, gate_action=deed, conditions=tuple(conditions))
+RELEASE_PAUSE_S = 0.02
 
 
 class GateKeeper:
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -12,7 +12,7 @@
 
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.state_writer import LeadershipLostError
-from weldhead.controller.configuration.publisher import DocumentPublisher
+from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.term import Term
 from weldhead.documents.records import STATES, state_key
 from weldhead.transport.http_client import CallError
--- a/weldhead/controller/configuration/run_time_history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from weldhead.cluster_state.state_writer import LeadershipLostError
-from weldhead.controller.configuration.publisher import DocumentPublisher
+from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.term import Term
 from weldhead.documents.records import state_key
 from weldhead.transport.http_client import CallError
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -4,27 +4,20 @@
 from typing import TYPE_CHECKING
 
 from weldhead.clock import SECOND_US, now_us, to_seconds
-from weldhead.cluster_state.jobs import StopRequest
+from weldhead.cluster_state.states import StopRequest
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.loop_budget import LoopPriority
 from weldhead.controller.scheduling_loop.scheduling_loop import SchedulingLoop
 from weldhead.controller.term import Term
 from weldhead.controller.workers.machine_monitor import MachineMonitor
-from weldhead.scheduling.autoscaling.fleet import (
-    ExpectedDemand,
-    MachineDrain,
-    choose_scale_in_candidates,
-    endangered,
-    movable,
-    plan_consolidation,
-    plan_scale_in,
-    plan_scale_out,
-    replacements,
-)
-from weldhead.scheduling.placement.placement import plan_nothing
+from weldhead.scheduling.autoscaling.consolidation import MachineDrain, movable, plan_consolidation
+from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand, endangered
+from weldhead.scheduling.autoscaling.scale_in import choose_scale_in_candidates, plan_scale_in
+from weldhead.scheduling.autoscaling.scale_out import plan_scale_out, replacements
+from weldhead.scheduling.placement.placement_pass import plan_nothing
 
 if TYPE_CHECKING:
-    from weldhead.controller.configuration.gates import GateKeeper
+    from weldhead.controller.configuration.gate_keeper import GateKeeper
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -16,7 +16,7 @@
 from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.controller.term import Term
 from weldhead.protocol.wire import Heartbeat, ListedMachine, MachineType, RentalRequest
-from weldhead.scheduling.autoscaling.fleet import PendingRental, RentalOffer
+from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer
 from weldhead.transport.cloud_client import MalformedRentalError, NoCapacityError, NotSentError
 from weldhead.transport.http_client import CallError
 
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -18,7 +18,8 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.records import JOBS, FinalRecord, JobRecord
 from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
-from weldhead.controller.configuration.publisher import DocumentPublisher, DocumentReplica
+from weldhead.controller.configuration.document_publisher import DocumentPublisher
+from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.fleet.autoscaler import Autoscaler
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.leadership.term_recovery import TermRecovery
@@ -29,15 +30,9 @@
 from weldhead.controller.scheduling_loop.scheduling_loop import SchedulingLoop
 from weldhead.controller.term import Term, batches
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.heartbeat_reconciler import (
-    HeartbeatEffect,
-    apply_report,
-    is_newer,
-    kill_all,
-    pending_commands,
-    pending_kills,
-)
+from weldhead.controller.workers.heartbeat_reconciler import HeartbeatEffect, apply_report, is_newer
 from weldhead.controller.workers.machine_monitor import MachineMonitor
+from weldhead.controller.workers.pending_commands import kill_all, pending_commands, pending_kills
 from weldhead.controller.workers.reachability_monitor import ReachabilityMonitor
 from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer, JobStatus, MachineType
 from weldhead.reachability.freshness import Freshness
@@ -46,8 +41,8 @@
 from weldhead.transport.state_client import RevisionCompactedError, decode
 
 if TYPE_CHECKING:
-    from weldhead.controller.configuration.calendars import CalendarKeeper
-    from weldhead.controller.configuration.gates import GateKeeper
+    from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
+    from weldhead.controller.configuration.gate_keeper import GateKeeper
 
 log = logging.getLogger(__name__)
 
@@ -133,13 +128,13 @@
 
     def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
         # Loaded by controllers that are given documents only.
-        from weldhead.controller.configuration.gates import GateKeeper
+        from weldhead.controller.configuration.gate_keeper import GateKeeper
 
         return GateKeeper(self.term, publisher, self.job_dependencies, self._dispatcher)
 
     def _open_calendars(self, publisher: DocumentPublisher) -> "CalendarKeeper":
         # Loaded by controllers that are given documents only.
-        from weldhead.controller.configuration.calendars import CalendarKeeper
+        from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
 
         return CalendarKeeper(self.term, publisher, self.job_dependencies.refresh_inherited)
 
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -24,7 +24,7 @@
     LeaderRecord,
     UnsettledRecord,
 )
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.leader_lease import (
     Candidacy,
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -7,7 +7,7 @@
 
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
 from weldhead.cluster_state.records import LEADER_KEY
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.membership.isolation import IsolationDetector, LastContact
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -11,7 +11,7 @@
 from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds, wall_us
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.dependency_graph import DependencyGraph
-from weldhead.cluster_state.jobs import UNKNOWN_GATE_STATUS, Job
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.records import (
     CHUNK_TASKS,
@@ -27,7 +27,8 @@
     without_gate,
 )
 from weldhead.cluster_state.state_writer import LeadershipLostError
-from weldhead.controller.configuration.publisher import DocumentPublisher
+from weldhead.cluster_state.states import UNKNOWN_GATE_STATUS
+from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.loop_budget import EventLoopBudget
 from weldhead.controller.requests.completions import Completions
@@ -46,7 +47,7 @@
 from weldhead.transport.state_client import TransactionRejectedError, decode
 
 if TYPE_CHECKING:
-    from weldhead.controller.configuration.gates import GateKeeper
+    from weldhead.controller.configuration.gate_keeper import GateKeeper
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from weldhead.clock import MILLISECOND_US, PROCESS_STARTED_US, SECOND_US, now_us, seconds_us
-from weldhead.controller.configuration.publisher import DocumentReplica
+from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.peer_directory import PeerDirectory
@@ -142,11 +142,9 @@
     def _follow_documents(self, offer: DocumentSet) -> DocumentReplica:
         """Begin what a node does that is given documents."""
         # Loaded by controllers that are given documents only.
-        from weldhead.controller.configuration.calendars import (
-            CalendarBinder,
-            DeadlineTableFollower,
-        )
-        from weldhead.controller.configuration.gates import GateBinder
+        from weldhead.controller.configuration.calendar_binder import CalendarBinder
+        from weldhead.controller.configuration.deadline_table_follower import DeadlineTableFollower
+        from weldhead.controller.configuration.gate_binder import GateBinder
 
         documents = DocumentReplica(self._state, offer, self.peers.ask_leader)
         self._background_tasks.start("documents", documents.follow)
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -7,7 +7,7 @@
 
 from weldhead.admission.team_rate_limiter import round_robin
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds, wall_us
-from weldhead.cluster_state.jobs import Job, TaskState
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import (
     CHUNK_TASKS,
     FinalRecord,
@@ -18,6 +18,7 @@
     progress_key,
 )
 from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.cluster_state.states import TaskState
 from weldhead.controller.term import Term
 from weldhead.protocol.wire import split_task
 from weldhead.transport.state_client import TransactionRejectedError
--- a/weldhead/controller/requests/job_dependencies.py
+++ b/weldhead/controller/requests/job_dependencies.py
@@ -5,12 +5,13 @@
 from collections.abc import Callable, Iterable
 
 from weldhead.clock import SECOND_US, now_us, wall_us
-from weldhead.cluster_state.jobs import Job, StopRequest
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import FINAL, JOBS, FinalRecord, JobRecord, final_key, job_key
+from weldhead.cluster_state.states import StopRequest
 from weldhead.controller.requests.completions import Completions
 from weldhead.controller.term import Term
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.heartbeat_reconciler import request_stop
+from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.scheduling.inherited_priority import fetch_rate, refresh, stage_us
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import decode
--- a/weldhead/controller/requests/request_handler.py
+++ b/weldhead/controller/requests/request_handler.py
@@ -28,7 +28,10 @@
     job_key,
     without_gate,
 )
-from weldhead.controller.configuration.publisher import DocumentReplica, DocumentsNotLoadedError
+from weldhead.controller.configuration.document_replica import (
+    DocumentReplica,
+    DocumentsNotLoadedError,
+)
 from weldhead.controller.leadership.leader import Leader, NotReadyError
 from weldhead.controller.memory_monitor import MemoryMonitor
 from weldhead.protocol.settings import Team
--- a/weldhead/controller/scheduling_loop/preemption_recorder.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from weldhead.clock import SECOND_US, now_us, wall_us
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase
+from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.preemption_history import (
     PREEMPTED,
     Row,
@@ -21,6 +21,7 @@
     shard_of,
 )
 from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.cluster_state.states import AttemptPhase
 from weldhead.controller.term import Term
 from weldhead.transport.state_client import TransactionRejectedError, decode
 
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -5,24 +5,26 @@
 from collections.abc import Callable, Iterable
 
 from weldhead.clock import MILLISECOND_US, now_us
-from weldhead.cluster_state.jobs import Attempt, StopRequest
+from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
+from weldhead.cluster_state.states import StopRequest
 from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
 from weldhead.controller.scheduling_loop.preemption_recorder import PreemptionRecorder
 from weldhead.controller.term import LOAD_BATCH_SIZE, Term
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.heartbeat_reconciler import request_stop
+from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.wire import MachineType
 from weldhead.reconciliation.partial_view import PartialView
 from weldhead.reconciliation.preemption_rate_limit import PreemptionRateLimit
-from weldhead.scheduling.placement.placement import PlacementInput, PlacementPlan, plan_pass, usable
-from weldhead.scheduling.preemption.preemptor import overdue, plan_preemptions, stop_for
-from weldhead.scheduling.reservations.holding import (
-    CapacityReserver,
-    Reservations,
-    WideTaskForecast,
-)
+from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.placement_pass import plan_pass
+from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
+from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
+from weldhead.scheduling.preemption.victim_rules import overdue, stop_for
+from weldhead.scheduling.reservations.capacity_reserver import CapacityReserver
+from weldhead.scheduling.reservations.reservations import Reservations
+from weldhead.scheduling.reservations.wide_tasks import WideTaskForecast
 
 log = logging.getLogger(__name__)
 
--- a/weldhead/controller/term.py
+++ b/weldhead/controller/term.py
@@ -16,7 +16,7 @@
 from weldhead.provisioning.boot_times import BootHistory
 from weldhead.reconciliation.attempt_verdicts import ReconciliationCounts
 from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
-from weldhead.scheduling.autoscaling.fleet import RentalOffers
+from weldhead.scheduling.autoscaling.rental_offers import RentalOffers
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.transport.background_tasks import BackgroundTasks
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -7,7 +7,7 @@
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.term import Term
-from weldhead.controller.workers.heartbeat_reconciler import pending_commands
+from weldhead.controller.workers.pending_commands import pending_commands
 from weldhead.protocol.wire import Command, Heartbeat
 from weldhead.reconciliation.command_queue import CommandQueue, queue_position
 from weldhead.transport import worker_commands as workers
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -1,19 +1,14 @@
-"""What a worker's report means, and what to command in answer.
-
-Both are functions of the cluster, the message and the time: no I/O happens here.
-Commands are level-triggered: every answer carries all that the machine still has to do,
-so a lost answer costs one report's time and nothing else.
-"""
+"""What a worker's heartbeat means for the leader's view of its machine. No I/O."""
 
 import logging
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from weldhead.clock import seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
-from weldhead.protocol.wire import Command, Heartbeat, ReportedTask
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
+from weldhead.protocol.wire import Heartbeat, ReportedTask
 from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, judge_attempt, locate
 
 log = logging.getLogger(__name__)
@@ -24,6 +19,7 @@
     "saving": AttemptPhase.SAVING,
 }
 
+
 #: Verdicts that rest on what runs now, and where: only a report that shows this term's token
 #: says so. One from before may be a copy of any age: counted, it took the place of the attempt
 #: that ran, and that one was killed while its task was free to start elsewhere.
@@ -304,106 +300,3 @@
         # for one that runs, its team could lose as much once more in the first pass.
         cluster.stop(attempt, StopRequest.SOFT, at_us, "stopped by an earlier leader")
     return attempt
-
-
-def request_stop(
-    cluster: Cluster, attempt: Attempt, stop: StopRequest, at_us: int, reason: str
-) -> bool:
-    """Ask an attempt to stop; true if it is gone at once because it was never sent."""
-    if (
-        attempt.phase is AttemptPhase.ASSIGNED
-        and attempt.sent_sequence is None
-        and not attempt.sent_directly
-        and not attempt.unconfirmed_since_us
-    ):
-        cluster.release(attempt)
-        return True
-    cluster.stop(attempt, stop, at_us, reason)
-    return False
-
-
-def withdraw_unbegun(cluster: Cluster, machine: Machine) -> int:
-    """Take back what was assigned to a machine and surely never begins there; return how many.
-
-    Nothing of it is on its way: it was not sent, or the answer that carried it was dropped, which
-    a later report has shown. What was sent directly and not answered stays.
-    """
-    gone = [
-        attempt
-        for attempt in machine.attempts.values()
-        if attempt.phase is AttemptPhase.ASSIGNED
-        and attempt.sent_sequence is None
-        and not attempt.sent_directly
-        and not attempt.unconfirmed_since_us
-    ]
-    for attempt in gone:
-        cluster.release(attempt)
-    return len(gone)
-
-
-def kill_all(report: Heartbeat) -> list[Command]:
-    """Return what ends everything that a worker says is on its machine."""
-    return [
-        Command("kill", task.task, task.attempt, 0.0)
-        for task in report.tasks
-        if task.state != "ended"
-    ]
-
-
-def pending_kills(machine: Machine) -> list[Command]:
-    """Return the kills that the machine still has to carry out; repeated, they do no harm."""
-    kills = [Command("kill", task, number, 0.0) for task, number in machine.orphans]
-    for attempt in machine.attempts.values():
-        if attempt.stop_request is StopRequest.NO:
-            continue
-        if (
-            attempt.phase is not AttemptPhase.ASSIGNED
-            or attempt.unconfirmed_since_us
-            or attempt.sent_directly
-        ):
-            grace_s = 0.0
-            if attempt.stop_request is StopRequest.SOFT:
-                if attempt.phase is AttemptPhase.SAVING:
-                    continue
-                grace_s = attempt.job.spec.save_s + 1.0
-            kills.append(Command("kill", attempt.task, attempt.number, grace_s))
-    return kills
-
-
-def pending_commands(
-    machine: Machine,
-    committed: Callable[[str], bool],
-    *,
-    may_start: bool,
-    sequence: int | None,
-) -> list[Command]:
-    """Return everything the machine still has to do.
-
-    ``committed`` says whether a task needs no more saving to the store, so that its
-    attempt may be forgotten. ``sequence`` is that of the report being answered, or None
-    for a direct request, in which ``run`` commands are marked as posted.
-    """
-    runs: list[Command] = []
-    forgets: list[Command] = []
-    # Where its worker lists all that is on it, nothing is left to be begun.
-    unbegun = machine.attempts.values() if may_start and machine.last_listing is None else ()
-    for attempt in unbegun:
-        if attempt.stop_request is StopRequest.NO and attempt.phase is AttemptPhase.ASSIGNED:
-            if attempt.sent_directly or attempt.unconfirmed_since_us:
-                continue
-            if sequence is None:
-                if attempt.sent_sequence is not None:
-                    # Already on its way in a report's answer; sent twice, the second one
-                    # could be executed after the first was run and forgotten.
-                    continue
-                attempt.sent_directly = True
-            else:
-                attempt.sent_sequence = sequence
-            runs.append(Command("run", attempt.task, attempt.number))
-    for task, number in machine.unacknowledged:
-        current = machine.attempts.get(task)
-        if current is not None and current.number == number:
-            continue
-        if committed(task):
-            forgets.append(Command("forget", task, number))
-    return pending_kills(machine) + forgets + runs
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -6,12 +6,13 @@
 
 from weldhead.clock import SECOND_US, now_us
 from weldhead.cluster_state.change_feed import ChangeFeed
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
 from weldhead.controller.term import Term
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.heartbeat_reconciler import request_stop
+from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.failure_attribution.failure_tracker import FailureTracker
 from weldhead.failure_attribution.judgement import JobHealth
 from weldhead.reachability.silence import look_lost
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -8,7 +8,7 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.term import Term
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.heartbeat_reconciler import withdraw_unbegun
+from weldhead.controller.workers.stop_requests import withdraw_unbegun
 from weldhead.protocol.wire import Command, Heartbeat
 from weldhead.reachability.evidence import DeliveryEvidence, DeliverySignal, sent_answer
 from weldhead.reachability.freshness import Freshness, answerable, freshness_of
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/planted.py
@@ -19,7 +19,7 @@
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.records import LEADER_KEY, CalendarDeadline, FinalRecord, JobRecord
-from weldhead.controller.configuration import gates
+from weldhead.controller.configuration import gate_binder, gate_keeper
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.leadership import leader, leader_election
 from weldhead.controller.leadership.leader import Leader
@@ -43,7 +43,7 @@
 from weldhead.reconciliation import buffered_heartbeats as early_reports
 from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat
 from weldhead.reconciliation.partial_view import PartialView
-from weldhead.scheduling.preemption import preemptor
+from weldhead.scheduling.preemption import preemption_pass
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import (
     RequestRefusedError,
@@ -139,7 +139,7 @@
 
 def _below_a_guarantee() -> Iterator[Any]:
     """Whatever a team runs counts as borrowed."""
-    yield patch.object(preemptor, "over_guarantee", lambda *_: True)
+    yield patch.object(preemption_pass, "over_guarantee", lambda *_: True)
     yield patch.object(QuotaAccount, "may_lose_gpus", lambda *_: True)
 
 
@@ -170,7 +170,7 @@
 
 def _gate_from_memory() -> Iterator[Any]:
     """A term takes a gate for open as somebody knew it last, whatever is on record now."""
-    read, memory = gates._state, dict[str, GateState]()
+    read, memory = gate_binder._state, dict[str, GateState]()
 
     def remembered(cache: DocumentCache, name: str) -> GateState | None:
         state = read(cache, name)
@@ -178,7 +178,8 @@
             memory[name] = state
         return memory.get(name, state)
 
-    yield patch.object(gates, "_state", remembered)
+    yield patch.object(gate_binder, "_state", remembered)
+    yield patch.object(gate_keeper, "_state", remembered)
 
 
 def _gate_opened_by_a_late_write() -> Iterator[Any]:
--- a/weldhead/failure_attribution/failure_tracker.py
+++ b/weldhead/failure_attribution/failure_tracker.py
@@ -8,8 +8,9 @@
 
 from weldhead.clock import MILLISECOND_US, SECOND_US
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.states import AttemptPhase
 from weldhead.failure_attribution.judgement import (
     FailureEvidence,
     JobHealth,
--- a/weldhead/gates/gate_tracker.py
+++ b/weldhead/gates/gate_tracker.py
@@ -7,8 +7,9 @@
 
 from collections.abc import Iterable, Iterator
 
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, GateStatus, Job, StopRequest
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.records import GateHold
+from weldhead.cluster_state.states import AttemptPhase, GateStatus, StopRequest
 from weldhead.gates.gate_document import Gate
 from weldhead.gates.gate_state import GateState, needed_now, permits, waits_for
 
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -10,8 +10,9 @@
 from typing import TypeVar
 
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Job, TaskState
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.states import TaskState
 from weldhead.protocol.wire import ReportedTask, split_task
 
 K = TypeVar("K", bound=enum.Enum)
--- a/weldhead/reconciliation/command_queue.py
+++ b/weldhead/reconciliation/command_queue.py
@@ -9,8 +9,9 @@
 from heapq import heappop, heappush
 
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, StopRequest
+from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.machines import Machine
+from weldhead.cluster_state.states import AttemptPhase, StopRequest
 
 _NO_DUE_US = 1 << 62
 
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -1,16 +1,15 @@
-"""Whose work makes room for a task that takes cards.
+"""Victims for a task that takes GPUs.
 
 Natjam's Most Resources, in the resource that is short: within the lowest level that has
-something to give, first the job that holds the most cards. Then the task: nearest its end
-where it saves, else the one that has run least. Before both, where there are several to
-choose from: machines whose cache holds the claimant's weights. A card that waits for weights
-is as idle as a free one, and they take longer to fetch than most victims to save; images that
-take less than a step of FETCH_STEP_US make no difference.
-
-Victims are chosen as sets on one machine: a task of several cards fits nowhere else, and
-cards freed here and there are whole for nobody. A team never loses cards that it is
-guaranteed, and a task that was stopped of late keeps its place for a while (``bookkeeping/
-reclaim.py``).
+something to give, first the job that holds the most GPUs. Then the task: nearest its end
+where it checkpoints, else the one that has run least. Before both, among several choices:
+machines whose cache holds the claimant's weights. A GPU that waits for weights is as idle as a
+free one, and they take longer to fetch than most victims to save; images that take less than a
+step of FETCH_STEP_US make no difference.
+
+Victims are chosen as sets on one machine: a task of several GPUs fits nowhere else. A team never
+loses GPUs that it is guaranteed, and a task that was preempted of late is protected for a while
+(``cluster_state/preemption_history.py``).
 """
 
 from collections.abc import Iterable
@@ -22,11 +21,9 @@
 from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.protocol.wire import JobSpec
 from weldhead.quota.amounts import required_units
-from weldhead.scheduling.placement.backlog import TaskShape
 
 if TYPE_CHECKING:
-    from weldhead.scheduling.preemption.preemptor import PreemptionPass
-
+    from weldhead.scheduling.preemption.preemption_pass import PreemptionPass
 
 #: Machines on which the claimant's image takes about as long to fetch are equals.
 FETCH_STEP_US = 5 * SECOND_US
@@ -177,36 +174,6 @@
         return True
 
 
-class GpuReservation:
-    """From whom free cards keep their CPUs while work with cards waits.
-
-    From work without cards that has somewhere else to run. Where all machines have cards it
-    would wait for as long as some task of several cards does that fits nowhere.
-    """
-
-    def __init__(self, machines: Iterable[Machine]) -> None:
-        #: One of each kind of machine without cards.
-        self._plain = list(
-            {
-                (m.type.name, m.zone, m.spot): m
-                for m in machines
-                if m.type.gpus <= 0 and not m.draining and not m.deleting
-            }.values()
-        )
-        self._known: dict[TaskShape, bool] = {}
-
-    def excludes(self, job: Job) -> bool:
-        """Whether a job's tasks get nothing that free cards need beside them."""
-        if job.spec.gpus > 0:
-            return False
-        shape = TaskShape.of(job)
-        kept = self._known.get(shape)
-        if kept is None:
-            kept = any(m.allows(job) and m.type.fits(job.spec) for m in self._plain)
-            self._known[shape] = kept
-        return kept
-
-
 def gpu_holder_key(job: Job) -> tuple[float, ...]:
     """Sort the jobs that hold room: in each level first the one that holds the most cards."""
     return (
--- a/weldhead/scheduling/preemption/preemptor.py
+++ b/weldhead/scheduling/preemption/preemption_pass.py
@@ -1,6 +1,6 @@
-"""The preemptor: Natjam's victim rules.
+"""One preemption pass: Natjam's victim rules.
 
-While no machine has room for a waiting task, one run asks for room on behalf of jobs whose
+While no machine has room for a waiting task, one pass asks for room on behalf of jobs whose
 waiting tasks outnumber their reclaim entries. The victim is a task of the job that holds
 the most room (Most Resources) within the lowest priority level that still holds room;
 of a job that checkpoints the task nearest its end (Shortest Remaining Time), of others the
@@ -8,69 +8,31 @@
 
 Beyond the paper: work that a team borrowed, whatever its priority, yields to work inside
 another team's guarantee, and nobody's guaranteed work yields to another team's borrowing.
-Both are judged in the resource that is claimed (``account/``); whoever claims cards has
-victims of its own (``cards.py``), and no team loses cards that it is guaranteed.
+Both are judged in the resource that is claimed (``quota/``); whoever claims GPUs has
+victims of its own (``gpu_claims.py``), and no team loses GPUs that it is guaranteed.
 """
 
-from collections import defaultdict
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
 
-from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.capacity_index import CapacityIndex
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.jobs import Attempt, AttemptPhase, Job, StopRequest
+from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
+from weldhead.cluster_state.states import StopRequest
 from weldhead.quota.amounts import Resource, claimed_resource, required_units
 from weldhead.quota.teams import QuotaAccount
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.backlog import QueueScan
-from weldhead.scheduling.placement.placement import PlacementPlan, usable
-from weldhead.scheduling.preemption.gpu_claims import GpuClaims, GpuReservation
-
-#: The first task of a job that waited for so long is not stopped for higher priorities' sake
-#: (a guarantee's apart) before it has run for so long.
-WAITED_US = 120 * SECOND_US
-BEGUN_US = 32 * SECOND_US
-
-
-@dataclass(frozen=True)
-class PreemptorSettings:
-    """Times of the preemptor."""
-
-    kill_timeout_us: int
-    claim_patience_us: int
-    expiry_us: int
-    silence_us: int
-
-
-def over_guarantee(account: QuotaAccount, team: str, resource: Resource) -> bool:
-    """Whether a team runs more of a resource than it is guaranteed."""
-    return account.borrows(team, resource)
-
-
-def victim_key(attempt: Attempt, estimates: RunTimeEstimates, at_us: int) -> tuple[int, ...]:
-    """Sort a job's tasks, the first one stops first."""
-    if attempt.phase in (AttemptPhase.ASSIGNED, AttemptPhase.PULLING):
-        return (0, 0)
-    if attempt.job.spec.checkpoint_s > 0:
-        return (1, estimates.remaining_us(attempt, at_us))
-    return (1, attempt.elapsed_us(at_us))
-
-
-def just_begun(attempt: Attempt, at_us: int) -> bool:
-    """Whether it is the first task of a job that waited for long, and has run for a moment.
-
-    Where work that presses keeps arriving, such a job begins by its age (``holding.py``). Were
-    its task stopped at once, that would have been for nothing.
-    """
-    job = attempt.job
-    if job.spec.tasks < 2 or job.done or len(job.active) > 1 or attempt.adopted:
-        return False
-    begun_us = attempt.running_since_us or at_us
-    return at_us - begun_us < BEGUN_US and begun_us - job.runnable_since_us >= WAITED_US
+from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.gpu_reservation import GpuReservation
+from weldhead.scheduling.preemption.gpu_claims import GpuClaims
+from weldhead.scheduling.preemption.victim_rules import (
+    PreemptorSettings,
+    just_begun,
+    over_guarantee,
+    victim_key,
+)
 
 
 class _ClaimProgress:
@@ -460,114 +422,3 @@
                 claim.machines.append(machine)
             self.capacity_reopened = True
         return Reclaim(claimant.id, machine, victims, self.at_us)
-
-
-def plan_preemptions(
-    cluster: Cluster,
-    lists: ReclaimLists,
-    plan: PlacementPlan,
-    estimates: RunTimeEstimates,
-    at_us: int,
-    settings: PreemptorSettings,
-    goals: ServiceLevelObjectives,
-    most: int = 64,
-    free: CapacityIndex | None = None,
-    held: Mapping[str, str] | None = None,
-) -> list[Reclaim]:
-    """Return the new requests of one run; ``plan`` says who found no room."""
-    walk = plan.unplaced.scan()
-    following = free if free is not None else CapacityIndex(cluster.machines)
-    try:
-        following.refresh()
-        return _reclaims(
-            PreemptionPass(
-                cluster, lists, estimates, at_us, settings, following,
-                kept=plan.gpu_reservation, held=held,
-            ),
-            walk, lists, goals, most,
-        )  # fmt: skip
-    finally:
-        if free is None:
-            following.close()
-
-
-def _reclaims(
-    run: PreemptionPass,
-    walk: QueueScan,
-    lists: ReclaimLists,
-    goals: ServiceLevelObjectives,
-    most: int,
-) -> list[Reclaim]:
-    """Choose victims for those who found no room, in order.
-
-    A queue of claimants of one kind is left where the next of them could not claim, or
-    found nobody to stop, as then none behind it can or does.
-    """
-    reclaims: list[Reclaim] = []
-    held = _empty_held(run, lists, reclaims, most) if run.reserved else {}
-    while (found := walk.next()) is not None:
-        job, unplaced = found
-        press = run.urgency_of(job, goals)
-        if press is Urgency.PATIENT and not run.within_guarantee(job):
-            # They stand in the order of their laxity: those behind have more of it. What is
-            # late already claims, and comes after what can be in time.
-            walk.skip_to_urgency(Urgency.LATE)
-            continue
-        for _ in range(max(0, unplaced - lists.count(job.id) - held.get(job.id, 0))):
-            if len(reclaims) >= most:
-                return reclaims
-            reclaim = run.choose(job)
-            if reclaim is None:
-                walk.skip_queue()
-                break
-            reclaims.append(reclaim)
-            if run.capacity_reopened:
-                run.capacity_reopened = False
-                walk.resume_skipped()
-    return reclaims
-
-
-def _empty_held(
-    run: PreemptionPass, lists: ReclaimLists, reclaims: list[Reclaim], most: int
-) -> dict[str, int]:
-    """Empty held machines as far as the rules let; return by job how many are not asked for yet.
-
-    Their jobs wait for them, and ask for so much less elsewhere.
-    """
-    asked = {(entry.machine, entry.job_id) for entry in lists.entries()}
-    held: dict[str, int] = defaultdict(int)
-    for name, job_id in run.reserved.items():
-        job = run.cluster.jobs.get(job_id)
-        if job is None or job.waiting <= 0 or (name, job_id) in asked:
-            continue
-        held[job_id] += 1
-        if len(reclaims) < most and (reclaim := run.preempt_reserved(job, name)) is not None:
-            reclaims.append(reclaim)
-    return held
-
-
-def stop_for(claimant: Job, victim: Job, goals: ServiceLevelObjectives) -> StopRequest:
-    """Whether a victim may save first: not if the claimant's start cannot wait for that."""
-    wait_us = goals.wait_us(claimant)
-    if victim.spec.checkpoint_s <= 0 or (
-        wait_us is not None and seconds_us(victim.spec.save_s) >= wait_us
-    ):
-        return StopRequest.HARD
-    return StopRequest.SOFT
-
-
-def overdue(
-    lists: ReclaimLists, at_us: int, settings: PreemptorSettings
-) -> tuple[list[Reclaim], list[Reclaim]]:
-    """Return entries whose victims are to be killed hard, and entries to be given up."""
-    hard = [
-        entry
-        for entry in lists.entries()
-        if not entry.hard_kill_us and at_us - entry.requested_us >= settings.kill_timeout_us
-    ]
-    expired = [
-        entry
-        for entry in lists.entries()
-        if entry.hard_kill_us and at_us - entry.hard_kill_us >= settings.expiry_us
-    ]
-    return hard, expired
--- a/weldhead/scheduling/reservations/holding.py
+++ b/weldhead/scheduling/reservations/capacity_reserver.py
@@ -1,149 +1,66 @@
-"""Which machines are kept free for whom: for tasks that find no room between small ones.
-
-Where machines are full, each piece that falls free is given to whoever fits into it. A task
-that takes most of a machine never does, however long it waits, and however early its turn
-is (found on an own day: such jobs waited for seven minutes, until arrivals ended). From a
-stated age on such a job has machines *held*: nobody else's work is placed there, what runs
-there ends or gives way by the preemptor's rules, and the job takes the room as soon as it
-is enough.
-
-Decided anew at each look from what every leader knows: the age of jobs since their
-acceptance, what runs where, and which machines were chosen at the last look. A new leader
-knows all but the last, and as a machine that was held is emptier than others it is the
-soonest again: so nothing about it is kept in the store.
+"""Machines reserved for tasks that find no capacity between small ones.
+
+Where machines are full, each piece that falls free goes to whoever fits into it, and a task that
+takes most of a machine never starts. From a stated age on such a job has machines reserved:
+nobody else's work is placed there, what runs there ends or is preempted by the usual rules, and
+the job takes the capacity as soon as it is enough.
+
+Reservations are decided anew at each update from what every leader knows, but for the last
+choice; a reserved machine is emptier than others and so the soonest again. Nothing is stored.
 """
 
-from bisect import bisect_left, insort
 from collections import defaultdict
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 from heapq import heapify, heappop
 
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.deadline_heap import DeadlineHeap
-from weldhead.cluster_state.jobs import Attempt, Job, StopRequest
+from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import EPSILON, Machine, tasks_that_fit
-from weldhead.protocol.wire import JobSpec, MachineType
+from weldhead.protocol.wire import MachineType
 from weldhead.quota.amounts import required_units
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
-from weldhead.scheduling.placement.backlog import Backlog, TaskShape
+from weldhead.scheduling.placement.backlog import Backlog
+from weldhead.scheduling.placement.backlog_entry import TaskShape
+from weldhead.scheduling.reservations.availability import room_us
+from weldhead.scheduling.reservations.reservations import Reservations, ReservationSettings
+from weldhead.scheduling.reservations.unstarted_jobs import UnstartedJobs
+from weldhead.scheduling.reservations.wide_tasks import is_wide
 
 #: How often it is decided anew which machines are held.
 LOOK_US = 500_000
 
+
 #: What runs on a machine is reckoned up for so many machines at most in one look; until its
 #: turn a machine is not chosen. On a fleet of thousands the first look took 0.4 s otherwise.
 MOST_RECKONED = 300
 
+
 #: Machines are put in order for so many kinds of tasks at most in one look; the rest come later.
 MOST_RANKED = 6
 
+
 #: A machine that is held already is kept unless another one is sooner by more than this, as
 #: estimates waver.
 KEEP_US = 15 * SECOND_US
 
+
 #: A level above another counts as so much more waiting.
 LEVEL_US = 30 * SECOND_US
 
+
 #: What runs on a machine is taken to take so many times as long as it is estimated.
 DRAIN_FACTOR = 1.5
 
+
 #: For so many jobs at once that have not begun a machine is held for their first task.
 MOST_FIRST = 4
 
+
 #: Of very many jobs that might hold machines only so many are looked at.
 MOST_JOBS = 500
 
 
-@dataclass(frozen=True)
-class ReservationSettings:
-    """The operators' choices."""
-
-    #: How long a job waits before machines are held for it.
-    age_us: int
-    #: Within what time its tasks are to start: machines are emptied for it when it is time to.
-    within_us: int
-    #: A task that takes more than this part of every machine that it may run on is wide.
-    least: float
-    #: At most this part of the fleet's CPUs is on machines that are being emptied; one always is.
-    share: float
-
-
-@dataclass
-class Reservations:
-    """What is kept free, and for whom."""
-
-    #: By machine: the job.
-    machines: dict[str, str] = field(default_factory=dict)
-    #: By machine: what surely ends before then may still run there; and for which moment of
-    #: its job's that was said, as it only comes nearer until another task of it starts.
-    until_us: dict[str, tuple[int, int]] = field(default_factory=dict)
-    #: By team: CPUs and GPUs of its limit that nobody else of the team gets.
-    limits: dict[str, tuple[float, float]] = field(default_factory=dict)
-
-
-def portion(spec: JobSpec, machine_type: MachineType) -> float:
-    """Return which part of a machine a task takes, of what it takes most of; 1 or less fits."""
-    return max(
-        required_units / have if have > 0 else (float("inf") if required_units > 0 else 0.0)
-        for required_units, have in (
-            (spec.cpus, machine_type.cpus),
-            (spec.gpus, machine_type.gpus),
-            (spec.memory_gb, machine_type.memory_gb),
-        )
-    )
-
-
-def is_wide(spec: JobSpec, types: Iterable[MachineType], least: float) -> bool:
-    """Whether a task takes a large part of each of these machines that it may run on."""
-    portions = [portion(spec, t) for t in types if t.fits(spec)]
-    return bool(portions) and min(portions) > least + EPSILON
-
-
-class UnstartedJobs:
-    """Jobs none of whose tasks has ever started, from a stated age on; follows the jobs.
-
-    Where work that presses keeps arriving, what is late already never has its turn: such a
-    job is to begin all the same, with one task. Those of most tasks come first.
-    """
-
-    def __init__(self, cluster: Cluster, age_us: int) -> None:
-        self._jobs = cluster.jobs
-        self._age_us = age_us
-        self._feed = cluster.jobs.feeds.subscribe()
-        self._ages = DeadlineHeap()
-        #: Those that are of age, by their tasks.
-        self._aged: list[tuple[int, int, str]] = []
-        self._places: dict[str, tuple[int, int, str]] = {}
-        for job in cluster.jobs.values():
-            self._enter(job)
-
-    def close(self) -> None:
-        """Stop following the jobs."""
-        self._feed.close()
-
-    def _enter(self, job: Job) -> None:
-        place = self._places.pop(job.id, None)
-        if place is not None:
-            del self._aged[bisect_left(self._aged, place)]
-        self._ages.drop(job.id)
-        # One that began and was stopped has had its turn.
-        begun = job.active or job.done or job.last_machine
-        if self._jobs.get(job.id) is job and job.waiting > 0 and not begun:
-            self._ages.set(job.id, job.serial, job.runnable_since_us + self._age_us)
-
-    def largest(self, at_us: int, most: int) -> list[Job]:
-        """Return so many of those that are of age."""
-        for job in self._feed.take():
-            self._enter(job)
-        while (name := self._ages.pop(at_us)) is not None:
-            job = self._jobs[name]
-            self._places[name] = place = (-job.spec.tasks, job.serial, name)
-            insort(self._aged, place)
-        return [self._jobs[name] for _, _, name in self._aged[:most]]
-
-
 class CapacityReserver:
     """Chooses the machines that are held; follows the machines."""
 
@@ -299,99 +216,6 @@
         return None if found is None else max(at_us, found)
 
 
-class WideTaskForecast:
-    """Which wide tasks will find a machine by the time at which one rented now would be up.
-
-    A forecast that counts CPUs takes a hundred pieces on as many machines for room, and
-    nothing was ever rented for a task that needs them in one place.
-    """
-
-    def __init__(
-        self,
-        machines: Iterable[Machine],
-        coming: Iterable[tuple[MachineType, int]],
-        holds: Reservations,
-        least: float,
-        up_us: int,
-    ) -> None:
-        self._least = least
-        self._types: dict[str, MachineType] = {}
-        #: What is left of each: of what is about to be up, and of what is held until then.
-        self._rooms: list[tuple[Machine | None, MachineType, list[float], str | None]] = []
-        for machine in machines:
-            if machine.deleting or machine.draining:
-                continue
-            self._types[machine.type.name] = machine.type
-            holder = holds.machines.get(machine.name)
-            until_us, _ = holds.until_us.get(machine.name, (0, 0))
-            if machine.booting or (holder is not None and until_us <= up_us):
-                self._rooms.append((machine, machine.type, _whole(machine.type), holder))
-        for kind, count in coming:
-            self._types[kind.name] = kind
-            self._rooms += [(None, kind, _whole(kind), None) for _ in range(count)]
-
-    def shortfall(self, job: Job, count: int) -> int:
-        """Return how many of a job's waiting tasks none of them takes; 0 if they are not wide."""
-        spec = job.spec
-        portions = [portion(spec, t) for t in self._types.values() if t.fits(spec)]
-        if portions and min(portions) <= self._least + EPSILON:
-            return 0
-        for machine, kind, left, holder in self._rooms:
-            if count <= 0:
-                break
-            if holder not in (None, job.id) or not kind.fits(spec):
-                continue
-            if machine is not None and not machine.allows(job):
-                continue
-            taken = min(count, tasks_that_fit(spec, *left))
-            left[0] -= spec.cpus * taken
-            left[1] -= spec.gpus * taken
-            left[2] -= spec.memory_gb * taken
-            count -= taken
-        return max(0, count)
-
-
-def _whole(kind: MachineType) -> list[float]:
-    return [kind.cpus, kind.gpus, kind.memory_gb]
-
-
-def room_us(machine: Machine, job: Job, estimates: RunTimeEstimates, at_us: int) -> int | None:
-    """Estimate when what runs on a machine leaves room for a task of the job; None: never.
-
-    Nothing else starts there. Work of a lower priority gives way at once.
-    """
-    spec = job.spec
-    cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
-    if tasks_that_fit(spec, cpus, gpus, memory_gb):
-        return at_us
-    ends = [
-        (end_us, number, attempt)
-        for number, attempt in enumerate(machine.attempts.values())
-        if (end_us := _end_us(attempt, job, estimates, at_us)) is not None
-    ]
-    ends.sort(key=lambda end: end[:2])
-    for end_us, _, attempt in ends:
-        cpus += attempt.job.spec.cpus
-        gpus += attempt.job.spec.gpus
-        memory_gb += attempt.job.spec.memory_gb
-        if tasks_that_fit(spec, cpus, gpus, memory_gb):
-            return end_us
-    return None
-
-
-def _end_us(attempt: Attempt, job: Job, estimates: RunTimeEstimates, at_us: int) -> int | None:
-    """Estimate when an attempt leaves its machine to the job; None: it does not by itself."""
-    spec = attempt.job.spec
-    if (
-        attempt.stop_request is not StopRequest.NO
-        or attempt.job.effective_level < job.effective_level
-    ):
-        return at_us + seconds_us(spec.save_s)
-    if spec.is_service:
-        return None
-    return at_us + estimates.remaining_us(attempt, at_us)
-
-
 class _ReservationPass:
     """One choice of all that is held."""
 
--- a/weldhead/tunables/defaults.py
+++ b/weldhead/tunables/defaults.py
@@ -10,9 +10,9 @@
 from weldhead.provisioning.boot_times import BootExpectation
 from weldhead.reconciliation.preemption_rate_limit import PreemptionRateSettings
 from weldhead.reconciliation.status_probes import ProbeSettings
-from weldhead.scheduling.autoscaling.fleet import FleetSettings
-from weldhead.scheduling.preemption.preemptor import PreemptorSettings
-from weldhead.scheduling.reservations.holding import ReservationSettings
+from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
+from weldhead.scheduling.preemption.victim_rules import PreemptorSettings
+from weldhead.scheduling.reservations.reservations import ReservationSettings
 
 
 @dataclass
