--- a/tests/protocol/test_golden_bytes.py
+++ b/tests/protocol/test_golden_bytes.py
@@ -16,10 +16,10 @@
 from weldhead.calendars import calendar_document, calendar_state
 from weldhead.client import answers, decisions, policy
 from weldhead.cluster_state import preemption_history, records
+from weldhead.controller.configuration import document_file as source
 from weldhead.controller.configuration import gate_binder, late_notifications, run_time_history
 from weldhead.controller.scheduling_loop import preemption_recorder as lending
 from weldhead.documents import records as document_records
-from weldhead.documents import source
 from weldhead.gates import gate_document, gate_state
 from weldhead.protocol import peer, settings, wire
 from weldhead.site import front, pool, worker
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -22,7 +22,7 @@
 )
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
-from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat
 from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.settings import Objective, Team
 from weldhead.protocol.wire import ReportedTask
@@ -35,6 +35,7 @@
     required_units,
 )
 from weldhead.quota.teams import QuotaAccount, bounds_of
+from weldhead.reconciliation.buffered_heartbeats import MessageSource
 from weldhead.scheduling.autoscaling.rental_offers import RentalOffers
 from weldhead.scheduling.autoscaling.scale_in import plan_scale_in
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
@@ -218,7 +219,7 @@
             for a in tuned.active.values()
             if a.machine == machine.name
         ]
-        apply_report(after, machine, report(machine, 5, tasks), 3 * S, direct=False)
+        apply_heartbeat(after, machine, report(machine, 5, tasks), 3 * S, MessageSource.HEARTBEAT)
     assert len(after.stopping) == 6
     assert victims(reclaim(after, place(after, 3 * S), ReclaimLists(), 3 * S)) == []
 
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -29,7 +29,6 @@
     replaced,
 )
 from weldhead.calendars.deadline_table import DeadlineTable
-from weldhead.calendars.lateness import DeadlineStanding, standing
 from weldhead.calendars.recurrence import UnusableCalendarError, check, compute, hour_us, instants
 from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
@@ -37,13 +36,14 @@
 from weldhead.cluster_state.states import GateStatus
 from weldhead.controller.configuration.calendar_binder import CalendarBinder
 from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
+from weldhead.controller.configuration.document_file import parse_source
 from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.configuration.run_time_history import KEY, RunTimeHistory
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import steps
 from weldhead.documents.records import HEAD_KEY, DocumentSet, state_key
-from weldhead.documents.source import parse_source
+from weldhead.scheduling.forecast.deadline_lateness import DeadlineStanding, standing
 from weldhead.scheduling.forecast.job_forecasts import FAR_US, JobForecasts
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
@@ -644,8 +644,8 @@
 
 
 def test_a_late_jobs_reason_is_the_true_one(terms: Terms) -> None:
-    from weldhead.calendars.lateness import reason
     from weldhead.scheduling.forecast.completion_times import BootForecast
+    from weldhead.scheduling.forecast.deadline_lateness import reason
 
     into = cluster()
     job = add_job(into, job_spec(1, job_class="balance"))
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -31,6 +31,7 @@
     shortfall,
     span_us,
 )
+from weldhead.reconciliation.buffered_heartbeats import MessageSource
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
@@ -195,7 +196,7 @@
     machine = leader.cluster.machines["vm-000001"]
     overtaken = worker.report()
     _, shown = worker.direct(leader.token, 1, [])
-    leader._apply_message(machine, shown, direct=True)
+    leader.heartbeats.apply(machine, shown, MessageSource.COMMAND_ANSWER)
     answer = leader.handle_heartbeat(overtaken, clock(), relayed=False)
     assert answer is not None
     worker.answered(answer)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -3,10 +3,11 @@
 from tests.builders import add_job, add_machine, cluster, job_spec, report
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
-from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat
 from weldhead.controller.workers.pending_commands import pending_commands
 from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.wire import Command, ReportedTask
+from weldhead.reconciliation.buffered_heartbeats import MessageSource
 
 
 def runs(machine: Machine, sequence: int | None) -> list[Command]:
@@ -20,10 +21,10 @@
     machine = add_machine(into)
     attempt = into.start(add_job(into, job_spec()), 0, machine, 0)
     assert len(runs(machine, 2)) == 1
-    apply_report(into, machine, report(machine, 3, []), 0, direct=True)
+    apply_heartbeat(into, machine, report(machine, 3, []), 0, MessageSource.COMMAND_ANSWER)
     assert runs(machine, None) == []
     # The worker's next report does show it.
-    apply_report(into, machine, report(machine, 4, []), 0, direct=False)
+    apply_heartbeat(into, machine, report(machine, 4, []), 0, MessageSource.HEARTBEAT)
     assert runs(machine, None) == [Command("run", attempt.task, attempt.number)]
 
 
@@ -48,13 +49,13 @@
     attempt.sent_directly, attempt.unconfirmed_since_us = False, 5
     assert runs(machine, 2) == runs(machine, None) == []
     # It stays counted, whatever reports fail to show, until it is surely resolved.
-    apply_report(into, machine, report(machine, 9, []), 0, direct=False)
+    apply_heartbeat(into, machine, report(machine, 9, []), 0, MessageSource.HEARTBEAT)
     assert job.active[0] is attempt
     assert not request_stop(into, attempt, StopRequest.HARD, 0, "cancelled")
-    apply_report(into, machine, report(machine, 10, []), 0, direct=False)
+    apply_heartbeat(into, machine, report(machine, 10, []), 0, MessageSource.HEARTBEAT)
     assert job.active[0] is attempt
     listed = [ReportedTask(attempt.task, attempt.number, "running")]
-    apply_report(into, machine, report(machine, 11, listed), 0, direct=False)
+    apply_heartbeat(into, machine, report(machine, 11, listed), 0, MessageSource.HEARTBEAT)
     assert (attempt.unconfirmed_since_us, attempt.phase) == (0, AttemptPhase.RUNNING)
 
 
@@ -64,7 +65,7 @@
     job = add_job(into, job_spec())
     attempt = into.start(job, 0, machine, 0)
     attempt.unconfirmed_since_us = 5
-    apply_report(into, machine, report(machine, 1, [], session=2), 0, direct=False)
+    apply_heartbeat(into, machine, report(machine, 1, [], session=2), 0, MessageSource.HEARTBEAT)
     assert job.active == {} and machine.attempts == {}
 
 
@@ -80,7 +81,7 @@
     into = cluster()
     machine = add_machine(into)
     nonsense = report(machine, 2, [ReportedTask("///", 1, "running")])
-    apply_report(into, machine, nonsense, 0, direct=False)
+    apply_heartbeat(into, machine, nonsense, 0, MessageSource.HEARTBEAT)
     commands = pending_commands(machine, lambda task: True, may_start=True, sequence=2)
     assert commands == [Command("kill", "///", 1, 0.0)]
     into.check_invariants()
@@ -108,5 +109,5 @@
     machine.lease_from_us = 1
     shown = report(machine, 3, [])
     shown.session += 1
-    apply_report(into, machine, shown, 9_000_000, direct=True)
+    apply_heartbeat(into, machine, shown, 9_000_000, MessageSource.COMMAND_ANSWER)
     assert machine.lease_expired_us(14_000_000, 0) > 23_000_000
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -15,8 +15,9 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
-from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat
 from weldhead.protocol.settings import Objective, Team
+from weldhead.reconciliation.buffered_heartbeats import MessageSource
 from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
 from weldhead.scheduling.autoscaling.consolidation import MachineDrain, plan_consolidation
 from weldhead.scheduling.autoscaling.rental_offers import RentalOffer, RentalOffers
@@ -508,12 +509,12 @@
     machine = add_machine(into)
     worker = StandInWorker(machine.name, 4.0, token=into.token)
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
-    apply_report(into, machine, worker.report(), 100 * S, direct=False)
+    apply_heartbeat(into, machine, worker.report(), 100 * S, MessageSource.HEARTBEAT)
     attempt = job.active[0]
     assert attempt.adopted
     assert RunTimeEstimates().remaining_us(attempt, 110 * S) == 20 * S
     worker.tasks["run-000001/0"] = StandInTask(77, "ended", "done")
-    outcome = apply_report(into, machine, worker.report(), 105 * S, direct=False)
+    outcome = apply_heartbeat(into, machine, worker.report(), 105 * S, MessageSource.HEARTBEAT)
     assert (outcome.completed, outcome.run_times) == ([job], [])
 
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -13,12 +13,12 @@
 from tests.test_recovery import START, put_job
 from weldhead.cluster_state.records import AdmissionBinding, CalendarDeadline, JobRecord, job_key
 from weldhead.cluster_state.state_writer import StateWriter
+from weldhead.controller.configuration.document_file import parse_source
 from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import EditionVerdict, judge_edition, leftovers, steps
 from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key, edition_of
-from weldhead.documents.source import parse_source
 from weldhead.protocol.wire import Condition
 from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.state_client import StateClient
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -27,12 +27,12 @@
     job_key,
 )
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
+from weldhead.controller.configuration.document_file import parse_source
 from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.configuration.gate_binder import GateBinder
 from weldhead.controller.configuration.gate_keeper import GateKeeper
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key, state_key
-from weldhead.documents.source import parse_source
 from weldhead.gates.gate_document import Gate, GateActionRule
 from weldhead.gates.gate_state import (
     KEPT,
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -37,7 +37,7 @@
 #: As many modules as it loads without what an environment's own start adds, and not one more:
 #: of the interpreter's and of libraries, and of weldhead's own.
 MOST_FOREIGN_MODULES = 326
-MOST_OWN_MODULES = 152
+MOST_OWN_MODULES = 157
 FOREIGN = {
     "sqlite3",
     "sortedcontainers",
@@ -78,7 +78,7 @@
 from weldhead.controller.configuration import (
     calendar_binder, calendar_keeper, deadline_table_follower, gate_binder, gate_keeper
 )
-import weldhead.documents.source
+import weldhead.controller.configuration.document_file
 print(sorted({{"dateutil", "zoneinfo"}} & set(sys.modules)))
 """.format(root=str(ROOT), deps=str(ROOT / "target/deps"))
     ran = subprocess.run(
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -16,11 +16,12 @@
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest, TaskState
-from weldhead.controller.workers.heartbeat_reconciler import apply_report, is_newer
+from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat, is_newer
 from weldhead.controller.workers.pending_commands import pending_commands
 from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, Heartbeat, split_task
+from weldhead.reconciliation.buffered_heartbeats import MessageSource
 from weldhead.reconciliation.command_queue import CommandPriority, _rank_of, queue_position
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
@@ -53,11 +54,11 @@
         self.held_direct: list[tuple[str, int, list[Command]]] = []
         self.finished: set[str] = set()
 
-    def _handle(self, report: Heartbeat, *, direct: bool) -> None:
+    def _handle(self, report: Heartbeat, source: MessageSource) -> None:
         machine = self.cluster.machines[report.machine]
         if not is_newer(machine, report):
             return
-        outcome = apply_report(self.cluster, machine, report, self.now, direct=direct)
+        outcome = apply_heartbeat(self.cluster, machine, report, self.now, source)
         for task in report.tasks:
             attempt = machine.attempts.get(task.task)
             if attempt is not None and attempt.number == task.attempt:
@@ -69,7 +70,7 @@
             assert list(flags) == [state >= TaskState.COMPLETED for state in states]
             assert fresh == [n for n, s in enumerate(states) if s is TaskState.COMPLETED]
             job.mark_committed(fresh)
-        if not direct:
+        if source is MessageSource.HEARTBEAT:
             machine.record_heartbeat(self.now, 10_000_000)
             machine.lease_from_us = self.now
 
@@ -91,7 +92,7 @@
             self.held_reports.append(report)
             return
         machine = self.cluster.machines[name]
-        self._handle(report, direct=False)
+        self._handle(report, MessageSource.HEARTBEAT)
         commands = self._commands(machine, report.sequence)
         if not lose_answer:
             worker.token = TOKEN
@@ -113,7 +114,7 @@
     def late_report_arrives(self) -> None:
         if self.held_reports:
             # Its sender has given up waiting, so the answer is dropped.
-            self._handle(self.held_reports.pop(0), direct=False)
+            self._handle(self.held_reports.pop(0), MessageSource.HEARTBEAT)
 
     @rule()
     def leader_places(self) -> None:
@@ -149,7 +150,7 @@
             if fate == "answered":
                 for attempt in started:
                     attempt.sent_directly = False
-                self._handle(report, direct=True)
+                self._handle(report, MessageSource.COMMAND_ANSWER)
                 return
         for attempt in started:
             if attempt.sent_directly:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -33,6 +33,7 @@
 from weldhead.controller.term import Term
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import JobSpec
+from weldhead.reconciliation.buffered_heartbeats import MessageSource
 from weldhead.transport.cloud_client import CloudClient
 from weldhead.transport.http_client import HttpClient
 from weldhead.transport.state_client import StateClient
@@ -53,6 +54,8 @@
     "configuration.gate_binder",
     "configuration.gate_keeper",
     "leadership.leader",
+    "workers.heartbeat_handler",
+    "requests.job_status",
     "scheduling_loop.preemption_recorder",
     "requests.job_dependencies",
     "scheduling_loop.completion_forecaster",
@@ -202,7 +205,7 @@
     leader = new_leader(state, clock(), predecessor_over_us=clock())
     machine = leader.cluster.machines["vm-000001"]
     _, shown = worker.direct(leader.token, 1, [])
-    leader._apply_message(machine, shown, direct=True)
+    leader.heartbeats.apply(machine, shown, MessageSource.COMMAND_ANSWER)
     assert machine.reconciled
     lease_us = leader.term.lease_us
     assert machine.lease_expired_us(lease_us, 0) > clock() + lease_us
@@ -338,7 +341,7 @@
                 case "direct":
                     accepted, shown = worker.direct(leader.token, worker.session, [])
                     assert accepted
-                    leader._apply_message(machine, shown, direct=True)
+                    leader.heartbeats.apply(machine, shown, MessageSource.COMMAND_ANSWER)
                 case "expire":
                     worker.expire()
             if leader.recovery.all_known.is_set():
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -17,7 +17,7 @@
 from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import StopRequest
-from weldhead.controller.workers.heartbeat_reconciler import apply_report
+from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat
 from weldhead.controller.workers.pending_commands import pending_commands
 from weldhead.emulator.experiment import play
 from weldhead.emulator.scenario import Fault, Scenario, read_scenario
@@ -30,7 +30,7 @@
     judge_attempt,
     machine_standing,
 )
-from weldhead.reconciliation.buffered_heartbeats import HeartbeatBuffer
+from weldhead.reconciliation.buffered_heartbeats import HeartbeatBuffer, MessageSource
 from weldhead.reconciliation.command_queue import CommandPriority, CommandQueue, queue_position
 from weldhead.reconciliation.partial_view import partial_view_of, unverified_usage
 from weldhead.reconciliation.preemption_rate_limit import (
@@ -57,13 +57,13 @@
         ("provisioning", 1),
         ("admission", 2),
         ("membership", 2),
-        ("scheduling", 11),
+        ("scheduling", 30),
         ("admission", 1),
-        ("scheduling", 12),
+        ("scheduling", 30),
         ("quota", 2),
-        ("scheduling", 11),
-        ("documents", 4),
-        ("calendars", 8),
+        ("scheduling", 30),
+        ("documents", 3),
+        ("calendars", 7),
         ("gates", 3),
         ("reachability", 3),
     ],
@@ -131,14 +131,14 @@
     if prepare == "elsewhere":
         into.start(job, 0, add_machine(into, "vm-000002"), 0)
     assert judge_attempt(into, machine, told) is verdict
-    outcome = apply_report(into, machine, report(machine, 2, [told]), 0, direct=False)
+    outcome = apply_heartbeat(into, machine, report(machine, 2, [told]), 0, MessageSource.HEARTBEAT)
     assert outcome.verdicts == {verdict: 1}
     orders = pending_commands(machine, lambda _: True, may_start=True, sequence=2)
     assert [order.op for order in orders] == commands
     assert len(job.active) == active
     into.check_invariants()
     # Said again, it is the same attempt: judged once.
-    again = apply_report(into, machine, report(machine, 3, [told]), 0, direct=False)
+    again = apply_heartbeat(into, machine, report(machine, 3, [told]), 0, MessageSource.HEARTBEAT)
     assert not again.verdicts
     tally = ReconciliationCounts()
     tally.attempts.update(outcome.verdicts)
@@ -196,11 +196,13 @@
     early.add_probe_answer(messages[0])
     early.add_probe_answer(messages[3])
     (kept,) = early.take()
-    assert (kept.heartbeat, kept.direct, kept.answered_us) == (messages[3], True, 10)
+    assert (kept.heartbeat, kept.answered_us) == (messages[3], 10)
+    assert kept.source is MessageSource.COMMAND_ANSWER
     early.add_probe_answer(messages[2])
     assert early.add_answered(messages[4], 20, relayed=True)
     (kept,) = early.take()
-    assert (kept.heartbeat, kept.direct, kept.answered_us) == (messages[4], False, 20)
+    assert (kept.heartbeat, kept.answered_us) == (messages[4], 20)
+    assert kept.source is MessageSource.HEARTBEAT
     assert len(early) == 0
 
 
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -8,13 +8,9 @@
 from hypothesis import strategies as st
 
 from tests.builders import job_spec, machine_type
+from weldhead.admission.feasibility import check_feasible
 from weldhead.protocol.settings import Team
-from weldhead.protocol.validation import (
-    SubmissionRefusedError,
-    check_feasible,
-    is_job_id,
-    parse_submission,
-)
+from weldhead.protocol.validation import SubmissionRefusedError, is_job_id, parse_submission
 
 GOOD: dict[str, Any] = {
     "uid": "run-000412", "jobclass": "train", "owner": "red", "shape": "batch",
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from tests.builders import job_spec, machine_type
+from weldhead.admission.feasibility import check_feasible
 from weldhead.cluster_state.records import decode_progress, encode_progress
 from weldhead.protocol import peer
 from weldhead.protocol.settings import SettingsError, StateLimits, parse_settings
-from weldhead.protocol.validation import check_feasible
 from weldhead.protocol.wire import (
     Command,
     Condition,
--- /dev/null
+++ b/weldhead/admission/feasibility.py
@@ -0,0 +1,27 @@
+"""Whether a job could ever run: within its team's limit, on some machine type."""
+
+from collections.abc import Mapping, Sequence
+
+from weldhead.protocol.settings import Team
+from weldhead.protocol.validation import WIRE_NAMES, SubmissionRefusedError
+from weldhead.protocol.wire import JobSpec, MachineType
+from weldhead.quota.amounts import required_units
+from weldhead.quota.teams import bounds_of
+
+
+def check_feasible(
+    spec: JobSpec, teams: Mapping[str, Team], catalog: Sequence[MachineType]
+) -> None:
+    """SubmissionRefusedError(422) if the job can never run."""
+    team = teams.get(spec.team)
+    if team is None:
+        raise SubmissionRefusedError(422, "unknown team", WIRE_NAMES["team"])
+    if not any(machine_type.fits(spec) for machine_type in catalog):
+        raise SubmissionRefusedError(
+            422, "a task fits no allowed machine type", WIRE_NAMES["types"]
+        )
+    at_once = spec.tasks if spec.is_service else 1
+    for field, limit in zip(("cpus", "gpus"), bounds_of(team).limit, strict=True):
+        # Exact: 0.1 times 3 is no more than a limit of 0.3.
+        if required_units(getattr(spec, field)) * at_once > limit:
+            raise SubmissionRefusedError(422, "needs more than the team's limit", WIRE_NAMES[field])
--- a/weldhead/calendars/deadline_table.py
+++ b/weldhead/calendars/deadline_table.py
@@ -10,10 +10,13 @@
 
 from weldhead.calendars.binding import moved
 from weldhead.calendars.formatting import due, span, utc
-from weldhead.calendars.lateness import SOON_US
+from weldhead.clock import SECOND_US
 from weldhead.cluster_state.records import CalendarDeadline
 from weldhead.documents.cache import DocumentCache
 
+#: Deadlines within so long are near.
+SOON_US = 3600 * SECOND_US
+
 
 class _JobRecordPart(msgspec.Struct):
     """The part of a job's record that counts here."""
--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -35,7 +35,7 @@
 
 def _check_documents(file: Path) -> None:
     """Check calendars and gates; what a record takes is the least that PROTOCOL's sites give."""
-    from weldhead.documents.source import read_source
+    from weldhead.controller.configuration.document_file import read_source
     from weldhead.tomlfiles import FileProblemError
 
     try:
--- a/weldhead/controller/configuration/deadline_table_follower.py
+++ b/weldhead/controller/configuration/deadline_table_follower.py
@@ -13,8 +13,8 @@
     DocumentReplica,
 )
 from weldhead.transport.http_client import CallError
+from weldhead.transport.prefix_follower import follow_prefix
 from weldhead.transport.state_client import (
-    RevisionCompactedError,
     StateClient,
 )
 
@@ -41,28 +41,21 @@
         table, cache = self._documents.deadline_table, self._documents.cache
         while not any(True for _ in cache.in_force(KIND, Calendar)):  # noqa: ASYNC110
             await asyncio.sleep(TABLE_PAUSE_S)
-        revision = await self._read()
-        while True:
-            sent_us = now_us()
-            try:
-                changes = await self._state.watch(JOBS, revision, 10 * SECOND_US)
-            except RevisionCompactedError:
-                revision = await self._read()
-                continue
-            except CallError:
-                self._log_deadlines(now_us())
-                await asyncio.sleep(TABLE_PAUSE_S)
-                continue
-            for event in changes.events:
+        followed = follow_prefix(self._state, JOBS, None, self._read, self._on_failure)
+        async for batch in followed:
+            for event in batch.events:
                 if event.put is not None:
                     table.read_record(event.put.removeprefix(JOBS), bytes(event.value))
                 elif event.delete is not None:
                     table.drop(event.delete.removeprefix(JOBS))
-            table.as_of_us = max(table.as_of_us, sent_us)
+            table.as_of_us = max(table.as_of_us, batch.sent_us)
             self._logged_us = 0
-            revision = max(revision, changes.revision)
             await asyncio.sleep(TABLE_PAUSE_S)
 
+    async def _on_failure(self, _: CallError) -> None:
+        self._log_deadlines(now_us())
+        await asyncio.sleep(TABLE_PAUSE_S)
+
     async def _read(self) -> int:
         table, sent_us, revision = self._documents.deadline_table, now_us(), 0
         seen: set[str] = set()
--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -15,6 +15,7 @@
 from weldhead.documents.records import HEAD_KEY, PREFIX, DocumentSet, HeadRecord
 from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.prefix_follower import read_prefix
 from weldhead.transport.state_client import (
     StateClient,
     TransactionRejectedError,
@@ -57,10 +58,7 @@
 
     async def load(self) -> None:
         """Read the documents after the token was won; CallFailed if that is not possible."""
-        entries: dict[str, tuple[bytes, int]] = {}
-        revision = 0
-        async for page, revision in self._state.pages(PREFIX):  # noqa: B007
-            entries.update((e.key, (bytes(e.value), e.version)) for e in page)
+        entries, revision, _ = await read_prefix(self._state, PREFIX)
         for key, (_, version) in entries.items():
             self._ledger().record_version(key, version)
         self.cache.replace(entries, revision)
--- a/weldhead/controller/configuration/document_replica.py
+++ b/weldhead/controller/configuration/document_replica.py
@@ -8,15 +8,14 @@
 import msgspec
 
 from weldhead.calendars.deadline_table import DeadlineTable
-from weldhead.clock import SECOND_US, now_us
 from weldhead.cluster_state.records import AdmissionBinding, JobRecord
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import EditionVerdict, judge_edition
 from weldhead.documents.records import PREFIX, DocumentSet
 from weldhead.protocol.wire import JobSpec
 from weldhead.transport.http_server import Response
+from weldhead.transport.prefix_follower import follow_prefix, read_prefix
 from weldhead.transport.state_client import (
-    RevisionCompactedError,
     StateClient,
 )
 
@@ -74,27 +73,16 @@
 
     async def follow(self) -> None:
         """Keep the copy; a duty."""
-        revision = await self._read()
-        while True:
-            sent_us = now_us()
-            try:
-                changes = await self._state.watch(PREFIX, revision, 10 * SECOND_US)
-            except RevisionCompactedError:
-                revision = await self._read()
-                continue
-            for event in changes.events:
+        async for batch in follow_prefix(self._state, PREFIX, None, self._read):
+            for event in batch.events:
                 if event.put is not None:
                     self.cache.put(event.put, bytes(event.value), event.version)
                 elif event.delete is not None:
                     self.cache.drop(event.delete, event.version)
-            self.cache.as_of_us = max(self.cache.as_of_us, sent_us)
-            revision = max(revision, changes.revision)
+            self.cache.as_of_us = max(self.cache.as_of_us, batch.sent_us)
 
     async def _read(self) -> int:
-        sent_us, revision = now_us(), 0
-        entries: dict[str, tuple[bytes, int]] = {}
-        async for page, revision in self._state.pages(PREFIX):  # noqa: B007
-            entries.update((e.key, (bytes(e.value), e.version)) for e in page)
+        entries, revision, sent_us = await read_prefix(self._state, PREFIX)
         self.cache.replace(entries, revision)
         self.cache.as_of_us = max(self.cache.as_of_us, sent_us)
         return revision
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -2,7 +2,7 @@
 
 What was told is committed first and logged then, in records that hold many jobs: a successor
 reads them and does not tell it again. If a leader ends in between, the line of the next one's
-takeover names the jobs that are late (``calendars/lateness.py``).
+takeover names the jobs that are late (``scheduling/forecast/deadline_lateness.py``).
 """
 
 import asyncio
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -9,14 +9,12 @@
 import logging
 from typing import TYPE_CHECKING
 
-from weldhead.calendars.formatting import utc
-from weldhead.calendars.lateness import DeadlineStanding
-from weldhead.clock import SECOND_US, now_us, to_seconds, wall_us
+from weldhead.clock import now_us, wall_us
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
-from weldhead.cluster_state.records import JOBS, FinalRecord, JobRecord
+from weldhead.cluster_state.records import FinalRecord, JobRecord
 from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
 from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.configuration.document_replica import DocumentReplica
@@ -26,19 +24,17 @@
 from weldhead.controller.loop_budget import EventLoopBudget
 from weldhead.controller.requests.completions import Completions
 from weldhead.controller.requests.job_dependencies import JobDependencies
+from weldhead.controller.requests.job_status import JobStatusReporter
+from weldhead.controller.requests.job_watcher import JobWatcher
 from weldhead.controller.scheduling_loop.completion_forecaster import CompletionForecaster
 from weldhead.controller.scheduling_loop.scheduling_loop import SchedulingLoop
-from weldhead.controller.term import Term, batches
+from weldhead.controller.term import Term
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.heartbeat_reconciler import HeartbeatEffect, apply_report, is_newer
+from weldhead.controller.workers.heartbeat_handler import HeartbeatHandler
 from weldhead.controller.workers.machine_monitor import MachineMonitor
-from weldhead.controller.workers.pending_commands import kill_all, pending_commands, pending_kills
 from weldhead.controller.workers.reachability_monitor import ReachabilityMonitor
 from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer, JobStatus, MachineType
-from weldhead.reachability.freshness import Freshness
 from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat
-from weldhead.scheduling.forecast.completion_times import due_us
-from weldhead.transport.state_client import RevisionCompactedError, decode
 
 if TYPE_CHECKING:
     from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
@@ -110,6 +106,15 @@
             self.publisher,
             self.gate_keeper,
         )
+        self.heartbeats = HeartbeatHandler(
+            term,
+            self.completions,
+            self.rental_manager,
+            self.machine_monitor,
+            self.reachability,
+            self.recovery,
+        )
+        self.job_watcher = JobWatcher(term, self.job_created)
         self.scheduling_loop.partial_view = self.recovery.partial_view
         self.autoscaler = Autoscaler(
             term, self.scheduling_loop, self.rental_manager, self.machine_monitor, self.gate_keeper
@@ -125,6 +130,7 @@
             self.forecaster.follow_clock = self.calendar_keeper.follow_clock
         if self.gate_keeper is not None:
             self.forecaster.hold_reason = self.gate_keeper.hold_reason
+        self.statuses = JobStatusReporter(term, self.completions, self.forecaster, self.gate_keeper)
 
     def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
         # Loaded by controllers that are given documents only.
@@ -195,8 +201,9 @@
         duties.spawn("questions", self.recovery.probe_machines())
         duties.spawn("safe revision", self.recovery.find_safe_revision())
         await self.recovery.load_until_done()
+        self.job_watcher.revision = self.recovery.jobs_revision
         duties.spawn("settling", self.recovery.clear_unsettled())
-        duties.start("job watch", self._watch_jobs)
+        duties.start("job watch", self.job_watcher.watch)
         duties.start("machine watch", self.machine_monitor.watch)
         duties.start("reachability", self.reachability.watch_suspects)
         duties.start("needed jobs", self.job_dependencies.resolve_dependencies, 0.2)
@@ -249,51 +256,11 @@
 
     def status(self, job_id: str) -> JobStatus | None:
         """Return a job's status from memory, as new as the store's; None: not known here."""
-        if not self.loaded or not self.valid:
-            return None
-        job = self.cluster.jobs.get(job_id)
-        if job is not None:
-            # What only the store knows could have withdrawn it, and have been told so.
-            return self._status_of(job) if self.dependency_graph.is_resolved(job) else None
-        final = self.completions.finals.get(job_id)
-        if final is not None:
-            return JobStatus(job_id, final.status, final.done, 0)
-        return None
+        return self.statuses.status(job_id)
 
     def is_service(self, job_id: str) -> bool | None:
         """Whether an accepted job is a service; None: not known here."""
-        job = self.cluster.jobs.get(job_id)
-        if job is not None:
-            return job.spec.is_service
-        final = self.completions.finals.get(job_id)
-        return final.service if final is not None else None
-
-    def _status_of(self, job: Job) -> JobStatus:
-        answer = JobStatus(job.id, job.status, job.done, job.running)
-        if not job.cancelled:
-            self.forecaster.refresh(job)
-            answer.due_at = (
-                utc(job.calendar_deadline.due_us) if job.calendar_deadline is not None else None
-            )
-        if self.gate_keeper is not None:
-            answer.held_by = self.gate_keeper.held_by(job)
-        if job.cancelled or job.expected_finish_us is None:
-            return answer
-        answer.forecast_s = round(to_seconds(job.expected_finish_us - job.first_seen_us), 1)
-        due = due_us(job)
-        stands = (
-            self.forecaster.deadline_standing(job, now_us())
-            if job.calendar_deadline is not None
-            else None
-        )
-        if stands is DeadlineStanding.UNKNOWN:
-            # Nothing is guessed of a job of no history.
-            return answer
-        if due is not None:
-            answer.late = job.expected_finish_us > due or stands is DeadlineStanding.LATE
-            if job.expected_finish_us > due:
-                answer.late_by_s = round(to_seconds(job.expected_finish_us - due), 1)
-        return answer
+        return self.statuses.is_service(job_id)
 
     async def cancel(self, job_id: str) -> JobStatus | None:
         """Cancel a job; None if it is not known. NotReady if it cannot be decided now."""
@@ -301,7 +268,7 @@
             raise NotReadyError
         job = self.cluster.jobs.get(job_id)
         if job is None:
-            return self.status(job_id)
+            return self.statuses.status(job_id)
         if not job.cancelled and not await self.completions.cancel(job, CANCEL_WAIT_US):
             raise NotReadyError
         return JobStatus(job_id, "withdrawn")
@@ -313,160 +280,22 @@
         return self.machine_monitor.silent_machines(at_us)
 
     def handle_heartbeat(
-        self, report: Heartbeat, at_us: int, *, relayed: bool
+        self, heartbeat: Heartbeat, at_us: int, *, relayed: bool
     ) -> HeartbeatAnswer | None:
-        """Handle a worker's report; None: it must not be answered 200."""
-        if not self.valid:
-            return None
-        if report.token > self.token:
-            self.term.on_leadership_lost(f"{report.machine} has seen token {report.token}")
-            return None
-        if not self.loaded:
-            kept = self.recovery.buffer_heartbeat(report, at_us, relayed=relayed)
-            return HeartbeatAnswer(self.token, []) if kept else None
-        machine = self.cluster.machines.get(report.machine)
-        if machine is None:
-            self._handle_unrecorded_machine(report)
-            # The answer renews a lease, and what runs there counts for nobody: it has to go.
-            return HeartbeatAnswer(self.token, kill_all(report))
-        freshness = self.reachability.freshness(machine, report)
-        if machine.deleting or freshness is Freshness.COPY:
-            return None
-        if freshness is Freshness.OVERTAKEN:
-            if not self.reachability.answerable(machine):
-                return None
-            machine.lease_from_us = max(machine.lease_from_us, machine.last_message_us)
-            # No answer renews a lease without the kills: a run may not be repeated, they may.
-            return HeartbeatAnswer(self.token, pending_kills(machine))
-        self.reachability.observe_heartbeat(machine, report, at_us, relayed=relayed)
-        machine.relayed = relayed
-        self._apply_message(machine, report, direct=False)
-        if machine.not_receiving:
-            # The report may have shown that what it was sent last was dropped.
-            self.reachability.withdraw_unstarted(machine)
-        if not self._count_answer(machine, freshness, at_us):
-            return None
-        if machine.reconciled and not machine.enrolled and not machine.enrollment_pending:
-            machine.enrollment_pending = True
-            self._background_tasks.spawn("machine up", self.rental_manager.enroll(machine))
-        commands = pending_commands(
-            machine,
-            self.completions.is_committed,
-            may_start=machine.reconciled and machine.enrolled and not machine.not_receiving,
-            sequence=report.sequence,
-        )
-        self.reachability.record_answer(machine, report, commands, at_us, relayed=relayed)
-        return HeartbeatAnswer(self.token, commands)
-
-    def _count_answer(self, machine: Machine, freshness: Freshness, at_us: int) -> bool:
-        """Enter that a report is about to be answered; false: it must not be."""
-        if freshness is Freshness.FRESH:
-            self.machine_monitor.record_heartbeat(machine, at_us)
-            return True
-        if not self.reachability.answerable(machine):
-            return False
-        # The answer may renew a lease; that its machine lives is not shown by it.
-        machine.stale_token_answers += 1
-        machine.lease_from_us = max(machine.lease_from_us, at_us)
-        return True
-
-    def _handle_unrecorded_machine(self, report: Heartbeat) -> None:
-        """A report of a machine that no record names."""
-        if self.rental_manager.is_unexpected(report):
-            self.reachability.probe_unrecorded(report, self.rental_manager.adopt_unexpected)
-
-    def _answered(self, machine: Machine, report: Heartbeat) -> None:
-        """Take a worker's answer to direct commands."""
-        self._apply_message(machine, report, direct=True)
-        self.reachability.observe_answer(machine)
+        """Handle a worker's heartbeat; None: it must not be answered 200."""
+        return self.heartbeats.handle(heartbeat, at_us, relayed=relayed)
+
+    def _answered(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        self.heartbeats.handle_command_answer(machine, heartbeat)
 
     def _unanswered(self, machine: Machine) -> None:
-        """A worker did not answer direct commands."""
         self.reachability.observe_no_answer(machine)
 
-    def _apply_buffered(self, early: BufferedHeartbeat) -> None:
-        """Take what a machine said before its records were loaded."""
-        machine = self.cluster.machines.get(early.heartbeat.machine)
-        if machine is None:
-            self._handle_unrecorded_machine(early.heartbeat)
-            return
-        freshness = self.reachability.freshness(machine, early.heartbeat)
-        self._apply_message(machine, early.heartbeat, direct=early.direct)
-        if early.answered_us:
-            from_us = machine.lease_from_us
-            self._count_answer(machine, freshness, early.answered_us)
-            if early.direct:
-                # It showed the token after that answer, which may have been lost: the leader
-                # before may have renewed its lease in between.
-                machine.lease_from_us = max(machine.lease_from_us, from_us)
-            machine.relayed = early.relayed
-            if early.answered:
-                self.reachability.record_answer(
-                    machine, early.heartbeat, [], early.answered_us, relayed=early.relayed
-                )
-
-    def _apply_message(self, machine: Machine, report: Heartbeat, *, direct: bool) -> None:
-        if not is_newer(machine, report):
-            return
-        at_us = now_us()
-        if machine.booting and not machine.enrolled and machine.rented_us > self.term.loaded_us:
-            # Those of earlier terms may have come up long ago.
-            self.term.boot_history.record_boot(machine, at_us)
-        had_notice = machine.interruption_us
-        outcome = apply_report(self.cluster, machine, report, at_us, direct=direct)
-        self._apply_effect(machine, outcome, at_us)
-        if machine.interruption_us and not had_notice:
-            log.info("machine %s will be taken back", machine.name)
-            self.machine_monitor.interrupted[machine.name] = machine
-            self.machine_monitor.evacuate(machine, at_us)
-
-    def _apply_effect(self, machine: Machine, outcome: HeartbeatEffect, at_us: int) -> None:
-        self._check_known()
-        if outcome.verdicts:
-            self.term.reconciliation_counts.attempts.update(outcome.verdicts)
-        if outcome.completed:
-            self.term.commit_wanted.set()
-        for job, run_us in outcome.run_times:
-            self.term.estimates.observe(job, run_us)
-        if outcome.verified_start_us:
-            self.machine_monitor.failures.record_success(machine, outcome.verified_start_us)
-        for attempt in outcome.failed:
-            self.machine_monitor.record_failure(attempt, at_us)
-        for attempt, reason in outcome.lost:
-            log.debug(
-                "%s attempt %d left %s: %s", attempt.task, attempt.number, machine.name, reason
-            )
-            if attempt.job.cancelled:
-                self.term.commit_wanted.set()
-        if not machine.attempts and (outcome.lost or outcome.completed):
-            machine.idle_since_us = at_us
-        if outcome.capacity_freed or outcome.lost:
-            self.term.placement_wanted.set()
+    def _apply_buffered(self, buffered: BufferedHeartbeat) -> None:
+        self.heartbeats.apply_buffered(buffered)
 
     # -- duties -------------------------------------------------------------------------
 
-    async def _watch_jobs(self) -> None:
-        while True:
-            try:
-                changes = await self.term.state.watch(
-                    JOBS, self.recovery.jobs_revision, 10 * SECOND_US
-                )
-            except RevisionCompactedError:
-                async for entries, revision in self.term.state.pages(JOBS):  # noqa: B007
-                    for part in batches(entries):
-                        for entry in part:
-                            record = decode(bytes(entry.value), JobRecord)
-                            self.job_created(record, entry.version)
-                        await asyncio.sleep(0)
-                self.recovery.jobs_revision = revision
-                continue
-            for event in changes.events:
-                if event.put is not None:
-                    record = decode(bytes(event.value), JobRecord)
-                    if not record.cancelled:
-                        self.job_created(record, event.version)
-            self.recovery.jobs_revision = max(self.recovery.jobs_revision, changes.revision)
-
     def _ended(self, job: Job, final: FinalRecord) -> None:
         """A job is over, and that is committed."""
         self.term.estimates.forget(job.id)
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -11,6 +11,7 @@
 from weldhead.membership.peer_verdict import (
     IndirectProbeResult,
     MembershipView,
+    PeerObservation,
     PeerState,
     PeerVerdict,
     judge_peer,
@@ -30,6 +31,12 @@
 LOOK_AGAIN_US = 200 * MILLISECOND_US
 
 
+def observation_of(link: PeerLink) -> PeerObservation:
+    """Return what this node has seen of a peer itself."""
+    heard_us = max(link.last_message_us, link.last_request_us)
+    return PeerObservation(link.name, link.connected, link.refused_us, link.lost_us, heard_us)
+
+
 class PeerFailureDetector:
     """This node's verdicts; ``dead`` acts on one, and says whether to come back to it."""
 
@@ -96,8 +103,10 @@
     def _judge(
         self, link: PeerLink, observations: list[tuple[str, IndirectProbeResult]]
     ) -> PeerVerdict:
-        others = [other.observation() for other in self._links.values() if other is not link]
-        return judge_peer(link.observation(), others, observations, now_us(), self._state.failed_us)
+        others = [observation_of(other) for other in self._links.values() if other is not link]
+        return judge_peer(
+            observation_of(link), others, observations, now_us(), self._state.failed_us
+        )
 
     async def _indirect_probes(self, name: str) -> list[tuple[str, IndirectProbeResult]]:
         """Ask the others what they see of a controller."""
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -39,7 +39,11 @@
 from weldhead.controller.workers.machine_monitor import MachineMonitor
 from weldhead.protocol.wire import Heartbeat, KeyValue, split_task
 from weldhead.reachability.silence import look_lost
-from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat, HeartbeatBuffer
+from weldhead.reconciliation.buffered_heartbeats import (
+    BufferedHeartbeat,
+    HeartbeatBuffer,
+    MessageSource,
+)
 from weldhead.reconciliation.partial_view import PartialView, partial_view_of, unverified_usage
 from weldhead.reconciliation.status_probes import StatusProbes
 from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
@@ -86,7 +90,7 @@
         self._apply = apply
         self._publisher = publisher
         self._gates = gates
-        #: The revision from which jobs are watched.
+        #: The revision at which the jobs were read.
         self.jobs_revision = 0
         self.all_known = asyncio.Event()
         self.heartbeat_buffer = HeartbeatBuffer()
@@ -283,7 +287,7 @@
             self.status_probes.mark_known(name)
         # Its turn is another's at once, not at the next look.
         self._probe_next()
-        early = BufferedHeartbeat(report, True, 0, False)
+        early = BufferedHeartbeat(report, MessageSource.COMMAND_ANSWER, 0, False)
         if self._term.loaded:
             self._apply(early)
         else:
--- a/weldhead/controller/requests/request_handler.py
+++ b/weldhead/controller/requests/request_handler.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from weldhead.admission.fair_rate_limiter import FairRateLimiter
+from weldhead.admission.feasibility import check_feasible
 from weldhead.admission.memory_gate import COME_BACK_S
 from weldhead.admission.team_rate_limiter import TeamRateLimiter
 from weldhead.calendars.binding import moved
@@ -37,7 +38,6 @@
 from weldhead.protocol.settings import Team
 from weldhead.protocol.validation import (
     SubmissionRefusedError,
-    check_feasible,
     check_size,
     is_job_id,
     parse_submission,
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -4,15 +4,16 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from weldhead.calendars import lateness
+from weldhead.calendars.deadline_table import SOON_US
 from weldhead.calendars.formatting import due as due_words
 from weldhead.calendars.formatting import span
-from weldhead.calendars.lateness import DeadlineStanding
 from weldhead.clock import now_us, seconds_us, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
 from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
 from weldhead.controller.term import Term
+from weldhead.scheduling.forecast import deadline_lateness as lateness
 from weldhead.scheduling.forecast.completion_times import due_us, holding_up, looks_unable
+from weldhead.scheduling.forecast.deadline_lateness import DeadlineStanding
 from weldhead.scheduling.forecast.job_forecasts import JobForecasts
 
 log = logging.getLogger(__name__)
@@ -168,7 +169,7 @@
         if self.late_notices is None and not jobs:
             return
         for job in jobs:
-            if job.calendar_due_us is not None and job.calendar_due_us - at_us <= lateness.SOON_US:
+            if job.calendar_due_us is not None and job.calendar_due_us - at_us <= SOON_US:
                 self.refresh(job)
         found = lateness.account(((job, self.deadline_standing(job, at_us)) for job in jobs), at_us)
         log.info("term %d: %s", self._term.token, found.line())
--- /dev/null
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -0,0 +1,169 @@
+"""Answers workers' heartbeats, and applies what workers say to the term's state."""
+
+import logging
+
+from weldhead.clock import now_us
+from weldhead.cluster_state.machines import Machine
+from weldhead.controller.fleet.rental_manager import RentalManager
+from weldhead.controller.leadership.term_recovery import TermRecovery
+from weldhead.controller.requests.completions import Completions
+from weldhead.controller.term import Term
+from weldhead.controller.workers.heartbeat_reconciler import (
+    HeartbeatEffect,
+    apply_heartbeat,
+    is_newer,
+)
+from weldhead.controller.workers.machine_monitor import MachineMonitor
+from weldhead.controller.workers.pending_commands import kill_all, pending_commands, pending_kills
+from weldhead.controller.workers.reachability_monitor import ReachabilityMonitor
+from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer
+from weldhead.reachability.freshness import Freshness
+from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat, MessageSource
+
+log = logging.getLogger(__name__)
+
+
+class HeartbeatHandler:
+    """One term's side of the heartbeat protocol."""
+
+    def __init__(
+        self,
+        term: Term,
+        completions: Completions,
+        rental_manager: RentalManager,
+        machine_monitor: MachineMonitor,
+        reachability: ReachabilityMonitor,
+        recovery: TermRecovery,
+    ) -> None:
+        self._term = term
+        self._completions = completions
+        self._rental_manager = rental_manager
+        self._machine_monitor = machine_monitor
+        self._reachability = reachability
+        self._recovery = recovery
+
+    def handle(self, heartbeat: Heartbeat, at_us: int, *, relayed: bool) -> HeartbeatAnswer | None:
+        """Handle a worker's heartbeat; None: it must not be answered 200."""
+        if not self._term.valid:
+            return None
+        if heartbeat.token > self._term.token:
+            self._term.on_leadership_lost(f"{heartbeat.machine} has seen token {heartbeat.token}")
+            return None
+        if not self._term.loaded:
+            kept = self._recovery.buffer_heartbeat(heartbeat, at_us, relayed=relayed)
+            return HeartbeatAnswer(self._term.token, []) if kept else None
+        machine = self._term.cluster.machines.get(heartbeat.machine)
+        if machine is None:
+            self._handle_unrecorded_machine(heartbeat)
+            # The answer renews a lease, and what runs there counts for nobody: it has to go.
+            return HeartbeatAnswer(self._term.token, kill_all(heartbeat))
+        freshness = self._reachability.freshness(machine, heartbeat)
+        if machine.deleting or freshness is Freshness.COPY:
+            return None
+        if freshness is Freshness.OVERTAKEN:
+            if not self._reachability.answerable(machine):
+                return None
+            machine.lease_from_us = max(machine.lease_from_us, machine.last_message_us)
+            # No answer renews a lease without the kills: a run may not be repeated, they may.
+            return HeartbeatAnswer(self._term.token, pending_kills(machine))
+        self._reachability.observe_heartbeat(machine, heartbeat, at_us, relayed=relayed)
+        machine.relayed = relayed
+        self.apply(machine, heartbeat, MessageSource.HEARTBEAT)
+        if machine.not_receiving:
+            # The heartbeat may have shown that what it was sent last was dropped.
+            self._reachability.withdraw_unstarted(machine)
+        if not self._count_answer(machine, freshness, at_us):
+            return None
+        if machine.reconciled and not machine.enrolled and not machine.enrollment_pending:
+            machine.enrollment_pending = True
+            self._term.background_tasks.spawn("machine up", self._rental_manager.enroll(machine))
+        commands = pending_commands(
+            machine,
+            self._completions.is_committed,
+            may_start=machine.reconciled and machine.enrolled and not machine.not_receiving,
+            sequence=heartbeat.sequence,
+        )
+        self._reachability.record_answer(machine, heartbeat, commands, at_us, relayed=relayed)
+        return HeartbeatAnswer(self._term.token, commands)
+
+    def _count_answer(self, machine: Machine, freshness: Freshness, at_us: int) -> bool:
+        """Enter that a heartbeat is about to be answered; false: it must not be."""
+        if freshness is Freshness.FRESH:
+            self._machine_monitor.record_heartbeat(machine, at_us)
+            return True
+        if not self._reachability.answerable(machine):
+            return False
+        # The answer may renew a lease; that its machine lives is not shown by it.
+        machine.stale_token_answers += 1
+        machine.lease_from_us = max(machine.lease_from_us, at_us)
+        return True
+
+    def _handle_unrecorded_machine(self, heartbeat: Heartbeat) -> None:
+        """A heartbeat of a machine that no record names."""
+        if self._rental_manager.is_unexpected(heartbeat):
+            self._reachability.probe_unrecorded(heartbeat, self._rental_manager.adopt_unexpected)
+
+    def handle_command_answer(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        """Take a worker's answer to direct commands."""
+        self.apply(machine, heartbeat, MessageSource.COMMAND_ANSWER)
+        self._reachability.observe_answer(machine)
+
+    def apply_buffered(self, buffered: BufferedHeartbeat) -> None:
+        """Take what a machine said before its records were loaded."""
+        machine = self._term.cluster.machines.get(buffered.heartbeat.machine)
+        if machine is None:
+            self._handle_unrecorded_machine(buffered.heartbeat)
+            return
+        freshness = self._reachability.freshness(machine, buffered.heartbeat)
+        self.apply(machine, buffered.heartbeat, buffered.source)
+        if buffered.answered_us:
+            from_us = machine.lease_from_us
+            self._count_answer(machine, freshness, buffered.answered_us)
+            if buffered.source is MessageSource.COMMAND_ANSWER:
+                # It showed the token after that answer, which may have been lost: the leader
+                # before may have renewed its lease in between.
+                machine.lease_from_us = max(machine.lease_from_us, from_us)
+            machine.relayed = buffered.relayed
+            if buffered.answered:
+                self._reachability.record_answer(
+                    machine, buffered.heartbeat, [], buffered.answered_us, relayed=buffered.relayed
+                )
+
+    def apply(self, machine: Machine, heartbeat: Heartbeat, source: MessageSource) -> None:
+        """Apply a message unless something newer was seen."""
+        if not is_newer(machine, heartbeat):
+            return
+        at_us = now_us()
+        if machine.booting and not machine.enrolled and machine.rented_us > self._term.loaded_us:
+            # Those of earlier terms may have come up long ago.
+            self._term.boot_history.record_boot(machine, at_us)
+        had_notice = machine.interruption_us
+        effect = apply_heartbeat(self._term.cluster, machine, heartbeat, at_us, source)
+        self._apply_effect(machine, effect, at_us)
+        if machine.interruption_us and not had_notice:
+            log.info("machine %s will be taken back", machine.name)
+            self._machine_monitor.interrupted[machine.name] = machine
+            self._machine_monitor.evacuate(machine, at_us)
+
+    def _apply_effect(self, machine: Machine, effect: HeartbeatEffect, at_us: int) -> None:
+        self._recovery.check_known()
+        if effect.verdicts:
+            self._term.reconciliation_counts.attempts.update(effect.verdicts)
+        if effect.completed:
+            self._term.commit_wanted.set()
+        for job, run_us in effect.run_times:
+            self._term.estimates.observe(job, run_us)
+        if effect.verified_start_us:
+            self._machine_monitor.failures.record_success(machine, effect.verified_start_us)
+        for attempt in effect.failed:
+            self._machine_monitor.record_failure(attempt, at_us)
+        for attempt, reason in effect.lost:
+            log.debug(
+                "%s attempt %d left %s: %s", attempt.task, attempt.number, machine.name, reason
+            )
+            if attempt.job.cancelled:
+                self._term.commit_wanted.set()
+        if not machine.attempts and (effect.lost or effect.completed):
+            machine.idle_since_us = at_us
+        if effect.capacity_freed or effect.lost:
+            self._term.placement_wanted.set()
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -3,13 +3,14 @@
 import logging
 from dataclasses import dataclass, field
 
-from weldhead.clock import seconds_us
+from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
 from weldhead.protocol.wire import Heartbeat, ReportedTask
 from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, judge_attempt, locate
+from weldhead.reconciliation.buffered_heartbeats import MessageSource
 
 log = logging.getLogger(__name__)
 
@@ -19,17 +20,22 @@
     "saving": AttemptPhase.SAVING,
 }
 
-
-#: Verdicts that rest on what runs now, and where: only a report that shows this term's token
-#: says so. One from before may be a copy of any age: counted, it took the place of the attempt
-#: that ran, and that one was killed while its task was free to start elsewhere.
-_WAIT_FOR_TOKEN = {
+#: Verdicts on what runs now, and where: only a heartbeat that shows this term's token tells that.
+#: One from before may be a copy of any age; applied, it would replace the attempt that runs.
+_NEED_CURRENT_TOKEN = {
     AttemptVerdict.ADOPTED,
     AttemptVerdict.OVER_LIMIT,
     AttemptVerdict.SECOND,
     AttemptVerdict.CROWDED,
 }
 
+#: Why a worker refuses a task that the leader's view allows.
+_REFUSALS = ("no_room", "busy", "unknown")
+#: A refused task is not started again at once: the worker's and the leader's view disagree.
+REFUSED_TASK_BACKOFF_US = SECOND_US
+#: Causes of an end that say that the task failed by itself.
+_OWN_FAILURES = ("error", None)
+
 
 @dataclass(slots=True)
 class HeartbeatEffect:
@@ -51,252 +57,328 @@
     capacity_freed: bool = False
 
 
-def is_newer(machine: Machine, report: Heartbeat) -> bool:
-    """Whether the report is newer than everything seen, and of a live session."""
+def is_newer(machine: Machine, heartbeat: Heartbeat) -> bool:
+    """Whether the heartbeat is newer than everything seen, and of a live session."""
     return (
-        report.session,
-        report.sequence,
-    ) > machine.newest_message and report.session > machine.expired_session
+        heartbeat.session,
+        heartbeat.sequence,
+    ) > machine.newest_message and heartbeat.session > machine.expired_session
 
 
-def apply_report(
-    cluster: Cluster, machine: Machine, report: Heartbeat, at_us: int, *, direct: bool
+def apply_heartbeat(
+    cluster: Cluster, machine: Machine, heartbeat: Heartbeat, at_us: int, source: MessageSource
 ) -> HeartbeatEffect:
-    """Bring the picture of a machine up to date with a newer report.
+    """Bring the leader's view of a machine up to date with a newer heartbeat.
 
-    ``direct``: the report is the body of a direct command's answer. A task missing there
-    does not show that a ``run`` sent in a report's answer was lost: that answer may still
-    be on its way to the worker, who only drops it before it sends its next report.
+    The steps run in this order; each is a rule of the protocol. A task missing from a command's
+    answer (``source``) does not show that a ``run`` sent in a heartbeat's answer was lost: that
+    answer may still be on its way to the worker, who drops it only before its next heartbeat.
     """
-    outcome = HeartbeatEffect()
-    if report.session > machine.session and machine.session:
-        machine.last_listing = None
-        machine.heartbeat_sequence = 0
-        # Its lease begins anew with the session, which began before this was sent. Counted from
-        # the session before, it was judged over while what was started directly since still ran.
-        machine.lease_from_us = max(machine.lease_from_us, at_us)
-        for attempt in cluster.release_all(machine):
-            outcome.lost.append((attempt, "new session"))
+    effect = HeartbeatEffect()
+    if heartbeat.session > machine.session and machine.session:
+        _release_ended_session(cluster, machine, at_us, effect)
+    _record_contact(cluster, machine, heartbeat, at_us)
+    if _shows_nothing_new(machine, heartbeat):
+        if source is MessageSource.HEARTBEAT:
+            machine.heartbeat_sequence = heartbeat.sequence
+        return effect
+    _HeartbeatReconciler(cluster, machine, heartbeat, at_us, source, effect).reconcile()
+    return effect
+
+
+def _release_ended_session(
+    cluster: Cluster, machine: Machine, at_us: int, effect: HeartbeatEffect
+) -> None:
+    """Record that the attempts of a worker's former session are gone."""
+    machine.last_listing = None
+    machine.heartbeat_sequence = 0
+    # The lease begins anew with the session, which began before this was sent. Counted from the
+    # former session it would look expired while what was started since still runs.
+    machine.lease_from_us = max(machine.lease_from_us, at_us)
+    for attempt in cluster.release_all(machine):
+        effect.lost.append((attempt, "new session"))
+
+
+def _record_contact(cluster: Cluster, machine: Machine, heartbeat: Heartbeat, at_us: int) -> None:
+    """Record what every message of a machine says, whatever it lists."""
     if machine.booting:
         machine.notify_changed()
-    machine.newest_message = (report.session, report.sequence)
+    machine.newest_message = (heartbeat.session, heartbeat.sequence)
     machine.last_message_us = at_us
-    machine.token = max(machine.token, report.token)
-    if report.token == cluster.token:
+    machine.token = max(machine.token, heartbeat.token)
+    if heartbeat.token == cluster.token:
         machine.stale_token_answers = 0
-    if report.address:
-        machine.address = report.address
-    if report.notice_s is not None:
-        machine.interruption_us = at_us + seconds_us(report.notice_s)
-    if (
+    if heartbeat.address:
+        machine.address = heartbeat.address
+    if heartbeat.notice_s is not None:
+        machine.interruption_us = at_us + seconds_us(heartbeat.notice_s)
+
+
+def _shows_nothing_new(machine: Machine, heartbeat: Heartbeat) -> bool:
+    """Whether the list is the last one again, as in most heartbeats."""
+    return (
         machine.reconciled
         and machine.last_listing is not None
-        and report.tasks == machine.last_listing
-    ):
-        # Most reports only say that the worker lives: all that it lists is known.
-        if not direct:
-            machine.heartbeat_sequence = report.sequence
-        return outcome
-    had_free = machine.cpus
-    was_synced, was_haunted = machine.reconciled, bool(machine.orphans)
-    shows_token = report.token == cluster.token
-    seen: set[str] = set()
-    listed: set[tuple[str, int]] = set()
-    syncs = shows_token and not was_synced
-    # Else nothing is known that it could list no more.
-    compares = syncs or bool(machine.unacknowledged) or was_haunted
-    if compares:
-        listed = {(task.task, task.attempt) for task in report.tasks}
-    if syncs:
-        # What it listed before it heard of this term and lists no more is gone, and must not
-        # hold the room of what it lists now.
-        for attempt in list(machine.attempts.values()):
-            if (attempt.task, attempt.number) not in listed:
-                cluster.release(attempt)
-                outcome.lost.append((attempt, "gone from its worker"))
-    for task in report.tasks:
-        known = machine.attempts.get(task.task)
-        if known is not None and known.number == task.attempt:
-            seen.add(task.task)
-            # Listed, so its ``run`` has been executed, answered or not; each ``run`` is sent in
-            # one direct request at most, so it cannot be executed a second time.
-            known.sent_directly = False
-            known.unconfirmed_since_us = 0
-            if known.phase is not _PHASES.get(task.state):
-                _moved_on(cluster, machine, known, task, at_us, outcome)
-        else:
-            adopted = _unknown(cluster, machine, task, at_us, outcome, shows_token)
-            if adopted is not None:
-                seen.add(task.task)
-    if compares:
-        # Attempts that the worker no longer lists need no more commands.
-        machine.unacknowledged &= listed
-        cluster.remove_orphans(machine, machine.orphans - listed)
-    if shows_token and not machine.reconciled:
-        machine.reconciled = True
-        machine.lease_from_us = max(machine.lease_from_us, at_us)
-        if direct:
-            machine.first_probe_us = at_us
-    unseen = [] if machine.attempts.keys() <= seen else list(machine.attempts.values())
-    for attempt in unseen:
-        if attempt.task in seen or attempt.sent_directly or attempt.unconfirmed_since_us:
-            continue
-        if attempt.phase is AttemptPhase.ASSIGNED:
-            if attempt.sent_sequence is None:
-                if attempt.stop_request is not StopRequest.NO:
-                    # Asked to stop while a direct request was being connected, in vain. Nothing
-                    # is on its way, and neither ``run`` nor ``kill`` would ever be sent.
-                    cluster.release(attempt)
-                    outcome.lost.append((attempt, "withdrawn before it was sent"))
-                continue
-            if report.sequence > attempt.sent_sequence and not direct:
-                # A worker has one report in flight: its next report shows that the answer
-                # to the last one was either executed or dropped for good.
-                attempt.sent_sequence = None
-                if attempt.stop_request is not StopRequest.NO:
-                    cluster.release(attempt)
-                    outcome.lost.append((attempt, "withdrawn before it was started"))
-        elif was_synced:
-            cluster.release(attempt)
-            outcome.lost.append((attempt, "gone from its worker"))
-    if not direct:
-        machine.heartbeat_sequence = report.sequence
-    if was_haunted and not machine.orphans:
-        # Placement may use it again: nobody else would tell that its room is to be had.
-        outcome.capacity_freed = True
-    outcome.capacity_freed = (
-        outcome.capacity_freed or machine.cpus > had_free or (machine.reconciled and not was_synced)
+        and heartbeat.tasks == machine.last_listing
     )
-    if outcome.capacity_freed:
-        machine.notify_changed()
-    if shows_token and not machine.orphans and machine.attempts.keys() <= seen:
-        machine.last_listing = report.tasks
-    return outcome
-
-
-def _moved_on(
-    cluster: Cluster,
-    machine: Machine,
-    attempt: Attempt,
-    task: ReportedTask,
-    at_us: int,
-    outcome: HeartbeatEffect,
-) -> None:
-    """Take up that an attempt of ours is in another phase than before, or has ended."""
-    if task.state != "ended":
+
+
+class _HeartbeatReconciler:
+    """Applies one heartbeat that lists something new."""
+
+    __slots__ = (
+        "_at_us",
+        "_cluster",
+        "_effect",
+        "_heartbeat",
+        "_listed",
+        "_machine",
+        "_seen",
+        "_shows_token",
+        "_source",
+        "_was_reconciled",
+    )
+
+    def __init__(
+        self,
+        cluster: Cluster,
+        machine: Machine,
+        heartbeat: Heartbeat,
+        at_us: int,
+        source: MessageSource,
+        effect: HeartbeatEffect,
+    ) -> None:
+        self._cluster = cluster
+        self._machine = machine
+        self._heartbeat = heartbeat
+        self._at_us = at_us
+        self._source = source
+        self._effect = effect
+        self._shows_token = heartbeat.token == cluster.token
+        self._was_reconciled = machine.reconciled
+        #: Tasks of which the attempt on the machine is listed.
+        self._seen: set[str] = set()
+        #: All that is listed, by task and attempt, where something is compared with it.
+        self._listed: set[tuple[str, int]] = set()
+
+    def reconcile(self) -> None:
+        """Run the steps."""
+        machine = self._machine
+        free_cpus, had_orphans = machine.cpus, bool(machine.orphans)
+        first_token = self._shows_token and not self._was_reconciled
+        compares = first_token or bool(machine.unacknowledged) or had_orphans
+        if compares:
+            self._listed = {(task.task, task.attempt) for task in self._heartbeat.tasks}
+        if first_token:
+            self._release_attempts_of_earlier_terms()
+        for task in self._heartbeat.tasks:
+            self._reconcile_listed(task)
+        if compares:
+            # Attempts that the worker no longer lists need no more commands.
+            machine.unacknowledged &= self._listed
+            self._cluster.remove_orphans(machine, machine.orphans - self._listed)
+        if first_token:
+            self._mark_reconciled()
+        self._release_unlisted()
+        if self._source is MessageSource.HEARTBEAT:
+            machine.heartbeat_sequence = self._heartbeat.sequence
+        self._effect.capacity_freed = (
+            # Placement may use a machine without orphans again, and nothing else tells it.
+            (had_orphans and not machine.orphans)
+            or machine.cpus > free_cpus
+            or (machine.reconciled and not self._was_reconciled)
+        )
+        if self._effect.capacity_freed:
+            machine.notify_changed()
+        if self._shows_token and not machine.orphans and machine.attempts.keys() <= self._seen:
+            machine.last_listing = self._heartbeat.tasks
+
+    def _release(self, attempt: Attempt, reason: str) -> None:
+        self._cluster.release(attempt)
+        self._effect.lost.append((attempt, reason))
+
+    def _release_attempts_of_earlier_terms(self) -> None:
+        """Release what was listed before the worker knew this term and is not any more.
+
+        It must not hold the capacity of what is listed now.
+        """
+        for attempt in list(self._machine.attempts.values()):
+            if (attempt.task, attempt.number) not in self._listed:
+                self._release(attempt, "gone from its worker")
+
+    def _mark_reconciled(self) -> None:
+        """The worker knows this term: what runs on its machine is known from now on."""
+        machine = self._machine
+        machine.reconciled = True
+        machine.lease_from_us = max(machine.lease_from_us, self._at_us)
+        if self._source is MessageSource.COMMAND_ANSWER:
+            machine.first_probe_us = self._at_us
+
+    # -- what is listed ----------------------------------------------------------------------
+
+    def _reconcile_listed(self, task: ReportedTask) -> None:
+        known = self._machine.attempts.get(task.task)
+        if known is None or known.number != task.attempt:
+            if self._judge_unknown(task) is not None:
+                self._seen.add(task.task)
+            return
+        self._seen.add(task.task)
+        # Listed, so its ``run`` was executed, answered or not. Each ``run`` is sent in one direct
+        # request at most, so it cannot be executed a second time.
+        known.sent_directly = False
+        known.unconfirmed_since_us = 0
+        if known.phase is not _PHASES.get(task.state):
+            self._advance(known, task)
+
+    def _advance(self, attempt: Attempt, task: ReportedTask) -> None:
+        """Record that an attempt is in another phase than before, or has ended."""
+        if task.state == "ended":
+            self._machine.unacknowledged.add((task.task, task.attempt))
+            self._end(attempt, task)
+            return
         phase = _PHASES[task.state]
-        if phase is AttemptPhase.RUNNING and attempt.phase in (
-            AttemptPhase.ASSIGNED,
-            AttemptPhase.PULLING,
-        ):
-            attempt.running_since_us = at_us
-            machine.record_image(attempt.job.spec.image, attempt.job.spec.image_gb)
+        before_running = (AttemptPhase.ASSIGNED, AttemptPhase.PULLING)
+        if phase is AttemptPhase.RUNNING and attempt.phase in before_running:
+            attempt.running_since_us = self._at_us
+            self._machine.record_image(attempt.job.spec.image, attempt.job.spec.image_gb)
         attempt.phase = phase
-        return
-    machine.unacknowledged.add((task.task, task.attempt))
-    _ended(cluster, machine, attempt, task, at_us, outcome)
-
-
-def _ended(
-    cluster: Cluster,
-    machine: Machine,
-    attempt: Attempt,
-    task: ReportedTask,
-    at_us: int,
-    outcome: HeartbeatEffect,
-) -> None:
-    job = attempt.job
-    if task.why == "done":
-        # What an earlier leader started has run for longer than this one has watched it:
-        # counted as if it had just begun, it made every estimate far too short after a
-        # takeover, and no machines were rented for the backlog (found at size).
-        if attempt.running_since_us and not attempt.checkpointed_us and not attempt.adopted:
-            outcome.run_times.append((job, at_us - attempt.running_since_us))
+
+    def _end(self, attempt: Attempt, task: ReportedTask) -> None:
+        if task.why == "done":
+            self._complete(attempt)
+            return
+        job = attempt.job
+        if attempt.running_since_us and job.spec.checkpoint_s > 0:
+            ran_us = attempt.elapsed_us(self._at_us)
+            step_us = seconds_us(job.spec.checkpoint_s)
+            saved_us = ran_us if task.saved else ran_us // step_us * step_us
+            job.checkpoints_us[attempt.index] = saved_us
+        self._release(attempt, task.why or "no cause")
+        if task.why in _OWN_FAILURES:
+            self._effect.failed.append(attempt)
+        elif task.why in _REFUSALS:
+            retry_us = self._at_us + REFUSED_TASK_BACKOFF_US
+            job.not_before_us = max(job.not_before_us, retry_us)
+            log.info(
+                "task refused by its worker: %s on machine %s: %s",
+                attempt.task, self._machine.name, task.why,
+            )  # fmt: skip
+
+    def _complete(self, attempt: Attempt) -> None:
+        job, effect = attempt.job, self._effect
+        # An attempt of an earlier leader has run for longer than this one has watched it: taken
+        # for its run time, that made every estimate far too short after a failover.
+        watched_whole_run = not attempt.checkpointed_us and not attempt.adopted
+        if attempt.running_since_us and watched_whole_run:
+            effect.run_times.append((job, self._at_us - attempt.running_since_us))
         if not attempt.adopted:
-            outcome.verified_start_us = max(outcome.verified_start_us, attempt.running_since_us)
-        cluster.release(attempt, completed=True)
+            effect.verified_start_us = max(effect.verified_start_us, attempt.running_since_us)
+        self._cluster.release(attempt, completed=True)
         job.checkpoints_us.pop(attempt.index, None)
-        outcome.completed.append(job)
-        return
-    if attempt.running_since_us and job.spec.checkpoint_s > 0:
-        ran_us = attempt.elapsed_us(at_us)
-        step_us = seconds_us(job.spec.checkpoint_s)
-        job.checkpoints_us[attempt.index] = ran_us if task.saved else ran_us // step_us * step_us
-    cluster.release(attempt)
-    outcome.lost.append((attempt, task.why or "no cause"))
-    if task.why in ("error", None):
-        outcome.failed.append(attempt)
-    elif task.why in ("no_room", "busy", "unknown"):
-        # The worker disagrees with our picture, or cannot know the job yet: not at once
-        # again, or the same refusal would go back and forth with every report.
-        job.not_before_us = max(job.not_before_us, at_us + seconds_us(1.0))
-        log.info("%s refused on %s: %s", attempt.task, machine.name, task.why)
-
-
-def _unknown(
-    cluster: Cluster,
-    machine: Machine,
-    task: ReportedTask,
-    at_us: int,
-    outcome: HeartbeatEffect,
-    shows_token: bool,
-) -> Attempt | None:
-    """Deal with an attempt that this leader has not started here, as its verdict says."""
-    key = (task.task, task.attempt)
-    if key in machine.unacknowledged:
-        return None
-    verdict = judge_attempt(cluster, machine, task)
-    job, index = locate(cluster, task)
-    if verdict in _WAIT_FOR_TOKEN and not shows_token and not (job is not None and job.unwanted):
-        # What is cancelled has to go wherever it is: no answer renews its lease without a kill.
-        return None
-    if key not in machine.orphans:
-        outcome.verdicts[verdict] = outcome.verdicts.get(verdict, 0) + 1
-    match verdict:
-        case AttemptVerdict.FINISHED | AttemptVerdict.ENDED:
-            machine.unacknowledged.add(key)
-            cluster.remove_orphans(machine, {key} & machine.orphans)
-            if verdict is AttemptVerdict.FINISHED and job is not None:
-                job.complete_waiting(index)
-                outcome.completed.append(job)
-            elif job is not None and task.why == "halted":
-                # Stopped by an earlier leader that may have had no time to write it down.
-                job.restart_first(index, machine.name)
+        effect.completed.append(job)
+
+    def _judge_unknown(self, task: ReportedTask) -> Attempt | None:
+        """Carry out the verdict on an attempt that this leader has not started here.
+
+        Return the attempt if it counts from now on.
+        """
+        key = (task.task, task.attempt)
+        machine, cluster = self._machine, self._cluster
+        if key in machine.unacknowledged:
+            return None
+        verdict = judge_attempt(cluster, machine, task)
+        job, index = locate(cluster, task)
+        has_to_go = job is not None and job.unwanted
+        if verdict in _NEED_CURRENT_TOKEN and not self._shows_token and not has_to_go:
+            # What is cancelled is stopped wherever it is: no answer renews its lease without a
+            # kill.
             return None
-        case (
-            AttemptVerdict.ADOPTED
-            | AttemptVerdict.CANCELLED
-            | AttemptVerdict.OVER_LIMIT
-            | AttemptVerdict.CROWDED
-        ) if job is not None:
-            # It may have been a second attempt until the first was gone.
-            cluster.remove_orphans(machine, {key} & machine.orphans)
-            attempt = _adopt(cluster, machine, job, index, task, at_us)
-            if verdict is AttemptVerdict.CROWDED:
-                cluster.stop(attempt, StopRequest.HARD, at_us, "no room by the books")
-            return attempt
-    if verdict is AttemptVerdict.UNRECORDED and key not in machine.orphans:
-        log.info("%s reports %s, which nothing on record names", machine.name, task.task)
-    # It must go, and until then nothing new is placed on this machine.
-    cluster.add_orphan(machine, key, job, at_us)
-    return None
-
-
-def _adopt(
-    cluster: Cluster, machine: Machine, job: Job, index: int, task: ReportedTask, at_us: int
-) -> Attempt:
-    """Count an attempt that an earlier leader started."""
-    attempt = Attempt(job, index, task.attempt, machine.name, at_us)
-    attempt.phase = _PHASES[task.state]
-    attempt.adopted = attempt.phase is not AttemptPhase.PULLING
-    if attempt.phase is not AttemptPhase.PULLING:
-        attempt.running_since_us = at_us
-        machine.record_image(job.spec.image, job.spec.image_gb)
-    cluster.adopt(attempt, machine)
-    if job.unwanted:
-        cluster.stop(attempt, StopRequest.HARD, at_us, "cancelled")
-    elif attempt.phase is AttemptPhase.SAVING:
-        # Whoever led before has stopped it: it goes, and what it holds is being freed. Taken
-        # for one that runs, its team could lose as much once more in the first pass.
-        cluster.stop(attempt, StopRequest.SOFT, at_us, "stopped by an earlier leader")
-    return attempt
+        if key not in machine.orphans:
+            self._effect.verdicts[verdict] = self._effect.verdicts.get(verdict, 0) + 1
+        match verdict:
+            case AttemptVerdict.FINISHED | AttemptVerdict.ENDED:
+                self._acknowledge_ended(verdict, job, index, task)
+                return None
+            case (
+                AttemptVerdict.ADOPTED
+                | AttemptVerdict.CANCELLED
+                | AttemptVerdict.OVER_LIMIT
+                | AttemptVerdict.CROWDED
+            ) if job is not None:
+                # It may have been a second attempt until the first was gone.
+                cluster.remove_orphans(machine, {key} & machine.orphans)
+                attempt = self._adopt(job, index, task)
+                if verdict is AttemptVerdict.CROWDED:
+                    cluster.stop(attempt, StopRequest.HARD, self._at_us, "no room by the books")
+                return attempt
+        if verdict is AttemptVerdict.UNRECORDED and key not in machine.orphans:
+            log.info("attempt of no recorded job: %s on machine %s", task.task, machine.name)
+        # It is killed, and nothing new is placed on this machine until it is gone.
+        cluster.add_orphan(machine, key, job, self._at_us)
+        return None
+
+    def _acknowledge_ended(
+        self, verdict: AttemptVerdict, job: Job | None, index: int, task: ReportedTask
+    ) -> None:
+        """Take the end of an attempt that this leader has not started."""
+        key = (task.task, task.attempt)
+        self._machine.unacknowledged.add(key)
+        self._cluster.remove_orphans(self._machine, {key} & self._machine.orphans)
+        if job is None:
+            return
+        if verdict is AttemptVerdict.FINISHED:
+            job.complete_waiting(index)
+            self._effect.completed.append(job)
+        elif task.why == "halted":
+            # Preempted by an earlier leader that may have had no time to record it.
+            job.restart_first(index, self._machine.name)
+
+    def _adopt(self, job: Job, index: int, task: ReportedTask) -> Attempt:
+        """Count an attempt that an earlier leader started."""
+        attempt = Attempt(job, index, task.attempt, self._machine.name, self._at_us)
+        attempt.phase = _PHASES[task.state]
+        attempt.adopted = attempt.phase is not AttemptPhase.PULLING
+        if attempt.adopted:
+            attempt.running_since_us = self._at_us
+            self._machine.record_image(job.spec.image, job.spec.image_gb)
+        self._cluster.adopt(attempt, self._machine)
+        if job.unwanted:
+            self._cluster.stop(attempt, StopRequest.HARD, self._at_us, "cancelled")
+        elif attempt.phase is AttemptPhase.SAVING:
+            # An earlier leader has stopped it, so what it holds is being freed: counted as
+            # running, its team could lose as much once more in the first preemption pass.
+            reason = "stopped by an earlier leader"
+            self._cluster.stop(attempt, StopRequest.SOFT, self._at_us, reason)
+        return attempt
+
+    # -- what is not listed ------------------------------------------------------------------
+
+    def _release_unlisted(self) -> None:
+        """Release attempts that the worker does not list and surely will not start."""
+        attempts = self._machine.attempts
+        if attempts.keys() <= self._seen:
+            return
+        for attempt in list(attempts.values()):
+            may_be_on_its_way = attempt.sent_directly or attempt.unconfirmed_since_us
+            if attempt.task in self._seen or may_be_on_its_way:
+                continue
+            if attempt.phase is AttemptPhase.ASSIGNED:
+                self._release_unstarted(attempt)
+            elif self._was_reconciled:
+                self._release(attempt, "gone from its worker")
+
+    def _release_unstarted(self, attempt: Attempt) -> None:
+        stopped = attempt.stop_request is not StopRequest.NO
+        if attempt.sent_sequence is None:
+            if stopped:
+                # Asked to stop while a direct request could not be connected: neither ``run``
+                # nor ``kill`` would ever be sent.
+                self._release(attempt, "withdrawn before it was sent")
+            return
+        is_next = self._heartbeat.sequence > attempt.sent_sequence
+        if is_next and self._source is MessageSource.HEARTBEAT:
+            # A worker has one heartbeat in flight: its next one shows that the answer to the last
+            # one was either executed or dropped for good.
+            attempt.sent_sequence = None
+            if stopped:
+                self._release(attempt, "withdrawn before it was started")
--- a/weldhead/emulator/checker.py
+++ b/weldhead/emulator/checker.py
@@ -10,25 +10,32 @@
 from collections import Counter, defaultdict, deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.records import FinalRecord, JobRecord, final_key, job_key
 from weldhead.emulator.serving import Course, unserved
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import JobSpec, MachineType, split_task
+from weldhead.protocol.wire import JobSpec, JobStatus, MachineType, split_task
 from weldhead.site.store.model import Store
 from weldhead.transport.state_client import decode
 
-if TYPE_CHECKING:
-    from weldhead.emulator.calendars import CalendarRules
-
 #: A user that is answered nothing for so long, while most others are, was forgotten; and once
 #: troubles are over, however others fare.
 FORGOTTEN_US = 90 * SECOND_US
 FORGOTTEN_IN_CALM_US = 75 * SECOND_US
 
 
+class DeadlineObserver(Protocol):
+    """Follows what records and answers say of calendar deadlines."""
+
+    def recorded(self, record: JobRecord) -> None:
+        """A job's record was written."""
+
+    def told(self, status: JobStatus) -> None:
+        """A user was answered."""
+
+
 @dataclass(frozen=True)
 class Site:
     """Where a task is: its machine, and whether it may still be there (leases end)."""
@@ -89,7 +96,7 @@
     on_told_to_stop: list[Callable[[str, str], None]] = field(default_factory=list)
     #: Who is told of a job as the last of its tasks has completed.
     on_complete: list[Callable[[str], None]] = field(default_factory=list)
-    calendars: "CalendarRules | None" = None
+    calendars: DeadlineObserver | None = None
     #: The longest that a task went on after a user was told that its job is withdrawn.
     longest_cancelled_us: int = 0
     #: Seconds of work that tasks have saved.
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -10,9 +10,9 @@
 
 from weldhead.clock import SECOND_US, now_us
 from weldhead.controller.configuration import late_notifications as lateness
+from weldhead.controller.configuration.document_file import parse_source
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.records import DocumentSet
-from weldhead.documents.source import parse_source
 from weldhead.emulator.calendars import CalendarRules
 from weldhead.emulator.cards import CardRules, Holding
 from weldhead.emulator.checker import Checker
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/planted.py
@@ -21,22 +21,24 @@
 from weldhead.cluster_state.records import LEADER_KEY, CalendarDeadline, FinalRecord, JobRecord
 from weldhead.controller.configuration import gate_binder, gate_keeper
 from weldhead.controller.fleet.rental_manager import RentalManager
-from weldhead.controller.leadership import leader, leader_election
-from weldhead.controller.leadership.leader import Leader
+from weldhead.controller.leadership import leader_election
 from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.leader_lease import LeaderLease
 from weldhead.controller.leadership.term_recovery import TermRecovery
 from weldhead.controller.requests import request_handler
 from weldhead.controller.requests.job_dependencies import JobDependencies
+from weldhead.controller.requests.job_status import JobStatusReporter
 from weldhead.controller.requests.request_handler import RequestHandler
-from weldhead.controller.workers import heartbeat_reconciler, reachability_monitor
+from weldhead.controller.workers import heartbeat_handler, reachability_monitor
+from weldhead.controller.workers.heartbeat_handler import HeartbeatHandler
+from weldhead.controller.workers.heartbeat_reconciler import _HeartbeatReconciler
 from weldhead.controller.workers.machine_monitor import MachineMonitor
 from weldhead.documents.cache import DocumentCache
 from weldhead.failure_attribution import failure_tracker
 from weldhead.failure_attribution.judgement import FailureEvidence
 from weldhead.gates.gate_state import GateState
 from weldhead.protocol.peer import PromiseAnswer, PromiseRequest
-from weldhead.protocol.wire import Condition, DeleteKey, Heartbeat, JobStatus, PutKey
+from weldhead.protocol.wire import Condition, DeleteKey, Heartbeat, JobStatus, PutKey, ReportedTask
 from weldhead.quota.teams import QuotaAccount
 from weldhead.reachability.evidence import DeliveryEvidence
 from weldhead.reachability.freshness import Freshness
@@ -81,13 +83,13 @@
 
 def _told_before_committed() -> Iterator[Any]:
     """A job whose tasks have all completed is called done before that is committed."""
-    status_of = Leader._status_of
+    status_of = JobStatusReporter._status_of
 
-    def early(self: Leader, job: Job) -> JobStatus:
+    def early(self: JobStatusReporter, job: Job) -> JobStatus:
         answer = status_of(self, job)
         return JobStatus(job.id, "done", job.done, 0) if job.complete else answer
 
-    yield patch.object(Leader, "_status_of", early)
+    yield patch.object(JobStatusReporter, "_status_of", early)
 
 
 def _does_not_wait() -> Iterator[Any]:
@@ -102,7 +104,7 @@
 
 def _in_flight_not_counted() -> Iterator[Any]:
     """A team's usage leaves out attempts that no worker has listed yet."""
-    start, release, moved_on = Cluster.start, Cluster.release, heartbeat_reconciler._moved_on
+    start, release, advance = Cluster.start, Cluster.release, _HeartbeatReconciler._advance
     uncounted: dict[int, Attempt] = {}
 
     def begin(self: Cluster, *args: Any) -> Attempt:
@@ -119,13 +121,13 @@
         count(self, attempt)
         release(self, attempt, **more)
 
-    def first_listed(cluster: Cluster, machine: Any, attempt: Attempt, *rest: Any) -> None:
-        count(cluster, attempt)
-        moved_on(cluster, machine, attempt, *rest)
+    def first_listed(self: _HeartbeatReconciler, attempt: Attempt, task: ReportedTask) -> None:
+        count(self._cluster, attempt)
+        advance(self, attempt, task)
 
     yield patch.object(Cluster, "start", begin)
     yield patch.object(Cluster, "release", end)
-    yield patch.object(heartbeat_reconciler, "_moved_on", first_listed)
+    yield patch.object(_HeartbeatReconciler, "_advance", first_listed)
 
 
 def _any_failure_accuses() -> Iterator[Any]:
@@ -218,7 +220,7 @@
 
 def _late_report_applied() -> Iterator[Any]:
     """What a report lists is taken for what runs, however old it is."""
-    yield patch.object(leader, "is_newer", lambda *_: True)
+    yield patch.object(heartbeat_handler, "is_newer", lambda *_: True)
     yield patch.object(reachability_monitor, "freshness_of", lambda *_: Freshness.FRESH)
 
 
@@ -309,13 +311,13 @@
 
 def _old_report_taken_before_the_load() -> Iterator[Any]:
     """What a leader hears before it is loaded is taken for what runs then, however old it is."""
-    apply = Leader._apply_buffered
+    apply = HeartbeatHandler.apply_buffered
 
-    def take(self: Leader, early: BufferedHeartbeat) -> None:
-        shown = structs.replace(early.heartbeat, token=self.token)
+    def take(self: HeartbeatHandler, early: BufferedHeartbeat) -> None:
+        shown = structs.replace(early.heartbeat, token=self._term.token)
         apply(self, replace(early, heartbeat=shown))
 
-    yield patch.object(Leader, "_apply_buffered", take)
+    yield patch.object(HeartbeatHandler, "apply_buffered", take)
     # Of several the first that came stays.
     yield patch.object(early_reports, "_order", lambda _: (0, 0))
 
--- a/weldhead/protocol/validation.py
+++ b/weldhead/protocol/validation.py
@@ -1,27 +1,32 @@
-"""Judging submissions: 400 for what is malformed, 422 for what can never run."""
+"""Checks of a submission that need nothing but the submission."""
 
 import math
 import re
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 
 import msgspec
 
-from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import MAX_TASKS, JobSpec, MachineType
-from weldhead.quota.amounts import required_units
-from weldhead.quota.teams import bounds_of
+from weldhead.protocol.wire import MAX_TASKS, JobSpec
 
 #: The one form of job ids.
 JOB_ID = re.compile(r"run-[0-9]{1,24}", re.ASCII)
 
+
 #: Strings that end up in keys, records and logs stay short.
 MAX_NAME = 200
 
+
 _PATH = re.compile(r"`\$\.?([A-Za-z_]*)")
+
+
 _MISSING = re.compile(r"missing required field `([^`]+)`")
-_WIRE_NAMES: Mapping[str, str] = dict(
+
+
+WIRE_NAMES: Mapping[str, str] = dict(
     zip(JobSpec.__struct_fields__, JobSpec.__struct_encode_fields__, strict=True)
 )
+
+
 _decoder = msgspec.json.Decoder(JobSpec, strict=True)
 
 
@@ -41,12 +46,12 @@
 
 
 def _malformed(field: str, reason: str) -> SubmissionRefusedError:
-    wire = _WIRE_NAMES[field]
+    wire = WIRE_NAMES[field]
     return SubmissionRefusedError(400, f"{wire}: {reason}", wire)
 
 
 def parse_submission(body: bytes) -> JobSpec:
-    """Decode a submission; Refusal(400) if it is malformed."""
+    """Decode a submission; SubmissionRefusedError(400) if it is malformed."""
     try:
         spec = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -87,36 +92,16 @@
 
 def refuse_need(job_id: str, reason: str) -> SubmissionRefusedError:
     """Return the refusal of a submission for one of the jobs that it names."""
-    wire = _WIRE_NAMES["needs"]
+    wire = WIRE_NAMES["needs"]
     return SubmissionRefusedError(422, f"{wire}: {job_id} {reason}", wire)
 
 
 def check_size(spec: JobSpec, size: int, limit: int) -> None:
-    """Refusal(422) if a job's record cannot be stored within the limit, in bytes.
+    """SubmissionRefusedError(422) if a job's record cannot be stored within the limit, in bytes.
 
     No promise is made that could not be kept: such a job could never be written down.
     """
     if size > limit:
-        field = _WIRE_NAMES["needs"] if spec.needs else _WIRE_NAMES["id"]
+        field = WIRE_NAMES["needs"] if spec.needs else WIRE_NAMES["id"]
         reason = f"the job's record takes {size} bytes, and a value has at most {limit}"
         raise SubmissionRefusedError(422, f"{field}: {reason}", field)
-
-
-def check_feasible(
-    spec: JobSpec, teams: Mapping[str, Team], catalog: Sequence[MachineType]
-) -> None:
-    """Refusal(422) if the job can never run."""
-    team = teams.get(spec.team)
-    if team is None:
-        raise SubmissionRefusedError(422, "unknown team", _WIRE_NAMES["team"])
-    if not any(machine_type.fits(spec) for machine_type in catalog):
-        raise SubmissionRefusedError(
-            422, "a task fits no allowed machine type", _WIRE_NAMES["types"]
-        )
-    at_once = spec.tasks if spec.is_service else 1
-    for field, limit in zip(("cpus", "gpus"), bounds_of(team).limit, strict=True):
-        # Exact: 0.1 times 3 is no more than a limit of 0.3.
-        if required_units(getattr(spec, field)) * at_once > limit:
-            raise SubmissionRefusedError(
-                422, "needs more than the team's limit", _WIRE_NAMES[field]
-            )
--- a/weldhead/reconciliation/buffered_heartbeats.py
+++ b/weldhead/reconciliation/buffered_heartbeats.py
@@ -5,18 +5,26 @@
 records, the newest message of each machine. Times are microseconds of the steady clock.
 """
 
+import enum
 from dataclasses import dataclass
 
 from weldhead.protocol.wire import Heartbeat
 
 
+class MessageSource(enum.Enum):
+    """In which kind of message a worker told its state."""
+
+    HEARTBEAT = "heartbeat"
+    #: The body of a direct command's answer, or of a probe's.
+    COMMAND_ANSWER = "command answer"
+
+
 @dataclass
 class BufferedHeartbeat:
     """The newest message of a machine, and when its last report was answered (0: never)."""
 
     heartbeat: Heartbeat
-    #: It was the body of a direct command's answer.
-    direct: bool
+    source: MessageSource
     answered_us: int
     relayed: bool
     #: This very message was a report and was answered.
@@ -45,14 +53,18 @@
         """
         kept = self._kept.get(report.machine)
         if kept is None:
-            self._kept[report.machine] = BufferedHeartbeat(report, False, at_us, relayed, True)
+            self._kept[report.machine] = BufferedHeartbeat(
+                report, MessageSource.HEARTBEAT, at_us, relayed, True
+            )
             return True
         if _order(report) < _order(kept.heartbeat):
             return False
         if _order(report) == _order(kept.heartbeat):
             # The same once more: its sender had sent it when it was first counted.
             return True
-        kept.heartbeat, kept.direct, kept.answered = report, False, True
+        kept.heartbeat = report
+        kept.source = MessageSource.HEARTBEAT
+        kept.answered = True
         kept.answered_us, kept.relayed = at_us, relayed
         return True
 
@@ -60,17 +72,25 @@
         """Keep what a machine answered to a direct request, unless something newer is here."""
         kept = self._kept.get(report.machine)
         if kept is None:
-            self._kept[report.machine] = BufferedHeartbeat(report, True, 0, False)
+            self._kept[report.machine] = BufferedHeartbeat(
+                report, MessageSource.COMMAND_ANSWER, 0, False
+            )
         elif _order(report) > _order(kept.heartbeat):
-            kept.heartbeat, kept.direct, kept.answered = report, True, False
+            kept.heartbeat = report
+            kept.source = MessageSource.COMMAND_ANSWER
+            kept.answered = False
 
     def add_unanswered(self, report: Heartbeat, *, relayed: bool) -> None:
         """Keep a report that is not answered, unless something newer is here."""
         kept = self._kept.get(report.machine)
         if kept is None:
-            self._kept[report.machine] = BufferedHeartbeat(report, False, 0, relayed)
+            self._kept[report.machine] = BufferedHeartbeat(
+                report, MessageSource.HEARTBEAT, 0, relayed
+            )
         elif _order(report) > _order(kept.heartbeat):
-            kept.heartbeat, kept.direct, kept.answered = report, False, False
+            kept.heartbeat = report
+            kept.source = MessageSource.HEARTBEAT
+            kept.answered = False
 
     def take(self) -> list[BufferedHeartbeat]:
         """Return everything, and keep nothing."""
--- a/weldhead/calendars/lateness.py
+++ b/weldhead/scheduling/forecast/deadline_lateness.py
@@ -8,14 +8,12 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
+from weldhead.calendars.deadline_table import SOON_US
 from weldhead.calendars.formatting import span, utc
-from weldhead.clock import SECOND_US
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Job
 from weldhead.scheduling.forecast.completion_times import BootForecast, holding_up
 
-#: What the line of a takeover counts one by one.
-SOON_US = 3600 * SECOND_US
 #: How many late jobs that line names.
 NAMED = 5
 
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -14,16 +14,15 @@
 
 from collections.abc import Iterable
 from heapq import heapify, heappop, heapreplace
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple, Protocol
 
 from weldhead.clock import SECOND_US, seconds_us
+from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.protocol.wire import JobSpec
 from weldhead.quota.amounts import required_units
-
-if TYPE_CHECKING:
-    from weldhead.scheduling.preemption.preemption_pass import PreemptionPass
+from weldhead.quota.teams import QuotaAccount
 
 #: Machines on which the claimant's image takes about as long to fetch are equals.
 FETCH_STEP_US = 5 * SECOND_US
@@ -62,6 +61,25 @@
     return seconds_us(spec.image_gb / (machine.type.fetch_gb_per_s or 1.0))
 
 
+class PassRules(Protocol):
+    """What GPU claims ask of the preemption pass that they belong to."""
+
+    cluster: Cluster
+    quota_account: QuotaAccount
+
+    def capacity(self, name: str) -> list[float] | None:
+        """Return what is free or being freed on a machine; None: nothing may be put there."""
+
+    def may_be_on(self, claimant: Job, machine: Machine) -> bool:
+        """Whether a task of the claimant may be on a machine."""
+
+    def may_stop(self, claimant: Job, victim: Attempt, guaranteed: bool) -> bool:
+        """Whether the rules let the claimant stop this task."""
+
+    def key_of(self, attempt: Attempt) -> tuple[int, ...]:
+        """Sort the tasks of a job, the first one stops first."""
+
+
 class GpuClaims:
     """Claims on cards within one pass.
 
@@ -71,7 +89,7 @@
     otherwise the machine is put in its place anew.
     """
 
-    def __init__(self, run: "PreemptionPass") -> None:
+    def __init__(self, run: PassRules) -> None:
         self._run = run
         holders = sorted(run.cluster.active_jobs.values(), key=gpu_holder_key)
         self._rank = {job.id: number for number, job in enumerate(holders)}
--- a/weldhead/serving.py
+++ b/weldhead/serving.py
@@ -85,7 +85,7 @@
 
     offer = None
     if documents_file is not None:
-        from weldhead.documents.source import read_source
+        from weldhead.controller.configuration.document_file import read_source
         from weldhead.tomlfiles import FileProblemError
 
         try:
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -11,7 +11,6 @@
 from typing import TypeVar
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.membership.peer_verdict import PeerObservation
 from weldhead.protocol.peer import (
     ForwardedAnswer,
     Hello,
@@ -80,11 +79,6 @@
         """Whether the peer answered lately."""
         return self.connected and at_us - self.last_message_us < within_us
 
-    def observation(self) -> PeerObservation:
-        """Return what there is of the peer."""
-        heard_us = max(self.last_message_us, self.last_request_us)
-        return PeerObservation(self.name, self.connected, self.refused_us, self.lost_us, heard_us)
-
     def next_id(self) -> int:
         """Return a request id."""
         self._next_id += 1
