--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -315,7 +315,7 @@
         async def gone(*_: Any, **__: Any) -> None:
             raise CallError("down")
 
-        front._read_record = gone  # type: ignore[method-assign]
+        front.reader.read_record = gone  # type: ignore[method-assign]
         return await front.poll("run-000001")
 
     status, body = run(poll())
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -10,6 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.clocks import set_request_clock
 from tests.stand_ins import StandInState
 from tests.test_users import GOOD_BODY, JOB, OTHER_BODY, StandInNode, run
 from tests.test_wire import SETTINGS
@@ -26,7 +27,6 @@
 from weldhead.clock import now_us
 from weldhead.controller.memory_monitor import MIB, READING_US, MemoryMonitor
 from weldhead.controller.process import ControllerProcess
-from weldhead.controller.requests import request_handler as frontdesk
 from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol import peer
 from weldhead.protocol.settings import SettingsError, Team, parse_settings
@@ -98,7 +98,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     used, at_us = [50 * MIB], [now_us()]
-    monkeypatch.setattr(frontdesk, "now_us", lambda: at_us[0])
+    set_request_clock(monkeypatch, lambda: at_us[0])
     memory = MemoryMonitor(100.0, lambda: used[0])
     state = cast(Any, StandInState())
     desk = RequestHandler(StandInNode(), state, [Team("red", 8, 16)], memory=memory)
--- a/tests/test_short_jobs.py
+++ b/tests/test_short_jobs.py
@@ -13,7 +13,7 @@
 from weldhead.cluster_state.records import FINAL, JOBS
 from weldhead.controller.process import ControllerProcess
 from weldhead.controller.requests.completions import FINALS_KEPT
-from weldhead.controller.requests.request_handler import KEPT
+from weldhead.controller.requests.job_status_reader import MAX_REMEMBERED
 from weldhead.controller.workers.heartbeat_forwarding import (
     CAME_BACK_US,
     MOST_REMEMBERED,
@@ -34,8 +34,8 @@
 def kept(node: ControllerProcess) -> Counter[str]:
     """How much a controller keeps: of jobs that are over, and that is bounded otherwise."""
     sizes = Counter(
-        desk=len(node._request_handler._finals),
-        waiting=len(node._request_handler._poll_limiter._waiting),
+        desk=len(node._request_handler.reader.finals),
+        waiting=len(node._request_handler.polls.limiter._waiting),
     )
     leader = node.leader
     if leader is not None and leader.loaded:
@@ -88,7 +88,7 @@
     assert store.writes < WRITES_A_JOB * jobs + OTHER_WRITES
     assert most["starts of jobs that are over"] == most["versions of jobs that are over"] == 0
     assert most["versions"] < OTHER_KEYS
-    assert most["finals"] <= FINALS_KEPT and most["desk"] <= KEPT
+    assert most["finals"] <= FINALS_KEPT and most["desk"] <= MAX_REMEMBERED
     assert most["waiting"] < jobs / 2
 
 
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from tests.builders import job_spec
+from tests.clocks import set_request_clock
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, put_job
 from tests.test_users import GOOD_BODY, JOB, StandInNode, desk, run
@@ -21,7 +22,6 @@
 from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.leader_lease import Candidacy, default_timing
 from weldhead.controller.process import ControllerProcess
-from weldhead.controller.requests import request_handler as frontdesk
 from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol.peer import PromiseRequest
 from weldhead.protocol.settings import StateLimits, Team, parse_settings
@@ -64,7 +64,7 @@
         return await self._chance.choice(self.peers).poll(job_id, elsewhere=False)
 
     async def ask_home(self, job_id: str) -> Response | None:
-        homes = [self, *(cast(Follower, peer._controller) for peer in self.peers)]
+        homes = [self, *(cast(Follower, peer.reader._controller) for peer in self.peers)]
         # Any choice will do that all make alike.
         home = max(homes, key=lambda node: crc32(f"{job_id}{node.number * 7919}".encode()))
         if home is self:
@@ -78,7 +78,7 @@
 ) -> None:
     """Each node counted anew whoever came by only every half minute: some waited for 84 s."""
     clock, chance, state = Clock(), Random(seed), SmallStore()
-    monkeypatch.setattr(frontdesk, "now_us", clock)
+    set_request_clock(monkeypatch, clock)
     nodes = [Follower(chance, number) for number in range(3)]
     desks = [RequestHandler(node, cast(Any, state), [Team("red", 8, 16)], 3) for node in nodes]
     for node, own in zip(nodes, desks, strict=True):
--- a/tests/test_small_controller.py
+++ b/tests/test_small_controller.py
@@ -13,7 +13,8 @@
 from tests.stand_ins import StandInState
 from tests.test_users import JOB, StandInNode, desk
 from weldhead.clock import SECOND_US, now_us
-from weldhead.controller.requests import request_handler as frontdesk
+from weldhead.controller.requests import poll_handler
+from weldhead.controller.requests.poll_handler import MAX_FORWARDED_POLLS
 from weldhead.emulator.experiment import Result, play
 from weldhead.emulator.loop import BEGIN_S, CALLBACK_US, Life, simulated
 from weldhead.emulator.scenario import parse_scenario, read_scenario
@@ -48,7 +49,7 @@
 
 def test_a_storm_of_polls_that_is_passed_on_whole_costs_the_lease() -> None:
     """What the bound guards against; if this passes without, the scenario shows nothing."""
-    with patch.object(frontdesk, "POLLS_AT_LEADER", NO_BOUND):
+    with patch.object(poll_handler, "MAX_FORWARDED_POLLS", NO_BOUND):
         storms = map(small_controllers, STORMS)
         assert any(storm.counts["terms"] > 1 and storm.undecided_s > 1.0 for storm in storms)
 
@@ -107,13 +108,13 @@
     async def scene() -> None:
         node = SlowLeader()
         front = desk(StandInState(), node)
-        waiting = [asyncio.create_task(front.poll(JOB)) for _ in range(frontdesk.POLLS_AT_LEADER)]
+        waiting = [asyncio.create_task(front.poll(JOB)) for _ in range(MAX_FORWARDED_POLLS)]
         await asyncio.sleep(0)
         assert (await front.poll(JOB)).status == 404
         answers.set()
         assert {answer.status for answer in await asyncio.gather(*waiting)} == {200}
         assert (await front.poll(JOB)).status == 200
-        assert node.asked == frontdesk.POLLS_AT_LEADER + 1
+        assert node.asked == MAX_FORWARDED_POLLS + 1
 
     answers = asyncio.Event()
     asyncio.run(scene())
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -8,6 +8,7 @@
 import pytest
 
 from tests.builders import machine_type
+from tests.clocks import set_request_clock
 from tests.stand_ins import StandInState
 from tests.test_recovery import Clock, new_leader
 from tests.test_size import StandInCloud, settle
@@ -21,7 +22,7 @@
 from weldhead.controller.leadership.leader_lease import default_timing
 from weldhead.controller.leadership.peer_directory import FORWARD_US
 from weldhead.controller.process import PONG_US, ControllerProcess
-from weldhead.controller.requests import request_handler as frontdesk
+from weldhead.controller.requests import job_status_reader, poll_handler, request_handler
 from weldhead.protocol.peer import ForwardedAnswer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import KeyValue
@@ -73,13 +74,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock, state = Clock(), StandInState()
-    monkeypatch.setattr(frontdesk, "now_us", clock)
+    set_request_clock(monkeypatch, clock)
     assert run(desk(state).submit(GOOD_BODY))[0] == 201
     front, read = desk(state), state.get
 
     async def get(key: str, **more: Any) -> KeyValue | None:
         found = await read(key, **more)
-        clock.us += frontdesk.STALE_US + 1
+        clock.us += job_status_reader.MAX_STALENESS_US + 1
         return found
 
     assert run(front.poll(JOB))[0] == 200
@@ -89,11 +90,11 @@
 
 def test_polls_leave_the_store_to_others(monkeypatch: pytest.MonkeyPatch) -> None:
     clock, state = Clock(), StandInState()
-    monkeypatch.setattr(frontdesk, "now_us", clock)
+    set_request_clock(monkeypatch, clock)
     front, asked = desk(state), []
-    rate = state.limits.rps * frontdesk.POLL_SHARE
+    rate = state.limits.rps * request_handler.POLL_SHARE
     # Ten polls over the half that is kept for those that have waited.
-    front._poll_limiter._level = rate + 10 * frontdesk.POLL_REQUESTS
+    front.polls.limiter._level = rate + 10 * poll_handler.REQUESTS_PER_POLL
     for _ in range(50):
         asked.append(run(front.poll("run-999999"))[0])
     assert asked == [404] * 10 + [503] * 40
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -134,7 +134,7 @@
     """Its user was asked to come back, again and again, as long as others submitted much."""
     node = StandInNode()
     front = desk(StandInState(), node)
-    front._submission_limiter.admit = lambda *_: 7  # type: ignore[method-assign]
+    front.submissions.limiter.admit = lambda *_: 7  # type: ignore[method-assign]
     assert run(front.submit(GOOD_BODY))[0] == 503
     node.others["known"] = Response(200, b"{}")
     assert run(front.submit(GOOD_BODY))[0] == 200
--- a/tools/measure_memory.py
+++ b/tools/measure_memory.py
@@ -410,7 +410,7 @@
 
     front = desk(Counting(), StandInNode())
     # All at once: the share of each team would be used up after some.
-    front._submission_limiter.admit = lambda *_: 0  # type: ignore[method-assign]
+    front.submissions.limiter.admit = lambda *_: 0  # type: ignore[method-assign]
     bodies = [msgspec.json.encode(GOOD | {"uid": f"run-{n:06}"}) for n in range(count)]
 
     def build() -> object:
--- /dev/null
+++ b/weldhead/controller/requests/cancellation_handler.py
@@ -0,0 +1,50 @@
+"""Answering cancellations: only the leader cancels a job, as it knows what runs."""
+
+import msgspec
+
+from weldhead.controller.leadership.leader import NotReadyError
+from weldhead.controller.requests.controller_view import ControllerView, isolated_response
+from weldhead.controller.requests.job_status_reader import JobStatusReader
+from weldhead.protocol.validation import (
+    is_job_id,
+)
+from weldhead.protocol.wire import JobStatus
+from weldhead.transport.http_client import CallError
+from weldhead.transport.http_server import Response, refusal
+
+_encode = msgspec.json.Encoder().encode
+
+
+class CancellationHandler:
+    """Answers cancellations on one controller."""
+
+    def __init__(self, controller: ControllerView, reader: JobStatusReader) -> None:
+        self._controller = controller
+        self._reader = reader
+
+    async def cancel(self, job_id: str, *, forwarded: bool = False) -> Response:
+        """Cancel a job; only the leader does, as it knows what runs."""
+        if not is_job_id(job_id):
+            return refusal(404, "no such job")
+        if self._controller.isolated:
+            return isolated_response()
+        leader = self._controller.leader
+        if leader is None:
+            if not forwarded:
+                answer = await self._controller.ask_leader("cancel", job_id, b"")
+                if answer is not None:
+                    return answer
+            return refusal(503, "no leader", retry_after_s=1)
+        try:
+            answer_now = await leader.cancel(job_id)
+            if answer_now is not None:
+                return Response(200, _encode(answer_now))
+            stored = await self._reader.read_status(job_id)
+        except (CallError, NotReadyError):
+            return refusal(503, "cannot be decided yet", retry_after_s=1)
+        if stored is None:
+            return refusal(404, "no such job")
+        if stored.state in ("done", "withdrawn"):
+            return Response(200, _encode(JobStatus(job_id, stored.state)))
+        # Accepted by another node a moment ago, and taken up just now.
+        return refusal(503, "cannot be decided yet", retry_after_s=1)
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/planted.py
@@ -25,10 +25,10 @@
 from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.leader_lease import LeaderLease
 from weldhead.controller.leadership.term_recovery import TermRecovery
-from weldhead.controller.requests import request_handler
+from weldhead.controller.requests import submission_handler
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.requests.job_status import JobStatusReporter
-from weldhead.controller.requests.request_handler import RequestHandler
+from weldhead.controller.requests.job_status_reader import JobStatusReader
 from weldhead.controller.workers import heartbeat_handler, reachability_monitor
 from weldhead.controller.workers.heartbeat_handler import HeartbeatHandler
 from weldhead.controller.workers.heartbeat_reconciler import _HeartbeatReconciler
@@ -266,11 +266,11 @@
 
 def _follower_answers_from_an_old_read() -> Iterator[Any]:
     """A follower remembers the jobs that it has read, as if they could not change."""
-    read = RequestHandler._read_record
-    remembered: WeakKeyDictionary[RequestHandler, dict[str, JobRecord]] = WeakKeyDictionary()
+    read = JobStatusReader.read_record
+    remembered: WeakKeyDictionary[JobStatusReader, dict[str, JobRecord]] = WeakKeyDictionary()
 
     async def from_memory(
-        self: RequestHandler, job_id: str, *, urgent: bool = False
+        self: JobStatusReader, job_id: str, *, urgent: bool = False
     ) -> JobRecord | FinalRecord | None:
         records = remembered.setdefault(self, {})
         if self._controller.leader is None and job_id in records:
@@ -280,7 +280,7 @@
             records[job_id] = stored
         return stored
 
-    yield patch.object(RequestHandler, "_read_record", from_memory)
+    yield patch.object(JobStatusReader, "read_record", from_memory)
 
 
 def _lost_answer_as_a_refusal() -> Iterator[Any]:
@@ -353,22 +353,22 @@
 
 def _answer_from_an_old_read() -> Iterator[Any]:
     """A controller tells for two seconds what the store said once."""
-    from_store = RequestHandler._read_status
-    kept: dict[tuple[RequestHandler, str], tuple[int, JobStatus | None]] = {}
+    from_store = JobStatusReader.read_status
+    kept: dict[tuple[JobStatusReader, str], tuple[int, JobStatus | None]] = {}
 
-    async def old(self: RequestHandler, job_id: str, *, urgent: bool = False) -> JobStatus | None:
+    async def old(self: JobStatusReader, job_id: str, *, urgent: bool = False) -> JobStatus | None:
         at_us, read = kept.get((self, job_id), (0, None))
         if now_us() - at_us > 2 * SECOND_US:
             at_us, read = now_us(), await from_store(self, job_id, urgent=urgent)
             kept[self, job_id] = at_us, read
         return read
 
-    yield patch.object(RequestHandler, "_read_status", old)
+    yield patch.object(JobStatusReader, "read_status", old)
 
 
 def _any_job_accepted() -> Iterator[Any]:
     """A job is accepted whether or not it can ever run."""
-    yield patch.object(request_handler, "check_feasible", lambda *_: None)
+    yield patch.object(submission_handler, "check_feasible", lambda *_: None)
 
 
 def _cancelled_jobs_started() -> Iterator[Any]:
