--- a/tests/test_calendars.py
+++ b/tests/calendars/test_calendars.py
@@ -3,10 +3,9 @@
 import asyncio
 import logging
 from collections.abc import Iterator
-from datetime import UTC, date, datetime, time
+from datetime import date, datetime, time
 from itertools import islice
-from pathlib import Path
-from typing import Any, cast
+from typing import Any
 from zoneinfo import ZoneInfo
 
 import msgspec
@@ -14,11 +13,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import add_job, cluster, job_spec
-from tests.stand_ins import StandInState
-from tests.test_recovery import Clock, clock, fixed_clock, new_leader  # noqa: F401
-from tests.test_users import StandInNode, desk, run
-from tests.test_validation import GOOD
+from tests.support.builders import add_job, cluster, job_spec
+from tests.support.calendars import S, calendar, documents_of, put_edition, us
+from tests.support.leaders import Clock, fixed_clock, new_leader
+from tests.support.paths import ROOT
+from tests.support.stand_ins import StandInState
+from tests.support.submissions import GOOD
+from tests.support.users import StandInNode, desk, run
 from weldhead.calendars.binding import KIND, InstantsNotComputedError, bind, moved
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.calendars.calendar_state import (
@@ -34,10 +35,8 @@
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import CalendarDeadline, JobRecord, job_key
 from weldhead.cluster_state.states import GateStatus
-from weldhead.controller.configuration.calendar_binder import CalendarBinder
 from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
 from weldhead.controller.configuration.document_file import parse_source
-from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.configuration.run_time_history import KEY, RunTimeHistory
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.cache import DocumentCache
@@ -48,37 +47,22 @@
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.transport.http_client import CallError
-from weldhead.transport.state_client import StateClient
 
-S = 1_000_000
 H = 3600 * S
+
+
 ZONES = (
     "UTC", "Europe/Zagreb", "America/New_York", "Australia/Lord_Howe", "Pacific/Apia",
     "Asia/Kathmandu", "America/St_Johns", "Africa/Casablanca",
 )  # fmt: skip
 
 
-def calendar(**changes: Any) -> Calendar:
-    values: dict[str, Any] = {
-        "name": "morning", "zone": "Europe/Zagreb", "rule": "FREQ=DAILY",
-        "first_day": date(2026, 1, 1), "hour": "06:30", "classes": ["balance"],
-    }  # fmt: skip
-    return Calendar(**(values | changes))
-
-
-def us(text: str) -> int:
-    return round(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp()) * S
-
-
 def days_of(found: Calendar, after: str, most: int = 5) -> list[str]:
     zone = ZoneInfo(found.zone)
     stamps = islice(instants(found, us(after)), most)
     return [datetime.fromtimestamp(s / S, zone).strftime("%m-%d %H:%M") for s in stamps]
 
 
-# -- instants --------------------------------------------------------------------------------
-
-
 @given(st.sampled_from(ZONES), st.dates(date(2005, 1, 1), date(2035, 1, 1)), st.integers(0, 96 - 1))
 def test_an_instant_is_the_first_moment_at_which_it_is_that_late(
     name: str, day: date, quarter: int
@@ -142,7 +126,7 @@
 
 
 def test_the_example_that_operators_start_from_is_good() -> None:
-    text = (Path(__file__).parents[1] / "deploy" / "documents.toml").read_text()
+    text = (ROOT / "deploy" / "documents.toml").read_text()
     assert CalendarKeeper.validate(parse_source("documents.toml", text, 8_000)) is None
     wrong = parse_source("documents.toml", text.replace("FREQ=WEEKLY", "FREQ=HOURLY"), 8_000)
     assert str(CalendarKeeper.validate(wrong)).startswith("calendar/counters: rule: FREQ is one of")
@@ -171,8 +155,6 @@
     assert problem.value.field == field
 
 
-# -- changes of a calendar -------------------------------------------------------------------
-
 STAMPS = st.lists(st.integers(300, 400), min_size=1, max_size=8, unique=True).map(sorted)
 
 
@@ -220,9 +202,6 @@
     assert state.moved(CalendarDeadline("m", 1, 100 * S)).due_us == 100 * S
 
 
-# -- binding ---------------------------------------------------------------------------------
-
-
 def cache_with(found: Calendar, *stamps: int, edition: int = 3, **of: Any) -> DocumentCache:
     cache = DocumentCache()
     body = msgspec.json.encode(found)
@@ -257,22 +236,6 @@
     assert other.deadline is None and [c.key for c in other.conditions] == [HEAD_KEY]
 
 
-def documents_of(state: StandInState, offer: DocumentSet | None = None) -> DocumentReplica:
-    async def nobody(kind: str, job_id: str, body: bytes) -> None:
-        return None
-
-    documents = DocumentReplica(cast(StateClient, state), offer, nobody)
-    CalendarBinder(documents, S)
-    return documents
-
-
-def put_edition(state: StandInState, found: Calendar, edition: int) -> None:
-    offer = DocumentSet(edition, {f"{KIND}/{found.name}": msgspec.Raw(msgspec.json.encode(found))})
-    for step in steps(offer, [], 9):
-        for key, value in step.items():
-            state.put(key, value)
-
-
 def submission(number: int = 1, **changes: Any) -> bytes:
     body = GOOD | {"uid": f"run-{number:06}", "jobclass": "balance"}
     return msgspec.json.encode(body | changes)
@@ -345,9 +308,6 @@
     assert len(table) == 1
 
 
-# -- a term ----------------------------------------------------------------------------------
-
-
 class Terms:
     """One leader after the other over one store, each with its ledger only."""
 
@@ -383,7 +343,7 @@
 
 
 @pytest.fixture
-def terms(clock: Clock) -> Iterator[Terms]:  # noqa: F811
+def terms(clock: Clock) -> Iterator[Terms]:
     clock.us = us("2026-03-02 01:00")
     yield Terms(clock)
 
--- a/tests/test_text_files.py
+++ b/tests/cli/test_text_files.py
@@ -9,6 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.support.paths import ROOT
 from weldhead.cli import HIDDEN, VERBS, main
 from weldhead.client.config import ConfigProblem, client_settings, servers_of
 from weldhead.client.decisions import Failed, Missing, Refused, Step, Told
@@ -20,8 +21,6 @@
 from weldhead.site.description import controller_settings, parse_description, read_description
 from weldhead.tomlfiles import FileProblemError, line_of
 
-ROOT = Path(__file__).resolve().parent.parent
-
 
 @pytest.mark.parametrize(
     ("text", "line", "field"),
--- a/tests/test_client_loopback.py
+++ b/tests/client/test_loopback.py
@@ -19,8 +19,9 @@
 from opentelemetry.sdk.trace.export import SimpleSpanProcessor
 from opentelemetry.sdk.trace.export.in_memory_span_exporter import InMemorySpanExporter
 
-from tests.loopback import eventually, served
-from tests.stand_in_service import CuttingProxy, StandInService, in_a_thread
+from tests.support.loopback import eventually, served
+from tests.support.paths import ROOT
+from tests.support.stand_in_service import CuttingProxy, StandInService, in_a_thread
 from weldhead.client import client as client_module
 from weldhead.client.answers import Answer, Outcome
 from weldhead.client.client import Client, ClientSettings
@@ -32,7 +33,6 @@
 from weldhead.clock import wall_us
 from weldhead.site.http import Reply
 
-ROOT = Path(__file__).resolve().parent.parent
 JOB = Job(tasks=1, memory_gb=0.5)
 
 
--- a/tests/test_late_writes.py
+++ b/tests/cluster_state/test_late_writes.py
@@ -14,12 +14,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import job_spec, machine_type
-from tests.stand_ins import StandInState
-from tests.test_ledger import run
-from tests.test_recovery import new_leader, put_job
-from tests.test_size import StandInCloud, settle
-from tests.test_users import GOOD_BODY, JOB, StandInNode, desk
+from tests.support.builders import job_spec, machine_type
+from tests.support.fleets import StandInCloud, settle
+from tests.support.leaders import new_leader, put_job
+from tests.support.stand_ins import StandInState
+from tests.support.users import GOOD_BODY, JOB, StandInNode, desk
+from tests.support.writes import run
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import (
     LEADER_KEY,
--- a/tests/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -8,22 +8,22 @@
 import asyncio
 import itertools
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any, ClassVar, cast
 
 import msgspec
 import pytest
 
-from tests.builders import job_spec, machine_type
-from tests.loopback import eventually
-from tests.stand_ins import SharedState, StandInWorker
-from tests.test_calendars import calendar, documents_of, put_edition, us
-from tests.test_gates import CLASSES, KEY, gate
-from tests.test_handing_back import Site
-from tests.test_handing_back import play as play_site
-from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine  # noqa: F401
-from tests.test_size import StandInCloud
-from tests.test_users import GOOD_BODY, JOB, StandInNode, desk
+from tests.support.builders import job_spec, machine_type
+from tests.support.calendars import calendar, documents_of, put_edition, us
+from tests.support.fleets import StandInCloud
+from tests.support.gates import CLASSES, KEY, gate
+from tests.support.handing_back import Site
+from tests.support.handing_back import play as play_site
+from tests.support.leaders import Clock, leader_of, put_job, put_machine
+from tests.support.loopback import eventually
+from tests.support.paths import ROOT
+from tests.support.stand_ins import SharedState, StandInWorker
+from tests.support.users import GOOD_BODY, JOB, StandInNode, desk
 from weldhead.cluster_state.records import (
     LEADER_KEY,
     RENTALS,
@@ -66,7 +66,7 @@
     #: Whether what follows writes the same key anew.
     goes_on: ClassVar[bool] = False
 
-    def __init__(self, clock: Clock) -> None:  # noqa: F811
+    def __init__(self, clock: Clock) -> None:
         self.clock, self.state, self.cloud = clock, SharedState(), StandInCloud()
         put_job(self.state, job_spec(1, tasks=2, cpus=1.0, memory_gb=1.0))
         put_job(self.state, job_spec(2, tasks=1, cpus=1.0, needs=(ONE,)))
@@ -583,7 +583,7 @@
 
     key = "d/state/calendar/"
 
-    def __init__(self, clock: Clock) -> None:  # noqa: F811
+    def __init__(self, clock: Clock) -> None:
         clock.us = us("2026-03-02 01:00")
         super().__init__(clock)
 
@@ -618,7 +618,7 @@
 
 @pytest.mark.parametrize("replaced", [False, True])
 @pytest.mark.parametrize("kind", STORIES)
-def test_a_lost_answer(kind: type[Story], replaced: bool, clock: Clock) -> None:  # noqa: F811
+def test_a_lost_answer(kind: type[Story], replaced: bool, clock: Clock) -> None:
     """Others act by what they have read; the writer by nothing before it knows."""
 
     async def play() -> None:
@@ -772,7 +772,7 @@
 
 # -- whole sites ----------------------------------------------------------------------------------
 
-SCENARIO = Path(__file__).parents[1] / "deploy" / "scenarios" / "meet-lost-answers.toml"
+SCENARIO = ROOT / "deploy" / "scenarios" / "meet-lost-answers.toml"
 
 
 #: Kinds whose answers have to be lost within so many runs, and what others read meanwhile: the rest
--- a/tests/test_ledger.py
+++ b/tests/cluster_state/test_state_writer.py
@@ -7,7 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.stand_ins import StandInState
+from tests.support.stand_ins import StandInState
+from tests.support.writes import run
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY
 from weldhead.cluster_state.state_writer import LeadershipLostError, StateWriter
@@ -17,16 +18,6 @@
 FATES = st.lists(st.sampled_from(["ok", "refused", "lost", "unanswered", "late"]), max_size=12)
 
 
-def run(scenario: Any, monkeypatch: pytest.MonkeyPatch | None = None) -> None:
-    async def no_pause(_: float) -> None:
-        await original(0)
-
-    original = asyncio.sleep
-    with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("weldhead.cluster_state.state_writer.asyncio.sleep", no_pause)
-        asyncio.run(scenario)
-
-
 @given(FATES, st.lists(st.integers(0, 3), min_size=1, max_size=12), st.integers(0, 12))
 def test_the_last_value_written_stays(fates: list[str], keys: list[int], release: int) -> None:
     """A transaction that is applied late never puts an older value over a newer."""
--- a/tests/test_uneven_ends.py
+++ b/tests/cluster_state/test_uneven_ends.py
@@ -12,9 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.builders import job_spec
-from tests.stand_ins import StandInState, StandInWorker
-from tests.test_recovery import S, fixed_clock, leader_of, put_job, put_machine
+from tests.support.builders import job_spec
+from tests.support.leaders import S, fixed_clock, leader_of, put_job, put_machine
+from tests.support.stand_ins import StandInState, StandInWorker
 from weldhead.cluster_state.records import FINAL, decode_progress, final_key, job_key, progress_key
 from weldhead.controller.leadership.leader import Leader
 
--- a/tests/test_documents.py
+++ b/tests/controller/configuration/test_documents.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import job_spec
-from tests.stand_ins import StandInState
-from tests.test_recovery import START, put_job
+from tests.support.builders import job_spec
+from tests.support.leaders import START, put_job
+from tests.support.stand_ins import StandInState
 from weldhead.cluster_state.records import AdmissionBinding, CalendarDeadline, JobRecord, job_key
 from weldhead.cluster_state.state_writer import StateWriter
 from weldhead.controller.configuration.document_file import parse_source
--- a/tests/test_lone_leader.py
+++ b/tests/controller/leadership/test_isolated_leader.py
@@ -11,10 +11,10 @@
 import msgspec
 import pytest
 
-from tests.builders import job_spec
-from tests.stand_ins import StandInState
-from tests.test_recovery import new_leader, put_job, put_machine, report
-from tests.test_users import StandInNode, desk
+from tests.support.builders import job_spec
+from tests.support.leaders import new_leader, put_job, put_machine, report
+from tests.support.stand_ins import StandInState
+from tests.support.users import StandInNode, desk
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY, FinalRecord, final_key, job_key
 from weldhead.controller.requests.job_dependencies import DOUBT_US
--- a/tests/test_leadership.py
+++ b/tests/controller/leadership/test_leadership.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.builders import machine_type
-from tests.stand_ins import StandInState
-from tests.test_wire import SETTINGS
+from tests.support.builders import machine_type
+from tests.support.settings import SETTINGS
+from tests.support.stand_ins import StandInState
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY, UNSETTLED_KEY, LeaderRecord
 from weldhead.controller.leadership import leader_election as campaigning
--- a/tests/test_renewal.py
+++ b/tests/controller/leadership/test_lease_renewal.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.test_handing_back import Site, play
+from tests.support.handing_back import Site, play
 
 
 @pytest.mark.parametrize("slow_s", [0.6, 1.0])
--- a/tests/test_peer_directory.py
+++ b/tests/controller/leadership/test_peer_directory.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.builders import machine_type
+from tests.support.builders import machine_type
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LeaderRecord
 from weldhead.controller.leadership import peer_directory
--- a/tests/test_promises.py
+++ b/tests/controller/leadership/test_promises.py
@@ -11,9 +11,9 @@
 import msgspec
 import pytest
 
-from tests.test_handing_back import Site, play
-from tests.test_slow_store import SlowStore
-from tests.test_wire import SETTINGS
+from tests.support.handing_back import Site, play
+from tests.support.settings import SETTINGS
+from tests.support.slow_store import SlowStore
 from weldhead.controller.leadership.promises import began_by_us
 from weldhead.controller.process import ControllerProcess
 from weldhead.emulator.controller import Controller
--- a/tests/test_cancellation.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -12,10 +12,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import job_spec, machine_type
-from tests.stand_ins import StandInState, StandInTask, StandInWorker
-from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine, report
-from tests.test_wire import SETTINGS
+from tests.support.builders import job_spec, machine_type
+from tests.support.leaders import Clock, leader_of, new_leader, put_job, put_machine, report
+from tests.support.settings import SETTINGS
+from tests.support.stand_ins import StandInState, StandInTask, StandInWorker
 from weldhead.admission.team_rate_limiter import round_robin
 from weldhead.clock import now_us
 from weldhead.cluster_state.jobs import Job
@@ -37,7 +37,6 @@
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
-__all__ = ["clock"]
 
 
 # -- the argument, by its numbers ---------------------------------------------------------------
--- a/tests/test_chains.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -15,11 +15,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
-from tests.stand_ins import StandInState
-from tests.test_recovery import START, Clock, clock, fixed_clock, new_leader  # noqa: F401
-from tests.test_users import StandInNode, desk
-from tests.test_versions import OldFinal, OldJob
+from tests.support.builders import add_job, add_machine, cluster, job_spec, machine_type
+from tests.support.leaders import START, Clock, fixed_clock, new_leader
+from tests.support.old_formats import OldFinal, OldJob
+from tests.support.stand_ins import StandInState
+from tests.support.users import StandInNode, desk
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
@@ -64,7 +64,7 @@
 class World:
     """A store, the leader of the moment, and a loop on which only its ledger runs."""
 
-    def __init__(self, clock: Clock) -> None:  # noqa: F811
+    def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.loop = asyncio.new_event_loop()
         self.state = StandInState()
@@ -295,7 +295,7 @@
 
 
 @pytest.fixture
-def world(clock: Clock) -> Any:  # noqa: F811
+def world(clock: Clock) -> Any:
     world = World(clock)
     yield world
     world.close()
--- a/tests/test_memory.py
+++ b/tests/controller/test_memory_limit.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.clocks import set_request_clock
-from tests.stand_ins import StandInState
-from tests.test_users import GOOD_BODY, JOB, OTHER_BODY, StandInNode, run
-from tests.test_wire import SETTINGS
+from tests.support.clocks import set_request_clock
+from tests.support.settings import SETTINGS
+from tests.support.stand_ins import StandInState
+from tests.support.users import GOOD_BODY, JOB, OTHER_BODY, StandInNode, run
 from weldhead.admission.memory_gate import (
     ACCEPT_SHARE,
     COME_BACK_S,
--- a/tests/test_standstill.py
+++ b/tests/controller/test_process_pauses.py
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 
-from tests.builders import machine_type
-from tests.clocks import set_request_clock
-from tests.stand_ins import StandInState
-from tests.test_recovery import Clock, new_leader
-from tests.test_size import StandInCloud, settle
-from tests.test_users import GOOD_BODY, JOB, StandInNode, desk, run
-from tests.test_wire import SETTINGS
+from tests.support.builders import machine_type
+from tests.support.clocks import set_request_clock
+from tests.support.fleets import StandInCloud, settle
+from tests.support.leaders import Clock, new_leader
+from tests.support.settings import SETTINGS
+from tests.support.stand_ins import StandInState
+from tests.support.users import GOOD_BODY, JOB, StandInNode, desk, run
 from weldhead.clock import SECOND_US as S
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LeaderRecord
--- a/tests/test_slow_store.py
+++ b/tests/controller/test_slow_state_service.py
@@ -11,12 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import job_spec
-from tests.clocks import set_request_clock
-from tests.stand_ins import StandInState
-from tests.test_recovery import Clock, put_job
-from tests.test_users import GOOD_BODY, JOB, StandInNode, desk, run
-from tests.test_wire import SETTINGS
+from tests.support.builders import job_spec
+from tests.support.clocks import set_request_clock
+from tests.support.leaders import Clock, put_job
+from tests.support.settings import SETTINGS
+from tests.support.slow_store import SlowStore
+from tests.support.stand_ins import StandInState
+from tests.support.users import GOOD_BODY, JOB, StandInNode, desk, run
 from weldhead.clock import SECOND_US as S
 from weldhead.clock import now_us
 from weldhead.controller.leadership.leader_election import LeaderElection
@@ -25,7 +26,6 @@
 from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol.peer import PromiseRequest
 from weldhead.protocol.settings import StateLimits, Team, parse_settings
-from weldhead.protocol.wire import KeyValue
 from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response
 from weldhead.transport.state_client import LeaseNotFoundError, RateLimitedError
@@ -38,9 +38,6 @@
     return ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables()).election
 
 
-# -- who is asked about for long goes first, whichever node its users reach ---------------------
-
-
 class SmallStore(StandInState):
     """A store of so few requests that most polls are refused while nobody leads."""
 
@@ -104,26 +101,6 @@
     assert asyncio.run(scenario()) < 70 * S
 
 
-# -- promises ------------------------------------------------------------------------------------
-
-
-class SlowStore:
-    """A store that has what is asked for, in so many microseconds or in time for nobody."""
-
-    def __init__(self, answers: list[Any]) -> None:
-        self.answers = answers
-        self.patience: list[int] = []
-
-    async def get(self, key: str, *, urgent: bool, timeout_us: int) -> KeyValue | None:
-        self.patience.append(timeout_us)
-        answer = self.answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        if answer > timeout_us:
-            raise CallError("no answer in time")
-        return None
-
-
 @pytest.mark.parametrize(
     ("answers", "promised"),
     [
@@ -160,9 +137,6 @@
     assert campaign.candidacy.may_lead(now_us())
 
 
-# -- renewals ------------------------------------------------------------------------------------
-
-
 def test_a_renewal_that_finds_the_rate_used_up_hands_nothing_over() -> None:
     """All were served, so the leader gave up its term for one 429."""
     asks: list[int] = []
@@ -211,9 +185,6 @@
     assert ended == []
 
 
-# -- submissions ---------------------------------------------------------------------------------
-
-
 @given(st.lists(st.sampled_from(["refused", "lost", "late", "unanswered"]), max_size=5))
 def test_a_submission_in_doubt_is_accepted_once_whatever_is_carried_out_late(
     fates: list[str],
--- a/tests/test_small_controller.py
+++ b/tests/controller/test_small_controller.py
@@ -4,14 +4,14 @@
 """
 
 import asyncio
-from pathlib import Path
 from typing import Any, cast
 from unittest.mock import patch
 
 import pytest
 
-from tests.stand_ins import StandInState
-from tests.test_users import JOB, StandInNode, desk
+from tests.support.paths import ROOT
+from tests.support.stand_ins import StandInState
+from tests.support.users import JOB, StandInNode, desk
 from weldhead.clock import SECOND_US, now_us
 from weldhead.controller.requests import poll_handler
 from weldhead.controller.requests.poll_handler import MAX_FORWARDED_POLLS
@@ -21,7 +21,7 @@
 from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.http_server import Response
 
-SCENARIO = Path(__file__).parents[1] / "deploy" / "scenarios" / "small-controller.toml"
+SCENARIO = ROOT / "deploy" / "scenarios" / "small-controller.toml"
 SEED = 4
 #: One of these loses its lease if nothing bounds what is passed on; most did when written.
 STORMS = (SEED, 2, 5, 6)
--- a/tests/test_life_cycle.py
+++ b/tests/controller/workers/test_attempt_life_cycle.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.builders import TOKEN, add_job, job_spec, machine_type
-from tests.plain import plain_starts
-from tests.stand_ins import StandInWorker
+from tests.support.builders import TOKEN, add_job, job_spec, machine_type
+from tests.support.reference_decisions import plain_starts
+from tests.support.stand_ins import StandInWorker
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest, TaskState
--- a/tests/test_held_commands.py
+++ b/tests/controller/workers/test_delayed_commands.py
@@ -7,18 +7,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.builders import job_spec
-from tests.held_network import Network, Wire, settle
-from tests.loopback import eventually, served
-from tests.stand_ins import StandInState
-from tests.test_recovery import Clock, clock, fixed_clock, new_leader, put_job, put_machine
+from tests.support.builders import job_spec
+from tests.support.held_network import Network, Wire, settle
+from tests.support.leaders import Clock, fixed_clock, new_leader, put_job, put_machine
+from tests.support.loopback import eventually, served
+from tests.support.stand_ins import StandInState
 from weldhead.cluster_state.states import StopRequest
 from weldhead.site.http import Reply
 from weldhead.transport import worker_commands as workers
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
 S = 1_000_000
-__all__ = ["clock"]
 
 
 def test_what_was_to_stop_and_could_not_be_sent_is_gone(clock: Clock) -> None:
--- a/tests/test_old_reports.py
+++ b/tests/controller/workers/test_late_heartbeats.py
@@ -7,24 +7,14 @@
 
 import pytest
 
-from tests.builders import job_spec
-from tests.stand_ins import StandInState, StandInTask, StandInWorker
-from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine
+from tests.support.builders import job_spec
+from tests.support.leaders import Clock, leader_of, new_leader, put_job, put_machine
+from tests.support.meetings import deliver, meet
+from tests.support.stand_ins import StandInState, StandInTask, StandInWorker
 from weldhead.cluster_state.states import TaskState
-from weldhead.controller.leadership.leader import Leader
-from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer
+from weldhead.protocol.wire import Heartbeat
 
 S = 1_000_000
-__all__ = ["clock"]
-
-
-def deliver(leader: Leader, report: Heartbeat, at_us: int) -> HeartbeatAnswer:
-    async def scenario() -> HeartbeatAnswer | None:
-        return leader.handle_heartbeat(report, at_us, relayed=False)
-
-    answer = asyncio.run(scenario())
-    assert answer is not None
-    return answer
 
 
 def runs(worker: StandInWorker, task: str, attempt: int) -> Heartbeat:
@@ -33,13 +23,6 @@
     return worker.report()
 
 
-def meet(leader: Leader, worker: StandInWorker, at_us: int, *, heard: bool = True) -> None:
-    """Let a worker report once; ``heard``: the answer arrives."""
-    answer = deliver(leader, worker.report(), at_us)
-    if heard:
-        worker.answered(answer)
-
-
 @pytest.mark.parametrize("early", [False, True])
 def test_a_copy_that_comes_first_takes_no_place_from_what_runs(clock: Clock, early: bool) -> None:
     """It counted as the task's attempt; the one that ran was to be killed, and counted nowhere."""
--- a/tests/test_commands.py
+++ b/tests/controller/workers/test_run_commands.py
@@ -1,6 +1,6 @@
 """Each `run` is sent so that it cannot be executed a second time."""
 
-from tests.builders import add_job, add_machine, cluster, job_spec, report
+from tests.support.builders import add_job, add_machine, cluster, job_spec, report
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
 from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat
--- a/tests/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -3,12 +3,12 @@
 Which seeds show what depends on the order of sets of names too: `make test` fixes the hash.
 """
 
-from pathlib import Path
 from unittest.mock import patch
 
 import pytest
 
-from tests.builders import job_spec, machine_type
+from tests.support.builders import job_spec, machine_type
+from tests.support.paths import ROOT
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.emulator.cards import Holding
@@ -24,7 +24,7 @@
 from weldhead.site.store.model import Store
 from weldhead.tomlfiles import FileProblemError
 
-SCENARIOS = Path(__file__).parents[1] / "deploy" / "scenarios"
+SCENARIOS = ROOT / "deploy" / "scenarios"
 #: Each planted error is found within so many seeds of the scenario.
 FOUND_IN = dict.fromkeys(ERRORS, "drawn") | {
     "lease-from-the-answer": "slow-then-silent",
--- a/tests/test_combinations.py
+++ b/tests/emulator/test_fault_combinations.py
@@ -1,11 +1,11 @@
 """Faults drawn at random, and the reduction of what breaks a rule to what it needs."""
 
 from collections import Counter
-from pathlib import Path
 
 import msgspec
 import pytest
 
+from tests.support.paths import ROOT
 from weldhead.emulator.combinations import combined
 from weldhead.emulator.experiment import Result, play
 from weldhead.emulator.planted import planted
@@ -13,7 +13,7 @@
 from weldhead.emulator.scenario import Fault, Scenario, parse_scenario, read_scenario
 from weldhead.emulator.scenario_file import scenario_text
 
-SCENARIOS = Path(__file__).parents[1] / "deploy" / "scenarios"
+SCENARIOS = ROOT / "deploy" / "scenarios"
 
 
 def site() -> Scenario:
--- a/tests/test_old_reports_everywhere.py
+++ b/tests/emulator/test_late_heartbeats_everywhere.py
@@ -6,16 +6,16 @@
 
 import itertools
 from collections import Counter
-from pathlib import Path
 
 import pytest
 
+from tests.support.paths import ROOT
 from weldhead.emulator.arrivals import Age, Arrivals, Moment
 from weldhead.emulator.experiment import Result
 from weldhead.emulator.scenario import Scenario, read_scenario
 from weldhead.emulator.watched import play_watched
 
-SCENARIOS = Path(__file__).parents[1] / "deploy" / "scenarios"
+SCENARIOS = ROOT / "deploy" / "scenarios"
 
 
 def scenario(name: str, controllers: int) -> Scenario:
--- a/tests/test_meet_limits.py
+++ b/tests/emulator/test_limits_and_failovers.py
@@ -3,14 +3,13 @@
 Which seeds show what depends on the order of sets of names too: `make test` fixes the hash.
 """
 
-from pathlib import Path
-
 import pytest
 
-from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
-from tests.stand_ins import StandInState, StandInTask
-from tests.test_old_reports import meet
-from tests.test_recovery import Clock, clock, new_leader, put_job, put_machine
+from tests.support.builders import add_job, add_machine, cluster, job_spec, machine_type
+from tests.support.leaders import Clock, new_leader, put_job, put_machine
+from tests.support.meetings import meet
+from tests.support.paths import ROOT
+from tests.support.stand_ins import StandInState, StandInTask
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.emulator.hand_overs import STEPS, HandOverObserver, observe_hand_overs
 from weldhead.emulator.scenario import Scenario, read_scenario
@@ -22,11 +21,9 @@
 from weldhead.scheduling.placement.placement_pass import plan_starts
 from weldhead.tunables.defaults import Tunables
 
-__all__ = ["clock"]
-
 S = 1_000_000
 LEASE_S = 12.0
-SCENARIOS = Path(__file__).parents[1] / "deploy" / "scenarios"
+SCENARIOS = ROOT / "deploy" / "scenarios"
 
 
 def meeting(name: str, controllers: int) -> Scenario:
--- a/tests/test_meet_scenarios.py
+++ b/tests/emulator/test_meeting_faults.py
@@ -3,14 +3,10 @@
 Which seeds show what depends on the order of sets of names too: `make test` fixes the hash.
 """
 
-from pathlib import Path
-
 import pytest
 
-from weldhead.emulator.experiment import Result, play
-from weldhead.emulator.scenario import read_scenario
+from tests.support.meet_scenarios import play_meeting
 
-SCENARIOS = Path(__file__).parents[1] / "deploy" / "scenarios"
 #: What has to come about in each run of the scenarios: an event, and what it brings on.
 MEETINGS: dict[str, list[str]] = {
     "meet-hand-over-and-back": [
@@ -55,15 +51,13 @@
     ],
     "meet-slow-store": ["confirmed: store_refuses"],
 }
+
+
 #: The seed that each is played with; another where that one does not bring the meeting about.
 SEED = 3
-OTHER_SEEDS = {("meet-late-writes", 3): 1}
 
 
-def play_meeting(name: str, controllers: int, seed: int) -> Result:
-    site = read_scenario(SCENARIOS / f"{name}.toml")
-    site.controllers = controllers
-    return play(site, seed)
+OTHER_SEEDS = {("meet-late-writes", 3): 1}
 
 
 @pytest.mark.parametrize("controllers", [3, 5])
--- a/tests/test_short_jobs.py
+++ b/tests/emulator/test_memory_of_short_jobs.py
@@ -6,10 +6,10 @@
 
 import asyncio
 from collections import Counter
-from pathlib import Path
 
 import pytest
 
+from tests.support.paths import ROOT
 from weldhead.cluster_state.records import FINAL, JOBS
 from weldhead.controller.process import ControllerProcess
 from weldhead.controller.requests.completions import FINALS_KEPT
@@ -24,7 +24,7 @@
 from weldhead.emulator.scenario import read_scenario
 from weldhead.tunables.defaults import Tunables
 
-SCENARIO = Path(__file__).parents[1] / "deploy" / "scenarios" / "meet-short-jobs.toml"
+SCENARIO = ROOT / "deploy" / "scenarios" / "meet-short-jobs.toml"
 #: What the store holds and is written besides the jobs: leadership, machines, what was taken.
 OTHER_KEYS, OTHER_WRITES = 60, 300
 #: Of each job: its submission, its end, its cancellation, and what is repeated of them.
--- a/tests/test_new_machines.py
+++ b/tests/emulator/test_new_machines.py
@@ -3,16 +3,15 @@
 Whatever is sent to a machine, its record says by then that something may run there.
 """
 
-from pathlib import Path
-
 import pytest
 
+from tests.support.paths import ROOT
 from weldhead.emulator.experiment import play_observed
 from weldhead.emulator.planted import planted
 from weldhead.emulator.rental_records import RentalRecordObserver
 from weldhead.emulator.scenario import read_scenario
 
-SCENARIO = Path(__file__).parents[1] / "deploy" / "scenarios" / "meet-new-machines.toml"
+SCENARIO = ROOT / "deploy" / "scenarios" / "meet-new-machines.toml"
 #: What has to come about: events, and what they bring on.
 MET = {
     "write_given_up: controllers_end",
--- a/tests/test_meet_users_and_leaders.py
+++ b/tests/emulator/test_users_and_leaders.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.test_meet_scenarios import play_meeting
+from tests.support.meet_scenarios import play_meeting
 from weldhead.emulator.experiment import Result
 
 
--- a/tests/test_attribution.py
+++ b/tests/failure_attribution/test_failure_attribution.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import add_job, add_machine, cluster, job_spec
-from tests.test_decisions import run_on
-from tests.test_decisions import starts as starts_of
+from tests.support.builders import add_job, add_machine, cluster, job_spec
+from tests.support.decisions import run_on
+from tests.support.decisions import starts as starts_of
 from weldhead.clock import SECOND_US as S
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Job
--- a/tests/test_gates.py
+++ b/tests/gates/test_gates.py
@@ -10,10 +10,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.builders import job_spec
-from tests.stand_ins import StandInState
-from tests.test_recovery import START, Clock, clock, fixed_clock, leader_of  # noqa: F401
-from tests.test_users import StandInNode, desk
+from tests.support.builders import job_spec
+from tests.support.gates import CLASSES, KEY, gate
+from tests.support.leaders import START, Clock, leader_of
+from tests.support.stand_ins import StandInState
+from tests.support.users import StandInNode, desk
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.records import (
     AdmissionBinding,
@@ -32,8 +33,8 @@
 from weldhead.controller.configuration.gate_binder import GateBinder
 from weldhead.controller.configuration.gate_keeper import GateKeeper
 from weldhead.controller.leadership.leader import Leader
-from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key, state_key
-from weldhead.gates.gate_document import Gate, GateActionRule
+from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key
+from weldhead.gates.gate_document import Gate
 from weldhead.gates.gate_state import (
     KEPT,
     MOST_PENDING,
@@ -48,24 +49,15 @@
 from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.state_client import StateClient
 
-S = 1_000_000
 T = TypeVar("T")
-CLASSES = {"rebuild": "prices", "approval": "sign", "publication": "post", "withdrawal": "recall"}
-KEY = state_key("gate", "book")
-
 
-def gate(former: Any = "finish", **changes: Any) -> Gate:
-    acts = {act: GateActionRule(name) for act, name in CLASSES.items()}
-    return Gate("book", ["quotes"], former=former, **(acts | changes))
+S = 1_000_000
 
 
 def run_id(number: int) -> str:
     return f"run-{number:06}"
 
 
-# -- the rules ------------------------------------------------------------------------------
-
-
 class Model:
     """What the jobs have done, told plainly: every job, its edition, its order of acceptance."""
 
@@ -165,6 +157,8 @@
 
 
 TestGateMachine = GateMachine.TestCase
+
+
 TestGateMachine.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
 
 
@@ -232,13 +226,10 @@
             check(*wrong)
 
 
-# -- the leader -----------------------------------------------------------------------------
-
-
 class World:
     """A store, a leader with gates, and a follower's desk; the duty is looked at by hand."""
 
-    def __init__(self, clock: Clock, document: Gate | None = None) -> None:  # noqa: F811
+    def __init__(self, clock: Clock, document: Gate | None = None) -> None:
         self.clock = clock
         self.loop = asyncio.new_event_loop()
         self.state = StandInState()
@@ -347,7 +338,7 @@
 
 
 @pytest.fixture
-def world(clock: Clock) -> Iterator[World]:  # noqa: F811
+def world(clock: Clock) -> Iterator[World]:
     made = World(clock)
     yield made
     made.close()
@@ -453,7 +444,7 @@
 
 @pytest.mark.parametrize("former", ["finish", "stop"])
 def test_a_withdrawn_approval_holds_what_has_not_begun(
-    clock: Clock,  # noqa: F811
+    clock: Clock,
     former: str,
 ) -> None:
     world = World(clock, gate(former))
@@ -487,7 +478,7 @@
     world.close()
 
 
-def test_a_rebuild_stops_former_work_only_where_the_document_says_so(clock: Clock) -> None:  # noqa: F811
+def test_a_rebuild_stops_former_work_only_where_the_document_says_so(clock: Clock) -> None:
     for former in ("finish", "stop"):
         world = World(clock, gate(former))
         world.open(2)
--- a/tests/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -4,13 +4,13 @@
 import sys
 from dataclasses import replace
 from functools import partial
-from pathlib import Path
 
 import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.support.paths import ROOT
 from weldhead.emulator import faults
 from weldhead.emulator.experiment import Result, play
 from weldhead.emulator.network import Weather
@@ -26,7 +26,6 @@
 )
 
 S = 1_000_000
-ROOT = Path(__file__).parents[1]
 NOW = 100 * S
 #: Refused since a moment ago, after its connection ended.
 SUSPECT = PeerObservation("x", False, NOW - 1_000, NOW - 200_000, NOW - 300_000)
--- a/tests/test_validation.py
+++ b/tests/protocol/test_validation.py
@@ -7,17 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import job_spec, machine_type
+from tests.support.builders import job_spec, machine_type
+from tests.support.submissions import GOOD
 from weldhead.admission.feasibility import check_feasible
 from weldhead.protocol.settings import Team
 from weldhead.protocol.validation import SubmissionRefusedError, is_job_id, parse_submission
 
-GOOD: dict[str, Any] = {
-    "uid": "run-000412", "jobclass": "train", "owner": "red", "shape": "batch",
-    "urgency": "high", "pieces": 16, "cores": 2.0, "cards": 0.0, "ram_gb": 4, "build": "img-07",
-    "pull_gb": 6.2, "frames": ["m4"], "yard": None, "same_place": True, "apart": False,
-    "loaners": True, "expected_s": 240.0, "tack_s": 30.0, "weld_s": 4.0, "due_s": 900.0,
-}  # fmt: skip
 NULLABLE = {"frames", "yard", "due_s"}
 
 
@@ -97,6 +92,8 @@
 
 
 TEAMS = {"red": Team("red", 8, 16, 0, 2)}
+
+
 CATALOG = [machine_type(), machine_type(name="g1", gpus=1.0, zones=("b",))]
 
 
--- a/tests/test_versions.py
+++ b/tests/protocol/test_versions.py
@@ -7,17 +7,18 @@
 import asyncio
 import logging
 from types import SimpleNamespace
-from typing import Any, Literal, cast
+from typing import Any, cast
 
 import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import add_job, cluster, job_spec
-from tests.stand_ins import StandInState
-from tests.test_recovery import START, Clock, clock, new_leader  # noqa: F401
-from tests.test_wire import SETTINGS
+from tests.support.builders import add_job, cluster, job_spec
+from tests.support.leaders import START, Clock, new_leader
+from tests.support.old_formats import OldFinal, OldJob, OldSpec
+from tests.support.settings import SETTINGS
+from tests.support.stand_ins import StandInState
 from weldhead.clock import now_us
 from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.records import (
@@ -48,21 +49,34 @@
     b'"tack_s":0.0,"weld_s":0.0,"frames":["m4"],"yard":"a","due_s":900.0},'
     b'"submitted_us":1760000000000000}'
 )
+
+
 CANCELLED = (
     b'{"spec":{"uid":"run-000413","jobclass":"train","owner":"red","shape":"batch",'
     b'"urgency":"normal","pieces":4,"cores":2.0,"cards":0.0,"ram_gb":2.0,"build":"img",'
     b'"pull_gb":1.0,"same_place":false,"apart":false,"loaners":true,"expected_s":60.0,'
     b'"tack_s":0.0,"weld_s":0.0},"submitted_us":1760000000000000,"cancelled":true}'
 )
+
+
 FINAL = b'{"status":"done","done":4}'
+
+
 HIRE = (
     b'{"type":"m4","zone":"a","spot":true,"count":2,"hired_us":1760000000000000,'
     b'"settled":true,"machines":{"vm-000231":"10.1.0.232:9000","vm-000232":null}}'
 )
+
+
 OPEN_HIRE = b'{"type":"m4","zone":"a","spot":false,"count":3,"hired_us":1760000000000000}'
+
+
 LEADER = b'{"name":"welder-0","nonce":"0123456789abcdef","ttl_us":3000000}'
+
+
 PROGRESS = b'"GQI="'
 
+
 FRAMES: dict[str, peer.Message] = {
     "0000000b92a568656c6c6fa36e2d30": peer.Hello("n-0"),
     "0000001495a470696e670729c391a9766d2d303030323331": peer.Ping(7, 41, True, ("vm-000231",)),
@@ -105,43 +119,6 @@
     assert peer.decode_message(body[4:]) == FRAMES[frame]
 
 
-# -- what format 1 reads ------------------------------------------------------------------
-
-
-class OldSpec(msgspec.Struct, frozen=True):
-    uid: str
-    jobclass: str
-    owner: str
-    shape: Literal["batch", "standing"]
-    urgency: Literal["production", "high", "normal", "idle"]
-    pieces: int
-    cores: float
-    cards: float
-    ram_gb: float
-    build: str
-    pull_gb: float
-    same_place: bool
-    apart: bool
-    loaners: bool
-    expected_s: float
-    tack_s: float
-    weld_s: float
-    frames: tuple[str, ...] | None = None
-    yard: str | None = None
-    due_s: float | None = None
-
-
-class OldJob(msgspec.Struct):
-    spec: OldSpec
-    submitted_us: int
-    cancelled: bool = False
-
-
-class OldFinal(msgspec.Struct):
-    status: Literal["done", "withdrawn"]
-    done: int
-
-
 class OldHire(msgspec.Struct):
     type: str
     zone: str
@@ -222,9 +199,6 @@
         assert decoder.decode(peer.encode_frame(message)[4:]) == old
 
 
-# -- peers of both formats -----------------------------------------------------------------
-
-
 def test_nothing_of_chains_goes_to_a_peer_that_has_not_said_that_it_knows_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -257,9 +231,6 @@
     assert (ask(chained=True), ask(chained=False)) == (["submit"], ["submit"])
 
 
-# -- values larger than the coming limit ------------------------------------------------------
-
-
 def old_fleet(state: StandInState, machines: int) -> None:
     """A rental as format 1 wrote it under the larger limit."""
     names: dict[str, str | None] = {f"vm-{n:012}": f"10.1.0.{n}:9000" for n in range(machines)}
@@ -277,7 +248,7 @@
 
 @pytest.mark.parametrize("ends_after", [0, 1, 2, 3, None])
 def test_a_rental_over_the_limit_is_divided_in_steps_that_lose_no_machine(
-    clock: Clock,  # noqa: F811
+    clock: Clock,
     ends_after: int | None,
 ) -> None:
     state = StandInState()
@@ -315,7 +286,7 @@
         assert machine.name in state.keys[f"h/{machine.rental_name}"][0]["machines"]
 
 
-def test_a_record_that_fits_is_left_alone(clock: Clock) -> None:  # noqa: F811
+def test_a_record_that_fits_is_left_alone(clock: Clock) -> None:
     state = StandInState()
     old_fleet(state, 50)
     leader = new_leader(state, clock())
--- a/tests/test_boots.py
+++ b/tests/provisioning/test_boot_times.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import cluster, machine_type
+from tests.support.builders import cluster, machine_type
 from weldhead.clock import SECOND_US as S
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.machines import Machine
--- a/tests/test_account.py
+++ b/tests/quota/test_quota_and_gpu_claims.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
+from tests.support.builders import add_job, add_machine, cluster, job_spec, machine_type, report
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.preemption_history import (
--- a/tests/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import job_spec
-from tests.stand_ins import StandInState, StandInWorker
-from tests.test_recovery import START, Clock, clock, fixed_clock, new_leader, put_job, put_machine
+from tests.support.builders import job_spec
+from tests.support.leaders import START, Clock, fixed_clock, new_leader, put_job, put_machine
+from tests.support.stand_ins import StandInState, StandInWorker
 from weldhead.clock import surely_valid_us
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase
@@ -28,7 +28,6 @@
 
 S = 1_000_000
 LEASE = 12 * S
-__all__ = ["clock"]
 
 
 def say(session: int, stamp: int, token: int, *tasks: tuple[str, int]) -> Heartbeat:
--- a/tests/test_unheard_machines.py
+++ b/tests/reachability/test_unreachable_machines.py
@@ -5,17 +5,16 @@
 
 import pytest
 
-from tests.builders import job_spec
-from tests.held_network import Wire, settle
-from tests.stand_ins import StandInState, StandInTask
-from tests.test_old_reports import meet
-from tests.test_recovery import Clock, clock, leader_of, new_leader, put_job, put_machine
+from tests.support.builders import job_spec
+from tests.support.held_network import Wire, settle
+from tests.support.leaders import Clock, leader_of, new_leader, put_job, put_machine
+from tests.support.meetings import meet
+from tests.support.stand_ins import StandInState, StandInTask
 from weldhead.clock import surely_valid_us
 from weldhead.reconciliation.attempt_verdicts import AttemptVerdict
 from weldhead.transport.http_client import HttpClient
 
 S = 1_000_000
-__all__ = ["clock"]
 
 
 def test_an_answer_from_before_the_load_does_not_shorten_a_lease(clock: Clock) -> None:
--- a/tests/test_starts.py
+++ b/tests/reconciliation/test_reconciliation.py
@@ -4,7 +4,6 @@
 import random
 import subprocess
 import sys
-from pathlib import Path
 from typing import Any
 
 import msgspec
@@ -12,9 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import add_job, add_machine, cluster, job_spec, machine_type, report
-from tests.stand_ins import StandInState, StandInTask
-from tests.test_recovery import Clock, clock, leader_of, put_job, put_machine
+from tests.support.builders import add_job, add_machine, cluster, job_spec, machine_type, report
+from tests.support.leaders import Clock, leader_of, put_job, put_machine
+from tests.support.paths import ROOT
+from tests.support.stand_ins import StandInState, StandInTask
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import StopRequest
 from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat
@@ -45,8 +45,6 @@
 
 S = 1_000_000
 MS = 1_000
-ROOT = Path(__file__).parents[1]
-__all__ = ["clock"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -5,24 +5,21 @@
 """
 
 import asyncio
-from collections.abc import Callable
 from typing import Any, cast
 
 import msgspec
 import pytest
 
-from tests.builders import add_job, cluster, job_spec, machine_type
-from tests.stand_ins import StandInState
-from tests.test_recovery import new_leader
+from tests.support.builders import add_job, cluster, job_spec, machine_type
+from tests.support.fleets import S, StandInCloud, count_calls, full_fleet, settle
+from tests.support.leaders import new_leader
+from tests.support.stand_ins import StandInState
 from weldhead.clock import now_us
-from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import ReclaimLists
 from weldhead.cluster_state.records import LEADER_KEY, RENTALS, RentalRecord, divide_machines
 from weldhead.cluster_state.state_writer import StateWriter
-from weldhead.cluster_state.states import AttemptPhase
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import RentalRequest
 from weldhead.reachability.silence import look_lost
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer, RentalOffers
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
@@ -33,49 +30,12 @@
 from weldhead.scheduling.placement.placement_pass import plan_starts
 from weldhead.scheduling.preemption import preemption_pass
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
-from weldhead.transport.cloud_client import NoCapacityError, NotSentError
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
-S = 1_000_000
 TUNABLES = Tunables()
 
 
-def count_calls(
-    patch: pytest.MonkeyPatch, owner: Any, name: str, counts: dict[str, int]
-) -> Callable[..., Any]:
-    original: Callable[..., Any] = getattr(owner, name)
-
-    def counted(*args: Any, **kwargs: Any) -> Any:
-        counts[name] = counts.get(name, 0) + 1
-        return original(*args, **kwargs)
-
-    patch.setattr(owner, name, counted)
-    return original
-
-
-def full_fleet(machines: int, jobs: int) -> Cluster:
-    """A fleet that idle work fills, and a queue of jobs of the same few kinds."""
-    into = cluster(Team("red", 100_000, 100_000))
-    kind = machine_type(cpus=8.0, memory_gb=64.0)
-    for number in range(machines):
-        machine = Machine(f"vm-{number:06}", kind, "a", True, 0)
-        machine.newest_message, machine.reconciled, machine.enrolled, machine.last_heartbeat_us = (
-            (1, 1),
-            True,
-            True,
-            S,
-        )
-        into.machines[machine.name] = machine
-    filler = add_job(into, job_spec(1, priority="idle", tasks=machines * 4, cpus=2.0))
-    for index, machine in enumerate(m for m in into.machines.values() for _ in range(4)):
-        attempt = into.start(filler, index, machine, S)
-        attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
-    for number in range(2, jobs + 2):
-        add_job(into, job_spec(number, priority="high", tasks=20, cpus=2.0 + 2.0 * (number % 2)))
-    return into
-
-
 def test_a_placement_pass_over_a_full_fleet_looks_into_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -186,44 +146,6 @@
     asyncio.run(scenario())
 
 
-class StandInCloud:
-    """Rents whatever is asked for, and remembers the calls."""
-
-    def __init__(self) -> None:
-        self.rented: list[RentalRequest] = []
-        self.deleted: list[list[str]] = []
-        self.next = 0
-        self.capacity = 1_000_000
-        self.turn = asyncio.Lock()
-
-    async def rent(
-        self, request: RentalRequest, wanted: Callable[[], bool] = lambda: True
-    ) -> list[str]:
-        # One call at a time, as the cloud's budget has it.
-        async with self.turn:
-            if not wanted():
-                raise NotSentError
-            await asyncio.sleep(0)
-            self.rented.append(request)
-            if self.next + request.count > self.capacity:
-                raise NoCapacityError
-        self.next += request.count
-        return [f"vm-{self.next - n:06}" for n in range(request.count)]
-
-    async def delete(self, names: list[str], wanted: Callable[[], bool] = lambda: True) -> None:
-        # Another call has its turn first.
-        await asyncio.sleep(0)
-        if not wanted():
-            raise NotSentError
-        self.deleted.append(names)
-
-
-async def settle() -> None:
-    """Let everything that does not wait for a clock run."""
-    for _ in range(200):
-        await asyncio.sleep(0)
-
-
 def test_hundreds_of_machines_are_rented_marked_and_returned_in_few_calls_and_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/test_following.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -13,9 +13,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.builders import add_job, job_spec, machine_type
-from tests.stand_ins import StandInState, StandInTask
-from tests.test_recovery import (
+from tests.support.builders import add_job, job_spec, machine_type
+from tests.support.fleets import StandInCloud, count_calls, full_fleet, settle
+from tests.support.leaders import (
     START,
     Clock,
     fixed_clock,
@@ -25,7 +25,7 @@
     put_machine,
     report,
 )
-from tests.test_size import StandInCloud, count_calls, full_fleet, settle
+from tests.support.stand_ins import StandInState, StandInTask
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
--- a/tests/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -8,13 +8,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
-from tests.stand_ins import StandInTask, StandInWorker
+from tests.support.builders import add_job, add_machine, cluster, job_spec, machine_type
+from tests.support.decisions import GOALS, SILENCE, TUNABLES, S, run_on, starts
+from tests.support.stand_ins import StandInTask, StandInWorker
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
-from weldhead.cluster_state.states import AttemptPhase, StopRequest
+from weldhead.cluster_state.states import StopRequest
 from weldhead.controller.workers.heartbeat_reconciler import apply_heartbeat
 from weldhead.protocol.settings import Objective, Team
 from weldhead.reconciliation.buffered_heartbeats import MessageSource
@@ -26,39 +27,15 @@
 from weldhead.scheduling.forecast.completion_times import BootForecast, forecast_us
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.placement_pass import plan_starts
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 from weldhead.scheduling.placement.unplaced_tasks import UnplacedTasks
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.scheduling.preemption.victim_rules import overdue, stop_for
-from weldhead.tunables.defaults import Tunables
 
-S = 1_000_000
-TUNABLES = Tunables()
-SILENCE = 10 * S
 NO_BOOTS = BootForecast(None, 0)
-PATIENCE = TUNABLES.preemptor.patience_us
-PREEMPTOR = TUNABLES.preemptor.settings(SILENCE)
-GOALS = ServiceLevelObjectives(
-    [
-        Objective("wait", "prompt", 0.9, 4.0),
-        Objective("finished", "soon", 0.9, 100.0),
-        Objective("finished", "soon", 0.8, 50.0),
-        Objective("wait", "steady", 0.9, 180.0),
-        Objective("deadline", "twice", 0.9, None, 1.0),
-        Objective("deadline", "twice", 0.99, None, 1.5),
-    ]
-)
-
-
-def starts(into: Cluster, at_us: int = S) -> PlacementPlan:
-    return plan_starts(into, RunTimeEstimates(), GOALS, at_us, SILENCE, PATIENCE)
 
 
-def run_on(into: Cluster, job: Job, index: int, machine: Machine, since_us: int = 0) -> Attempt:
-    attempt = into.start(job, index, machine, since_us)
-    attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, max(1, since_us)
-    return attempt
+PREEMPTOR = TUNABLES.preemptor.settings(SILENCE)
 
 
 def reclaims(
@@ -68,8 +45,6 @@
     return plan_preemptions(into, lists, plan, RunTimeEstimates(), at_us, PREEMPTOR, GOALS)
 
 
-# -- placement ------------------------------------------------------------------------
-
 AMOUNTS = st.fixed_dictionaries(
     {
         "team": st.sampled_from(["red", "blue"]),
@@ -162,9 +137,6 @@
     assert starts(into, at_us).starts == []
 
 
-# -- the preemptor --------------------------------------------------------------------
-
-
 def full(into: Cluster, *jobs: Job) -> list[Machine]:
     """Fill one machine with each job's tasks."""
     machines = []
@@ -342,12 +314,14 @@
 
 
 Reclaiming.TestCase.settings = settings(max_examples=80, stateful_step_count=30)
-TestReclaiming = Reclaiming.TestCase
 
 
-# -- the fleet ------------------------------------------------------------------------
+TestReclaiming = Reclaiming.TestCase
+
 
 MARKET = RentalOffers([machine_type()])
+
+
 FLEET = TUNABLES.fleet.settings()
 
 
@@ -438,9 +412,6 @@
     assert choose_scale_in_candidates(into, waiting, FLEET) == set()
 
 
-# -- estimates, goals, forecasts --------------------------------------------------------
-
-
 @given(st.floats(0.3, 3.0), st.integers(10, 40))
 def test_estimates_that_are_off_are_corrected(bias: float, tasks: int) -> None:
     into = cluster()
--- a/tests/test_holding.py
+++ b/tests/scheduling/test_reservations.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.builders import add_job, add_machine, cluster, job_spec, machine_type
-from tests.test_equivalence import FLEET, GOALS, PATIENCE, PREEMPTOR, SILENCE, Town
+from tests.support.builders import add_job, add_machine, cluster, job_spec, machine_type
+from tests.support.towns import FLEET, GOALS, PATIENCE, PREEMPTOR, SILENCE, Town
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
--- a/tests/test_local_site.py
+++ b/tests/site/test_local_site.py
@@ -16,13 +16,13 @@
 
 import pytest
 
-from tests.stand_in_service import CuttingProxy
+from tests.support.paths import ROOT
+from tests.support.stand_in_service import CuttingProxy
 from weldhead.client.answers import Outcome
 from weldhead.client.client import Client, ClientSettings
 from weldhead.client.job import Job
 from weldhead.site import guard
 
-ROOT = Path(__file__).resolve().parent.parent
 DESCRIPTION = """
 [controllers]
 count = 3
@@ -310,7 +310,16 @@
     asyncio.run(asyncio.wait_for(goes_on(), 60))
 
 
+def kill_and_await_restart(site: Site, part: str) -> None:
+    """Kill a part of the site; return once its keeper has started it again."""
+    pid = site.pid(part)
+    os.kill(pid, signal.SIGKILL)
+    wait_for(lambda: (site.root / "pids" / part).exists() and site.pid(part) != pid, 30)
+
+
 def test_the_end_is_orderly(site: Site) -> None:
+    for part in ("controller-0", "front", "pool", "state"):
+        kill_and_await_restart(site, part)
     site.end()
     assert site.process.returncode == 0
     assert not (site.root / "address").exists()
--- a/tests/test_pool.py
+++ b/tests/site/test_pool.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.builders import machine_type
+from tests.support.builders import machine_type
 from weldhead.clock import SECOND_US
 from weldhead.protocol.wire import RentalRequest
 from weldhead.site.description import SpotPart
--- a/tests/test_store.py
+++ b/tests/site/test_store.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.loopback import served
+from tests.support.loopback import served
 from weldhead.clock import MILLISECOND_US, SECOND_US
 from weldhead.protocol.settings import StateLimits
 from weldhead.protocol.wire import Condition, DeleteKey, PutKey
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers of the tests: builders, stand-ins and sites."""
--- a/tests/held_network.py
+++ b/tests/support/held_network.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from tests.builders import job_spec
-from tests.stand_ins import StandInState
-from tests.test_recovery import Clock, leader_of, put_job, put_machine
+from tests.support.builders import job_spec
+from tests.support.leaders import Clock, leader_of, put_job, put_machine
+from tests.support.stand_ins import StandInState
 from weldhead.cluster_state.records import decode_progress, progress_key
 from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.cluster_state.states import StopRequest, TaskState
--- a/tests/stand_in_service.py
+++ b/tests/support/stand_in_service.py
@@ -11,7 +11,7 @@
 import msgspec
 from aiohttp import web
 
-from tests.loopback import served
+from tests.support.loopback import served
 from weldhead.site.http import Reply, error, reply
 
 
--- a/tests/test_known_red.py
+++ b/tests/support/test_known_red.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from tests.known_red import NAME
+from tests.support.known_red import NAME
 
 RunTests = Callable[..., pytest.RunResult]
 
-PLUGIN = "tests.known_red"
+PLUGIN = "tests.support.known_red"
 TESTS = """
     import pytest
 
--- a/tests/test_equivalence.py
+++ b/tests/support/towns.py
@@ -1,13 +1,10 @@
-"""What follows changes decides as what looks at everything, step by step over random changes."""
+"""Clusters that change at random."""
 
 import math
 import random
 
-from hypothesis import given, settings
-from hypothesis import strategies as st
-
-from tests.builders import TOKEN, add_job, job_spec, machine_type
-from tests.plain import PlainPlan, PlainQueue, plain_reclaims, plain_starts
+from tests.support.builders import TOKEN, add_job, job_spec, machine_type
+from tests.support.reference_decisions import PlainPlan, PlainQueue, plain_reclaims, plain_starts
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.machines import Machine
@@ -23,15 +20,21 @@
 from weldhead.scheduling.forecast.job_forecasts import BootTracker
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
-from weldhead.scheduling.placement.placement_pass import plan_pass, plan_starts
+from weldhead.scheduling.placement.placement_pass import plan_pass
 from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
 from weldhead.scheduling.placement.unplaced_tasks import UnplacedTasks
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
+
+
 SILENCE = 6 * S
+
+
 PATIENCE = 45 * S
+
+
 GOALS = ServiceLevelObjectives(
     [
         Objective("wait", "prompt", 0.9, 3.0),
@@ -42,8 +45,14 @@
         Objective("deadline", "due", 0.9, times=1.5),
     ]
 )
+
+
 CLASSES = ("prompt", "soon", "done-by", "due", "other")
+
+
 FLEET = Tunables().fleet.settings()
+
+
 PREEMPTOR = Tunables().preemptor.settings(SILENCE)
 
 
@@ -249,74 +258,3 @@
             assert ends_us == [self.now + left_us for left_us in left]
             told = forecast_us(self.cluster, job, self.estimates, self.now, boots)
             assert told == forecast_us(self.cluster, job, self.estimates, self.now, plain)
-
-
-@settings(max_examples=150)
-@given(st.integers(0, 2**32))
-def test_the_same_plans_as_looking_at_everything(seed: int) -> None:
-    town = Town(seed)
-    for _ in range(60):
-        for _ in range(town.dice.randint(1, 3)):
-            town.change()
-        town.compare_placement()
-        town.cluster.check_invariants()
-        town.scene.refresh(town.now)
-        assert town.scene.backlog.inconsistent_jobs() == []
-        town.compare_forecasts()
-
-
-def test_who_found_nobody_to_stop_gets_what_another_leaves_over() -> None:
-    into = Cluster([Team("red", 0, 99), Team("blue", 8, 99)], TOKEN)
-    machine = Machine("vm-000001", machine_type(), "a", False, 0)
-    into.machines[machine.name] = machine
-    machine.enrolled = machine.reconciled = True
-    machine.newest_message, machine.last_heartbeat_us = (1, 1), S
-    held = add_job(into, job_spec(1, team="blue", priority="idle", tasks=1, cpus=4.0))
-    attempt = into.start(held, 0, machine, S)
-    attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
-    # The same kind before and behind the one that may stop the idle task. (The first of a
-    # kind is listed by itself, those behind it are what a pass left.)
-    orders = ((2, "red", 2.0), (3, "red", 2.0), (4, "blue", 1.0), (5, "red", 2.0))
-    first, before, between, behind = (
-        add_job(
-            into,
-            job_spec(n, team=team, tasks=1, cpus=cpus, deadline_s=8.0 + n, estimate_s=9.0),
-        )
-        for n, team, cpus in orders
-    )
-    plan = plan_starts(
-        into, RunTimeEstimates(), ServiceLevelObjectives([]), 2 * S, SILENCE, PATIENCE
-    )
-    assert [job for job, _ in plan.unplaced] == [first, before, between, behind]
-    found = plan_preemptions(
-        into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S, PREEMPTOR, ServiceLevelObjectives([])
-    )  # fmt: skip
-    assert [(entry.job_id, entry.victims) for entry in found] == [
-        (between.id, [attempt]),
-        (behind.id, []),
-    ]
-
-
-def test_what_is_late_claims_behind_those_of_its_kind_that_can_wait() -> None:
-    into = Cluster([Team("red", 0, 99)], TOKEN)
-    machine = Machine("vm-000001", machine_type(), "a", False, 0)
-    into.machines[machine.name] = machine
-    machine.enrolled = machine.reconciled = True
-    machine.newest_message, machine.last_heartbeat_us = (1, 1), S
-    held = add_job(into, job_spec(1, priority="idle", tasks=2, cpus=2.0))
-    for index in range(2):
-        attempt = into.start(held, index, machine, S)
-        attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, S
-    # 30 s to spare: it presses, and claims nothing yet. The other has missed its deadline.
-    waits, too = (
-        add_job(into, job_spec(n, tasks=1, deadline_s=39.0 + n, estimate_s=9.0)) for n in (2, 3)
-    )
-    late = add_job(into, job_spec(4, tasks=1, deadline_s=1.0, estimate_s=9.0))
-    plan = plan_starts(
-        into, RunTimeEstimates(), ServiceLevelObjectives([]), 2 * S, SILENCE, PATIENCE
-    )
-    assert [job for job, _ in plan.unplaced] == [waits, too, late]
-    found = plan_preemptions(
-        into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S, PREEMPTOR, ServiceLevelObjectives([])
-    )  # fmt: skip
-    assert [entry.job_id for entry in found] == [late.id]
--- a/tests/test_lean.py
+++ b/tests/test_loaded_modules.py
@@ -5,14 +5,12 @@
 import ssl
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 
+from tests.support.paths import ROOT
 from weldhead.serving import no_certificates
 
-ROOT = Path(__file__).resolve().parent.parent
-
 #: What `serve` loads, without the tunables' language; the packages of weldhead it may use.
 ALLOWED = {
     "admission",
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -19,19 +19,11 @@
 import click  # noqa: E402
 import msgspec  # noqa: E402
 
-from tests.builders import job_spec  # noqa: E402
-from tests.stand_ins import StandInState  # noqa: E402
-from tests.test_calendars import (  # noqa: E402
-    H,
-    S,
-    calendar,
-    documents_of,
-    put_edition,
-    submission,
-    us,
-)
-from tests.test_recovery import fixed_clock, new_leader  # noqa: E402
-from tests.test_users import StandInNode, desk  # noqa: E402
+from tests.support.builders import job_spec  # noqa: E402
+from tests.support.calendars import H, S, calendar, documents_of, put_edition, submission, us  # noqa: E402
+from tests.support.leaders import fixed_clock, new_leader  # noqa: E402
+from tests.support.stand_ins import StandInState  # noqa: E402
+from tests.support.users import StandInNode, desk  # noqa: E402
 from weldhead.calendars.calendar_state import CalendarState, digest_of  # noqa: E402
 from weldhead.calendars.deadline_table import DeadlineTable  # noqa: E402
 from weldhead.cluster_state.cluster import Cluster  # noqa: E402
--- a/tools/measure_cards.py
+++ b/tools/measure_cards.py
@@ -15,7 +15,7 @@
 
 import click  # noqa: E402
 
-from tests.builders import add_job, add_machine, cluster, job_spec  # noqa: E402
+from tests.support.builders import add_job, add_machine, cluster, job_spec  # noqa: E402
 from weldhead.cluster_state.reclaim import ReclaimLists  # noqa: E402
 from weldhead.cluster_state.states import AttemptPhase  # noqa: E402
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
--- a/tools/measure_client.py
+++ b/tools/measure_client.py
@@ -21,7 +21,7 @@
 
 import click  # noqa: E402
 
-from tests.stand_in_service import StandInService, in_a_thread  # noqa: E402
+from tests.support.stand_in_service import StandInService, in_a_thread  # noqa: E402
 from weldhead.client.client import Client, ClientSettings  # noqa: E402
 from weldhead.client.decisions import Failed, Step  # noqa: E402
 from weldhead.client.endpoints import Endpoints  # noqa: E402
--- a/tools/measure_memory.py
+++ b/tools/measure_memory.py
@@ -169,7 +169,7 @@
 
 def _idle_settings() -> dict[str, Any]:
     """Return the settings of a controller whose peer, cloud and state service are not there."""
-    from tests.test_wire import SETTINGS
+    from tests.support.settings import SETTINGS
 
     document: dict[str, Any] = json.loads(json.dumps(SETTINGS))
     addresses = [f"127.0.0.1:{port}" for port in _free_ports(5)]
@@ -304,8 +304,8 @@
 
 def _machines(count: int) -> Kept:
     """Return a leader that has loaded that many machines and answered a report of each."""
-    from tests.stand_ins import StandInState
-    from tests.test_recovery import leader_of, put_machine
+    from tests.support.leaders import leader_of, put_machine
+    from tests.support.stand_ins import StandInState
     from weldhead.clock import now_us
 
     state = StandInState()
@@ -328,9 +328,9 @@
     """Return what measures a leader's load of that many jobs, put in order, of so many tasks."""
 
     def measure(count: int) -> Kept:
-        from tests.builders import job_spec
-        from tests.stand_ins import StandInState
-        from tests.test_recovery import leader_of, put_job
+        from tests.support.builders import job_spec
+        from tests.support.leaders import leader_of, put_job
+        from tests.support.stand_ins import StandInState
         from weldhead.clock import now_us
 
         state = StandInState()
@@ -357,7 +357,7 @@
     """Return what measures that many started tasks; ``ended``: that have completed since."""
 
     def measure(count: int) -> Kept:
-        from tests.builders import add_job, add_machine, cluster, job_spec
+        from tests.support.builders import add_job, add_machine, cluster, job_spec
 
         into = cluster()
         machines = [add_machine(into, f"vm-{n:06}", cpus=64.0, memory_gb=512.0) for n in range(64)]
@@ -398,9 +398,9 @@
     """Submit that many jobs to a follower; what is kept of them there."""
     import msgspec
 
-    from tests.stand_ins import StandInState
-    from tests.test_users import StandInNode, desk
-    from tests.test_validation import GOOD
+    from tests.support.stand_ins import StandInState
+    from tests.support.submissions import GOOD
+    from tests.support.users import StandInNode, desk
 
     class Counting(StandInState):
         """Keeps nothing, so that only the front desk's memory is measured."""
@@ -564,9 +564,9 @@
 def one_term(machines: int, jobs: int, tasks: int) -> None:
     """Print the resident memory at each stage of a term."""
     import weldhead.controller.process  # noqa: F401
-    from tests.builders import job_spec
-    from tests.stand_ins import StandInState
-    from tests.test_recovery import leader_of, put_job, put_machine
+    from tests.support.builders import job_spec
+    from tests.support.leaders import leader_of, put_job, put_machine
+    from tests.support.stand_ins import StandInState
     from weldhead.clock import now_us
 
     state = StandInState()
--- a/tools/measure_ops.py
+++ b/tools/measure_ops.py
@@ -17,7 +17,7 @@
 
 import click  # noqa: E402
 
-from tests.builders import add_job, cluster, job_spec  # noqa: E402
+from tests.support.builders import add_job, cluster, job_spec  # noqa: E402
 from tools.measure_size import cost  # noqa: E402
 from weldhead.emulator.experiment import Result, play  # noqa: E402
 from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -1,8 +1,8 @@
 """What a leader's periodic work costs by the size of its fleet and its backlog.
 
 Ratios within one run, on this machine; docs/performance.md has what they gave. The plain
-decisions of ``tests/plain.py`` are what the service did before it followed changes.
-`python3 tools/measure_size.py passes --help`
+decisions of ``tests/support/reference_decisions.py`` are what the service did before it followed
+changes. `python3 tools/measure_size.py passes --help`
 """
 
 import asyncio
@@ -20,10 +20,10 @@
 
 import click  # noqa: E402
 
-from tests.builders import add_job, job_spec, machine_type  # noqa: E402
-from tests.plain import PlainPlan, PlainQueue, plain_starts  # noqa: E402
-from tests.stand_ins import StandInState  # noqa: E402
-from tests.test_recovery import leader_of, put_job  # noqa: E402
+from tests.support.builders import add_job, job_spec, machine_type  # noqa: E402
+from tests.support.leaders import leader_of, put_job  # noqa: E402
+from tests.support.reference_decisions import PlainPlan, PlainQueue, plain_starts  # noqa: E402
+from tests.support.stand_ins import StandInState  # noqa: E402
 from weldhead.clock import now_us  # noqa: E402
 from weldhead.cluster_state.cluster import Cluster  # noqa: E402
 from weldhead.cluster_state.dependency_graph import DependencyGraph  # noqa: E402
