--- a/weldhead/admission/feasibility.py
+++ b/weldhead/admission/feasibility.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Mapping, Sequence
 
+from weldhead.protocol import http_status
 from weldhead.protocol.settings import Team
 from weldhead.protocol.validation import WIRE_NAMES, SubmissionRefusedError
 from weldhead.protocol.wire import JobSpec, MachineType
@@ -12,10 +13,10 @@
 def check_feasible(
     spec: JobSpec, teams: Mapping[str, Team], catalog: Sequence[MachineType]
 ) -> None:
-    """SubmissionRefusedError(422) if the job can never run."""
+    """SubmissionRefusedError(http_status.UNPROCESSABLE) if the job can never run."""
     team = teams.get(spec.team)
     if team is None:
-        raise SubmissionRefusedError(422, "unknown team", WIRE_NAMES["team"])
+        raise SubmissionRefusedError(http_status.UNPROCESSABLE, "unknown team", WIRE_NAMES["team"])
     if not any(machine_type.fits(spec) for machine_type in catalog):
         raise SubmissionRefusedError(
             422, "a task fits no allowed machine type", WIRE_NAMES["types"]
@@ -24,4 +25,6 @@
     for field, limit in zip(("cpus", "gpus"), bounds_of(team).limit, strict=True):
         # Exact: 0.1 times 3 is no more than a limit of 0.3.
         if required_units(getattr(spec, field)) * at_once > limit:
-            raise SubmissionRefusedError(422, "needs more than the team's limit", WIRE_NAMES[field])
+            raise SubmissionRefusedError(
+                http_status.UNPROCESSABLE, "needs more than the team's limit", WIRE_NAMES[field]
+            )
--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -13,6 +13,7 @@
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import EditionVerdict, judge_edition, leftovers, steps
 from weldhead.documents.records import HEAD_KEY, PREFIX, DocumentSet, HeadRecord
+from weldhead.protocol import http_status
 from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response, refusal
 from weldhead.transport.prefix_follower import read_prefix
@@ -94,13 +95,13 @@
         try:
             offer = _offer_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return refusal(400, str(error))
+            return refusal(http_status.BAD_REQUEST, str(error))
         if not self.loaded or not self._valid():
-            return refusal(503, "not now", retry_after_s=1)
+            return refusal(http_status.UNAVAILABLE, "not now", retry_after_s=1)
         verdict = judge_edition(self.cache.head, offer, self._state.limits.value_bytes)
         if verdict is EditionVerdict.TAKEN:
             self._offers.put_nowait(offer)
-        return Response(200, _encode(verdict.value))
+        return Response(http_status.OK, _encode(verdict.value))
 
     async def publish(self) -> None:
         """Bring editions into force, one after the other; a duty."""
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -313,42 +313,57 @@
     # -- acts ------------------------------------------------------------------------------
 
     async def _enter_actions(self) -> None:
-        """Enter the acts whose jobs were accepted, in the order of their acceptance."""
+        """Enter the actions whose jobs were accepted, in the order of their acceptance."""
         if not self._unentered_actions:
             return
         async with self._lock:
-            taken: dict[str, GateState] = {}
+            changed: dict[str, GateState] = {}
             entered: list[tuple[GateTracker, Job, str]] = []
-            for job, gate, act, deed in sorted(
+            for job, gate, action, recorded in sorted(
                 self._unentered_actions.values(), key=lambda a: a[0].version
             ):
-                book = self.trackers[gate]
-                if book.retired:
-                    entered.append((book, job, ""))
-                    continue
-                before = taken.get(gate, book.state)
-                if before is None or not self._term.dependency_graph.unresolved.isdisjoint(
-                    job.unmet_dependencies
-                ):
-                    continue
-                after, outcome = self._entry(before, job, act, deed)
-                if outcome is ActionEntry.FULL:
-                    continue
-                if outcome is ActionEntry.NOTHING:
-                    log.warning("gate %s: %s %s %s", gate, act, job.id, outcome.value)
-                if after is not before:
-                    taken[gate] = after
-                entered.append((book, job, act if outcome is not ActionEntry.NOTHING else ""))
-            for gate, state in taken.items():
+                effective = self._plan_action(job, gate, action, recorded, changed)
+                if effective is not None:
+                    entered.append((self.trackers[gate], job, effective))
+            for gate, state in changed.items():
                 await self._change(self.trackers[gate], state)
-            for book, job, act in entered:
+            for tracker, job, action in entered:
                 self._unentered_actions.pop(job.id, None)
-                if act in ("rebuild", "withdrawal"):
+                if action in ("rebuild", "withdrawal"):
                     # It begins when nothing of what it ends can begin any more.
-                    book.pending_actions[job.id] = job
+                    tracker.pending_actions[job.id] = job
                 else:
                     self._release_job(job)
 
+    def _plan_action(
+        self,
+        job: Job,
+        gate: str,
+        action: str,
+        recorded: GateAction | None,
+        changed: dict[str, GateState],
+    ) -> str | None:
+        """Apply an action to the gate's state in ``changed``.
+
+        Return the action, "" if it counts for nothing, None if it has to wait.
+        """
+        tracker = self.trackers[gate]
+        if tracker.retired:
+            return ""
+        before = changed.get(gate, tracker.state)
+        unresolved = self._term.dependency_graph.unresolved
+        if before is None or not unresolved.isdisjoint(job.unmet_dependencies):
+            return None
+        after, entry = self._entry(before, job, action, recorded)
+        if entry is ActionEntry.FULL:
+            return None
+        if after is not before:
+            changed[gate] = after
+        if entry is ActionEntry.NOTHING:
+            log.warning("gate %s: %s %s %s", gate, action, job.id, entry.value)
+            return ""
+        return action
+
     @staticmethod
     def _entry(
         state: GateState, job: Job, act: str, deed: GateAction | None
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -31,6 +31,11 @@
 DELETE_GATHER_S = 0.1
 
 
+def _offer_key(record: RentalRecord) -> tuple[str, str, bool]:
+    """Return what the cloud may refuse: type, zone and whether spot."""
+    return record.type, record.zone, record.spot
+
+
 class RentalManager:
     """The term's rentals; ``gone`` is told of machines that are gone for good."""
 
@@ -215,48 +220,53 @@
         """Ask for a rental until it is known what came of it, and enter its machines."""
         term = self._term
         record = self._records[name]
-        offer = (record.type, record.zone, record.spot)
-        request = RentalRequest(name, record.type, record.zone, record.spot, record.count)
         names: list[str] | None = None
         while names is None:
-            if not term.valid:
-                await asyncio.sleep(0.1)
-                continue
-            if not self._wanted(name):
-                # Another part of the same order was refused meanwhile: to ask for this one
-                # as well kept the few calls from types that are to be had (found at size).
-                names = []
-                log.debug("not asked for: %s in %s (spot: %s)", *offer)
-                break
-            try:
-                names = await term.cloud.rent(request, partial(self._send, name))
-                log.info("rented %s in %s (spot: %s): %s", *offer, ", ".join(names))
-            except NotSentError:
-                continue
-            except NoCapacityError:
-                names = []
-                log.info("no capacity for %s in %s (spot: %s)", *offer)
-            except MalformedRentalError as error:
-                names = []
-                log.error("rental called malformed: %s", error)
-            except CallError as error:
-                log.info("rental unanswered: %s", error)
-                await asyncio.sleep(0.5)
+            names = await self._request(name, record)
         at_us = now_us()
         if name in self._unsent:
             self._unsent.discard(name)
         elif len(names) < record.count:
             backoff_us = term.tunables.fleet.refusal_backoff_us
-            term.rental_offers.refused_until_us[offer] = at_us + backoff_us
+            term.rental_offers.refused_until_us[_offer_key(record)] = at_us + backoff_us
         fresh = [n for n in names if n not in term.cluster.machines and n not in self._adopting]
         record.settled = True
         record.machines = dict.fromkeys(fresh)
         # Known from here on, and in the store before anything is started on them: a machine
-        # is marked there first, and these writes are made in this order.
+        # is enrolled there first, and these writes are made in this order.
         for machine_name in fresh:
             self._add_machine(machine_name, name, at_us, wall_us())
         await self._write_divided(name)
 
+    async def _request(self, name: str, record: RentalRecord) -> list[str] | None:
+        """Ask the cloud once; return the machines that came of it, None if that is not known."""
+        offer = _offer_key(record)
+        if not self._term.valid:
+            await asyncio.sleep(0.1)
+            return None
+        if not self._wanted(name):
+            # Another part of the same order was refused meanwhile: asking for this one as well
+            # would keep the few calls from types that are to be had.
+            log.debug("rental not asked for: %s in %s (spot: %s)", *offer)
+            return []
+        request = RentalRequest(name, record.type, record.zone, record.spot, record.count)
+        try:
+            names = await self._term.cloud.rent(request, partial(self._send, name))
+        except NotSentError:
+            return None
+        except NoCapacityError:
+            log.info("rental refused, no capacity: %s in %s (spot: %s)", *offer)
+            return []
+        except MalformedRentalError:
+            log.exception("rental refused as malformed: %s in %s (spot: %s)", *offer)
+            return []
+        except CallError as error:
+            log.info("rental unanswered: %s", error)
+            await asyncio.sleep(0.5)
+            return None
+        log.info("rented %s in %s (spot: %s): %s", *offer, ", ".join(names))
+        return names
+
     def _wanted(self, name: str) -> bool:
         """Whether a rental is to be asked for: what may have been sent must be settled."""
         if name not in self._unsent:
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -11,6 +11,7 @@
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.membership.isolation import IsolationDetector, LastContact
+from weldhead.protocol import http_status
 from weldhead.protocol.peer import ForwardedAnswer, ForwardedRequest
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import MachineType
@@ -94,13 +95,15 @@
     def ready(self) -> Response:
         """Tell the load balancer whether users are served here as well as elsewhere."""
         if not self.catalog:
-            return refusal(503, "machine types not known yet", retry_after_s=1)
+            return refusal(http_status.UNAVAILABLE, "machine types not known yet", retry_after_s=1)
         if self.isolated:
-            return refusal(503, "this node is alone", retry_after_s=1)
+            return refusal(http_status.UNAVAILABLE, "this node is alone", retry_after_s=1)
         if not self._state.available and self._served_peers(now_us()):
-            return refusal(503, "the state service refuses this node", retry_after_s=1)
+            return refusal(
+                http_status.UNAVAILABLE, "the state service refuses this node", retry_after_s=1
+            )
         # In an outage all stay: a balancer without a healthy node serves nobody.
-        return Response(200, b"{}")
+        return Response(http_status.OK, b"{}")
 
     # -- asking others ------------------------------------------------------------------------
 
@@ -183,4 +186,6 @@
         if now_us() - at_us > FORWARD_US:
             # Read only after this process stood still: others may have answered newer since.
             return None
-        return Response(answer.status, answer.body, 1 if answer.status == 503 else 0)
+        return Response(
+            answer.status, answer.body, 1 if answer.status == http_status.UNAVAILABLE else 0
+        )
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -125,7 +125,7 @@
     async def load(self) -> None:
         """Read what is recorded, page by page, and let the loop live in between.
 
-        Machines come first: they are asked what they run while the jobs are read.
+        Machines come first: they are probed while the jobs are read.
         """
         term = self._term
         at_us, wall = now_us(), wall_us()
@@ -137,17 +137,39 @@
             await self._publisher.load()
         if self._gates is not None:
             self._gates.reset()
+        await self._load_rentals(at_us, wall)
+        revision = await self._load_jobs(at_us, wall)
+        await self._link_jobs()
+        await load_preemption_history(term, at_us, wall)
+        async for entries, _ in term.state.pages(PROGRESS):
+            for part in batches(entries):
+                for entry in part:
+                    self._load_progress(entry)
+                await asyncio.sleep(0)
+        self._machine_monitor.subscribe()
+        self.jobs_revision = revision
+        term.loaded = True
+        term.loaded_us = now_us()
+        for buffered in self.heartbeat_buffer.take():
+            self._apply(buffered)
+
+    async def _load_rentals(self, at_us: int, wall: int) -> None:
+        """Read rentals and their machines, and begin to probe those that may run something."""
+        term = self._term
         async for entries, _ in term.state.pages(RENTALS):
             for entry in entries:
-                hire = decode(bytes(entry.value), RentalRecord)
+                rental = decode(bytes(entry.value), RentalRecord)
                 term.state_writer.record_version(entry.key, entry.version)
-                self._rental_manager.load(entry.key.removeprefix(RENTALS), hire, at_us, wall)
+                self._rental_manager.load(entry.key.removeprefix(RENTALS), rental, at_us, wall)
             await asyncio.sleep(0)
         self._unknown = {m.name: m for m in term.cluster.machines.values() if m.enrolled}
         shown = (m for m in self._unknown if not self.heartbeat_buffer.has_shown(m, term.token))
         self.status_probes.add(shown)
+
+    async def _load_jobs(self, at_us: int, wall: int) -> int:
+        """Read the jobs; return the revision from which they can be followed."""
         revision = 0
-        async for entries, revision in term.state.pages(JOBS):  # noqa: B007
+        async for entries, revision in self._term.state.pages(JOBS):  # noqa: B007
             for part in batches(entries):
                 for entry in part:
                     record = decode(bytes(entry.value), JobRecord)
@@ -155,25 +177,17 @@
                     if not record.cancelled:
                         self._live_jobs.add(record.spec.id)
                 await asyncio.sleep(0)
-        jobs = list(term.cluster.jobs.values())
-        for loaded in batches(jobs):
-            for job in loaded:
+        return revision
+
+    async def _link_jobs(self) -> None:
+        """Enter which jobs wait for which, and what they inherit."""
+        term = self._term
+        for part in batches(list(term.cluster.jobs.values())):
+            for job in part:
                 self._job_dependencies.add(job)
             await asyncio.sleep(0)
         # All others have their own priority and deadline.
         self._job_dependencies.refresh_inherited(term.dependency_graph.blocked.values())
-        await load_preemption_history(term, at_us, wall)
-        async for entries, _ in term.state.pages(PROGRESS):
-            for part in batches(entries):
-                for entry in part:
-                    self._load_progress(entry)
-                await asyncio.sleep(0)
-        self._machine_monitor.subscribe()
-        self.jobs_revision = revision
-        term.loaded = True
-        term.loaded_us = now_us()
-        for early in self.heartbeat_buffer.take():
-            self._apply(early)
 
     def _load_progress(self, entry: KeyValue) -> None:
         term = self._term
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -16,6 +16,7 @@
 from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.controller.workers.heartbeat_forwarding import HeartbeatForwarding
 from weldhead.documents.records import DocumentSet
+from weldhead.protocol import http_status
 from weldhead.protocol.peer import (
     ForwardedAnswer,
     ForwardedRequest,
@@ -221,7 +222,11 @@
                 # Without its memory it has nothing over others: whose turn it is to read is
                 # counted by the job's home.
                 if self.leader is None or not self.leader.loaded:
-                    return refusal(503, "not a leader that has read the jobs", retry_after_s=1)
+                    return refusal(
+                        http_status.UNAVAILABLE,
+                        "not a leader that has read the jobs",
+                        retry_after_s=1,
+                    )
                 return await self._request_handler.poll(ask.job_id, forwarded=True)
             case "read":
                 return await self._request_handler.poll(ask.job_id, elsewhere=False)
@@ -234,7 +239,7 @@
             case "documents" if self.leader is not None and self.leader.publisher is not None:
                 return self.leader.publisher.accept_offer(ask.body)
             case _:
-                return refusal(503, "unknown kind", retry_after_s=1)
+                return refusal(http_status.UNAVAILABLE, "unknown kind", retry_after_s=1)
 
     # -- HTTP -------------------------------------------------------------------------
 
@@ -251,7 +256,7 @@
                 return await self._request_handler.poll(job_id)
             if method == "POST" and job_id.endswith("/cancel"):
                 return await self._request_handler.cancel(job_id.removesuffix("/cancel"))
-        return refusal(404, "no such path")
+        return refusal(http_status.NOT_FOUND, "no such path")
 
     async def _handle_heartbeat(self, body: bytes, *, relayed: bool) -> Response:
         at_us = now_us()
@@ -259,17 +264,17 @@
             report = _report_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             log.error("malformed report refused: %s", error)
-            return refusal(400, str(error))
+            return refusal(http_status.BAD_REQUEST, str(error))
         leader = self.leader
         if leader is not None and self.election.lease.valid(at_us):
             answer = leader.handle_heartbeat(report, at_us, relayed=relayed)
             if answer is not None:
-                return Response(200, _encode(answer))
-            return refusal(503, "not now", retry_after_s=1)
+                return Response(http_status.OK, _encode(answer))
+            return refusal(http_status.UNAVAILABLE, "not now", retry_after_s=1)
         self.election.observe_token(report.machine, report.token)
         record = self.election.known_leader
         if record is None or record.name not in self._links:
-            return Response(421, _encode(LeaderRedirect()))
+            return Response(http_status.MISDIRECTED, _encode(LeaderRedirect()))
         return await self._forward_heartbeat(
             report.machine, body, record.name, at_us, relayed=relayed
         )
@@ -282,18 +287,18 @@
         if link.alive(at_us):
             if relayed or self._forwarding.should_forward(machine, at_us):
                 answer = await self.peers.forward(link, "report", "", body)
-                if answer is not None and answer.status == 200:
+                if answer is not None and answer.status == http_status.OK:
                     return answer
             if relayed:
-                return refusal(503, "not now")
+                return refusal(http_status.UNAVAILABLE, "not now")
             self._forwarding.record_redirect(machine, at_us)
-            return Response(421, _encode(LeaderRedirect(leader)))
+            return Response(http_status.MISDIRECTED, _encode(LeaderRedirect(leader)))
         if not relayed:
             # A worker sent to a leader that is cut off from this zone would lose seconds
             # of its lease: another node may reach that leader.
             for other in self._links.values():
                 if other.name != leader and other.alive(at_us):
                     answer = await self.peers.forward(other, "report", "", body)
-                    if answer is not None and answer.status == 200:
+                    if answer is not None and answer.status == http_status.OK:
                         return answer
-        return Response(421, _encode(LeaderRedirect()))
+        return Response(http_status.MISDIRECTED, _encode(LeaderRedirect()))
--- a/weldhead/controller/requests/cancellation_handler.py
+++ b/weldhead/controller/requests/cancellation_handler.py
@@ -5,6 +5,7 @@
 from weldhead.controller.leadership.leader import NotReadyError
 from weldhead.controller.requests.controller_view import ControllerView, isolated_response
 from weldhead.controller.requests.job_status_reader import JobStatusReader
+from weldhead.protocol import http_status
 from weldhead.protocol.validation import (
     is_job_id,
 )
@@ -25,7 +26,7 @@
     async def cancel(self, job_id: str, *, forwarded: bool = False) -> Response:
         """Cancel a job; only the leader does, as it knows what runs."""
         if not is_job_id(job_id):
-            return refusal(404, "no such job")
+            return refusal(http_status.NOT_FOUND, "no such job")
         if self._controller.isolated:
             return isolated_response()
         leader = self._controller.leader
@@ -34,17 +35,17 @@
                 answer = await self._controller.ask_leader("cancel", job_id, b"")
                 if answer is not None:
                     return answer
-            return refusal(503, "no leader", retry_after_s=1)
+            return refusal(http_status.UNAVAILABLE, "no leader", retry_after_s=1)
         try:
             answer_now = await leader.cancel(job_id)
             if answer_now is not None:
-                return Response(200, _encode(answer_now))
+                return Response(http_status.OK, _encode(answer_now))
             stored = await self._reader.read_status(job_id)
         except (CallError, NotReadyError):
-            return refusal(503, "cannot be decided yet", retry_after_s=1)
+            return refusal(http_status.UNAVAILABLE, "cannot be decided yet", retry_after_s=1)
         if stored is None:
-            return refusal(404, "no such job")
+            return refusal(http_status.NOT_FOUND, "no such job")
         if stored.state in ("done", "withdrawn"):
-            return Response(200, _encode(JobStatus(job_id, stored.state)))
+            return Response(http_status.OK, _encode(JobStatus(job_id, stored.state)))
         # Accepted by another node a moment ago, and taken up just now.
-        return refusal(503, "cannot be decided yet", retry_after_s=1)
+        return refusal(http_status.UNAVAILABLE, "cannot be decided yet", retry_after_s=1)
--- a/weldhead/controller/requests/controller_view.py
+++ b/weldhead/controller/requests/controller_view.py
@@ -6,6 +6,7 @@
     DocumentReplica,
 )
 from weldhead.controller.leadership.leader import Leader
+from weldhead.protocol import http_status
 from weldhead.protocol.wire import MachineType
 from weldhead.transport.http_server import Response, refusal
 
@@ -53,6 +54,6 @@
     The caller's next connection goes to another controller once the load balancer knows; nobody
     is kept waiting for what cannot come.
     """
-    answer = refusal(503, "this node reaches nobody" + known, retry_after_s=1)
+    answer = refusal(http_status.UNAVAILABLE, "this node reaches nobody" + known, retry_after_s=1)
     answer.close = True
     return answer
--- a/weldhead/controller/requests/poll_handler.py
+++ b/weldhead/controller/requests/poll_handler.py
@@ -12,6 +12,7 @@
 from weldhead.clock import SECOND_US, now_us
 from weldhead.controller.requests.controller_view import ControllerView, isolated_response
 from weldhead.controller.requests.job_status_reader import JobStatusReader
+from weldhead.protocol import http_status
 from weldhead.protocol.validation import (
     is_job_id,
 )
@@ -27,7 +28,7 @@
 URGENT_US = 20 * SECOND_US
 TOO_MANY_POLLS = "too many ask at once"
 #: Answers a peer that asks for a job whose turn has not come.
-NO_TURN_STATUS = 429
+NO_TURN_STATUS = http_status.TOO_MANY_REQUESTS
 #: Polls that a follower forwards to the leader at once; bounds the leader's load.
 MAX_FORWARDED_POLLS = 16
 
@@ -48,70 +49,90 @@
     async def poll(
         self, job_id: str, *, forwarded: bool = False, elsewhere: bool = True
     ) -> Response:
-        """Tell a job's state; ``forwarded``: by what this node has itself.
+        """Tell a job's state; ``forwarded``: by what this controller has itself.
 
-        ``elsewhere``: other nodes may be asked to look, besides the leader.
+        ``elsewhere``: other controllers may be asked to look, besides the leader.
         """
         if not is_job_id(job_id):
-            return refusal(404, "no such job")
+            return refusal(http_status.NOT_FOUND, "no such job")
         known = self._reader.in_memory(job_id)
         if known is not None:
             self.limiter.answered(job_id)
-            return Response(200, _encode(known))
+            return Response(http_status.OK, _encode(known))
         if self._controller.isolated:
             return isolated_response(self._reader.describe_deadline(job_id))
         if not forwarded and self._controller.leader is None:
-            answer = await self._poll_leader(job_id)
-            if answer is not None and answer.status in (200, 404):
-                self.limiter.answered(job_id)
+            answer = self._definite(job_id, await self._poll_leader(job_id))
+            if answer is not None:
                 return answer
+        return await self._poll_store(
+            job_id, ask_others=elsewhere and not forwarded, told=elsewhere
+        )
+
+    async def _poll_store(self, job_id: str, *, ask_others: bool, told: bool) -> Response:
+        """Answer by the store's word, or by another controller's.
+
+        ``told``: a user is answered, not another controller.
+        """
         at_us = now_us()
         waited = self.limiter.waited_us(job_id, at_us) > URGENT_US
-        why = TOO_MANY_POLLS
         taken = self.limiter.take_spare(REQUESTS_PER_POLL, at_us)
         lost = False
-        if not taken and elsewhere and not forwarded:
-            # Each node counted waits that had ended when another answered: some jobs were
-            # answered again and again, and others waited for over 120 s.
+        if not taken and ask_others:
+            # One controller counts how long a job waits: counted by each, waits that had ended
+            # elsewhere went on here, and others' jobs were not answered.
             try:
                 answer = await self._controller.ask_home(job_id)
             except CallError:
                 answer, lost = None, True
-            if answer is not None and answer.status in (200, 404):
-                self.limiter.answered(job_id)
-                return answer
+            if (definite := self._definite(job_id, answer)) is not None:
+                return definite
             if answer is not None and answer.status == NO_TURN_STATUS:
-                return refusal(503, why + self._reader.describe_deadline(job_id), retry_after_s=1)
+                return self._refuse(job_id, TOO_MANY_POLLS)
             at_us = now_us()
+        why = TOO_MANY_POLLS
         if taken or self.limiter.take(job_id, REQUESTS_PER_POLL, at_us, lost=lost):
             try:
-                stored = await self._reader.read_status(job_id, urgent=waited)
+                return await self._read(job_id, urgent=waited)
             except CallError as error:
-                log.debug("poll of %s: %s", job_id, error)
+                log.debug("poll failed: job %s: %s", job_id, error)
                 why, waited = "state service unavailable", True
-            else:
-                self.limiter.answered(job_id)
-                if stored is None:
-                    return refusal(404, "no such job")
-                if stored.state == "pending":
-                    # Found under its first key.
-                    self.limiter.refund(REQUESTS_PER_POLL / 2)
-                return Response(200, _encode(stored))
-        if waited and elsewhere and not forwarded:
+        if waited and ask_others:
             answer = await self._controller.ask_served_peer("poll", job_id, b"")
-            if answer is not None and answer.status in (200, 404):
-                self.limiter.answered(job_id)
-                return answer
+            if (definite := self._definite(job_id, answer)) is not None:
+                return definite
         self.limiter.failed(job_id, now_us())
-        if not elsewhere and why == TOO_MANY_POLLS:
+        if not told and why == TOO_MANY_POLLS:
             return refusal(NO_TURN_STATUS, why)
-        return refusal(503, why + self._reader.describe_deadline(job_id), retry_after_s=1)
+        return self._refuse(job_id, why)
+
+    def _definite(self, job_id: str, answer: Response | None) -> Response | None:
+        """Return another controller's answer if it says how the job stands; None: it does not."""
+        if answer is None or answer.status not in (http_status.OK, http_status.NOT_FOUND):
+            return None
+        self.limiter.answered(job_id)
+        return answer
+
+    async def _read(self, job_id: str, *, urgent: bool) -> Response:
+        """Answer by the store's word; CallError if it has none."""
+        stored = await self._reader.read_status(job_id, urgent=urgent)
+        self.limiter.answered(job_id)
+        if stored is None:
+            return refusal(http_status.NOT_FOUND, "no such job")
+        if stored.state == "pending":
+            # Found under its first key.
+            self.limiter.refund(REQUESTS_PER_POLL / 2)
+        return Response(http_status.OK, _encode(stored))
+
+    def _refuse(self, job_id: str, why: str) -> Response:
+        deadline = self._reader.describe_deadline(job_id)
+        return refusal(http_status.UNAVAILABLE, why + deadline, retry_after_s=1)
 
     async def _poll_leader(self, job_id: str) -> Response | None:
         """Have the leader answer a poll; None if it does not, or has enough to answer already.
 
-        Followers passed on whatever they were asked, and a storm of polls kept a small leader
-        from renewing its lease and from answering workers (docs/design/pressure.md).
+        A storm of forwarded polls would keep a small leader from renewing its lease and from
+        answering workers (docs/design/pressure.md).
         """
         if self._forwarded_polls >= MAX_FORWARDED_POLLS:
             return None
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -22,6 +22,7 @@
 from weldhead.controller.memory_monitor import MemoryMonitor
 from weldhead.controller.requests.controller_view import ControllerView, isolated_response
 from weldhead.controller.requests.job_status_reader import JobStatusReader
+from weldhead.protocol import http_status
 from weldhead.protocol.settings import Team
 from weldhead.protocol.validation import (
     SubmissionRefusedError,
@@ -50,6 +51,10 @@
 _encode = msgspec.json.Encoder().encode
 
 
+def _unavailable(why: str) -> Response:
+    return refusal(http_status.UNAVAILABLE, why, retry_after_s=1)
+
+
 class SubmissionHandler:
     """Answers submissions on one controller."""
 
@@ -76,11 +81,11 @@
             return refusal(error.status, error.reason, error.field)
         known = self._reader.in_memory(spec.id)
         if known is not None:
-            return Response(200, _encode(known))
+            return Response(http_status.OK, _encode(known))
         if self._controller.isolated:
             return isolated_response()
         if not self._controller.catalog:
-            return refusal(503, "machine types not known yet", retry_after_s=1)
+            return _unavailable("machine types not known yet")
         if not self._memory.admits(now_us()):
             return await self._refuse_for_now(spec.id, COME_BACK_S, forwarded, "no memory is left")
         # Names that the settings do not know share one part, or many of them took all.
@@ -91,19 +96,20 @@
         try:
             return await self._accept(spec)
         except RateLimitedError as busy:
-            # Another controller uses the same rate: passed on, it would cost two.
-            log.debug("submission of %s: %s", spec.id, busy)
+            # Another controller uses the same rate: forwarded, it would cost two.
+            log.debug("submission rate limited: job %s: %s", spec.id, busy)
             wait_s = self.limiter.record_refusal(now_us())
             return await self._refuse_for_now(spec.id, wait_s, forwarded)
         except CallError as error:
-            log.info("submission of %s not committed: %s", spec.id, error)
-            if not forwarded:
-                answer = await self._controller.ask_served_peer(
-                    "submit", spec.id, body, chained=bool(spec.needs)
-                )
-                if answer is not None:
-                    return answer
-            return refusal(503, "state service unavailable", retry_after_s=1)
+            log.info("submission not committed: job %s: %s", spec.id, error)
+            answer = None if forwarded else await self._forward(spec, body)
+            return answer or _unavailable("state service unavailable")
+
+    async def _forward(self, spec: JobSpec, body: bytes) -> Response | None:
+        """Have a controller accept a job that the state service serves; None: there is none."""
+        return await self._controller.ask_served_peer(
+            "submit", spec.id, body, chained=bool(spec.needs)
+        )
 
     async def _refuse_for_now(
         self, job_id: str, wait_s: int, forwarded: bool, why: str = "too much is submitted at once"
@@ -114,16 +120,16 @@
         """
         if not forwarded and self._controller.leader is None:
             answer = await self._controller.ask_leader("known", job_id, b"")
-            if answer is not None and answer.status == 200:
+            if answer is not None and answer.status == http_status.OK:
                 return answer
-        return refusal(503, why, retry_after_s=wait_s)
+        return refusal(http_status.UNAVAILABLE, why, retry_after_s=wait_s)
 
     def known_status(self, job_id: str) -> Response:
         """Tell a job's state if it is in memory; the store is not asked."""
         known = self._reader.in_memory(job_id)
         if known is None:
-            return refusal(503, "not known here", retry_after_s=1)
-        return Response(200, _encode(known))
+            return refusal(http_status.UNAVAILABLE, "not known here", retry_after_s=1)
+        return Response(http_status.OK, _encode(known))
 
     async def _accept(self, spec: JobSpec) -> Response:
         """Judge a job by what the store says, and create it."""
@@ -145,7 +151,7 @@
         # told just now of what it needs or is bound to.
         stored = await self._reader.read_status(spec.id)
         if stored is not None:
-            return Response(200, _encode(stored))
+            return Response(http_status.OK, _encode(stored))
         if isinstance(trouble, CallError):
             raise trouble
         return refusal(trouble.status, trouble.reason, trouble.field)
@@ -200,7 +206,7 @@
             )  # fmt: skip
         except TransactionRejectedError as error:
             # Lower limits than were announced: no promise that cannot be kept.
-            log.error("submission of %s is never taken: %s", spec.id, error)
+            log.exception("submission rejected by the state service: job %s", spec.id)
             raise SubmissionRefusedError(
                 422, f"the state service takes no record of {size} bytes"
             ) from error
@@ -208,7 +214,7 @@
             stored = self._reader.in_memory(spec.id) or await self._reader.read_status(spec.id)
             if stored is None:
                 raise CallError("job is neither new nor known") from None
-            return Response(200, _encode(stored))
+            return Response(http_status.OK, _encode(stored))
         if leader is not None:
             leader.job_created(record, version)
         log.debug("%s accepted", spec.id)
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 from weldhead.clock import MILLISECOND_US, now_us, to_seconds
+from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.term import Term
 from weldhead.controller.workers.pending_commands import pending_commands
@@ -107,52 +108,61 @@
             self._slots.discard(turn)
             self._start_next()
 
-    async def _send_commands(self, machine: Machine, turn: int) -> None:
-        """Send what the machine has to do without waiting for its report."""
-        term = self._term
+    async def _send_commands(self, machine: Machine, slot: int) -> None:
+        """Send what the machine has to do without waiting for its heartbeat."""
         try:
-            while machine.name in term.cluster.machines and not machine.deleting and term.valid:
-                if (
-                    now_us() - max(machine.last_heartbeat_us, machine.first_probe_us)
-                    > term.silence_us
-                ):
-                    return
+            while self._may_send(machine):
                 commands = pending_commands(
                     machine,
                     lambda task: False,
                     may_start=machine.reconciled
                     and machine.enrolled
                     and not machine.not_receiving
-                    and term.tunables.direct_runs,
+                    and self._term.tunables.direct_runs,
                     sequence=None,
                 )
-                if not commands:
-                    return
-                started = [machine.attempts[c.task] for c in commands if c.op == "run"]
-                try:
-                    report = await self._send(machine, machine.session, commands, term.lease_us)
-                except NotConnectedError:
-                    for attempt in started:
-                        attempt.sent_directly = False
-                    self._on_unanswered(machine)
-                    return
-                except CallError as error:
-                    at_us = now_us()
-                    for attempt in started:
-                        if attempt.sent_directly:
-                            attempt.sent_directly = False
-                            term.cluster.mark_unconfirmed(attempt, at_us)
-                    log.info("machine %s: direct commands unanswered: %s", machine.name, error)
-                    self._on_unanswered(machine)
-                    return
-                # Answered: executed, or (409) surely not.
-                for attempt in started:
-                    attempt.sent_directly = False
-                if self._shows_newer_token(machine.name, report):
-                    return
-                self._apply(machine, report)
-                if not started:
+                if not commands or not await self._send_batch(machine, commands):
                     return
         finally:
             machine.command_in_flight = False
-            self._release_slot(turn)
+            self._release_slot(slot)
+
+    def _may_send(self, machine: Machine) -> bool:
+        """Whether the machine is still ours and has been heard of late."""
+        term = self._term
+        if machine.name not in term.cluster.machines or machine.deleting or not term.valid:
+            return False
+        heard_us = max(machine.last_heartbeat_us, machine.first_probe_us)
+        return now_us() - heard_us <= term.silence_us
+
+    async def _send_batch(self, machine: Machine, commands: list[Command]) -> bool:
+        """Send commands and apply the answer; whether there may be more to send."""
+        term = self._term
+        started = [machine.attempts[c.task] for c in commands if c.op == "run"]
+        try:
+            heartbeat = await self._send(machine, machine.session, commands, term.lease_us)
+        except NotConnectedError:
+            for attempt in started:
+                attempt.sent_directly = False
+            self._on_unanswered(machine)
+            return False
+        except CallError as error:
+            self._mark_unconfirmed(started)
+            log.info("direct commands unanswered: machine %s: %s", machine.name, error)
+            self._on_unanswered(machine)
+            return False
+        # Answered: executed, or (409) surely not.
+        for attempt in started:
+            attempt.sent_directly = False
+        if self._shows_newer_token(machine.name, heartbeat):
+            return False
+        self._apply(machine, heartbeat)
+        return bool(started)
+
+    def _mark_unconfirmed(self, attempts: list[Attempt]) -> None:
+        """A request that carried their ``run`` may be lost, or executed late."""
+        at_us = now_us()
+        for attempt in attempts:
+            if attempt.sent_directly:
+                attempt.sent_directly = False
+                self._term.cluster.mark_unconfirmed(attempt, at_us)
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -148,45 +148,50 @@
         except LeadershipLostError:
             self._term.on_leadership_lost("the leader's key is not ours any more")
 
-    def expired_or_silent(self, at_us: int, proven_us: int = FOR_EVER_US) -> list[Machine]:
-        """Return machines whose leases are over, or that are silent and look gone.
+    def expired_or_silent(
+        self, at_us: int, leadership_verified_us: int = FOR_EVER_US
+    ) -> list[Machine]:
+        """Return machines whose leases are over, or that are silent and look lost.
 
-        ``proven_us`` is the latest moment at which surely nobody else led.
+        ``leadership_verified_us`` is the latest moment at which surely nobody else led.
         """
         floor_us = self._term.previous_leader_until_us()
-        silent = []
-        for machine in self._silent_up(at_us):
-            if not machine.deleting:
-                silent.append(machine)
-            elif _may_hold(machine):
-                # Not answered since it is being returned: its lease ends also where the cloud
-                # does not answer, and what it held waited for that.
-                if min(at_us, proven_us) > machine.lease_expired_us(self._term.lease_us, floor_us):
-                    self.expire(machine)
+        certain_us = min(at_us, leadership_verified_us)
+        silent = self._silent_to_judge(at_us, certain_us, floor_us)
         if not silent:
             return []
-        live = self.live()
         limit_us = at_us - self._term.lease_us * 2 // 3
-        gone = look_lost(silent, live)
+        lost = look_lost(silent, self.live())
         found = []
         for machine in silent:
-            speaks = (
+            # Its heartbeats come without this term's token: it may receive again, and whether
+            # it is returned is decided by its price.
+            sends = (
                 machine.not_receiving and at_us - machine.last_message_us <= self._term.silence_us
             )
-            if min(at_us, proven_us) > machine.lease_expired_us(self._term.lease_us, floor_us):
-                if speaks:
-                    # Its reports come, without this term's token: what it held is over, and it
-                    # may hear again. Whether it is returned is decided by its price.
-                    self.expire(machine, keep=True)
-                    continue
-                self.expire(machine)
-                found.append(machine)
-            elif speaks:
-                continue
-            elif gone and max(machine.last_heartbeat_us, floor_us) < limit_us:
+            if certain_us > machine.lease_expired_us(self._term.lease_us, floor_us):
+                self.expire(machine, keep=sends)
+                if not sends:
+                    found.append(machine)
+            elif not sends and lost and max(machine.last_heartbeat_us, floor_us) < limit_us:
                 found.append(machine)
         return found
 
+    def _silent_to_judge(self, at_us: int, certain_us: int, floor_us: int) -> list[Machine]:
+        """Return silent machines that are to stay; of the others, expire those whose lease is over.
+
+        One that is being returned is not answered: its lease ends also where the cloud does not
+        answer, and what it held waits for that.
+        """
+        silent = []
+        for machine in self._silent_up(at_us):
+            if not machine.deleting:
+                silent.append(machine)
+            elif _may_hold(machine):
+                if certain_us > machine.lease_expired_us(self._term.lease_us, floor_us):
+                    self.expire(machine)
+        return silent
+
     def at_risk(self, at_us: int) -> list[Machine]:
         """Return machines that hear nothing, and silent ones while their leases last."""
         deaf = [m for m in self.by_last_heartbeat.values() if m.not_receiving and not m.deleting]
--- a/weldhead/transport/cloud_client.py
+++ b/weldhead/transport/cloud_client.py
@@ -6,6 +6,7 @@
 import msgspec
 
 from weldhead.clock import SECOND_US
+from weldhead.protocol import http_status
 from weldhead.protocol.settings import CloudLimits
 from weldhead.protocol.wire import (
     Catalog,
@@ -58,7 +59,7 @@
     async def catalog(self) -> list[MachineType]:
         """Read the machine types; an empty catalog counts as nonsense."""
         status, body = await self._call("GET", "/catalog", None)
-        if status != 200:
+        if status != http_status.OK:
             raise CallError(f"cloud: {status}")
         types = decode(body, Catalog).types
         if not types:
@@ -75,11 +76,11 @@
         status, body = await self._call(
             "POST", "/rentals", msgspec.json.encode(request), wanted=wanted
         )
-        if status == 503 and b"no capacity" in body:
+        if status == http_status.UNAVAILABLE and b"no capacity" in body:
             raise NoCapacityError
-        if status == 400:
+        if status == http_status.BAD_REQUEST:
             raise MalformedRentalError(body[:200].decode("utf-8", "replace"))
-        if status != 200:
+        if status != http_status.OK:
             raise CallError(f"cloud: {status}")
         return decode(body, MachineNames).machines
 
@@ -93,7 +94,7 @@
             status, _ = await self._call(
                 "POST", "/rentals/delete", body, urgent=True, wanted=wanted
             )
-            if status != 200:
+            if status != http_status.OK:
                 raise CallError(f"cloud: {status}")
 
     async def machines(self) -> list[ListedMachine]:
@@ -103,7 +104,7 @@
         while True:
             path = "/rentals?most=500" + (f"&from={start}" if start else "")
             status, body = await self._call("GET", path, None)
-            if status != 200:
+            if status != http_status.OK:
                 raise CallError(f"cloud: {status}")
             page = decode(body, MachineList)
             machines += page.machines
--- a/weldhead/transport/http_server.py
+++ b/weldhead/transport/http_server.py
@@ -22,6 +22,7 @@
 from aiohttp.web_response import StreamResponse
 from aiohttp.web_server import Server
 
+from weldhead.protocol import http_status
 from weldhead.protocol.settings import split_address
 from weldhead.protocol.wire import MAX_BODY_BYTES, ErrorBody
 
@@ -167,14 +168,14 @@
         except BodyTooLargeError:
             # Counts as malformed; the connection cannot be used further, as the rest of
             # the body is still coming.
-            answer = refusal(400, f"body of more than {MAX_BODY_BYTES} bytes")
+            answer = refusal(http_status.BAD_REQUEST, f"body of more than {MAX_BODY_BYTES} bytes")
             close = True
         except (aiohttp.ClientError, ConnectionError) as error:
             log.info("request broke off: %r", error)
             raise
         except Exception:
             log.exception("%s %s failed", request.method, request.path)
-            answer = refusal(503, "internal error", retry_after_s=1)
+            answer = refusal(http_status.UNAVAILABLE, "internal error", retry_after_s=1)
         return ReadyResponse(answer, close=close or answer.close)
 
     async def close(self) -> None:
--- a/weldhead/transport/state_client.py
+++ b/weldhead/transport/state_client.py
@@ -11,6 +11,7 @@
 import msgspec
 
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us
+from weldhead.protocol import http_status
 from weldhead.protocol.settings import StateLimits
 from weldhead.protocol.wire import (
     CommittedRevision,
@@ -126,15 +127,21 @@
             if not passive:
                 self.failed_us = max(self.failed_us, now_us())
             raise
-        if status in (429, 503):
-            if status == 503:
+        if status in (http_status.TOO_MANY_REQUESTS, http_status.UNAVAILABLE):
+            if status == http_status.UNAVAILABLE:
                 self.failed_us = now_us()
             else:
                 # Others use the same rate: what this node had saved up is not there.
                 (budget if writes else self.request_budget).drain()
                 raise RateLimitedError("state service: 429")
             raise RequestRefusedError(f"state service: {status}")
-        if status not in (200, 400, 404, 409, 410):
+        if status not in (
+            http_status.OK,
+            http_status.BAD_REQUEST,
+            http_status.NOT_FOUND,
+            http_status.CONFLICT,
+            http_status.GONE,
+        ):
             raise CallError(f"state service: {status}")
         if not passive:
             self.served_us = max(self.served_us, started_us)
@@ -145,11 +152,11 @@
     ) -> KeyValue | None:
         """Read a key."""
         status, body = await self._call("GET", f"/store/{key}", None, timeout_us, urgent)
-        if status == 404:
+        if status == http_status.NOT_FOUND:
             # Proof of absence is the service's own answer, with its revision in it.
             decode(body, CommittedRevision)
             return None
-        if status != 200:
+        if status != http_status.OK:
             raise CallError(f"state service: {status}")
         return decode(body, KeyValue)
 
@@ -166,7 +173,7 @@
             path = f"/store?starts={prefix}&most=1000" + (f"&from={start}" if start else "")
             try:
                 status, body = await self._call("GET", path, None, 3 * SECOND_US, True)
-                if status != 200:
+                if status != http_status.OK:
                     raise CallError(f"state service: {status}")
                 page = decode(body, KeyValuePage)
             except CallError as error:
@@ -206,13 +213,13 @@
             "POST", "/multi", body, timeout_us, urgent, writes=len(writes),
             patience_us=patience_us,
         )  # fmt: skip
-        if status == 200:
+        if status == http_status.OK:
             return decode(answer, CommittedRevision).revision
-        if status == 409:
+        if status == http_status.CONFLICT:
             raise ConflictError(answer.decode("utf-8", "replace"))
-        if status == 400 and b"no such lease" in answer:
+        if status == http_status.BAD_REQUEST and b"no such lease" in answer:
             raise LeaseNotFoundError
-        if status == 400:
+        if status == http_status.BAD_REQUEST:
             raise TransactionRejectedError(f"state service: 400 {answer[:200]!r}")
         raise CallError(f"state service: {status} {answer[:200]!r}")
 
@@ -220,22 +227,22 @@
         """Create a lease."""
         body = msgspec.json.encode(LeaseRequest(ttl_us // MILLISECOND_US))
         status, answer = await self._call("POST", "/grants", body, STAND_US, True)
-        if status != 200:
+        if status != http_status.OK:
             raise CallError(f"state service: {status}")
         return decode(answer, GrantedLease).lease
 
     async def extend(self, lease: int, timeout_us: int) -> None:
         """Renew a lease; LeaseGone if it has ended."""
         status, _ = await self._call("POST", f"/grants/{lease}/extend", b"{}", timeout_us, True)
-        if status == 404:
+        if status == http_status.NOT_FOUND:
             raise LeaseNotFoundError
-        if status != 200:
+        if status != http_status.OK:
             raise CallError(f"state service: {status}")
 
     async def revoke(self, lease: int) -> None:
         """End a lease at once; its keys go with it."""
         status, _ = await self._call("DELETE", f"/grants/{lease}", None, 800 * MILLISECOND_US, True)
-        if status not in (200, 404):
+        if status not in (http_status.OK, http_status.NOT_FOUND):
             raise CallError(f"state service: {status}")
 
     async def watch(self, prefix: str, revision: int, wait_us: int) -> KeyChanges:
@@ -244,8 +251,8 @@
         status, body = await self._call(
             "GET", path, None, wait_us + 2 * SECOND_US, True, passive=True
         )
-        if status == 410:
+        if status == http_status.GONE:
             raise RevisionCompactedError
-        if status != 200:
+        if status != http_status.OK:
             raise CallError(f"state service: {status}")
         return decode(body, KeyChanges)
--- a/weldhead/transport/worker_commands.py
+++ b/weldhead/transport/worker_commands.py
@@ -2,6 +2,7 @@
 
 import msgspec
 
+from weldhead.protocol import http_status
 from weldhead.protocol.wire import Command, DirectCommands, Heartbeat
 from weldhead.transport.http_client import CallError, HttpClient
 from weldhead.transport.state_client import decode
@@ -26,6 +27,6 @@
     status, answer = await http.call(
         "POST", f"http://{address}/commands", body, timeout_us, connect_us=2_000_000, close=close
     )
-    if status not in (200, 409):
+    if status not in (http_status.OK, http_status.CONFLICT):
         raise CallError(f"worker: {status}")
-    return status == 200, decode(answer, Heartbeat)
+    return status == http_status.OK, decode(answer, Heartbeat)
