--- a/tests/cli/test_text_files.py
+++ b/tests/cli/test_text_files.py
@@ -12,7 +12,7 @@
 from tests.support.paths import ROOT
 from weldhead.cli import HIDDEN, VERBS, main
 from weldhead.client.config import ConfigProblem, client_settings, servers_of
-from weldhead.client.decisions import Failed, Missing, Refused, Step, Told
+from weldhead.client.decisions import FailedCall, MissingAnswer, RefusedAnswer, StatusAnswer, Step
 from weldhead.client.job import SAMPLE_ID, Job, JobProblem, check_job, parse_job
 from weldhead.client.policy import Policy, parse_policies
 from weldhead.client.transport import understand
@@ -170,18 +170,31 @@
 @pytest.mark.parametrize(
     ("step", "status", "body", "meaning"),
     [
-        (Step.SUBMIT, 201, b'{"uid":"%s","status":"pending"}', Told("pending", fresh=True)),
-        (Step.SUBMIT, 200, b'{"uid":"%s","status":"running","done":1,"running":2}',
-         Told("running", done=1, running=2)),
-        (Step.POLL, 200, b'{"uid":"%s","status":"pending","late":true,"late_by_s":9}',
-         Told("pending", late_by_s=9.0, late=True)),
-        (Step.POLL, 503, b'{"error":"down; due by noon"}', Failed("status 503: down; due by noon")),
-        (Step.SUBMIT, 422, b'{"error":"x","field":"cores"}', Refused(422, "x", "cores")),
-        (Step.SUBMIT, 400, b"<html>", Refused(400, "no reason given")),
-        (Step.POLL, 404, b"", Missing()),
-        (Step.CANCEL, 404, b"", Missing()),
+        (Step.SUBMIT, 201, b'{"uid":"%s","status":"pending"}', StatusAnswer("pending", fresh=True)),
+        (
+            Step.SUBMIT,
+            200,
+            b'{"uid":"%s","status":"running","done":1,"running":2}',
+            StatusAnswer("running", done=1, running=2),
+        ),
+        (
+            Step.POLL,
+            200,
+            b'{"uid":"%s","status":"pending","late":true,"late_by_s":9}',
+            StatusAnswer("pending", late_by_s=9.0, late=True),
+        ),
+        (
+            Step.POLL,
+            503,
+            b'{"error":"down; due by noon"}',
+            FailedCall("status 503: down; due by noon"),
+        ),
+        (Step.SUBMIT, 422, b'{"error":"x","field":"cores"}', RefusedAnswer(422, "x", "cores")),
+        (Step.SUBMIT, 400, b"<html>", RefusedAnswer(400, "no reason given")),
+        (Step.POLL, 404, b"", MissingAnswer()),
+        (Step.CANCEL, 404, b"", MissingAnswer()),
     ],
-)  # fmt: skip
+)
 def test_what_answers_mean(step: Step, status: int, body: bytes, meaning: object) -> None:
     assert understand(step, SAMPLE_ID, status, body.replace(b"%s", SAMPLE_ID.encode())) == meaning
 
@@ -204,11 +217,11 @@
 def test_nonsense_is_never_an_answer(step: Step, status: int, body: bytes) -> None:
     reply = understand(step, SAMPLE_ID, status, body)
     if step is Step.SUBMIT and status in (400, 422):
-        assert isinstance(reply, Refused)
+        assert isinstance(reply, RefusedAnswer)
     elif status == 404 and step is not Step.SUBMIT:
-        assert isinstance(reply, Missing)
+        assert isinstance(reply, MissingAnswer)
     else:
-        assert isinstance(reply, Failed)
+        assert isinstance(reply, FailedCall)
 
 
 # The command line, where no server is needed
--- a/tests/client/test_decisions.py
+++ b/tests/client/test_decisions.py
@@ -13,15 +13,15 @@
 from weldhead.client.decisions import (
     RETRY_US,
     WATCH_US,
-    Failed,
-    Missing,
-    News,
-    Phase,
-    Refused,
+    FailedCall,
+    MissingAnswer,
+    RefusedAnswer,
     Reply,
     Run,
+    RunPhase,
+    RunUpdate,
+    StatusAnswer,
     Step,
-    Told,
     advance,
     before_send,
     learn,
@@ -54,7 +54,7 @@
         self.now = SECOND_US
         self.runs = [Run("run-1", 1)]
         self.cancelled = False
-        self.answer: Phase | None = None
+        self.answer: RunPhase | None = None
         self.missed = [False, False]
         self.under_way: list[tuple[Step, Run, Reply] | None] = [None, None]
         # The service
@@ -67,19 +67,19 @@
 
     def _execute(self, step: Step, job_id: str) -> Reply:
         if step is Step.UPLOAD:
-            return Told("uploaded")
+            return StatusAnswer("uploaded")
         if step is Step.SUBMIT:
             if job_id in self.jobs:
-                return Told(self.jobs[job_id])
+                return StatusAnswer(self.jobs[job_id])
             if self.refusing:
-                return Refused(422, "no")
+                return RefusedAnswer(422, "no")
             self.jobs[job_id] = "pending"
-            return Told("pending", fresh=True)
+            return StatusAnswer("pending", fresh=True)
         if job_id not in self.jobs:
-            return Missing()
+            return MissingAnswer()
         if step is Step.CANCEL and self.jobs[job_id] != "done":
             self.jobs[job_id] = "withdrawn"
-        return Told(self.jobs[job_id], done=0, running=0)
+        return StatusAnswer(self.jobs[job_id], done=0, running=0)
 
     @rule()
     def the_service_changes_its_mind(self) -> None:
@@ -105,7 +105,7 @@
 
     # The processes
 
-    def _change(self, job_id: str, news: News) -> Run:
+    def _change(self, job_id: str, news: RunUpdate) -> Run:
         """Change the journal, as one transaction."""
         for index, run in enumerate(self.runs):
             if run.id == job_id:
@@ -133,22 +133,22 @@
         if step is Step.END:
             return
         if step is Step.CLOSE:
-            self._change(run.id, News(Phase.WITHDRAWN, cancel=True, unsent=True))
+            self._change(run.id, RunUpdate(RunPhase.WITHDRAWN, cancel=True, unsent=True))
             return
         if step is Step.CANCEL and not run.cancel and not run.stray:
-            self._change(run.id, News(cancel=True))
+            self._change(run.id, RunUpdate(cancel=True))
         if step is Step.SUBMIT:
             before = run.cancel
             run = self._change(run.id, before_send(self.now))
             if run.phase.final or run.cancel != before:
-                self._change(run.id, News(settled=1))
+                self._change(run.id, RunUpdate(settled=1))
                 return
         if step is Step.CANCEL and fate != "unsent":
             self.asked_to_cancel.add(run.id)
         self.now += RETRY_US
-        reply: Reply = Failed("no answer")
+        reply: Reply = FailedCall("no answer")
         if fate == "unsent":
-            reply = Failed("not connected", sent=False)
+            reply = FailedCall("not connected", sent=False)
         elif fate == "ok":
             reply = self._execute(step, run.id)
         elif fate == "mute":
@@ -165,7 +165,7 @@
         self.under_way[who] = None
         step, run, reply = under_way
         self._change(run.id, learn(run, step, reply, self.now, 1))
-        self.missed[who] = step is Step.CANCEL and isinstance(reply, Missing)
+        self.missed[who] = step is Step.CANCEL and isinstance(reply, MissingAnswer)
 
     @rule(who=st.integers(0, 1))
     def is_killed_and_started_again(self, who: int) -> None:
@@ -176,12 +176,12 @@
     @rule()
     def the_caller_cancels(self) -> None:
         self.cancelled = True
-        self._change(self.runs[-1].id, News(cancel=True))
+        self._change(self.runs[-1].id, RunUpdate(cancel=True))
 
-    @precondition(lambda self: self.runs[-1].phase is Phase.ACCEPTED)
+    @precondition(lambda self: self.runs[-1].phase is RunPhase.ACCEPTED)
     @rule()
     def its_command_fails(self) -> None:
-        self._change(self.runs[-1].id, News(cancel=True, failed="exit code 1"))
+        self._change(self.runs[-1].id, RunUpdate(cancel=True, failed="exit code 1"))
 
     @rule(step=st.integers(0, 100))
     def time_passes(self, step: int) -> None:
@@ -194,23 +194,23 @@
         if not hasattr(self, "jobs"):
             return
         live = [job_id for job_id, state in self.jobs.items() if state == "pending"]
-        if self.answer is not Phase.REFUSED:
+        if self.answer is not RunPhase.REFUSED:
             assert len(live) <= 1
         states = {run.id: self.jobs.get(run.id) for run in self.runs}
         assert sum(state == "done" for state in states.values()) <= 1 + (
-            self.answer is Phase.REFUSED
+            self.answer is RunPhase.REFUSED
         )
         assert len(self.runs) <= 1 + self.policy.repeat
-        if self.answer is Phase.DONE:
+        if self.answer is RunPhase.DONE:
             assert states[self.runs[-1].id] == "done"
             assert not live
-        if self.answer is Phase.WITHDRAWN:
+        if self.answer is RunPhase.WITHDRAWN:
             # For good: neither what is held back nor what is under way starts anything.
             for _, job_id in [*self.held, *self._flying()]:
                 assert self.jobs.get(job_id) != "pending"
                 assert job_id in self.jobs or not self._could_arrive(job_id)
             assert not live
-        assert self.answer is not Phase.FOREIGN
+        assert self.answer is not RunPhase.FOREIGN
 
     def _flying(self) -> list[tuple[Step, str]]:
         return [(one[0], one[1].id) for one in self.under_way if one is not None]
@@ -250,12 +250,12 @@
     run = Run("run-1", 1, cancel=True)
     assert next_step(run, policy, 0, has_work=True) is Step.CLOSE
     run = advance(run, before_send(5))
-    assert advance(run, News(Phase.WITHDRAWN, unsent=True)) == run
+    assert advance(run, RunUpdate(RunPhase.WITHDRAWN, unsent=True)) == run
     # 404 proves nothing: it is made accepted first, and withdrawn then.
     assert next_step(run, policy, 0, has_work=False) is Step.CANCEL
-    assert learn(run, Step.CANCEL, Missing(), 0, 1) == News()
+    assert learn(run, Step.CANCEL, MissingAnswer(), 0, 1) == RunUpdate()
     assert next_step(run, policy, 0, has_work=False, missed=True) is Step.SUBMIT
-    run = advance(run, learn(run, Step.SUBMIT, Told("pending", fresh=True), 0, 1))
+    run = advance(run, learn(run, Step.SUBMIT, StatusAnswer("pending", fresh=True), 0, 1))
     assert next_step(run, policy, 0, has_work=False, missed=True) is Step.CANCEL
 
 
@@ -271,24 +271,24 @@
 def test_a_job_of_somebody_else_is_told_as_far_as_can_be() -> None:
     """A 200 on the first try may be our own try, repeated inside the service."""
     first = advance(Run("run-1", 1), before_send(1))
-    news = learn(first, Step.SUBMIT, Told("pending"), 1, 1)
-    assert (news.phase, news.suspect) == (Phase.ACCEPTED, True)
+    news = learn(first, Step.SUBMIT, StatusAnswer("pending"), 1, 1)
+    assert (news.phase, news.suspect) == (RunPhase.ACCEPTED, True)
     # Nobody knew the id before, so nobody can have withdrawn our job.
-    assert learn(first, Step.SUBMIT, Told("withdrawn"), 1, 1).phase is Phase.FOREIGN
+    assert learn(first, Step.SUBMIT, StatusAnswer("withdrawn"), 1, 1).phase is RunPhase.FOREIGN
     second = advance(first, before_send(2))
-    assert learn(second, Step.SUBMIT, Told("withdrawn"), 1, 1).phase is Phase.WITHDRAWN
-    assert learn(second, Step.SUBMIT, Told("pending"), 1, 1).suspect is False
+    assert learn(second, Step.SUBMIT, StatusAnswer("withdrawn"), 1, 1).phase is RunPhase.WITHDRAWN
+    assert learn(second, Step.SUBMIT, StatusAnswer("pending"), 1, 1).suspect is False
     # More tasks than ours has, or another description: it is not ours.
-    assert learn(second, Step.POLL, Told("running", done=3), 1, 2).phase is Phase.FOREIGN
-    conflict = Refused(409, "this job has another description")
-    assert learn(Run("run-1", 1), Step.UPLOAD, conflict, 1, 2).phase is Phase.FOREIGN
-    foreign = [Run("run-1", 1, phase=Phase.FOREIGN)]
+    assert learn(second, Step.POLL, StatusAnswer("running", done=3), 1, 2).phase is RunPhase.FOREIGN
+    conflict = RefusedAnswer(409, "this job has another description")
+    assert learn(Run("run-1", 1), Step.UPLOAD, conflict, 1, 2).phase is RunPhase.FOREIGN
+    foreign = [Run("run-1", 1, phase=RunPhase.FOREIGN)]
     assert repeats(Policy(), foreign, cancelled=False)
 
 
 def test_repeats_follow_the_policy() -> None:
     def over(number: int, **changes: object) -> Run:
-        return Run(f"run-{number}", number, Phase.WITHDRAWN, **changes)  # type: ignore[arg-type]
+        return Run(f"run-{number}", number, RunPhase.WITHDRAWN, **changes)  # type: ignore[arg-type]
 
     failed = over(1, cancel=True, failed="exit code 1")
     assert not repeats(Policy(), [failed], cancelled=False)
@@ -301,7 +301,7 @@
     three = [over(number, cancel=True, failed="x") for number in (1, 2, 3)]
     assert repeats(twice, three[:2], cancelled=False)
     assert not repeats(twice, three, cancelled=False)
-    done = Run("run-1", 1, Phase.DONE)
+    done = Run("run-1", 1, RunPhase.DONE)
     assert not repeats(twice, [done], cancelled=False)
 
 
@@ -309,13 +309,13 @@
 def test_a_minute_of_503_costs_few_tries_and_is_survived(seed: int) -> None:
     chance = random.Random(seed)
     run, now, tries = Run("run-1", 1), 0, 0
-    while run.phase < Phase.ACCEPTED:
+    while run.phase < RunPhase.ACCEPTED:
         assert next_step(run, Policy(), now, has_work=False) is Step.SUBMIT
         run = advance(run, before_send(now))
         tries += 1
-        reply: Reply = Failed("503", retry_after_us=SECOND_US)
+        reply: Reply = FailedCall("503", retry_after_us=SECOND_US)
         if now > 60 * SECOND_US:
-            reply = Told("pending", fresh=True)
+            reply = StatusAnswer("pending", fresh=True)
         run = advance(run, learn(run, Step.SUBMIT, reply, now, 1))
         now += retry_pause_us(tries, reply, chance)
     assert tries <= 10
@@ -326,19 +326,19 @@
 def test_a_refusal_and_an_acceptance_that_cross() -> None:
     """Two processes try at once while the service changes its mind."""
     both = advance(advance(Run("run-1", 1), before_send(1)), before_send(1))
-    accepted = learn(both, Step.SUBMIT, Told("pending", fresh=True), 1, 1)
-    refused = learn(both, Step.SUBMIT, Refused(422, "no"), 1, 1)
+    accepted = learn(both, Step.SUBMIT, StatusAnswer("pending", fresh=True), 1, 1)
+    refused = learn(both, Step.SUBMIT, RefusedAnswer(422, "no"), 1, 1)
     # Accepted is for good, whatever was said before that to another try.
-    assert advance(advance(both, accepted), refused).phase is Phase.ACCEPTED
+    assert advance(advance(both, accepted), refused).phase is RunPhase.ACCEPTED
     # Told as refused: then the job that was accepted must not run.
     told = advance(advance(both, refused), accepted)
-    assert (told.phase, told.stray) == (Phase.REFUSED, True)
+    assert (told.phase, told.stray) == (RunPhase.REFUSED, True)
     assert next_step(told, Policy(), 1, has_work=False) is Step.CANCEL
-    gone = advance(told, learn(told, Step.CANCEL, Told("withdrawn"), 1, 1))
+    gone = advance(told, learn(told, Step.CANCEL, StatusAnswer("withdrawn"), 1, 1))
     assert next_step(gone, Policy(), 1, has_work=False) is Step.END
 
 
 def test_the_first_final_state_stays() -> None:
-    done = advance(Run("run-1", 1), News(Phase.DONE))
-    for phase in Phase:
-        assert advance(done, News(phase, failed="x", reason="x")) == done
+    done = advance(Run("run-1", 1), RunUpdate(RunPhase.DONE))
+    for phase in RunPhase:
+        assert advance(done, RunUpdate(phase, failed="x", reason="x")) == done
--- a/tests/client/test_loopback.py
+++ b/tests/client/test_loopback.py
@@ -25,7 +25,7 @@
 from weldhead.client import client as client_module
 from weldhead.client.answers import Answer, Outcome
 from weldhead.client.client import Client, ClientSettings
-from weldhead.client.decisions import News, Phase
+from weldhead.client.decisions import RunPhase, RunUpdate
 from weldhead.client.job import Job, JobProblem
 from weldhead.client.journal import FORMAT, Journal, JournalError, KeyConflict
 from weldhead.client.policy import Policies, Policy
@@ -404,7 +404,9 @@
             # Cancelled at that moment, it is over, and over is final.
             book = one._journal
             await book.begin("late", JOB, Policy(), "run-7")
-            await book.change("run-7", News(Phase.FOREIGN, sends=1, settled=1, reason="not ours"))
+            await book.change(
+                "run-7", RunUpdate(RunPhase.FOREIGN, sends=1, settled=1, reason="not ours")
+            )
             await book.cancel("late")
             assert (await one.wait("late", 20)).outcome is Outcome.WITHDRAWN
             assert "run-7" not in service.jobs
--- a/tests/client/test_routing_and_budgets.py
+++ b/tests/client/test_routing_and_budgets.py
@@ -11,7 +11,7 @@
     POLLS_PER_S,
     RETRY_MOST_US,
     RETRY_US,
-    Failed,
+    FailedCall,
     poll_pause_us,
     retry_pause_us,
 )
@@ -99,7 +99,7 @@
 def test_retries_wait_as_long_as_was_asked_and_do_not_come_back_together(
     failures: int, asked_s: int, seed: int
 ) -> None:
-    reply = Failed("503", retry_after_us=asked_s * SECOND_US)
+    reply = FailedCall("503", retry_after_us=asked_s * SECOND_US)
     pause = retry_pause_us(failures, reply, random.Random(seed))
     assert pause >= max(RETRY_US, min(asked_s * SECOND_US, RETRY_MOST_US))
     assert pause <= 2 * RETRY_MOST_US
--- a/tests/cluster_state/test_late_writes.py
+++ b/tests/cluster_state/test_late_writes.py
@@ -135,13 +135,13 @@
                 came_back = value is None and key in doubts and stored in created[key]
                 assert stored == value or came_back, (key, stored, value)
 
-        ledger, duty = await lead("n-0")
+        ledger, background_task = await lead("n-0")
         count = 0
         for writes, fates, together, changes in turns:
             if changes:
                 ledger.close()
-                await asyncio.gather(duty, return_exceptions=True)
-                ledger, duty = await lead("n-1")
+                await asyncio.gather(background_task, return_exceptions=True)
+                ledger, background_task = await lead("n-1")
                 for key in KEYS:
                     # What had come back is there for the next leader, and is no surprise.
                     told[key] = transport.stored(key)
@@ -165,7 +165,7 @@
         await transport.release()
         look(ledger)
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     run(scenario())
 
@@ -178,13 +178,13 @@
         ledger = StateWriter(state, await transport.lead("n-0"))
         await transport.lead("n-1")
         transport.fates = list(fates)
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         with pytest.raises(LeadershipLostError):
             await ledger.write({"j/1": 1, "h/1": 2})
         await transport.release()
         assert transport.stored("j/1") is transport.stored("h/1") is None
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     run(scenario())
 
@@ -200,11 +200,11 @@
 
 async def played(leader: Leader, act: Any) -> None:
     """Let a leader do something, with its writes, and end."""
-    duty = asyncio.create_task(leader.state_writer.run())
+    background_task = asyncio.create_task(leader.state_writer.run())
     await act()
     await settle()
     await leader.close()
-    await asyncio.gather(duty, return_exceptions=True)
+    await asyncio.gather(background_task, return_exceptions=True)
 
 
 @pytest.mark.parametrize("capacity", [0, 2, 1_000])
--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -43,7 +43,7 @@
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.leadership.previous_leaders import missed_from_us
 from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.experiment import play_observed
 from weldhead.emulator.lost_answers import LostAnswerObserver
 from weldhead.emulator.scenario import read_scenario
@@ -676,7 +676,7 @@
     return method == "DELETE"
 
 
-async def lost_once(site: Site, kind: Callable[[str, str], bool]) -> Controller:
+async def lost_once(site: Site, kind: Callable[[str, str], bool]) -> SimulatedController:
     """Lose the answer to the next write of a kind; return who wrote."""
     unanswered = site.store.unanswered
     site.store.loses = lambda caller, method, path: not unanswered and kind(method, path)
@@ -691,7 +691,7 @@
     return msgspec.json.decode(entry.value, type=LeaderRecord).name, entry.version
 
 
-def believed(controller: Controller) -> tuple[str, int]:
+def believed(controller: SimulatedController) -> tuple[str, int]:
     """Who leads, as a controller knows."""
     assert controller.node is not None
     campaign = controller.node.election
--- a/tests/cluster_state/test_state_writer.py
+++ b/tests/cluster_state/test_state_writer.py
@@ -27,7 +27,7 @@
         token = state.put(LEADER_KEY, {"name": "n-0"})
         state.fates = list(fates)
         ledger = StateWriter(cast(StateClient, state), token)
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         for count, key in enumerate(keys):
             if count == release:
                 state.release_late()
@@ -37,7 +37,7 @@
             last = max(i for i, k in enumerate(keys) if k == key)
             assert state.keys[f"p/{key}"][0] == last
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     run(scenario())
 
@@ -50,13 +50,13 @@
         ledger = StateWriter(cast(StateClient, state), token)
         state.fates = list(fates)
         state.put(LEADER_KEY, {"name": "n-1"})
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         with pytest.raises(LeadershipLostError):
             await ledger.write({"f/run-1": "done"})
         state.release_late()
         assert "f/run-1" not in state.keys
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     run(scenario())
 
@@ -69,12 +69,12 @@
         writes = [asyncio.create_task(ledger.write({f"p/{n}": n})) for n in range(20)]
         urgent = asyncio.create_task(ledger.write({"m/x": 1}, urgent=True))
         await asyncio.sleep(0)
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         revisions = await asyncio.gather(*writes)
         assert len(set(revisions)) == 2
         assert await urgent == min(revisions)
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     run(scenario())
 
@@ -93,7 +93,7 @@
         ]
         later = asyncio.create_task(ledger.write_latest("p/2", lambda: "short"))
         await asyncio.sleep(0)
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         answers = await asyncio.gather(*writes, return_exceptions=True)
         assert [type(answer) for answer in answers] == [
             int,
@@ -106,7 +106,7 @@
         await later
         assert state.keys["p/2"][0] == "short"
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     run(scenario())
 
@@ -120,11 +120,11 @@
         write = asyncio.create_task(ledger.write({"h/1": lambda: value[0], "h/2": None}))
         await asyncio.sleep(0)
         value[0] = "new"
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         await write
         assert state.keys["h/1"][0] == "new"
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     run(scenario())
 
@@ -156,7 +156,7 @@
     state.transact = watched  # type: ignore[method-assign]
 
     async def scenario() -> None:
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         state.fates = ["refused", "unanswered"]
         write = asyncio.create_task(ledger.write({"f/x": 1, "j/x": None}))
         while not seen:  # noqa: ASYNC110
@@ -172,8 +172,8 @@
         await asyncio.sleep(0)
         assert ledger.unanswered_keys == frozenset()
         ledger.close()
-        duty.cancel()
-        await asyncio.gather(duty, return_exceptions=True)
+        background_task.cancel()
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(asyncio.wait_for(scenario(), 10))
     assert set(seen) == {frozenset({"f/x", "j/x"})}
--- a/tests/cluster_state/test_uneven_ends.py
+++ b/tests/cluster_state/test_uneven_ends.py
@@ -61,8 +61,8 @@
     async def close(self) -> None:
         if self.leader is not None:
             await self.leader.close()
-        for duty in self.duties:
-            duty.cancel()
+        for background_task in self.duties:
+            background_task.cancel()
         await asyncio.gather(*self.duties, return_exceptions=True)
 
     async def report(self, worker: StandInWorker) -> None:
--- a/tests/controller/leadership/test_isolated_leader.py
+++ b/tests/controller/leadership/test_isolated_leader.py
@@ -102,7 +102,7 @@
     site = Site()
 
     async def scenario() -> None:
-        duty = asyncio.create_task(site.leader.state_writer.run())
+        background_task = asyncio.create_task(site.leader.state_writer.run())
         for job_id in (JOB, FOLLOWER):
             assert await site.answered(site.near, job_id) == (200, "pending")
         site.way.answers = ["cut"]
@@ -116,8 +116,8 @@
         for job_id, state in told.items():
             assert await site.answered(site.near, job_id) == (200, state)
         await site.leader.close()
-        duty.cancel()
-        await asyncio.gather(duty, return_exceptions=True)
+        background_task.cancel()
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -145,7 +145,7 @@
     site = Site()
 
     async def scenario() -> None:
-        duty = asyncio.create_task(site.leader.state_writer.run())
+        background_task = asyncio.create_task(site.leader.state_writer.run())
         site.way.answers = ["cut"]
         await cancel(site)
         await until(lambda: site.way.cut)
@@ -153,8 +153,8 @@
         site.leader.state_writer.unanswered_since_us -= DOUBT_US
         assert (await site.answered(site.near, JOB))[0] == 200
         await site.leader.close()
-        duty.cancel()
-        await asyncio.gather(duty, return_exceptions=True)
+        background_task.cancel()
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -164,14 +164,14 @@
     site = Site()
 
     async def scenario() -> None:
-        duty = asyncio.create_task(site.leader.state_writer.run())
+        background_task = asyncio.create_task(site.leader.state_writer.run())
         site.way.fates = ["refused"] * 1_000
         await cancel(site)
         await until(lambda: len(site.way.fates) < 1_000)
         assert await site.answered(site.near, JOB) == (200, "pending")
         await site.leader.close()
-        duty.cancel()
-        await asyncio.gather(duty, return_exceptions=True)
+        background_task.cancel()
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -212,12 +212,12 @@
         assert len(sent) == 1
         # Replaced, it ends and cancels nothing either.
         state.put(LEADER_KEY, {"name": "n-1", "nonce": "y", "ttl_us": 3_000_000})
-        duty = asyncio.create_task(leader.state_writer.run())
+        background_task = asyncio.create_task(leader.state_writer.run())
         before = state.revision
         assert not await leader.completions.cancel(leader.cluster.jobs[JOB], 100_000)
         assert state.revision == before
-        duty.cancel()
-        await asyncio.gather(duty, return_exceptions=True)
+        background_task.cancel()
+        await asyncio.gather(background_task, return_exceptions=True)
         await leader.close()
 
     asyncio.run(scenario())
--- a/tests/controller/leadership/test_promises.py
+++ b/tests/controller/leadership/test_promises.py
@@ -16,7 +16,7 @@
 from tests.support.slow_store import SlowStore
 from weldhead.controller.leadership.promises import began_by_us
 from weldhead.controller.process import ControllerProcess
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.protocol.peer import Pong, PromiseAnswer, PromiseRequest, decode_message, encode_frame
 from weldhead.protocol.settings import PeerSettings, parse_settings
 from weldhead.protocol.wire import Heartbeat
@@ -25,7 +25,9 @@
 from weldhead.tunables.defaults import Tunables
 
 
-async def replaced(site: Site) -> tuple[Controller, Controller, Controller]:
+async def replaced(
+    site: Site,
+) -> tuple[SimulatedController, SimulatedController, SimulatedController]:
     """Let the second take over from the first, which does not know it; the third sees nothing."""
     first = await site.led()
     second, third = site.others(first)
@@ -42,13 +44,15 @@
     return first, second, third
 
 
-def heal(site: Site, first: Controller, second: Controller, third: Controller) -> None:
+def heal(
+    site: Site, first: SimulatedController, second: SimulatedController, third: SimulatedController
+) -> None:
     site.heal(second.name, first.name, "refuse")
     site.heal(third.name, first.name, "drop")
     site.heal(third.name, second.name, "drop")
 
 
-def restart(controller: Controller) -> None:
+def restart(controller: SimulatedController) -> None:
     controller.end()
     controller.start()
 
--- a/tests/controller/leadership/test_repeated_failover.py
+++ b/tests/controller/leadership/test_repeated_failover.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from tests.support.handing_back import Site, play
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 
 #: What befalls the leader, mostly in pairs, one of the others, or all.
 LEADERS = [
@@ -54,7 +54,7 @@
             caller in self._unanswered and path.startswith(("/multi", "/grants"))
         )
 
-    def _whom(self, number: int) -> Controller:
+    def _whom(self, number: int) -> SimulatedController:
         leading = [controller for controller, _ in self.site.leading()][-1:]
         rest = [c for c in self.site.controllers if c not in leading]
         return [*leading, *rest][number]
--- a/tests/controller/leadership/test_term_recovery.py
+++ b/tests/controller/leadership/test_term_recovery.py
@@ -1,7 +1,7 @@
 """A new leader: it starts nothing until it knows what may run anywhere.
 
-The leader is driven directly: its duties are not started, the store is a stand-in, and the
-clock is the test's.
+The leader is driven directly: its background tasks are not started, the store is a stand-in, and
+the clock is the test's.
 """
 
 import asyncio
--- a/tests/controller/requests/test_cancellations_across_leaders.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -321,7 +321,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each unloaded term counted anew from its own beginning."""
-    # The test does what its duties would do, in its own time.
+    # The test does what its background tasks would do, in its own time.
     monkeypatch.setattr(Leader, "start", lambda self: None)
     state = StandInState()
     state.__dict__["grant"] = lambda ttl_us: asyncio.sleep(0, state.store.grant(ttl_us // 1_000, 0))
--- a/tests/controller/requests/test_fair_polls.py
+++ b/tests/controller/requests/test_fair_polls.py
@@ -13,7 +13,7 @@
 from weldhead.emulator.checker import FORGOTTEN_IN_CALM_US
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import BEGIN_S, simulated
-from weldhead.emulator.scenario import JobClass, Scenario, TeamPart
+from weldhead.emulator.scenario import JobClass, Scenario, ScenarioTeam
 from weldhead.tunables.defaults import Tunables
 
 JOBS, STORE_RPS, SECONDS = 300, 20.0, 160.0
@@ -28,7 +28,7 @@
     """Each of the five counted for itself how long a job waits: some waited for 118 s."""
     job = JobClass("one", "red", 0.0, tasks=1, run_s=1_000.0, cpus=0.1, initial=0)
     scenario = Scenario(
-        "fair-polls", [TeamPart("red", 8.0, 40.0)], [job], controllers=5, machines=4,
+        "fair-polls", [ScenarioTeam("red", 8.0, 40.0)], [job], controllers=5, machines=4,
         store_rps=STORE_RPS, store_write_rps=10.0, stored_jobs=JOBS,
     )  # fmt: skip
     chance, over_s = random.Random(1), BEGIN_S + SECONDS
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -646,7 +646,7 @@
     soon = [ExpectedDemand(waiting, 20 * S)]
     assert choose_scale_in_candidates(into, PlacementPlan(), settings, soon) == set()
 
-    def hires(upcoming: list[ExpectedDemand]) -> int:
+    def rentals(upcoming: list[ExpectedDemand]) -> int:
         market = RentalOffers([machine_type(boot_s=10.0)])
         found = plan_scale_out(
             into,
@@ -661,19 +661,19 @@
         return sum(found.values())
 
     # There is room for all of them now, and none once other work has taken it.
-    assert hires(soon) == 0
+    assert rentals(soon) == 0
     filler = add_job(into, job_spec(3, tasks=8, estimate_s=900.0))
     for index, machine in enumerate(m for m in into.machines.values() for _ in range(2)):
         into.start(filler, index, machine, S)
-    assert hires([]) == 0
-    assert hires(soon) == 4
+    assert rentals([]) == 0
+    assert rentals(soon) == 4
 
 
 def test_guaranteed_work_that_is_about_to_become_runnable_does_not_wait_for_a_boot() -> None:
     """It has no waiting tasks yet, and was taken for work beyond the guarantee."""
     settings = TUNABLES.fleet.settings()
 
-    def hires(team: Team) -> int:
+    def rentals(team: Team) -> int:
         into = cluster(team)
         machine = add_machine(into)
         filler = add_job(into, job_spec(3, team="red", tasks=2, estimate_s=35.0))
@@ -691,8 +691,8 @@
         )  # fmt: skip
         return sum(found.values())
 
-    assert hires(Team("red", 8, 100)) == 1
-    assert hires(Team("red", 4, 100)) == 0
+    assert rentals(Team("red", 8, 100)) == 1
+    assert rentals(Team("red", 4, 100)) == 0
 
 
 def test_a_new_leader_says_nothing_of_jobs_behind_one_whose_end_it_has_not_read(
--- a/tests/controller/test_process_pauses.py
+++ b/tests/controller/test_process_pauses.py
@@ -44,7 +44,7 @@
     rentals, authority = leader.rental_manager, leader.term._lease
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.state_writer.run())
+        background_task = asyncio.create_task(leader.state_writer.run())
         leader.term.background_tasks.start("deletions", rentals._delete_returned)
         rentals.rent(RentalOffer(machine_type(), "a", True), 3)
         await settle()
@@ -65,7 +65,7 @@
         await settle()
         assert [set(names) for names in cloud.deleted] == [set(machines)]
         await leader.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -142,11 +142,11 @@
         here = controller()
         here._state = cast(Any, StandInNode())
         monkeypatch.setattr(here._state, "available", True, raising=False)
-        duty = asyncio.create_task(here._ping(cast(PeerLink, link)))
+        background_task = asyncio.create_task(here._ping(cast(PeerLink, link)))
         for _ in range(5):
             await asyncio.sleep(0)
-        duty.cancel()
-        await asyncio.gather(duty, return_exceptions=True)
+        background_task.cancel()
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
     assert link.dropped == dropped
--- a/tests/controller/test_small_controller.py
+++ b/tests/controller/test_small_controller.py
@@ -16,7 +16,7 @@
 from weldhead.controller.requests import poll_handler
 from weldhead.controller.requests.poll_handler import MAX_FORWARDED_POLLS
 from weldhead.emulator.experiment import Result, play
-from weldhead.emulator.loop import BEGIN_S, CALLBACK_US, Life, simulated
+from weldhead.emulator.loop import BEGIN_S, CALLBACK_US, ProcessInstance, simulated
 from weldhead.emulator.scenario import parse_scenario, read_scenario
 from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.http_server import Response
@@ -72,7 +72,9 @@
         note("slept")
 
     with simulated() as loop:
-        slow, free = (Life(name, share=share) for name, share in (("slow", 0.5), ("free", 0.0)))
+        slow, free = (
+            ProcessInstance(name, share=share) for name, share in (("slow", 0.5), ("free", 0.0))
+        )
         loop.spawn(slow, work)
         loop.spawn(free, work)
         loop.run_until_complete(asyncio.sleep(3.0))
@@ -123,7 +125,7 @@
 def test_a_process_that_has_ended_cannot_be_frozen() -> None:
     """A machine that hung as it was restarted kept the run from ever ending."""
     with simulated() as loop:
-        life = Life("m")
+        life = ProcessInstance("m")
 
         async def story() -> None:
             task = loop.spawn(life, lambda: asyncio.sleep(1_000))
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -11,14 +11,14 @@
 from tests.support.paths import ROOT
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.emulator.cards import Holding
-from weldhead.emulator.checker import Checker, Site
+from weldhead.emulator.checker import Checker, TaskLocation
 from weldhead.emulator.experiment import play
-from weldhead.emulator.planted import ERRORS, planted
+from weldhead.emulator.gpu_rules import GpuHolding
+from weldhead.emulator.injected_bugs import INJECTED_BUGS, injected_bug
+from weldhead.emulator.job_timelines import JobTimeline, unserved
+from weldhead.emulator.observed_experiment import play_watched
 from weldhead.emulator.scenario import Fault, Scenario, parse_scenario, read_scenario
-from weldhead.emulator.serving import Course, unserved
-from weldhead.emulator.waiting import Healthy, WaitingRules
-from weldhead.emulator.watched import play_watched
+from weldhead.emulator.waiting_rules import Healthy, WaitingRules
 from weldhead.protocol.settings import StateLimits, Team
 from weldhead.reconciliation.attempt_verdicts import AttemptVerdict
 from weldhead.site.store.model import Store
@@ -26,7 +26,7 @@
 
 SCENARIOS = ROOT / "deploy" / "scenarios"
 #: Each planted error is found within so many seeds of the scenario.
-FOUND_IN = dict.fromkeys(ERRORS, "drawn") | {
+FOUND_IN = dict.fromkeys(INJECTED_BUGS, "drawn") | {
     "lease-from-the-answer": "slow-then-silent",
     "any-failure-accuses": "broken-jobs",
     "everything-settled": "half-silent",
@@ -75,13 +75,13 @@
     assert first.digest != other.digest
 
 
-@pytest.mark.parametrize("name", sorted(ERRORS))
+@pytest.mark.parametrize("name", sorted(INJECTED_BUGS))
 def test_planted_errors_are_found(name: str) -> None:
     site = scenario(FOUND_IN[name])
     # Most is found early; who was served is not judged in a run cut short.
     if site.name not in LONG:
         site.seconds, site.serves = min(site.seconds, 120.0), False
-    with planted(name):
+    with injected_bug(name):
         assert any(PLAYED_BY.get(name, play)(site, seed).broken for seed in range(MOST_SEEDS))
 
 
@@ -248,8 +248,8 @@
     return Checker([Team("red", 8, 5.0)], 10, lambda: 1_000, store)
 
 
-def at(machine: str, zone: str = "a", *, present: bool = True) -> Site:
-    return Site(machine, machine_type(), zone, False, lambda: present)
+def at(machine: str, zone: str = "a", *, present: bool = True) -> TaskLocation:
+    return TaskLocation(machine, machine_type(), zone, False, lambda: present)
 
 
 def test_the_checker_knows_each_rule() -> None:
@@ -279,7 +279,7 @@
 
     def __init__(self, lease_s: float = 1e3) -> None:
         self.now_s = -5.0
-        site = Site("vm-1", machine_type(), "a", False, lambda: self.now_s <= lease_s)
+        site = TaskLocation("vm-1", machine_type(), "a", False, lambda: self.now_s <= lease_s)
         store = Store(StateLimits(1e6, 1e6, 8.0, 12))
         self.checker = Checker(
             [Team("red", 8, 8.0)],
@@ -366,8 +366,8 @@
     checker = Checker(teams, 10, lambda: now[0], store, calm_us=0)
     here = {f"run-000009/{index}": job_spec(9, cpus=1.0) for index in range(2)}
     machines = [
-        Healthy(Holding("vm-1", machine_type(), {}), "a", True),
-        Healthy(Holding("vm-2", machine_type(), here), "b", False),
+        Healthy(GpuHolding("vm-1", machine_type(), {}), "a", True),
+        Healthy(GpuHolding("vm-2", machine_type(), here), "b", False),
     ]
     # In turn: fits one, no spot machine, too large beside what runs, over its team's limit.
     jobs = [
@@ -405,8 +405,8 @@
 
 
 def test_classes_teams_and_the_largest_are_served() -> None:
-    def course(number: int, tasks: int, *, begun_s: int = 5, served: bool = True) -> Course:
-        return Course(job_spec(number, tasks=tasks), SECOND_US, begun_s * SECOND_US, served)
+    def course(number: int, tasks: int, *, begun_s: int = 5, served: bool = True) -> JobTimeline:
+        return JobTimeline(job_spec(number, tasks=tasks), SECOND_US, begun_s * SECOND_US, served)
 
     end_us = 600 * SECOND_US
     small = [course(n, 1) for n in range(20)]
--- a/tests/emulator/test_fault_combinations.py
+++ b/tests/emulator/test_fault_combinations.py
@@ -8,7 +8,7 @@
 from tests.support.paths import ROOT
 from weldhead.emulator.combinations import combined
 from weldhead.emulator.experiment import Result, play
-from weldhead.emulator.planted import planted
+from weldhead.emulator.injected_bugs import injected_bug
 from weldhead.emulator.reduction import Reduction, first_found
 from weldhead.emulator.scenario import Fault, Scenario, parse_scenario, read_scenario
 from weldhead.emulator.scenario_file import scenario_text
@@ -45,7 +45,7 @@
 
 
 def test_what_breaks_a_rule_is_found() -> None:
-    with planted("does-not-wait"):
+    with injected_bug("does-not-wait"):
         results = (play(combined(short(), seed, 3), seed) for seed in range(8))
         assert any(result.broken for result in results)
 
@@ -55,7 +55,7 @@
     end = Fault("controllers_end", at_s=25.0, role="leader", back_s=5.0)
     others = [Fault("users_odd", at_s=20.0), Fault("boots_late", at_s=20.0)]
     scenario = msgspec.structs.replace(short(), faults=[others[0], end, others[1]])
-    with planted("does-not-wait"):
+    with injected_bug("does-not-wait"):
         found = Reduction(first_found(scenario, play(scenario, 0)), seeds=2).reduce()
         assert found.scenario.faults == [end]
         assert len(found.scenario.jobs) == 1
--- a/tests/emulator/test_late_heartbeats_everywhere.py
+++ b/tests/emulator/test_late_heartbeats_everywhere.py
@@ -12,8 +12,8 @@
 from tests.support.paths import ROOT
 from weldhead.emulator.arrivals import Age, Arrivals, Moment
 from weldhead.emulator.experiment import Result
+from weldhead.emulator.observed_experiment import play_watched
 from weldhead.emulator.scenario import Scenario, read_scenario
-from weldhead.emulator.watched import play_watched
 
 SCENARIOS = ROOT / "deploy" / "scenarios"
 
--- a/tests/emulator/test_limits_and_failovers.py
+++ b/tests/emulator/test_limits_and_failovers.py
@@ -11,7 +11,7 @@
 from tests.support.paths import ROOT
 from tests.support.stand_ins import StandInState, StandInTask
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.emulator.hand_overs import STEPS, HandOverObserver, observe_hand_overs
+from weldhead.emulator.failover_observer import STEPS, HandOverObserver, observe_hand_overs
 from weldhead.emulator.scenario import Scenario, read_scenario
 from weldhead.protocol.settings import Team
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer, RentalOffers
--- a/tests/emulator/test_new_machines.py
+++ b/tests/emulator/test_new_machines.py
@@ -7,7 +7,7 @@
 
 from tests.support.paths import ROOT
 from weldhead.emulator.experiment import play_observed
-from weldhead.emulator.planted import planted
+from weldhead.emulator.injected_bugs import injected_bug
 from weldhead.emulator.rental_records import RentalRecordObserver
 from weldhead.emulator.scenario import read_scenario
 
@@ -45,5 +45,5 @@
 
 
 def test_work_on_an_unrecorded_machine_is_seen() -> None:
-    with planted("work-on-an-unrecorded-machine"):
+    with injected_bug("work-on-an-unrecorded-machine"):
         assert played(3, 0).unrecorded
--- a/tests/emulator/test_read_your_writes.py
+++ b/tests/emulator/test_read_your_writes.py
@@ -1,12 +1,13 @@
 """Users look at all nodes within milliseconds, and no node tells anything older.
 
-The real controllers on the emulator's loop, asked in pairs of acts (``emulator/close_looks.py``).
+The real controllers on the emulator's loop, asked in pairs of acts
+(``emulator/read_your_writes.py``).
 """
 
 import pytest
 
-from weldhead.emulator.close_looks import play_close_looks
-from weldhead.emulator.planted import planted
+from weldhead.emulator.injected_bugs import injected_bug
+from weldhead.emulator.read_your_writes import play_close_looks
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -20,5 +21,5 @@
 
 
 def test_a_follower_that_answers_from_an_old_read_is_found() -> None:
-    with planted("follower-answers-from-an-old-read"):
+    with injected_bug("follower-answers-from-an-old-read"):
         assert any(play_close_looks(seed).older for seed in range(2))
--- a/tests/gates/test_gates.py
+++ b/tests/gates/test_gates.py
@@ -227,7 +227,9 @@
 
 
 class World:
-    """A store, a leader with gates, and a follower's desk; the duty is looked at by hand."""
+    """A store, a leader with gates, and a follower's desk; the background task is looked at by
+    hand.
+    """
 
     def __init__(self, clock: Clock, document: Gate | None = None) -> None:
         self.clock = clock
@@ -290,7 +292,7 @@
         return self.leader.gate_keeper
 
     def look(self) -> None:
-        """The duty's look, once."""
+        """The background task's look, once."""
         if self.leader.gate_keeper is None:
             return
         self.run(self.gates._process_changes(list(self.leader.cluster.jobs.values())))
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -13,7 +13,7 @@
 from tests.support.paths import ROOT
 from weldhead.emulator import faults
 from weldhead.emulator.experiment import Result, play
-from weldhead.emulator.network import Weather
+from weldhead.emulator.network import LinkConditions
 from weldhead.emulator.scenario import Fault, read_scenario
 from weldhead.membership.isolation import IsolationDetector, LastContact
 from weldhead.membership.peer_verdict import (
@@ -192,7 +192,7 @@
 ) -> None:
     # One message in a thousand is sent again after a second. Whether that befell the successor's
     # reading was a matter of the seed: it is left out, and the bound is a third of what it was.
-    monkeypatch.setattr(faults, "Weather", partial(Weather, resent=0.0))
+    monkeypatch.setattr(faults, "LinkConditions", partial(LinkConditions, resent=0.0))
     result = doubted(controllers, Fault("controllers_end", 20, 15, count=1, leader=True))
     assert not result.broken, result.details
     assert result.counts["terms"] == 2
--- a/tests/protocol/test_versions.py
+++ b/tests/protocol/test_versions.py
@@ -102,8 +102,8 @@
     assert job.spec.needs is None
     assert read(CANCELLED, JobRecord).cancelled
     assert read(FINAL, FinalRecord) == FinalRecord("done", 4, 0, False)
-    hire = read(HIRE, RentalRecord)
-    assert hire.machines == {"vm-000231": "10.1.0.232:9000", "vm-000232": None}
+    rental = read(HIRE, RentalRecord)
+    assert rental.machines == {"vm-000231": "10.1.0.232:9000", "vm-000232": None}
     assert (read(OPEN_HIRE, RentalRecord).settled, read(OPEN_HIRE, RentalRecord).machines) == (
         False,
         {},
@@ -174,9 +174,9 @@
 def test_format_1_reads_ends_rentals_and_shortened_cancellations() -> None:
     end = msgspec.json.encode(FinalRecord("withdrawn", 2, 2**50, True))
     assert read(end, OldFinal) == OldFinal("withdrawn", 2)
-    hire = RentalRecord("m4", "a", True, 2, 5, True, {"vm-1": None, "vm-2": "10.0.0.1:1"})
-    old = read(msgspec.json.encode(hire), OldHire)
-    assert (old.settled, old.machines) == (True, hire.machines)
+    rental = RentalRecord("m4", "a", True, 2, 5, True, {"vm-1": None, "vm-2": "10.0.0.1:1"})
+    old = read(msgspec.json.encode(rental), OldHire)
+    assert (old.settled, old.machines) == (True, rental.machines)
     long = job_spec(7, types=tuple(f"{n:0200}" for n in range(30)), image="i" * 200)
     short = cancelled_record(long, 5, 2048)
     body = msgspec.json.encode(short)
@@ -258,7 +258,7 @@
     leader = new_leader(state, clock())
 
     async def divide(leader: Any, ends_after: int | None) -> None:
-        duty = asyncio.create_task(leader.state_writer.run())
+        background_task = asyncio.create_task(leader.state_writer.run())
         if ends_after is not None:
             state.fates = ["ok"] * ends_after + ["lost"] * 100
         leader.rental_manager.start()
@@ -267,8 +267,8 @@
             # At each moment any leader finds all of them.
             assert recorded(state) == everything
         await leader.close()
-        duty.cancel()
-        await asyncio.gather(duty, return_exceptions=True)
+        background_task.cancel()
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(divide(leader, ends_after))
     if ends_after is not None:
--- a/tests/provisioning/test_boot_times.py
+++ b/tests/provisioning/test_boot_times.py
@@ -34,7 +34,7 @@
     assert expected_of([], waiting[: LEAST - 1], USUAL) == USUAL
 
 
-def hire(into: Cluster, count: int, at_us: int, zone: str = "a") -> list[Machine]:
+def rental(into: Cluster, count: int, at_us: int, zone: str = "a") -> list[Machine]:
     made = []
     for _ in range(count):
         machine = Machine(f"vm-{len(into.machines):06}", machine_type(), zone, True, at_us)
@@ -56,7 +56,7 @@
 def test_where_all_are_late_none_is_lost_and_none_is_rented_twice() -> None:
     """A whole fleet that booted three times as long was rented a second time."""
     into, boots = cluster(), BootHistory()
-    fleet = hire(into, 40, 0)
+    fleet = rental(into, 40, 0)
     at_us = 80 * S
     expected = look(boots, into, at_us)
     assert not any(expected.is_late(machine, at_us) for machine in fleet)
@@ -73,22 +73,22 @@
 def test_one_that_stays_behind_those_hired_with_it_is_given_up_before_long() -> None:
     """Those that never come were kept for four boots, and took room that others could have."""
     into, boots = cluster(), BootHistory()
-    fleet = hire(into, 20, 0)
+    fleet = rental(into, 20, 0)
     come(boots, fleet[:15], 30 * S)
     early, late = 60 * S, 72 * S
     assert not any(look(boots, into, early).is_given_up(m, early) for m in fleet[15:])
     assert all(look(boots, into, late).is_given_up(m, late) for m in fleet[15:])
     # One hired alone is not: nobody came up beside it.
-    lone = hire(into, 1, 300 * S)
+    lone = rental(into, 1, 300 * S)
     at_us = 300 * S + late
     assert not look(boots, into, at_us).is_given_up(lone[0], at_us)
 
 
 def test_another_zone_and_earlier_hires_tell_nothing() -> None:
     into, boots = cluster(), BootHistory()
-    come(boots, hire(into, 20, 0, "b"), 30 * S)
-    come(boots, hire(into, 20, 0), 30 * S)
-    fleet = hire(into, 20, 60 * S)
+    come(boots, rental(into, 20, 0, "b"), 30 * S)
+    come(boots, rental(into, 20, 0), 30 * S)
+    fleet = rental(into, 20, 60 * S)
     at_us = 60 * S + 72 * S
     expected = look(boots, into, at_us)
     assert not any(expected.is_late(machine, at_us) for machine in fleet)
@@ -96,7 +96,7 @@
 
 def test_they_come_at_once_and_are_not_counted_on_sooner_than_they_did() -> None:
     into, boots = cluster(), BootHistory()
-    fleet = hire(into, 20, 0)
+    fleet = rental(into, 20, 0)
     come(boots, fleet[:19], 2 * S)
     expected = look(boots, into, 3 * S)
     assert expected.ready_us(fleet[19], 3 * S) == BOOT_S * S
--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -115,7 +115,7 @@
             waiting.append(asyncio.create_task(ledger.write_latest("h/x", lambda: dict(record))))
         before = state.revision
         await asyncio.sleep(0)
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         await asyncio.gather(*waiting)
         assert state.revision == before + 1
         assert len(state.keys["h/x"][0]) == 50
@@ -124,7 +124,7 @@
         await ledger.write_latest("h/x", lambda: dict(record))
         assert state.keys["h/x"][0]["late"] == 1
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -138,10 +138,10 @@
         last = asyncio.create_task(ledger.write_latest("p/2", lambda: 2))
         await asyncio.sleep(0)
         ledger.prioritize("p/2")
-        duty = asyncio.create_task(ledger.run())
+        background_task = asyncio.create_task(ledger.run())
         assert await last < await first
         ledger.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -156,7 +156,7 @@
     rentals = leader.rental_manager
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.state_writer.run())
+        background_task = asyncio.create_task(leader.state_writer.run())
         leader.term.background_tasks.start("deletions", rentals._delete_returned)
         rentals.rent(RentalOffer(machine_type(), "a", True), 230)
         await settle()
@@ -182,7 +182,7 @@
         assert not any(key.startswith(RENTALS) for key in state.keys)
         assert state.revision - before <= 10
         await leader.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -196,7 +196,7 @@
     rentals = leader.rental_manager
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.state_writer.run())
+        background_task = asyncio.create_task(leader.state_writer.run())
         rentals.rent(RentalOffer(machine_type(), "a", True), 500)
         # What an earlier leader may have asked for has to be settled all the same.
         rentals._records["n-9-9-1"] = RentalRecord("m4", "a", True, 7, 0)
@@ -212,7 +212,7 @@
         assert len([key for key in state.keys if key.startswith(RENTALS)]) == 2
         assert not rentals.pending() and not rentals._unsent
         await leader.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
@@ -229,7 +229,7 @@
     rentals, market = leader.rental_manager, leader.term.rental_offers
 
     async def scenario() -> None:
-        duty = asyncio.create_task(leader.state_writer.run())
+        background_task = asyncio.create_task(leader.state_writer.run())
         leader.term.background_tasks.start("deletions", rentals._delete_returned)
         rentals.rent(RentalOffer(machine_type(), "a", True), 100)
         await settle()
@@ -241,7 +241,7 @@
         assert name not in leader.cluster.machines
         assert RentalOffer(machine_type(), "a", True) in market.available(now_us())
         await leader.close()
-        await asyncio.gather(duty, return_exceptions=True)
+        await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
--- a/tests/scheduling/test_cost_of_changes.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -1,6 +1,7 @@
 """What a leader does each period costs what has changed: operations counted, never timed.
 
-And what a fleet of thousands does to a term: loading, silence of half of it, a slow duty.
+And what a fleet of thousands does to a term: loading, silence of half of it, a slow background
+task.
 """
 
 import asyncio
@@ -43,7 +44,7 @@
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand, endangered
 from weldhead.scheduling.autoscaling.rental_offers import RentalOffer, RentalOffers
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out, replacements, usual_boots
-from weldhead.scheduling.autoscaling.unmet_demand import forecast_unmet_demand
+from weldhead.scheduling.autoscaling.unmet_demand import DemandForecastInput, forecast_unmet_demand
 from weldhead.scheduling.forecast import job_forecasts
 from weldhead.scheduling.forecast.job_forecasts import JobForecasts
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
@@ -201,9 +202,10 @@
 
     cast(Any, queue).take = counted
     goals = ServiceLevelObjectives([])
-    found = forecast_unmet_demand(
-        into, plan, queue, RunTimeEstimates(), goals, 2 * S, 20 * S, lambda job: 1.0, FLEET
+    given = DemandForecastInput(
+        into, plan, RunTimeEstimates(), goals, FLEET, 2 * S, 20 * S, lambda job: 1.0
     )
+    found = forecast_unmet_demand(given, queue)
     assert found.deferrable and found.deferrable[0][0] is job
     # 80 CPUs: 625 turns of 80 tasks.
     assert next(pushed) <= 700
@@ -215,9 +217,11 @@
     plan = plan_pass(scene, 2 * S, 10 * S)
     few, all_of_them = (
         forecast_unmet_demand(
-            into, plan, CapacityForecast(into, [], RunTimeEstimates(), 2 * S, usual_boots(FLEET)),
-            RunTimeEstimates(), ServiceLevelObjectives([]), 2 * S,
-            20 * S, lambda job: 1.0, settings, (), 5_000,
+            DemandForecastInput(
+                into, plan, RunTimeEstimates(), ServiceLevelObjectives([]), settings, 2 * S,
+                20 * S, lambda job: 1.0, (), 5_000,
+            ),
+            CapacityForecast(into, [], RunTimeEstimates(), 2 * S, usual_boots(FLEET)),
         )
         for settings in (FLEET, FleetTunables(most_considered=10_000).settings())
     )  # fmt: skip
@@ -400,7 +404,9 @@
             with pacer.measure("fleet"):
                 loop.us += took_us
     said = [record.getMessage() for record in caplog.records]
-    assert said == ["duty fleet held the loop for 0.200 s (over 0.100 s; 1 times so far)"]
+    assert said == [
+        "background task fleet held the event loop for 0.200 s (limit 0.100 s, 1 times so far)"
+    ]
     assert pacer.overruns == {"fleet": 2}
     assert pacer.summary() == "fleet held 2 times"
     for rank, share in LOOP_SHARES.items():
@@ -461,7 +467,7 @@
     estimates, goals = RunTimeEstimates(), ServiceLevelObjectives([])
     names = {machine.name for machine in silent}
 
-    def hires(upcoming: list[ExpectedDemand], away: set[str]) -> int:
+    def rentals(upcoming: list[ExpectedDemand], away: set[str]) -> int:
         found = plan_scale_out(
             into,
             PlacementPlan(),
@@ -479,8 +485,8 @@
         return sum(found.values())
 
     # What runs elsewhere for another minute does not help them: 60 tasks of 2 CPUs.
-    assert hires([lost], names) == 15
-    assert hires([], set()) == 0
+    assert rentals([lost], names) == 15
+    assert rentals([], set()) == 0
     # Cancelled work and replicas are not asked for again.
     filler.cancelled = True
     assert endangered(silent, at_us, lease_us) == []
@@ -493,16 +499,16 @@
 def test_no_more_is_rented_ahead_than_what_is_missing(
     orders: list[tuple[float, int]], missing: float
 ) -> None:
-    hires = {
+    rentals = {
         RentalOffer(machine_type(name=f"m{n}", cpus=cpus), "a", True): count
         for n, (cpus, count) in enumerate(orders)
     }
-    found = replacements(hires, missing)
+    found = replacements(rentals, missing)
     assert sum(o.type.cpus * count for o, count in found.items()) <= max(0.0, missing)
-    assert all(0 < count <= hires[offer] for offer, count in found.items())
+    assert all(0 < count <= rentals[offer] for offer, count in found.items())
     # Whatever was cut off did not fit any more.
     left = missing - sum(o.type.cpus * count for o, count in found.items())
-    assert all(found.get(o, 0) == count or o.type.cpus > left for o, count in hires.items())
+    assert all(found.get(o, 0) == count or o.type.cpus > left for o, count in rentals.items())
 
 
 def test_recovery_rents_what_replaces_machines_that_do_not_answer(clock: Clock) -> None:
@@ -516,9 +522,9 @@
 
     async def look() -> int:
         leader.autoscaler.rent_replacements(clock())
-        duty = asyncio.create_task(leader.state_writer.run())
+        background_task = asyncio.create_task(leader.state_writer.run())
         await settle()
-        duty.cancel()
+        background_task.cancel()
         return sum(request.count for request in cloud.rented)
 
     # Nobody has been asked in vain yet: they may all be about to answer.
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -325,7 +325,7 @@
 FLEET = TUNABLES.fleet.settings()
 
 
-def hires(into: Cluster, market: RentalOffers = MARKET, at_us: int = S) -> dict[RentalOffer, int]:
+def rentals(into: Cluster, market: RentalOffers = MARKET, at_us: int = S) -> dict[RentalOffer, int]:
     return plan_scale_out(
         into, starts(into, at_us), market, RunTimeEstimates(), GOALS, at_us, FLEET
     )
@@ -334,7 +334,7 @@
 def test_spot_machines_are_rented_first() -> None:
     into = cluster()
     add_job(into, job_spec(tasks=8, deadline_s=500.0))
-    wanted = hires(into)
+    wanted = rentals(into)
     assert wanted and all(offer.spot for offer in wanted)
     assert sum(wanted.values()) == 4
 
@@ -342,15 +342,15 @@
 def test_jobs_that_may_not_use_spot_get_ordinary_machines() -> None:
     into = cluster()
     add_job(into, job_spec(tasks=2, spot=False, deadline_s=100.0))
-    assert [offer.spot for offer in hires(into)] == [False]
+    assert [offer.spot for offer in rentals(into)] == [False]
 
 
 def test_what_was_refused_is_not_asked_for_again_at_once() -> None:
     into = cluster()
     add_job(into, job_spec(tasks=2, types=("m4",), zone="a", deadline_s=100.0))
     refused = RentalOffers([machine_type()], {("m4", "a", True): 9 * S, ("m4", "a", False): 9 * S})
-    assert hires(into, refused) == {}
-    assert hires(into, refused, 10 * S) != {}
+    assert rentals(into, refused) == {}
+    assert rentals(into, refused, 10 * S) != {}
 
 
 def test_what_starts_before_a_new_machine_is_up_rents_nothing() -> None:
@@ -359,7 +359,7 @@
     machine = Machine("vm-000001", machine_type(), "a", True, 0)
     into.machines[machine.name] = machine
     add_job(into, job_spec(tasks=2, deadline_s=100.0))
-    assert hires(into) == {}
+    assert rentals(into) == {}
 
 
 def test_dear_machines_are_limited_by_the_backlog() -> None:
@@ -368,7 +368,7 @@
     spec = job_spec(tasks=400, cpus=1.0, estimate_s=10.0, job_class="soon", spot=False)
     add_job(into, spec)
     backlog_s = 400 * 10.0
-    rented = sum(offer.type.cpus * number for offer, number in hires(into).items())
+    rented = sum(offer.type.cpus * number for offer, number in rentals(into).items())
     assert 0 < rented <= backlog_s / (FLEET.payback_us / S)
 
 
--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -226,7 +226,7 @@
     plan = PlacementPlan(unplaced=UnplacedTasks([(wide, 2)]))
     market = RentalOffers([machine_type(cpus=8.0, memory_gb=64.0)])
 
-    def hires(coming: int) -> int:
+    def rentals(coming: int) -> int:
         kind = market.types[0]
         found = plan_scale_out(
             into, plan, market, RunTimeEstimates(), GOALS, 100 * S, FLEET,
@@ -236,4 +236,4 @@
         )  # fmt: skip
         return sum(found.values())
 
-    assert [hires(coming) for coming in (0, 1, 2)] == [2, 1, 0]
+    assert [rentals(coming) for coming in (0, 1, 2)] == [2, 1, 0]
--- a/tests/site/test_pool.py
+++ b/tests/site/test_pool.py
@@ -30,29 +30,29 @@
         self.listed: set[str] = set()
 
     @rule(
-        hire=st.sampled_from(["h1", "h2", "h3", "h4"]),
+        rental=st.sampled_from(["h1", "h2", "h3", "h4"]),
         kind=st.sampled_from(["small", "large"]),
         count=st.integers(1, 6),
     )
-    def rent(self, hire: str, kind: str, count: int) -> None:
-        request = RentalRequest(hire, kind, "a", False, count)
+    def rent(self, rental: str, kind: str, count: int) -> None:
+        request = RentalRequest(rental, kind, "a", False, count)
         try:
             names, record = self.pool.rent(request, self.now)
         except PoolError as refused:
             assert refused.status == 503
-            assert hire not in self.answers
+            assert rental not in self.answers
             assert self.pool.room(SMALL if kind == "small" else LARGE) == 0
             return
-        if hire in self.answers:
+        if rental in self.answers:
             assert record is None
-            assert names == self.answers[hire]
+            assert names == self.answers[rental]
             return
         assert record is not None
         self.record.append(record)
         self.pool.rented(record)
         assert not set(names) & self.ever
         self.ever |= set(names)
-        self.answers[hire] = names
+        self.answers[rental] = names
 
     @rule(pick=st.integers(0, 20))
     def delete(self, pick: int) -> None:
--- a/tests/site/test_store.py
+++ b/tests/site/test_store.py
@@ -15,17 +15,17 @@
 from weldhead.clock import MILLISECOND_US, SECOND_US
 from weldhead.protocol.settings import StateLimits
 from weldhead.protocol.wire import Condition, DeleteKey, PutKey
-from weldhead.site.records import DamagedRecords, RecordFile
+from weldhead.site.records import DamagedRecordsError, RecordFile
 from weldhead.site.store.model import (
     KEPT_CHANGES,
     Batch,
     Change,
-    Failed,
-    GrantGone,
-    NoSuchLease,
+    ConditionFailedError,
+    GrantGoneError,
+    NoSuchLeaseError,
+    RevisionTooOldError,
     Store,
     StoreError,
-    TooOld,
     Write,
 )
 from weldhead.site.store.server import StateService
@@ -87,10 +87,10 @@
         version = self.model.get(key, (None, 0))[1] + (0 if good else 1)
         batch = Batch([Condition(key, version)], [put(key, value, lease or None)])
         if lease and lease not in self.grants:
-            with pytest.raises(NoSuchLease):
+            with pytest.raises(NoSuchLeaseError):
                 self.store.commit(batch, self.now)
         elif not good:
-            with pytest.raises(Failed) as failed:
+            with pytest.raises(ConditionFailedError) as failed:
                 self.store.commit(batch, self.now)
             assert failed.value.keys == [key]
         else:
@@ -122,7 +122,7 @@
         self._expire()
         call = self.store.revoke if end else self.store.extend
         if lease not in self.grants:
-            with pytest.raises(GrantGone):
+            with pytest.raises(GrantGoneError):
                 call(lease, self.now)
             return
         call(lease, self.now)
@@ -153,7 +153,7 @@
             ttl = self.store._grants[lease].ttl_ms
             self.grants[lease] = (self.now + ttl * MILLISECOND_US, attached)
         if self.revision:
-            with pytest.raises(TooOld):
+            with pytest.raises(RevisionTooOldError):
                 self.store.changes("", self.revision - 1)
 
     @invariant()
@@ -207,10 +207,10 @@
     store = Store(LIMITS)
     for number in range(KEPT_CHANGES + 5):
         store.commit(Batch([], [put("ab"[number % 2], number)]), 0)
-    with pytest.raises(TooOld):
+    with pytest.raises(RevisionTooOldError):
         store.changes("a", 4)
     assert [event.version for event in store.changes("a", 10_000)] == [10_001, 10_003, 10_005]
-    with pytest.raises(TooOld):
+    with pytest.raises(RevisionTooOldError):
         store.changes("a", store.revision + 1)
 
 
@@ -252,7 +252,7 @@
             body = bytearray(path.read_bytes())
             body[8 + data.draw(st.integers(0, 5))] ^= 255
             path.write_bytes(body)
-            with pytest.raises(DamagedRecords):
+            with pytest.raises(DamagedRecordsError):
                 list(RecordFile[str](path, str).read())
 
 
@@ -263,8 +263,8 @@
         with tempfile.TemporaryDirectory() as folder:
             record = Path(folder) / "record"
             service = StateService(StateLimits(1e4, 1e4, 1.0, 4), record)
-            duties = BackgroundTasks()
-            service.start(duties)
+            background_tasks = BackgroundTasks()
+            service.start(background_tasks)
             async with served(service.handle) as address:
                 http = HttpClient(8)
                 client = StateClient(http, address, StateLimits(1e4, 1e4, 1.0, 4))
@@ -272,7 +272,7 @@
                     await talk(service, client, http, address)
                 finally:
                     await http.close()
-            await duties.close()
+            await background_tasks.close()
             service.close()
             again = StateService(StateLimits(1e4, 1e4, 1.0, 4), record)
             entry = again.store.get("a/1")
--- a/tests/site/test_worker.py
+++ b/tests/site/test_worker.py
@@ -24,11 +24,11 @@
     Action,
     Fetch,
     KillAll,
-    Phase,
     Place,
     Remember,
     Signal,
-    Start,
+    SlotPhase,
+    StartSlot,
     Work,
     Worker,
 )
@@ -64,7 +64,7 @@
             match action:
                 case Fetch(task, attempt):
                     self.fetching.append((task, attempt))
-                case Start(task, attempt, work):
+                case StartSlot(task, attempt, work):
                     assert (task, attempt) not in self.running
                     self.running[(task, attempt)] = work
                 case Signal(task, attempt, hard):
@@ -132,7 +132,7 @@
             del self.running[(task, attempt)]
             self.worker.exited(task, attempt, code)
             slot = self.worker.slots[(task, attempt)]
-            assert slot.phase is Phase.ENDED
+            assert slot.phase is SlotPhase.ENDED
             assert (slot.why == "done") == (code == 0)
 
     @rule(step=st.sampled_from([100_000, SECOND_US, 3 * SECOND_US, 12 * SECOND_US]))
@@ -145,10 +145,12 @@
         if not hasattr(self, "worker"):
             return
         slots = self.worker.slots
-        live = [slot for slot in slots.values() if slot.phase in (Phase.RUNNING, Phase.SAVING)]
+        live = [
+            slot for slot in slots.values() if slot.phase in (SlotPhase.RUNNING, SlotPhase.SAVING)
+        ]
         assert {(slot.task, slot.attempt) for slot in live} == set(self.running)
         assert sum(work.cpus for work in self.running.values()) <= 3.0
-        unended = [slot.task for slot in slots.values() if slot.phase is not Phase.ENDED]
+        unended = [slot.task for slot in slots.values() if slot.phase is not SlotPhase.ENDED]
         assert len(unended) == len(set(unended))
         assert self.worker.session == self.remembered[0]
 
--- a/tests/support/handing_back.py
+++ b/tests/support/handing_back.py
@@ -8,7 +8,7 @@
 from tests.support.builders import machine_type
 from weldhead.clock import now_us
 from weldhead.controller.leadership.leader import Leader
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.loop import VirtualLoop, simulated
 from weldhead.emulator.network import Network
 from weldhead.emulator.services import (
@@ -94,7 +94,9 @@
             )  # fmt: skip
             clock = (1.0 + 0.0002 * n, 0)
             self.controllers.append(
-                Controller(loop, self.network, own, Tunables(), clock, None, lambda *_: None)
+                SimulatedController(
+                    loop, self.network, own, Tunables(), clock, None, lambda *_: None
+                )
             )
             self.network.known(own.listen, peer.name)
             self.network.known(peer.address, peer.name)
@@ -107,7 +109,7 @@
         for controller in self.controllers:
             controller.start()
 
-    def leading(self) -> list[tuple[Controller, Leader]]:
+    def leading(self) -> list[tuple[SimulatedController, Leader]]:
         """Who may command now, by the clocks and authority of each; the oldest first."""
         found = []
         for controller in self.controllers:
@@ -148,12 +150,12 @@
             assert self.loop.true_s < end_s, "it has not come about"
             await asyncio.sleep(LOOK_S)
 
-    async def led(self) -> Controller:
+    async def led(self) -> SimulatedController:
         """Wait until somebody leads."""
         await self.until(lambda: bool(self.leading()))
         return self.leading()[-1][0]
 
-    def others(self, than: Controller) -> list[Controller]:
+    def others(self, than: SimulatedController) -> list[SimulatedController]:
         return [controller for controller in self.controllers if controller is not than]
 
     def cut(self, one: str, other: str, mode: Any) -> None:
--- a/tests/support/held_network.py
+++ b/tests/support/held_network.py
@@ -20,7 +20,7 @@
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, DirectCommands, Heartbeat, split_task
-from weldhead.site.worker import Action, Fetch, Phase, Place, Signal, Start, Work, Worker
+from weldhead.site.worker import Action, Fetch, Place, Signal, SlotPhase, StartSlot, Work, Worker
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
 S = 1_000_000
@@ -192,7 +192,7 @@
                     work = Work((), TASKS, 1.0, 1.0)
                     found = worker.fetched(task, attempt, work, task in self.done)
                     self._do(worker, found)
-                case Start(task, attempt, _):
+                case StartSlot(task, attempt, _):
                     self.starts.append((task, attempt))
                 case Signal(task, attempt, _):
                     worker.exited(task, attempt, None)
@@ -210,7 +210,7 @@
             (worker, slot)
             for worker in self.hosts.values()
             for slot in worker.slots.values()
-            if slot.phase is Phase.RUNNING
+            if slot.phase is SlotPhase.RUNNING
         ]
         if running:
             worker, slot = running[number % len(running)]
@@ -303,7 +303,7 @@
             (name, slot.task, slot.attempt)
             for name, worker in self.hosts.items()
             for slot in worker.slots.values()
-            if slot.phase is not Phase.ENDED
+            if slot.phase is not SlotPhase.ENDED
         ]
 
     def check(self) -> None:
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -23,7 +23,7 @@
     PutKey,
     ReportedTask,
 )
-from weldhead.site.store.model import Batch, Failed, Store, StoreError, Write
+from weldhead.site.store.model import Batch, ConditionFailedError, Store, StoreError, Write
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import (
     ConflictError,
@@ -155,7 +155,7 @@
         ]
         try:
             return self.store.commit(Batch(conditions, batch), 0)
-        except Failed as failed:
+        except ConditionFailedError as failed:
             raise ConflictError(failed.keys[0]) from failed
         except StoreError as error:
             raise TransactionRejectedError(str(error)) from error
--- a/tests/support/towns.py
+++ b/tests/support/towns.py
@@ -2,6 +2,7 @@
 
 import math
 import random
+from dataclasses import replace
 
 from tests.support.builders import TOKEN, add_job, job_spec, machine_type
 from tests.support.reference_decisions import PlainPlan, PlainQueue, plain_reclaims, plain_starts
@@ -15,7 +16,7 @@
 from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental
 from weldhead.scheduling.autoscaling.scale_out import usual_boots
-from weldhead.scheduling.autoscaling.unmet_demand import forecast_unmet_demand
+from weldhead.scheduling.autoscaling.unmet_demand import DemandForecastInput, forecast_unmet_demand
 from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us
 from weldhead.scheduling.forecast.job_forecasts import BootTracker
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
@@ -240,10 +241,11 @@
             CapacityForecast(self.cluster, coming, self.estimates, self.now, usual_boots(FLEET)),
             PlainQueue(self.cluster, coming, self.estimates, self.now, FLEET),
         )
-        rest = (self.estimates, GOALS, self.now, 20 * S, lambda job: 1.5, FLEET)
-        found = forecast_unmet_demand(self.cluster, plan, queues[0], *rest)
+        rest = (self.estimates, GOALS, FLEET, self.now, 20 * S, lambda job: 1.5)
+        given = DemandForecastInput(self.cluster, plan, *rest)
+        found = forecast_unmet_demand(given, queues[0])
         listed = PlacementPlan(unplaced=UnplacedTasks(plain.listed))
-        expected = forecast_unmet_demand(self.cluster, listed, queues[1], *rest)
+        expected = forecast_unmet_demand(replace(given, plan=listed), queues[1])
         assert found.deferrable == expected.deferrable
         assert found.urgent == expected.urgent
         assert math.isclose(found.backlog_us, expected.backlog_us, rel_tol=1e-9)
--- a/tools/failures.py
+++ b/tools/failures.py
@@ -22,7 +22,7 @@
 
 from weldhead.emulator.combinations import combined  # noqa: E402
 from weldhead.emulator.experiment import Result, play  # noqa: E402
-from weldhead.emulator.planted import ERRORS, planted  # noqa: E402
+from weldhead.emulator.injected_bugs import INJECTED_BUGS, injected_bug  # noqa: E402
 from weldhead.emulator.reduction import Found, Reduction, first_found  # noqa: E402
 from weldhead.emulator.scenario import Scenario, read_scenario  # noqa: E402
 from weldhead.emulator.scenario_file import scenario_text  # noqa: E402
@@ -50,7 +50,7 @@
     if combine:
         scenario = combined(scenario, seed, combine)
     began = process_time()
-    with planted(plant):
+    with injected_bug(plant):
         result = play(scenario, seed)
         took_s = process_time() - began
         if result.broken and reduce is not None:
@@ -131,7 +131,7 @@
 @click.option("--combine", default=0, help="Draw so many faults in place of the scenario's.")
 @click.option("--reduce", type=click.Path(path_type=Path), help="Reduce what breaks; write there.")
 @click.option("--budget", type=float, help="Begin no run after so many minutes.")
-@click.option("--plant", type=click.Choice(sorted(ERRORS)), help="An error to be found.")
+@click.option("--plant", type=click.Choice(sorted(INJECTED_BUGS)), help="An error to be found.")
 @click.option("--jobs", default=os.cpu_count() or 1, help="Processes.")
 @click.option("--log", default="critical", help="Level of the controllers' logs.")
 def main(
--- a/tools/measure_client.py
+++ b/tools/measure_client.py
@@ -23,7 +23,7 @@
 
 from tests.support.stand_in_service import StandInService, in_a_thread  # noqa: E402
 from weldhead.client.client import Client, ClientSettings  # noqa: E402
-from weldhead.client.decisions import Failed, Step  # noqa: E402
+from weldhead.client.decisions import FailedCall, Step  # noqa: E402
 from weldhead.client.endpoints import Endpoints  # noqa: E402
 from weldhead.client.ids import new_id  # noqa: E402
 from weldhead.client.job import Job  # noqa: E402
@@ -163,7 +163,7 @@
             async with slots:
                 job_id = new_id()
                 reply = await transport.try_step(Step.SUBMIT, job_id, JOB.body(job_id))
-                assert not isinstance(reply, Failed)
+                assert not isinstance(reply, FailedCall)
 
         began = time.monotonic()
         await asyncio.gather(*(one() for _ in range(jobs)))
--- a/tools/measure_ops.py
+++ b/tools/measure_ops.py
@@ -20,7 +20,7 @@
 from tests.support.builders import add_job, cluster, job_spec  # noqa: E402
 from tools.measure_size import cost  # noqa: E402
 from weldhead.emulator.experiment import Result, play  # noqa: E402
-from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
+from weldhead.emulator.scenario import Fault, JobClass, Scenario, ScenarioTeam  # noqa: E402
 from weldhead.protocol.settings import Team  # noqa: E402
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
 from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
@@ -33,7 +33,7 @@
 
 def run(*jobs: JobClass, faults: tuple[Fault, ...] = ()) -> Result:
     """Play two minutes of a site with some long jobs, and what is given besides."""
-    teams = [TeamPart("red", 1e4, 0.0)]
+    teams = [ScenarioTeam("red", 1e4, 0.0)]
     return play(Scenario("ops", teams, [LONG, *jobs], 120.0, faults=list(faults)), 1)
 
 
--- a/tools/measure_processor.py
+++ b/tools/measure_processor.py
@@ -39,7 +39,7 @@
 from weldhead.controller.process import ControllerProcess  # noqa: E402
 from weldhead.emulator import loop as emulated  # noqa: E402
 from weldhead.emulator.experiment import Experiment  # noqa: E402
-from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
+from weldhead.emulator.scenario import Fault, JobClass, Scenario, ScenarioTeam  # noqa: E402
 from weldhead.protocol.wire import Command, Heartbeat, HeartbeatAnswer, ReportedTask  # noqa: E402
 from weldhead.transport import worker_commands  # noqa: E402
 from weldhead.transport.http_client import HttpClient  # noqa: E402
@@ -65,7 +65,7 @@
     )
     long = JobClass("long", "blue", machines / 1_600, 20, 60.0, initial=max(1, machines // 20))
     return Scenario(
-        "processor", [TeamPart("red", 2.0 * machines, 1e6), TeamPart("blue", 0.0, 1e6)],
+        "processor", [ScenarioTeam("red", 2.0 * machines, 1e6), ScenarioTeam("blue", 0.0, 1e6)],
         [short, long], seconds=END_S, controllers=5, machines=machines, boot_s=5.0,
         report_s=1.0, lease_s=10.0, cloud_rps=10.0, faults=[fault],
     )  # fmt: skip
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -34,7 +34,11 @@
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
 from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast  # noqa: E402
 from weldhead.scheduling.autoscaling.scale_out import usual_boots  # noqa: E402
-from weldhead.scheduling.autoscaling.unmet_demand import UnmetDemand, forecast_unmet_demand  # noqa: E402
+from weldhead.scheduling.autoscaling.unmet_demand import (  # noqa: E402
+    DemandForecastInput,
+    UnmetDemand,
+    forecast_unmet_demand,
+)
 from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us  # noqa: E402
 from weldhead.scheduling.forecast.job_forecasts import JobForecasts  # noqa: E402
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
@@ -173,15 +177,15 @@
     plan, plain_plan = plan_pass(scene, next(moment), SILENCE), plain_pass()
     listed = PlacementPlan(unplaced=UnplacedTasks(plain_plan.listed))
     at_us = next(moment)
-    rest = (estimates, GOALS, at_us, 20 * S, lambda job: 1.5, FLEET)
+    rest = (estimates, GOALS, FLEET, at_us, 20 * S, lambda job: 1.5)
 
     def plain_fleet() -> UnmetDemand:
         queue = PlainQueue(into, [], estimates, at_us, FLEET)
-        return forecast_unmet_demand(into, listed, queue, *rest)
+        return forecast_unmet_demand(DemandForecastInput(into, listed, *rest), queue)
 
     def fleet_now() -> UnmetDemand:
         queue = CapacityForecast(into, [], estimates, at_us, usual_boots(FLEET))
-        return forecast_unmet_demand(into, plan, queue, *rest)
+        return forecast_unmet_demand(DemandForecastInput(into, plan, *rest), queue)
 
     figures = (plain, still, moved, told, quiet, looked, cost(plain_fleet), cost(fleet_now), first)
     gc.unfreeze()
--- a/tools/measure_start.py
+++ b/tools/measure_start.py
@@ -17,14 +17,14 @@
 import click  # noqa: E402
 
 from weldhead.emulator.experiment import play  # noqa: E402
-from weldhead.emulator.scenario import Fault, JobClass, Scenario, TeamPart  # noqa: E402
+from weldhead.emulator.scenario import Fault, JobClass, Scenario, ScenarioTeam  # noqa: E402
 
 
 def site(machines: int, jobs: int, dead: float) -> Scenario:
     """A full fleet with a backlog, all of whose controllers end once."""
     down = Fault("controllers_end", 70.0, 4.0)
     return Scenario(
-        "size", [TeamPart("red", 1e5, 1e6)], [JobClass("long", "red", 0.0, 1, 60.0, initial=0)],
+        "size", [ScenarioTeam("red", 1e5, 1e6)], [JobClass("long", "red", 0.0, 1, 60.0, initial=0)],
         seconds=90.0, machines=machines, boot_s=5.0, report_s=2.5, lease_s=15.0,
         store_rps=500.0, store_write_rps=200.0, cloud_rps=10.0, stored_jobs=jobs,
         faults=[Fault("machines_die", 70.0, share=dead), down] if dead else [down],
--- a/weldhead/calendars/binding.py
+++ b/weldhead/calendars/binding.py
@@ -49,7 +49,7 @@
 def bind(cache: DocumentCache, spec: JobSpec, wall_us: int, error_us: int) -> AdmissionBinding:
     """Return to what calendars bind a job accepted at ``wall_us``, on which conditions.
 
-    ``error_us`` is how far any time of day may be off. NotComputed: ask again later.
+    ``error_us`` is how far any time of day may be off. InstantsNotComputedError: ask again later.
     """
     # That nothing binds it rests on the edition as well.
     conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
--- a/weldhead/cli/jobs.py
+++ b/weldhead/cli/jobs.py
@@ -18,7 +18,7 @@
 from weldhead.client.client import Client, ClientSettings
 from weldhead.client.config import ConfigProblem, client_settings, journal_path, read_config
 from weldhead.client.job import Job, JobProblem, check_job, parse_job
-from weldhead.client.journal import Entry, Journal, JournalError, KeyConflict
+from weldhead.client.journal import Journal, JournalEntry, JournalError, KeyConflict
 from weldhead.protocol.validation import is_job_id
 from weldhead.tomlfiles import FileProblemError, read_text
 
@@ -366,7 +366,7 @@
     _run(run())
 
 
-def _line(entry: Entry, as_json: bool) -> str:
+def _line(entry: JournalEntry, as_json: bool) -> str:
     if as_json:
         value: dict[str, Any] = {"key": entry.key, "created_us": entry.created_us}
         if entry.runs:
--- a/weldhead/cli/logs.py
+++ b/weldhead/cli/logs.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from weldhead.client.config import ConfigProblem, client_settings
-from weldhead.client.decisions import Failed
+from weldhead.client.decisions import FailedCall
 from weldhead.client.endpoints import Endpoints
 from weldhead.client.journal import Journal, JournalError
 from weldhead.client.transport import Transport
@@ -18,7 +18,7 @@
 from weldhead.tomlfiles import FileProblemError
 
 
-class _Failure(Exception):
+class _LogsError(Exception):
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
         self.code = code
@@ -61,7 +61,7 @@
             found = await _get(transport, f"/attempts/{job}/{index}", end_us)
             records: list[dict[str, Any]] = msgspec.json.decode(found)
             if not records:
-                raise _Failure(1, f"{task}: no attempt yet")
+                raise _LogsError(1, f"{task}: no attempt yet")
             if attempts:
                 for record in records:
                     click.echo(msgspec.json.encode(record).decode())
@@ -81,7 +81,7 @@
 
     try:
         asyncio.run(run())
-    except _Failure as failure:
+    except _LogsError as failure:
         click.echo(f"weldhead: {failure}", err=True)
         sys.exit(failure.code)
 
@@ -103,13 +103,13 @@
     pause_s = 0.2
     while True:
         answer = await transport.call("GET", path, None, 2 * SECOND_US)
-        if not isinstance(answer, Failed):
+        if not isinstance(answer, FailedCall):
             if answer[0] == 200:
                 return answer[1]
             if answer[0] in (400, 404):
-                raise _Failure(1, f"{path.split('?')[0]}: not there")
+                raise _LogsError(1, f"{path.split('?')[0]}: not there")
         if now_us() + seconds_us(pause_s) > end_us:
-            reason = answer.reason if isinstance(answer, Failed) else f"status {answer[0]}"
-            raise _Failure(4, f"no answer in time: {reason}")
+            reason = answer.reason if isinstance(answer, FailedCall) else f"status {answer[0]}"
+            raise _LogsError(4, f"no answer in time: {reason}")
         await asyncio.sleep(pause_s)
         pause_s = min(2 * pause_s, 2.0)
--- a/weldhead/cli/site.py
+++ b/weldhead/cli/site.py
@@ -116,14 +116,14 @@
 
     async def run() -> None:
         service = StateService(limits(settings.limits), Path(settings.record))
-        duties = BackgroundTasks()
-        service.start(duties)
+        background_tasks = BackgroundTasks()
+        service.start(background_tasks)
         if settings.next_limits is not None:
             coming = limits(settings.limits | settings.next_limits)
             asyncio.get_running_loop().call_later(settings.next_after_s, service.set_limits, coming)
         server = await _serve(service.handle, fd)
         await until_told()
-        await duties.close()
+        await background_tasks.close()
         await server.close()
         service.close()
 
@@ -161,12 +161,12 @@
 
     async def run() -> None:
         front = Front(_settings(path, FrontSettings))
-        duties = BackgroundTasks()
-        front.start(duties)
+        background_tasks = BackgroundTasks()
+        front.start(background_tasks)
         server = await _serve(front.handle, fd)
         await until_told()
         await server.close()
-        await duties.close()
+        await background_tasks.close()
         await front.close()
 
     _run(run())
--- a/weldhead/client/client.py
+++ b/weldhead/client/client.py
@@ -16,15 +16,15 @@
     NOTHING,
     RETRY_MOST_US,
     WATCH_PERIOD_US,
-    Failed,
-    Missing,
-    News,
-    Phase,
-    Refused,
+    FailedCall,
+    MissingAnswer,
+    RefusedAnswer,
     Reply,
     Run,
+    RunPhase,
+    RunUpdate,
+    StatusAnswer,
     Step,
-    Told,
     before_send,
     gives_up,
     is_undecided,
@@ -37,7 +37,7 @@
 from weldhead.client.endpoints import Endpoints
 from weldhead.client.ids import new_id
 from weldhead.client.job import Job, check_job, own_name
-from weldhead.client.journal import Entry, Journal, JournalError
+from weldhead.client.journal import Journal, JournalEntry, JournalError
 from weldhead.client.policy import Policies, Policy
 from weldhead.client.telemetry import Span, Telemetry
 from weldhead.client.transport import Transport
@@ -74,11 +74,11 @@
 
 
 _OUTCOMES = {
-    Phase.DONE: Outcome.DONE,
-    Phase.WITHDRAWN: Outcome.WITHDRAWN,
-    Phase.REFUSED: Outcome.REFUSED,
+    RunPhase.DONE: Outcome.DONE,
+    RunPhase.WITHDRAWN: Outcome.WITHDRAWN,
+    RunPhase.REFUSED: Outcome.REFUSED,
     # Over only if the caller has cancelled it: nothing of it was ever accepted.
-    Phase.FOREIGN: Outcome.WITHDRAWN,
+    RunPhase.FOREIGN: Outcome.WITHDRAWN,
 }
 
 _outcomes = msgspec.json.Decoder(_Outcomes)
@@ -87,7 +87,7 @@
 class _Active:
     """A submission that is being driven."""
 
-    def __init__(self, entry: Entry) -> None:
+    def __init__(self, entry: JournalEntry) -> None:
         assert entry.job is not None
         self.key = entry.key
         self.job: Job = entry.job
@@ -95,7 +95,7 @@
         self.cancelled = entry.cancelled
         self.runs: list[Run] = entry.runs
         self.answer: Answer | None = entry.answer
-        self.told: Told | None = None
+        self.told: StatusAnswer | None = None
         self.trouble = ""
         self.failures = 0
         self.polls = 0
@@ -126,7 +126,9 @@
 
     @property
     def accepted(self) -> bool:
-        return any(run.phase in (Phase.ACCEPTED, Phase.DONE, Phase.WITHDRAWN) for run in self.runs)
+        return any(
+            run.phase in (RunPhase.ACCEPTED, RunPhase.DONE, RunPhase.WITHDRAWN) for run in self.runs
+        )
 
 
 class Client:
@@ -237,7 +239,7 @@
             return entry.answer
         active = self._active.get(key) or self._drive_entry(entry)
         active.cancelled = True
-        active.replace(await self._journal.change(active.run.id, News(cancel=True)))
+        active.replace(await self._journal.change(active.run.id, RunUpdate(cancel=True)))
         active.poke.set()
         return await self._until(active, timeout_s, final=True)
 
@@ -259,7 +261,7 @@
         failures = 0
         while True:
             reply = await self._transport.try_step(step, job_id, b"" if cancel else None)
-            if not isinstance(reply, Failed):
+            if not isinstance(reply, FailedCall):
                 break
             failures += 1
             pause_us = retry_pause_us(failures, reply, self._chance)
@@ -267,7 +269,7 @@
                 break
             await asyncio.sleep(pause_us / SECOND_US)
         match reply:
-            case Told(state):
+            case StatusAnswer(state):
                 outcome = {"done": Outcome.DONE, "withdrawn": Outcome.WITHDRAWN}.get(
                     state, Outcome.UNKNOWN
                 )
@@ -285,7 +287,7 @@
                     due_at=reply.due_at,
                     held_by=reply.held_by,
                 )
-            case Failed(reason):
+            case FailedCall(reason):
                 known = f"no answer: {reason}"
             case _:
                 known = "not known to the service at this moment"
@@ -310,11 +312,11 @@
 
     # Driving
 
-    def _drive_entry(self, entry: Entry) -> _Active:
+    def _drive_entry(self, entry: JournalEntry) -> _Active:
         active = self._active.get(entry.key)
         if active is None:
             if entry.job is None:
-                # Compacted: only its answer is left, and that is all anybody needs.
+                # RevisionCompactedError: only its answer is left, and that is all anybody needs.
                 assert entry.answer is not None
                 entry.job = Job()
             active = self._active[entry.key] = _Active(entry)
@@ -379,12 +381,12 @@
         if step is Step.END:
             return True
         if step is Step.CLOSE:
-            unsent = News(Phase.WITHDRAWN, cancel=True, unsent=True)
+            unsent = RunUpdate(RunPhase.WITHDRAWN, cancel=True, unsent=True)
             active.replace(await self._journal.change(run.id, unsent))
             return False
         if step is Step.CANCEL and not run.cancel and not run.stray:
             # Undecided for too long: from now on it is to be withdrawn, whoever goes on.
-            active.replace(await self._journal.change(run.id, News(cancel=True)))
+            active.replace(await self._journal.change(run.id, RunUpdate(cancel=True)))
         if step is Step.WATCH:
             await self._pause(active, WATCH_PERIOD_US)
         if active.failures:
@@ -419,7 +421,7 @@
                 active.replace(run)
                 if run.phase.final or run.cancel != before.cancel:
                     # Somebody else has ended it meanwhile: nothing is sent after all.
-                    active.replace(await self._journal.change(run.id, News(settled=1)))
+                    active.replace(await self._journal.change(run.id, RunUpdate(settled=1)))
                     return None
             began_us = now_us()
             reply = await self._transport.try_step(step, run.id, body)
@@ -430,8 +432,8 @@
             active.uploaded, news = True, NOTHING
         if news != NOTHING and advance_matters(active.run, news):
             active.replace(await self._journal.change(run.id, news))
-        active.missed = step is Step.CANCEL and isinstance(reply, Missing)
-        if isinstance(reply, Told) and step is not Step.UPLOAD:
+        active.missed = step is Step.CANCEL and isinstance(reply, MissingAnswer)
+        if isinstance(reply, StatusAnswer) and step is not Step.UPLOAD:
             active.told = reply
         active.move()
         return reply
@@ -440,7 +442,7 @@
         self.telemetry.count(f"tries {step.value}")
         if active.failures:
             self.telemetry.count("retries")
-        if isinstance(reply, Failed):
+        if isinstance(reply, FailedCall):
             active.failures += 1
             active.trouble = reply.reason
             self.telemetry.count("failures")
@@ -451,14 +453,14 @@
         if self._budget is not None:
             self._budget.answered()
         active.failures = 0
-        if isinstance(reply, Missing) and active.run.phase is Phase.ACCEPTED:
+        if isinstance(reply, MissingAnswer) and active.run.phase is RunPhase.ACCEPTED:
             active.trouble = "the service does not know the job that it accepted"
-        elif not isinstance(reply, Refused):
+        elif not isinstance(reply, RefusedAnswer):
             active.trouble = ""
         span.event(step.value, answer=type(reply).__name__)
 
     async def _pause(self, active: _Active, pause_us: int) -> None:
-        if active.run.phase is Phase.ACCEPTED and active.tells_outcomes:
+        if active.run.phase is RunPhase.ACCEPTED and active.tells_outcomes:
             await self._look_for_failures(active)
         if pause_us > 0 and not active.run.phase.final:
             with contextlib.suppress(asyncio.TimeoutError):
@@ -478,7 +480,7 @@
     async def _repeat(self, active: _Active) -> bool:
         """Begin the next run; false if the submission was cancelled meanwhile."""
         last = active.run
-        if last.phase is not Phase.FOREIGN:
+        if last.phase is not RunPhase.FOREIGN:
             await self._pause_before_repeat(active)
         run = await self._journal.repeat(active.key, last.number + 1, new_id())
         if run is None:
@@ -506,7 +508,7 @@
         active.asked_us = now_us()
         run = active.run
         answer = await self._transport.call("GET", f"/outcomes/{run.id}", None, 2 * SECOND_US)
-        if isinstance(answer, Failed):
+        if isinstance(answer, FailedCall):
             return
         if answer[0] != 200:
             active.tells_outcomes = answer[0] in (429, 503, 504)
@@ -519,7 +521,7 @@
         if worst is not None and gives_up(active.policy, worst.failures):
             how = worst.reason or f"exit code {worst.code}"
             text = f"task {worst.task} failed {worst.failures} times, last with {how}"
-            active.replace(await self._journal.change(run.id, News(cancel=True, failed=text)))
+            active.replace(await self._journal.change(run.id, RunUpdate(cancel=True, failed=text)))
 
 
 def _tell(active: _Active, *, final: bool = False) -> Answer:
@@ -566,33 +568,33 @@
     run, told = active.run, active.told
     repeated = repeats(active.policy, active.runs, cancelled=active.cancelled)
     match run.phase:
-        case Phase.DONE:
+        case RunPhase.DONE:
             return "done"
-        case Phase.WITHDRAWN if repeated:
+        case RunPhase.WITHDRAWN if repeated:
             return f"withdrawn ({run.failed or 'not by this client'}); it will be repeated"
-        case Phase.WITHDRAWN if not active.told:
+        case RunPhase.WITHDRAWN if not active.told:
             return "withdrawn before anything was sent"
-        case Phase.WITHDRAWN:
+        case RunPhase.WITHDRAWN:
             return f"withdrawn: {run.failed}" if run.failed else "withdrawn"
-        case Phase.REFUSED:
+        case RunPhase.REFUSED:
             late = " (a try without an answer may still arrive: watched)" if run.loose else ""
             return f"refused with {run.status}: {run.reason}{late}"
-        case Phase.FOREIGN if not repeated:
+        case RunPhase.FOREIGN if not repeated:
             return f"withdrawn before it was accepted; {run.reason}"
-        case Phase.FOREIGN:
+        case RunPhase.FOREIGN:
             return f"{run.reason}; it gets another id"
-        case Phase.ACCEPTED:
+        case RunPhase.ACCEPTED:
             state = told.state if told else "state not asked yet"
             text = f"accepted, {state}"
             if told and told.done is not None:
                 text += f", {told.done} of {active.job.tasks} tasks done"
-        case Phase.SENT if run.loose:
+        case RunPhase.SENT if run.loose:
             text = f"sent {run.sends} times, not known yet whether it was accepted"
             if is_undecided(run, active.policy, wall_us()) or run.cancel:
                 text += "; it is being withdrawn"
         case _:
             text = "not sent yet"
-    if run.cancel and run.phase is Phase.ACCEPTED:
+    if run.cancel and run.phase is RunPhase.ACCEPTED:
         text += "; it is being withdrawn"
     return f"{text} ({active.trouble})" if active.trouble else text
 
@@ -601,20 +603,20 @@
     active: _Active, step: Step, reply: Reply, waiting: int, chance: random.Random
 ) -> int:
     """Return the pause after a try; ``waiting`` submissions are followed beside it."""
-    if isinstance(reply, Failed):
+    if isinstance(reply, FailedCall):
         return retry_pause_us(active.failures, reply, chance)
     if step is Step.POLL or (step is Step.SUBMIT and not active.run.phase.final):
         active.polls = active.polls + 1 if step is Step.POLL else 0
         return poll_pause_us(active.polls, waiting, chance)
-    if isinstance(reply, Missing) and step is Step.CANCEL:
+    if isinstance(reply, MissingAnswer) and step is Step.CANCEL:
         if active.run.phase.final:
             return WATCH_PERIOD_US
         # Not known as it was perhaps never accepted: made so at once. Otherwise it was
         # accepted, and a 404 is the service's fault: asked again after a while.
-        return 0 if active.run.phase is Phase.SENT else RETRY_MOST_US // 10
+        return 0 if active.run.phase is RunPhase.SENT else RETRY_MOST_US // 10
     return 0
 
 
-def advance_matters(run: Run, news: News) -> bool:
+def advance_matters(run: Run, news: RunUpdate) -> bool:
     """Whether news would change a record: polls that say nothing new cost no commit."""
-    return news.phase > run.phase or bool(news.settled) or news != News(phase=news.phase)
+    return news.phase > run.phase or bool(news.settled) or news != RunUpdate(phase=news.phase)
--- a/weldhead/client/decisions.py
+++ b/weldhead/client/decisions.py
@@ -34,7 +34,7 @@
 POLLS_PER_S = 400
 
 
-class Phase(enum.IntEnum):
+class RunPhase(enum.IntEnum):
     """How far a run has come; a larger one is never left for a smaller one."""
 
     NEW = 0
@@ -48,7 +48,7 @@
     @property
     def final(self) -> bool:
         """Whether the run is over for its caller."""
-        return self >= Phase.DONE
+        return self >= RunPhase.DONE
 
 
 class Run(msgspec.Struct, array_like=True, tag="run", frozen=True):
@@ -62,7 +62,7 @@
 
     id: str
     number: int
-    phase: Phase = Phase.NEW
+    phase: RunPhase = RunPhase.NEW
     sends: int = 0
     settled: int = 0
     first_sent_us: int = 0
@@ -82,10 +82,10 @@
         return self.sends - self.settled
 
 
-class News(msgspec.Struct, frozen=True):
+class RunUpdate(msgspec.Struct, frozen=True):
     """What is added to a run's record; ``unsent``: only if surely nothing was ever sent."""
 
-    phase: Phase = Phase.NEW
+    phase: RunPhase = RunPhase.NEW
     sends: int = 0
     settled: int = 0
     sent_us: int = 0
@@ -101,19 +101,19 @@
     unsent: bool = False
 
 
-NOTHING = News()
+NOTHING = RunUpdate()
 
 
-def advance(run: Run, news: News) -> Run:
+def advance(run: Run, news: RunUpdate) -> Run:
     """Add news to a record: nothing final changes, nothing moves back."""
-    if news.unsent and (run.loose or run.phase > Phase.SENT):
+    if news.unsent and (run.loose or run.phase > RunPhase.SENT):
         return run
-    if run.phase is Phase.ACCEPTED and news.phase is Phase.REFUSED:
+    if run.phase is RunPhase.ACCEPTED and news.phase is RunPhase.REFUSED:
         # A refusal that was given before another try was accepted: accepted is for good.
-        news = News(settled=news.settled)
-    if run.phase is Phase.REFUSED and news.phase is Phase.ACCEPTED:
+        news = RunUpdate(settled=news.settled)
+    if run.phase is RunPhase.REFUSED and news.phase is RunPhase.ACCEPTED:
         # The other way round: its caller was told that it is refused, so it must not run.
-        news = News(stray=True)
+        news = RunUpdate(stray=True)
     final = run.phase.final
     return Run(
         id=run.id,
@@ -137,7 +137,7 @@
 # What the service may say
 
 
-class Told(msgspec.Struct, frozen=True):
+class StatusAnswer(msgspec.Struct, frozen=True):
     """200 or 201: the job's state as the service has it. ``fresh``: accepted just now."""
 
     state: str
@@ -152,7 +152,7 @@
     held_by: str | None = None
 
 
-class Refused(msgspec.Struct, frozen=True):
+class RefusedAnswer(msgspec.Struct, frozen=True):
     """400 or 422: never to be tried again."""
 
     status: int
@@ -160,11 +160,11 @@
     field: str | None = None
 
 
-class Missing(msgspec.Struct, frozen=True):
+class MissingAnswer(msgspec.Struct, frozen=True):
     """404: not known at this moment."""
 
 
-class Failed(msgspec.Struct, frozen=True):
+class FailedCall(msgspec.Struct, frozen=True):
     """No answer that settles anything; ``sent`` false: surely nothing was sent."""
 
     reason: str
@@ -172,7 +172,7 @@
     retry_after_us: int = 0
 
 
-Reply = Told | Refused | Missing | Failed
+Reply = StatusAnswer | RefusedAnswer | MissingAnswer | FailedCall
 
 
 class Step(enum.Enum):
@@ -193,16 +193,16 @@
     """Return what to do next. ``missed``: a cancellation was answered with 404."""
     if run.stray and run.loose:
         return Step.CANCEL
-    if run.phase is Phase.REFUSED and run.loose and wall_us < run.refused_us + WATCH_US:
+    if run.phase is RunPhase.REFUSED and run.loose and wall_us < run.refused_us + WATCH_US:
         return Step.WATCH
     if run.phase.final:
         return Step.END
     if run.cancel or is_undecided(run, policy, wall_us):
-        if run.phase <= Phase.SENT and not run.loose:
+        if run.phase <= RunPhase.SENT and not run.loose:
             return Step.CLOSE
-        if run.phase is Phase.ACCEPTED or not missed:
+        if run.phase is RunPhase.ACCEPTED or not missed:
             return Step.CANCEL
-    if run.phase is Phase.ACCEPTED:
+    if run.phase is RunPhase.ACCEPTED:
         return Step.POLL
     if has_work and not run.uploaded:
         return Step.UPLOAD
@@ -212,50 +212,53 @@
 def is_undecided(run: Run, policy: Policy, wall_us: int) -> bool:
     """Whether the caller wants the run withdrawn because nothing has been heard for long."""
     return (
-        run.phase is Phase.SENT
+        run.phase is RunPhase.SENT
         and policy.undecided == "withdraw"
         and wall_us - run.first_sent_us >= seconds_us(policy.patience_s)
     )
 
 
-def before_send(wall_us: int, *, uploaded: bool = False) -> News:
+def before_send(wall_us: int, *, uploaded: bool = False) -> RunUpdate:
     """Return what is recorded before the first byte of a try to submit leaves."""
-    return News(phase=Phase.SENT, sends=1, sent_us=wall_us, uploaded=uploaded)
+    return RunUpdate(phase=RunPhase.SENT, sends=1, sent_us=wall_us, uploaded=uploaded)
 
 
-def learn(run: Run, step: Step, reply: Reply, wall_us: int, tasks: int) -> News:
+def learn(run: Run, step: Step, reply: Reply, wall_us: int, tasks: int) -> RunUpdate:
     """Return what a reply to a step tells about the run (as it was when the step began)."""
     match step, reply:
-        case (Step.UPLOAD, Told()):
-            return News(uploaded=True)
-        case (Step.UPLOAD, Refused(409, reason, field)):
+        case (Step.UPLOAD, StatusAnswer()):
+            return RunUpdate(uploaded=True)
+        case (Step.UPLOAD, RefusedAnswer(409, reason, field)):
             return _foreign(reason)
-        case (Step.UPLOAD, Refused(status, reason, field)):
-            return News(Phase.REFUSED, status=status, reason=reason, field=field)
-        case (Step.UPLOAD, Missing()):
-            return News(Phase.REFUSED, status=404, reason="this server takes no commands")
-        case (Step.SUBMIT, Failed(sent=sent)):
-            return NOTHING if sent else News(settled=1)
-        case (Step.SUBMIT, Refused(status, reason, field)):
-            return News(
-                Phase.REFUSED,
+        case (Step.UPLOAD, RefusedAnswer(status, reason, field)):
+            return RunUpdate(RunPhase.REFUSED, status=status, reason=reason, field=field)
+        case (Step.UPLOAD, MissingAnswer()):
+            return RunUpdate(RunPhase.REFUSED, status=404, reason="this server takes no commands")
+        case (Step.SUBMIT, FailedCall(sent=sent)):
+            return NOTHING if sent else RunUpdate(settled=1)
+        case (Step.SUBMIT, RefusedAnswer(status, reason, field)):
+            return RunUpdate(
+                RunPhase.REFUSED,
                 settled=1,
                 status=status,
                 reason=reason,
                 field=field,
                 refused_us=wall_us,
             )
-        case (Step.WATCH, Told()):
-            return News(stray=True)
-        case (Step.CANCEL, Told(state)) if run.phase.final and state in ("done", "withdrawn"):
+        case (Step.WATCH, StatusAnswer()):
+            return RunUpdate(stray=True)
+        case (Step.CANCEL, StatusAnswer(state)) if run.phase.final and state in (
+            "done",
+            "withdrawn",
+        ):
             # The stray has been withdrawn for good: no later try of it starts anything.
-            return News(settled=run.loose)
-        case ((Step.SUBMIT | Step.POLL | Step.CANCEL), Told()):
+            return RunUpdate(settled=run.loose)
+        case ((Step.SUBMIT | Step.POLL | Step.CANCEL), StatusAnswer()):
             return _told(run, step, reply, tasks)
     return NOTHING
 
 
-def _told(run: Run, step: Step, told: Told, tasks: int) -> News:
+def _told(run: Run, step: Step, told: StatusAnswer, tasks: int) -> RunUpdate:
     settled = 1 if step is Step.SUBMIT else 0
     # Before this try nothing of the run had left: whatever is known under its id by now is
     # this try, repeated inside the service, or somebody else's job.
@@ -263,14 +266,16 @@
     counted = (told.done or 0) + (told.running or 0)
     if counted > tasks or (first and told.state == "withdrawn"):
         return _foreign(f"the service has another job under {run.id}")
-    phase = {"done": Phase.DONE, "withdrawn": Phase.WITHDRAWN}.get(told.state, Phase.ACCEPTED)
+    phase = {"done": RunPhase.DONE, "withdrawn": RunPhase.WITHDRAWN}.get(
+        told.state, RunPhase.ACCEPTED
+    )
     if phase.final:
         settled = run.loose
-    return News(phase, settled=settled, suspect=first)
+    return RunUpdate(phase, settled=settled, suspect=first)
 
 
-def _foreign(reason: str) -> News:
-    return News(Phase.FOREIGN, settled=1, reason=reason)
+def _foreign(reason: str) -> RunUpdate:
+    return RunUpdate(RunPhase.FOREIGN, settled=1, reason=reason)
 
 
 def repeats(policy: Policy, runs: list[Run], *, cancelled: bool) -> bool:
@@ -281,14 +286,14 @@
     last = runs[-1]
     if cancelled:
         return False
-    if last.phase is Phase.FOREIGN:
+    if last.phase is RunPhase.FOREIGN:
         return True
-    if last.phase is not Phase.WITHDRAWN:
+    if last.phase is not RunPhase.WITHDRAWN:
         return False
     cause = "failed" if last.failed else "withdrawn"
     if last.cancel and not last.failed:
         return False
-    own = sum(run.phase is not Phase.FOREIGN for run in runs)
+    own = sum(run.phase is not RunPhase.FOREIGN for run in runs)
     return cause in policy.on and own <= policy.repeat
 
 
@@ -307,7 +312,7 @@
     than the service asked for (which counts up to 30 s).
     """
     full = min(RETRY_MOST_US, RETRY_US << min(failures - 1, 10))
-    asked = reply.retry_after_us if isinstance(reply, Failed) else 0
+    asked = reply.retry_after_us if isinstance(reply, FailedCall) else 0
     asked = min(asked, RETRY_MOST_US)
     # Those who were told the same time come back over a while, not all at once.
     spread = round(chance.uniform(0, full / 2))
--- a/weldhead/client/journal.py
+++ b/weldhead/client/journal.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from weldhead.client.answers import Answer
-from weldhead.client.decisions import News, Run, advance
+from weldhead.client.decisions import Run, RunUpdate, advance
 from weldhead.client.job import Job, differences
 from weldhead.client.policy import Policy
 from weldhead.clock import SECOND_US, wall_us
@@ -75,7 +75,7 @@
         self.differences = lines
 
 
-class Entry(msgspec.Struct):
+class JournalEntry(msgspec.Struct):
     """A submission in the journal; ``job`` is gone once it was compacted."""
 
     key: str
@@ -221,11 +221,11 @@
 
     # What is in it
 
-    async def begin(self, key: str, job: Job, policy: Policy, first_id: str) -> Entry:
+    async def begin(self, key: str, job: Job, policy: Policy, first_id: str) -> JournalEntry:
         """Put an intent on disk, or find it: KeyConflict if it was another one."""
         content = job.content()
 
-        def work(connection: sqlite3.Connection) -> Entry:
+        def work(connection: sqlite3.Connection) -> JournalEntry:
             known = _find(connection, key)
             if known is None:
                 connection.execute(
@@ -251,7 +251,7 @@
 
         return await self._do(work)
 
-    async def find(self, key: str) -> Entry | None:
+    async def find(self, key: str) -> JournalEntry | None:
         """Read a submission."""
         return await self._do(lambda connection: _find(connection, key))
 
@@ -264,11 +264,11 @@
 
         return await self._do(work)
 
-    async def entries(self, *, unfinished: bool = False, most: int = 10_000) -> list[Entry]:
+    async def entries(self, *, unfinished: bool = False, most: int = 10_000) -> list[JournalEntry]:
         """Read the newest submissions, oldest first."""
         only = "WHERE answer IS NULL" if unfinished else ""
 
-        def work(connection: sqlite3.Connection) -> list[Entry]:
+        def work(connection: sqlite3.Connection) -> list[JournalEntry]:
             rows = connection.execute(
                 f"SELECT key FROM submissions {only} ORDER BY created_us DESC, key LIMIT ?",
                 (most,),
@@ -278,7 +278,7 @@
 
         return await self._do(work)
 
-    async def change(self, job_id: str, news: News) -> Run:
+    async def change(self, job_id: str, news: RunUpdate) -> Run:
         """Add news to a run's record, and return the record as it is now."""
 
         def work(connection: sqlite3.Connection) -> Run:
@@ -293,16 +293,16 @@
 
         return await self._do(work)
 
-    async def cancel(self, key: str) -> Entry:
+    async def cancel(self, key: str) -> JournalEntry:
         """The caller wants the submission withdrawn, with whatever run it has."""
 
-        def work(connection: sqlite3.Connection) -> Entry:
+        def work(connection: sqlite3.Connection) -> JournalEntry:
             connection.execute("UPDATE submissions SET cancelled = 1 WHERE key = ?", (key,))
             entry = _find(connection, key)
             if entry is None:
                 raise KeyError(key)
             if entry.answer is None and entry.runs:
-                run = advance(entry.runs[-1], News(cancel=True))
+                run = advance(entry.runs[-1], RunUpdate(cancel=True))
                 connection.execute(
                     "UPDATE runs SET record = ? WHERE id = ?", (msgspec.msgpack.encode(run), run.id)
                 )
@@ -384,7 +384,7 @@
     )
 
 
-def _find(connection: sqlite3.Connection, key: str) -> Entry | None:
+def _find(connection: sqlite3.Connection, key: str) -> JournalEntry | None:
     row = connection.execute(
         "SELECT created_us, content, policy, cancelled, answer FROM submissions WHERE key = ?",
         (key,),
@@ -394,7 +394,7 @@
     records = connection.execute(
         "SELECT record FROM runs WHERE key = ? ORDER BY number", (key,)
     ).fetchall()
-    return Entry(
+    return JournalEntry(
         key=key,
         created_us=row[0],
         job=None if row[1] is None else _jobs.decode(row[1]),
--- a/weldhead/client/transport.py
+++ b/weldhead/client/transport.py
@@ -9,7 +9,14 @@
 import aiohttp
 import msgspec
 
-from weldhead.client.decisions import Failed, Missing, Refused, Reply, Step, Told
+from weldhead.client.decisions import (
+    FailedCall,
+    MissingAnswer,
+    RefusedAnswer,
+    Reply,
+    StatusAnswer,
+    Step,
+)
 from weldhead.client.endpoints import Endpoints
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us
 from weldhead.protocol.wire import MAX_BODY_BYTES, ErrorBody, JobStatus
@@ -49,30 +56,30 @@
             Step.CANCEL: ("POST", f"/submissions/{job_id}/cancel"),
         }[step]
         answer = await self.call(method, path, body, _LIMITS_US.get(step, _LIMIT_US))
-        if isinstance(answer, Failed):
+        if isinstance(answer, FailedCall):
             return answer
         status, content, retry_after_us = answer
         return understand(step, job_id, status, content, retry_after_us)
 
     async def call(
         self, method: str, path: str, body: bytes | None, limit_us: int
-    ) -> tuple[int, bytes, int] | Failed:
+    ) -> tuple[int, bytes, int] | FailedCall:
         """Return status, body and ``Retry-After`` (microseconds) of the first who answers."""
         reason = "no address"
         for address in self._endpoints.order(now_us()):
             answer = await self._one(method, address, path, body, limit_us)
-            if not isinstance(answer, Failed):
+            if not isinstance(answer, FailedCall):
                 self._endpoints.reached(address)
                 return answer
             self._endpoints.missed(address, now_us())
             if answer.sent:
                 return answer
             reason = answer.reason
-        return Failed(reason, sent=False)
+        return FailedCall(reason, sent=False)
 
     async def _one(
         self, method: str, address: str, path: str, body: bytes | None, limit_us: int
-    ) -> tuple[int, bytes, int] | Failed:
+    ) -> tuple[int, bytes, int] | FailedCall:
         timeout = aiohttp.ClientTimeout(
             total=limit_us / SECOND_US, sock_connect=_CONNECT_US / SECOND_US
         )
@@ -85,12 +92,12 @@
                     content += await answer.content.read(MAX_BODY_BYTES + 1)
                 if len(content) > MAX_BODY_BYTES:
                     answer.close()
-                    return Failed(f"{address}: an answer of more than {MAX_BODY_BYTES} bytes")
+                    return FailedCall(f"{address}: an answer of more than {MAX_BODY_BYTES} bytes")
                 return answer.status, content, _retry_after_us(answer.headers.get("Retry-After"))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            return Failed(f"{address}: {_brief(error)}", sent=False)
+            return FailedCall(f"{address}: {_brief(error)}", sent=False)
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError) as error:
-            return Failed(f"{address}: {_brief(error)}")
+            return FailedCall(f"{address}: {_brief(error)}")
 
 
 def _brief(error: Exception) -> str:
@@ -112,38 +119,38 @@
     """Return what an answer amounts to."""
     if step is Step.UPLOAD:
         if status in (200, 201):
-            return Told("uploaded")
+            return StatusAnswer("uploaded")
         if status in (400, 409):
             return _refused(status, body)
     elif status == 200 or (status == 201 and step is Step.SUBMIT):
         try:
             told = _statuses.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return Failed(f"nonsense: {error}")
+            return FailedCall(f"nonsense: {error}")
         if told.id != job_id or told.state not in _STATES:
-            return Failed(f"nonsense: {told.id} {told.state}")
+            return FailedCall(f"nonsense: {told.id} {told.state}")
         if step is Step.CANCEL and told.state not in ("done", "withdrawn"):
-            return Failed(f"nonsense: cancelled, and {told.state}")
+            return FailedCall(f"nonsense: cancelled, and {told.state}")
         late_by_s = (told.late_by_s or 0.0) if told.late else None
-        return Told(
+        return StatusAnswer(
             told.state, status == 201, told.done, told.running, told.forecast_s, late_by_s,
             told.late, told.due_at, told.held_by,
         )  # fmt: skip
     elif status in (400, 422) and step is Step.SUBMIT:
         return _refused(status, body)
     if status == 404 and step is not Step.SUBMIT:
-        return Missing()
+        return MissingAnswer()
     why = f"status {status}"
     if status == 503 and step is Step.POLL and _refused(status, body).reason != _NO_REASON:
         # It may say by when the job is due, though not how it stands.
         why += f": {_refused(status, body).reason[:200]}"
-    return Failed(why, retry_after_us=retry_after_us)
+    return FailedCall(why, retry_after_us=retry_after_us)
 
 
-def _refused(status: int, body: bytes) -> Refused:
+def _refused(status: int, body: bytes) -> RefusedAnswer:
     try:
         told = _errors.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
         # The status alone decides; what is wrong is not told.
-        return Refused(status, _NO_REASON)
-    return Refused(status, told.error, told.field)
+        return RefusedAnswer(status, _NO_REASON)
+    return RefusedAnswer(status, told.error, told.field)
--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -130,7 +130,7 @@
             self.usage[job.team].add(job.spec)
 
     def remove_orphans(self, machine: Machine, keys: Iterable[tuple[str, int]]) -> None:
-        """Record that ghosts are gone, or are a job's attempts after all."""
+        """Record that orphans are gone, or are a job's attempts after all."""
         for key in keys:
             machine.orphans.discard(key)
             ghost = self.orphans.pop((machine.name, *key), None)
--- a/weldhead/cluster_state/records.py
+++ b/weldhead/cluster_state/records.py
@@ -8,7 +8,7 @@
 j/ID       JobRecord: a job that is not over, or whose tasks may still be somewhere
 p/ID/N     the completed tasks of a job, N-th chunk of a bitmap
 f/ID       FinalRecord: how a job ended, kept for good
-h/NAME     HireRecord: a rental that may have been asked for, and its machines
+h/NAME     RentalRecord: a rental that may have been asked for, and its machines
 t/N        tasks that were stopped for others while they held cards (``taken.py``)
 d/...      documents, see ``documents/records.py``
 =========  =========================================================================
--- a/weldhead/cluster_state/state_writer.py
+++ b/weldhead/cluster_state/state_writer.py
@@ -75,7 +75,7 @@
         self.unanswered_since_us = 0
 
     async def verify_leadership(self) -> None:
-        """Show that the leader's key is still ours; Deposed if it is not."""
+        """Show that the leader's key is still ours; LeadershipLostError if it is not."""
         sent_us = now_us()
         leader = await self._state.get(LEADER_KEY, urgent=True)
         if leader is None or leader.version != self._token:
@@ -109,7 +109,7 @@
     async def write(self, changes: dict[str, Any], *, urgent: bool = False) -> int:
         """Commit changes that belong together; return the revision.
 
-        Deposed if we are, Rejected if the store will never take them.
+        LeadershipLostError if we are, TransactionRejectedError if the store will never take them.
         """
         if self._closed:
             raise LeadershipLostError
@@ -173,7 +173,7 @@
         return batch
 
     async def run(self) -> None:
-        """Write until closed or deposed; a duty of the leader's term."""
+        """Write until closed or deposed; a background task of the leader's term."""
         while not self._closed:
             batch = self._batch()
             if not batch:
@@ -216,7 +216,7 @@
                     await self._commit_batch([one])
                 return
             write, values = batch[0]
-            log.error("write of %s is never taken: %s", ", ".join(values), error)
+            log.error("write rejected for good: %s: %s", ", ".join(values), error)
             self._fail(write, error)
             return
         for write, _ in batch:
@@ -247,7 +247,7 @@
                         self._versions[key] = revision
                 return revision
             except ConflictError as conflict:
-                log.info("conflict: %s", conflict)
+                log.info("write conflict: %s", conflict)
                 if await self._refresh(changes):
                     return max(self.version(key) for key in changes)
             except RequestRefusedError as refused:
--- a/weldhead/controller/configuration/calendar_binder.py
+++ b/weldhead/controller/configuration/calendar_binder.py
@@ -28,7 +28,7 @@
         documents.on_accepted.append(self.accepted)
 
     def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return the instant that binds a job; Unready if it is not known yet."""
+        """Return the instant that binds a job; DocumentsNotLoadedError if it is not known yet."""
         try:
             return bind(self._documents.cache, spec, wall_us, self._error_us)
         except InstantsNotComputedError as error:
--- a/weldhead/controller/configuration/calendar_keeper.py
+++ b/weldhead/controller/configuration/calendar_keeper.py
@@ -64,12 +64,12 @@
         self.late_notifications = LateNotifications(term, publisher)
         self.run_time_history = RunTimeHistory(term, publisher)
 
-    def start(self, duties: BackgroundTasks) -> None:
+    def start(self, background_tasks: BackgroundTasks) -> None:
         """Begin, once the term is loaded."""
         self.run_time_history.load()
-        duties.start("calendars", self.run)
-        duties.start("history", self.run_time_history.run)
-        duties.start("late jobs", self.late_notifications.run)
+        background_tasks.start("calendars", self.run)
+        background_tasks.start("history", self.run_time_history.run)
+        background_tasks.start("late jobs", self.late_notifications.run)
 
     def _on_change(self, key: str) -> None:
         if key == HEAD_KEY:
@@ -91,7 +91,7 @@
         return None
 
     async def run(self) -> None:
-        """Keep the instants of the calendars in force; a duty."""
+        """Keep the instants of the calendars in force; a background task."""
         while True:
             self._changed.clear()
             done = await self._renew()
--- a/weldhead/controller/configuration/deadline_table_follower.py
+++ b/weldhead/controller/configuration/deadline_table_follower.py
@@ -37,7 +37,7 @@
         self._logged_us = 0
 
     async def follow(self) -> None:
-        """Keep the table; a duty."""
+        """Keep the table; a background task."""
         table, cache = self._documents.deadline_table, self._documents.cache
         while not any(True for _ in cache.in_force(KIND, Calendar)):  # noqa: ASYNC110
             await asyncio.sleep(TABLE_PAUSE_S)
--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -58,7 +58,7 @@
         self._unusable: set[str] = set()
 
     async def load(self) -> None:
-        """Read the documents after the token was won; CallFailed if that is not possible."""
+        """Read the documents after the token was won; CallError if that is not possible."""
         entries, revision, _ = await read_prefix(self._state, PREFIX)
         for key, (_, version) in entries.items():
             self._ledger().record_version(key, version)
@@ -79,7 +79,8 @@
     async def write(self, changes: dict[str, Any], *, urgent: bool = False) -> None:
         """Commit changes of documents' keys; they are in memory when this returns.
 
-        Deposed if this leads no more, Rejected if the store never takes them.
+        LeadershipLostError if this leads no more, TransactionRejectedError if the store never takes
+        them.
         """
         encoded = {k: None if v is None else msgspec.Raw(_encode(v)) for k, v in changes.items()}
         revision = await self._ledger().write(encoded, urgent=urgent)
@@ -104,7 +105,7 @@
         return Response(http_status.OK, _encode(verdict.value))
 
     async def publish(self) -> None:
-        """Bring editions into force, one after the other; a duty."""
+        """Bring editions into force, one after the other; a background task."""
         if self._documents.own_documents is not None:
             self._offers.put_nowait(self._documents.own_documents)
         while True:
--- a/weldhead/controller/configuration/document_replica.py
+++ b/weldhead/controller/configuration/document_replica.py
@@ -35,7 +35,9 @@
     """What a job is bound to when it is accepted; ``wall_us`` is the time of day."""
 
     def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return it with the conditions on which it holds; Unready if that cannot be told."""
+        """Return it with the conditions on which it holds; DocumentsNotLoadedError if that cannot
+        be told.
+        """
 
 
 class DocumentReplica:
@@ -63,7 +65,9 @@
         self.deadline_table = DeadlineTable()
 
     def bind(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return all that a job is bound to by what is in memory; Unready if nothing is."""
+        """Return all that a job is bound to by what is in memory; DocumentsNotLoadedError if
+        nothing is.
+        """
         if not self.cache.loaded:
             raise DocumentsNotLoadedError
         bound = AdmissionBinding()
@@ -72,7 +76,7 @@
         return bound
 
     async def follow(self) -> None:
-        """Keep the copy; a duty."""
+        """Keep the copy; a background task."""
         async for batch in follow_prefix(self._state, PREFIX, None, self._read):
             for event in batch.events:
                 if event.put is not None:
@@ -88,7 +92,7 @@
         return revision
 
     async def offer_own_documents(self) -> None:
-        """Have the leader take up the edition that this controller brings; a duty."""
+        """Have the leader take up the edition that this controller brings; a background task."""
         while True:
             await asyncio.sleep(OFFER_PAUSE_S)
             if self.own_documents is None or not self.cache.loaded:
--- a/weldhead/controller/configuration/gate_binder.py
+++ b/weldhead/controller/configuration/gate_binder.py
@@ -44,7 +44,9 @@
         self._cache = cache
 
     def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return what a gate says of a job; Unready if its document cannot be read."""
+        """Return what a gate says of a job; DocumentsNotLoadedError if its document cannot be
+        read.
+        """
         cache = self._cache
         # Whoever finds no gate for a job does so by this edition of the documents.
         conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -213,14 +213,15 @@
         else:
             log.info("gate %s is open for edition %d", book.name, book.state.edition)
 
-    # -- the duty --------------------------------------------------------------------------
+    # -- the background task
+    # --------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Enter acts, stop what must not begin, release what may; a duty."""
+        """Enter acts, stop what must not begin, release what may; a background task."""
         term = self._term
         feed = term.cluster.jobs.feeds.subscribe()
         for book in self.trackers.values():
-            # The last run of this duty may have failed in the midst of a release.
+            # The last run of this background task may have failed in the midst of a release.
             book.needs_release = True
         try:
             await self._reconcile_pending()
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -65,7 +65,7 @@
             self._wake.set()
 
     async def run(self) -> None:
-        """Commit what is told, and say it; a duty."""
+        """Commit what is told, and say it; a background task."""
         while True:
             await self._wake.wait()
             self._wake.clear()
--- a/weldhead/controller/configuration/run_time_history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -40,7 +40,7 @@
         self._written = dict(self._term.estimates.versions)
 
     async def run(self) -> None:
-        """Note what is seen of bound classes, where it has moved clearly; a duty."""
+        """Note what is seen of bound classes, where it has moved clearly; a background task."""
         while True:
             await asyncio.sleep(PAUSE_S)
             record = self._changes()
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -47,7 +47,7 @@
         self._logged_summary = ""
 
     async def run(self) -> None:
-        """Look at the fleet's size, again and again; a duty."""
+        """Look at the fleet's size, again and again; a background task."""
         said_us = 0
         while True:
             await self._scheduling_loop.loop_budget.pause(
@@ -86,7 +86,7 @@
         ]
         missing = sum(m.type.cpus for m in unknown) - sum(m.type.cpus for m in fresh)
         missing -= sum(item.type.cpus * item.count for item in self._rental_manager.pending())
-        hires = plan_scale_out(
+        rentals = plan_scale_out(
             self._term.cluster,
             plan,
             self._term.rental_offers,
@@ -99,7 +99,7 @@
             backlog=len(scene.backlog),
             silent={m.name for m in unknown},
         )
-        for offer, count in replacements(hires, missing).items():
+        for offer, count in replacements(rentals, missing).items():
             log.info("%d machines do not answer: %d of %s asked for in %s (spot: %s)",
                 len(unknown), count, offer.type.name, offer.zone, offer.spot)  # fmt: skip
             self._rental_manager.rent(offer, count)
@@ -120,7 +120,7 @@
         if summary != self._logged_summary:
             # The counts only grow: repeated each time, an hour-old one looked like a load.
             self._logged_summary = summary
-            log.info("loop: %s", summary)
+            log.info("event loop: %s", summary)
 
     def _scale(self, at_us: int) -> None:
         """Look once at what to rent, what to return, and what to empty."""
@@ -157,7 +157,7 @@
         self._rental_manager.return_machines({m.name: m for m in returned})
         if self._rental_manager.busy:
             return
-        hires = plan_scale_out(
+        rentals = plan_scale_out(
             self._term.cluster,
             self._scheduling_loop.last_plan,
             self._term.rental_offers,
@@ -177,7 +177,7 @@
                 ((item.type, item.count) for item in self._rental_manager.pending()), up_us
             ),
         )
-        for offer, count in hires.items():
+        for offer, count in rentals.items():
             self._rental_manager.rent(offer, count)
 
     def _expected_demand(self, until_us: int) -> list[ExpectedDemand]:
@@ -195,7 +195,7 @@
         """Have a machine's tasks go on or begin anew elsewhere; it is returned when empty."""
         machine = move.machine
         log.info(
-            "machine %s is emptied: %d of %d tasks, %.0f s sooner",
+            "consolidation: draining machine %s, %d of %d tasks, %.0f s sooner",
             machine.name, len(move.attempts), len(machine.attempts), to_seconds(move.gain_us),
         )  # fmt: skip
         machine.draining = True
@@ -239,7 +239,7 @@
             (job, n) for job, n in self._scheduling_loop.last_plan.unplaced if job.spec.gpus > 0
         ]
         log.info(
-            "cards: %s, allowed %.0f of %d jobs",
+            "gpus: %s, allowed %.0f of %d jobs",
             ", ".join(f"{name} {amount:.0f}" for name, amount in cards.items()),
             sum(count * job.spec.gpus for job, count in unplaced),
             len(unplaced),
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -77,13 +77,13 @@
             machine.idle_since_us = at_us
 
     def start(self) -> None:
-        """Begin the duties, and find out what became of an earlier leader's rentals."""
+        """Begin the background tasks, and find out what became of an earlier leader's rentals."""
         self._term.background_tasks.start("deletions", self._delete_returned)
         self._term.background_tasks.start("machine list", self._list_machines)
         for name in list(self._records):
             # Larger than a value may become: divided before anything has to be changed in it.
             if name in self._duplicated or len(self._parts(name)) > 1:
-                log.info("rental %s: its record is divided", name)
+                log.info("rental %s: dividing its record", name)
                 self._term.background_tasks.spawn("rental record", self._write_divided(name))
             if self._is_dropped(name):
                 # An earlier term could not delete it for good.
@@ -140,15 +140,15 @@
                 found.append(PendingRental(known, record.count, record.zone))
         return found
 
-    def _add_machine(self, name: str, hire: str, at_us: int, wall: int) -> Machine:
-        record = self._records[hire]
+    def _add_machine(self, name: str, rental: str, at_us: int, wall: int) -> Machine:
+        record = self._records[rental]
         known = self._term.types.get(record.type)
         if known is None:
             # A type that left the catalog: nothing is placed there, but it is watched.
             known = MachineType(record.type, 0, 0, 0, 0, 0, 0, 0, 60.0, ())
         hired_us = at_us - max(0, wall - record.rented_us)
         machine = Machine(name, known, record.zone, record.spot, hired_us)
-        machine.rental_name = hire
+        machine.rental_name = rental
         self._term.cluster.machines[name] = machine
         return machine
 
@@ -331,14 +331,14 @@
         self._term.background_tasks.spawn("adoption", self._adopt(name, record))
 
     async def _adopt(self, name: str, record: RentalRecord) -> None:
-        hire = self._new_name()
+        rental = self._new_name()
         record.settled = True
         record.machines = {name: None}
-        self._records[hire] = record
+        self._records[rental] = record
         try:
-            await self._write(hire)
-            self._add_machine(name, hire, now_us(), wall_us())
-            log.info("machine %s was not expected; adopted", name)
+            await self._write(rental)
+            self._add_machine(name, rental, now_us(), wall_us())
+            log.info("unexpected machine %s adopted", name)
         except LeadershipLostError:
             pass
         finally:
@@ -355,7 +355,7 @@
         self._returned.update(machines)
         self._to_delete.update(machines)
         self._deletion.set()
-        log.info("returning %s", ", ".join(machines))
+        log.info("scale in: returning machines %s", ", ".join(machines))
 
     async def _delete_returned(self) -> None:
         """Return machines, many in a call."""
@@ -388,7 +388,7 @@
 
     def _deleted(self, machines: list[Machine]) -> None:
         """Answered, so the machines and everything on them are gone."""
-        hires = set()
+        rentals = set()
         for machine in machines:
             self._to_delete.pop(machine.name, None)
             self._on_gone(machine)
@@ -399,9 +399,9 @@
             record = self._records.get(machine.rental_name)
             if record is not None and machine.name in record.machines:
                 del record.machines[machine.name]
-                hires.add(machine.rental_name)
-        for hire in hires:
-            self._term.background_tasks.spawn("rental record", self._write_or_drop(hire))
+                rentals.add(machine.rental_name)
+        for rental in rentals:
+            self._term.background_tasks.spawn("rental record", self._write_or_drop(rental))
 
     # -- the cloud's list ------------------------------------------------------------------
 
@@ -444,5 +444,5 @@
                 ):
                     doomed[machine.name] = machine
         if doomed:
-            log.info("%d machines gone by the list", len(doomed))
+            log.info("%d machines are gone by the cloud's list", len(doomed))
         self.return_machines(doomed)
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -147,7 +147,7 @@
     # -- the term's life ------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin the term's duties."""
+        """Begin the term's background tasks."""
         self._background_tasks.spawn("ledger", self._run_state_writer())
         self._background_tasks.spawn("recovery", self._recover())
 
@@ -192,37 +192,37 @@
             self.term.on_leadership_lost("the leader's key is not ours any more")
         except Exception:
             # It kept its lease without writing anything more, and nobody else could lead.
-            log.exception("the ledger failed")
+            log.exception("state writer failed")
             self.term.on_leadership_lost("its writes have failed")
 
     async def _recover(self) -> None:
-        """Read everything, learn what runs where, then start the other duties."""
-        term, duties, deciding = self.term, self._background_tasks, self.scheduling_loop
-        duties.spawn("questions", self.recovery.probe_machines())
-        duties.spawn("safe revision", self.recovery.find_safe_revision())
+        """Read everything, learn what runs where, then start the other background tasks."""
+        term, background_tasks, deciding = self.term, self._background_tasks, self.scheduling_loop
+        background_tasks.spawn("questions", self.recovery.probe_machines())
+        background_tasks.spawn("safe revision", self.recovery.find_safe_revision())
         await self.recovery.load_until_done()
         self.job_watcher.revision = self.recovery.jobs_revision
-        duties.spawn("settling", self.recovery.clear_unsettled())
-        duties.start("job watch", self.job_watcher.watch)
-        duties.start("machine watch", self.machine_monitor.watch)
-        duties.start("reachability", self.reachability.watch_suspects)
-        duties.start("needed jobs", self.job_dependencies.resolve_dependencies, 0.2)
-        duties.start("forecasts", self.forecaster.run)
-        duties.start("loop watch", self.loop_budget.watch_lag)
+        background_tasks.spawn("settling", self.recovery.clear_unsettled())
+        background_tasks.start("job watch", self.job_watcher.watch)
+        background_tasks.start("machine watch", self.machine_monitor.watch)
+        background_tasks.start("reachability", self.reachability.watch_suspects)
+        background_tasks.start("needed jobs", self.job_dependencies.resolve_dependencies, 0.2)
+        background_tasks.start("forecasts", self.forecaster.run)
+        background_tasks.start("loop watch", self.loop_budget.watch_lag)
         if self.publisher is not None:
-            duties.start("documents", self.publisher.publish)
+            background_tasks.start("documents", self.publisher.publish)
         if self.calendar_keeper is not None:
-            self.calendar_keeper.start(duties)
-        duties.spawn("account", self._log_lateness())
+            self.calendar_keeper.start(background_tasks)
+        background_tasks.spawn("account", self._log_lateness())
         if self.gate_keeper is not None:
-            duties.start("gates", self.gate_keeper.run)
+            background_tasks.start("gates", self.gate_keeper.run)
         self.completions.start()
         self.rental_manager.start()
         term.commit_wanted.set()
         self._check_known()
         await deciding.load_backlog()
-        duties.start("fleet", self.autoscaler.run)
-        duties.start("placement", deciding.run_placement, 0.2)
+        background_tasks.start("fleet", self.autoscaler.run)
+        background_tasks.start("placement", deciding.run_placement, 0.2)
         await self.recovery.finish(self._start_preempting)
 
     async def _log_lateness(self) -> None:
@@ -263,7 +263,7 @@
         return self.statuses.is_service(job_id)
 
     async def cancel(self, job_id: str) -> JobStatus | None:
-        """Cancel a job; None if it is not known. NotReady if it cannot be decided now."""
+        """Cancel a job; None if it is not known. NotReadyError if it cannot be decided now."""
         if not self.loaded or now_us() < self.term.previous_leader_expired_us:
             raise NotReadyError
         job = self.cluster.jobs.get(job_id)
@@ -294,7 +294,7 @@
     def _apply_buffered(self, buffered: BufferedHeartbeat) -> None:
         self.heartbeats.apply_buffered(buffered)
 
-    # -- duties -------------------------------------------------------------------------
+    # -- background tasks -------------------------------------------------------------------------
 
     def _ended(self, job: Job, final: FinalRecord) -> None:
         """A job is over, and that is committed."""
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -76,13 +76,13 @@
         settings: Settings,
         tunables: Tunables,
         links: Mapping[str, PeerLink],
-        duties: BackgroundTasks,
+        background_tasks: BackgroundTasks,
         started_us: int,
     ) -> None:
         self.settings = settings
         self.tunables = tunables
         self._links = links
-        self._background_tasks = duties
+        self._background_tasks = background_tasks
         self._started_us = started_us
         self.timing = default_timing(tunables.leadership.ttl_us)
         self.lease = LeaderLease(self.timing, frozenset(links))
@@ -106,7 +106,7 @@
         #: The leader that this node last tried to replace.
         self._last_challenged_token = 0
         self._lease_renewer: LeaseRenewer | None = None
-        self.failure_detector = PeerFailureDetector(links, duties, self._on_peer_dead)
+        self.failure_detector = PeerFailureDetector(links, background_tasks, self._on_peer_dead)
 
     def open(
         self,
@@ -123,7 +123,7 @@
         self._worker_http = worker_http
 
     def start(self) -> None:
-        """Begin the duties."""
+        """Begin the background tasks."""
         self.failure_detector.start(self._state, self.read_leader)
         self._background_tasks.start("leader watch", self.watch, 0.2)
         self._background_tasks.start("campaign", self.campaign_when_vacant, 0.2)
@@ -143,7 +143,7 @@
         """Follow the leader's key."""
         await self.read_leader()
         while True:
-            # Compacted: it is begun anew at once.
+            # RevisionCompactedError: it is begun anew at once.
             with contextlib.suppress(RevisionCompactedError):
                 if await self.previous_leaders.follow(10 * SECOND_US):
                     await self.read_leader()
@@ -191,7 +191,7 @@
             if self.known_token != token:
                 return
         if self.leader is None and self.known_token == token:
-            log.info("%s led until it ended: taking up again", record.name)
+            log.info("failover: %s replaces the key of its own earlier process", record.name)
             await self.campaign(token, 0)
 
     # -- others -----------------------------------------------------------------------------
@@ -219,12 +219,12 @@
             return
         if self.leader is None and self.candidacy.may_lead(now_us()):
             level = logging.DEBUG if token == self._last_challenged_token else logging.INFO
-            log.log(level, "%s looks dead: taking over", record.name)
+            log.log(level, "failover: replacing leader %s, which was judged dead", record.name)
             self._last_challenged_token = token
             await self.campaign(token, record.ttl_us)
 
     async def campaign_when_vacant(self) -> None:
-        """Stand whenever the key is free; a duty."""
+        """Stand whenever the key is free; a background task."""
         while True:
             try:
                 await asyncio.wait_for(self._key_absent.wait(), 5.0)
@@ -308,7 +308,7 @@
         self.highest_token = token
         self._key_absent.clear()
         over_us = max(predecessor_over_us(at_us, believes_us), self.previous_leaders.expired_us)
-        log.info("%s leads with token %d", self.settings.name, token)
+        log.info("leader election won: %s, fencing token %d", self.settings.name, token)
         term = Term(
             self.settings, self.tunables, self.lease, self._state, self._cloud,
             self._worker_http, self.catalog, over_us, self.step_down,
@@ -424,7 +424,7 @@
         leader = self.leader
         if leader is None:
             return
-        log.info("%s leads no more: %s", self.settings.name, reason)
+        log.info("leadership of %s ended: %s", self.settings.name, reason)
         self.leader = None
         self.lease.end()
         self.known_leader = None
--- a/weldhead/controller/leadership/lease_renewer.py
+++ b/weldhead/controller/leadership/lease_renewer.py
@@ -103,7 +103,9 @@
         return max(least_us, renew_us - self._age_us()) if seen else least_us
 
     async def _answer(self, patience_us: int) -> bool:
-        """Send an attempt; return the first answer to any, NoAnswerYet if none comes in time."""
+        """Send an attempt; return the first answer to any, RenewalTimeoutError if none comes in
+        time.
+        """
         newest = asyncio.ensure_future(self._timed())
         self._attempts.append(newest)
         until_us = now_us() + patience_us
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -66,7 +66,7 @@
         return self._isolation.isolated
 
     async def watch(self) -> None:
-        """Look again and again whether this node is alone; a duty."""
+        """Look again and again whether this node is alone; a background task."""
         while self._links:
             await asyncio.sleep(to_seconds(LOOK_US))
             self._update_isolation()
@@ -85,12 +85,12 @@
         if self._isolation.update(contact, now_us()):
             if self.isolated:
                 log.info(
-                    "%s is alone: neither the state service nor another controller answers; "
+                    "%s is isolated: neither the state service nor another controller answers; "
                     "users and workers are sent on",
                     self._name,
                 )
             else:
-                log.info("%s is not alone any more", self._name)
+                log.info("%s is no longer isolated", self._name)
 
     def ready(self) -> Response:
         """Tell the load balancer whether users are served here as well as elsewhere."""
@@ -142,7 +142,7 @@
         """Have the one controller look that counts how long a job waits for an answer.
 
         All controllers choose the same one of those that the state service serves, by the job's
-        id. None: that is this one. CallFailed if it does not answer in time.
+        id. None: that is this one. CallError if it does not answer in time.
         """
         links = {link.name: link for link in self._served_peers(now_us(), DOCUMENTS_FORMAT)}
         served = [*links, self._name] if self._state.available else [*links]
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -43,11 +43,11 @@
     def __init__(
         self,
         links: Mapping[str, PeerLink],
-        duties: BackgroundTasks,
+        background_tasks: BackgroundTasks,
         dead: Callable[[str], Awaitable[bool]],
     ) -> None:
         self._links = links
-        self._background_tasks = duties
+        self._background_tasks = background_tasks
         self._on_dead = dead
         self.view = MembershipView()
         self._being_judged: set[str] = set()
--- a/weldhead/controller/leadership/previous_leaders.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -130,7 +130,7 @@
             async with asyncio.timeout(to_seconds(CATCH_UP_US)):
                 await self.follow(0)
         except (CallError, RevisionCompactedError, TimeoutError) as error:
-            log.info("it is not known who led before: %r", error)
+            log.info("previous leaders unknown: %r", error)
             self._assume_recent_leader()
 
 
--- a/weldhead/controller/leadership/promises.py
+++ b/weldhead/controller/leadership/promises.py
@@ -58,7 +58,7 @@
         authority.record_promise(link.name, sent_us, at_us)
     elif authority.valid(at_us):
         log.info(
-            "the promise of %s does not count: it may have begun %.2f s after the key was last "
+            "promise of %s ignored: it may have begun %.2f s after the key was last "
             "seen, and may have led before that", link.name, to_seconds(late_us),
         )  # fmt: skip
 
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -275,7 +275,7 @@
     # -- what runs where ---------------------------------------------------------------------
 
     async def probe_machines(self) -> None:
-        """Ask the machines on record what they run, until all are known; a duty."""
+        """Ask the machines on record what they run, until all are known; a background task."""
         while not self.all_known.is_set():
             self._probe_next()
             if self._term.loaded and self._term.valid:
@@ -341,7 +341,7 @@
         term.became_ready.set()
         term.cluster.unverified_usage = {}
         log.info(
-            "term %d: ready after %.3f s, %d questions; %s",
+            "term %d: ready after %.3f s, %d status probes; %s",
             term.token, to_seconds(now_us() - term.won_us), self.status_probes.sent,
             term.reconciliation_counts.summary(term.cluster),
         )  # fmt: skip
@@ -368,7 +368,7 @@
                 async for _, revision in term.state.pages(LEADER_KEY):
                     self._safe_revision = revision
             except CallError as error:
-                log.info("recovery: the store's revision is not known: %s", error)
+                log.info("recovery: the store's revision is unknown: %s", error)
                 await asyncio.sleep(0.2)
 
     def partial_view(self) -> PartialView:
--- a/weldhead/controller/loop_budget.py
+++ b/weldhead/controller/loop_budget.py
@@ -1,4 +1,4 @@
-"""How much of the loop each duty may take, and who waits when it is short.
+"""How much of the loop each background task may take, and who waits when it is short.
 
 A leader's process does everything on one loop. In this order it is given away when there is
 not enough of it, the last being put off first:
@@ -25,7 +25,7 @@
 TICK_US = 200 * MILLISECOND_US
 #: Nothing is put off for longer.
 MAX_DEFERRAL_US = 5 * SECOND_US
-#: Said at most so often of each duty.
+#: Said at most so often of each background task.
 LOG_INTERVAL_US = 10 * SECOND_US
 
 
@@ -38,7 +38,7 @@
     FORECASTS = 3
 
 
-#: The share of the time that a duty may take, by rank.
+#: The share of the time that a background task may take, by rank.
 LOOP_SHARES = {
     LoopPriority.PLACEMENT: 0.5,
     LoopPriority.PREEMPTOR: 0.25,
@@ -51,7 +51,7 @@
 
 
 class EventLoopBudget:
-    """Watches the loop and the duties on it. ``most_hold_us``: a longer hold is logged."""
+    """Measures the background tasks of an event loop; runs over ``most_hold_us`` are logged."""
 
     def __init__(
         self,
@@ -64,59 +64,63 @@
         self._sleep = sleep
         #: How late the loop was at the last tick.
         self.lag_us = 0
-        #: By duty: how long its last run and its longest took, and how many were too long.
+        #: By background task: how long its last run and its longest took, and how many were too
+        #: long.
         self.last_us: dict[str, int] = {}
         self.longest_us: dict[str, int] = {}
         self.overruns: dict[str, int] = {}
-        #: How often a duty was put off.
+        #: How often a background task was put off.
         self.deferrals: dict[str, int] = {}
         self._logged_us: dict[str, int] = {}
 
     @contextmanager
-    def measure(self, duty: str) -> Iterator[None]:
-        """Measure a run of a duty, which does not wait for anything."""
+    def measure(self, activity: str) -> Iterator[None]:
+        """Measure a run of a background task, which does not wait for anything."""
         began_us = self._clock()
         try:
             yield
         finally:
             at_us = self._clock()
-            self._record(duty, at_us - began_us, at_us)
+            self._record(activity, at_us - began_us, at_us)
 
-    def _record(self, duty: str, took_us: int, at_us: int) -> None:
-        self.last_us[duty] = took_us
-        self.longest_us[duty] = max(took_us, self.longest_us.get(duty, 0))
+    def _record(self, activity: str, took_us: int, at_us: int) -> None:
+        self.last_us[activity] = took_us
+        self.longest_us[activity] = max(took_us, self.longest_us.get(activity, 0))
         if took_us <= self._max_run_us:
             return
-        self.overruns[duty] = self.overruns.get(duty, 0) + 1
-        said_us = self._logged_us.get(duty)
+        self.overruns[activity] = self.overruns.get(activity, 0) + 1
+        said_us = self._logged_us.get(activity)
         if said_us is None or at_us - said_us >= LOG_INTERVAL_US:
-            self._logged_us[duty] = at_us
+            self._logged_us[activity] = at_us
             log.warning(
-                "duty %s held the loop for %.3f s (over %.3f s; %d times so far)",
-                duty, to_seconds(took_us), to_seconds(self._max_run_us), self.overruns[duty],
-            )  # fmt: skip
-
-    def pause_us(self, duty: str, rank: LoopPriority, period_us: int) -> int:
-        """Return how long a duty pauses, so that it takes no more than its share."""
-        took_us = self.last_us.get(duty, 0)
+                "background task %s held the event loop for %.3f s (limit %.3f s, %d times so far)",
+                activity,
+                to_seconds(took_us),
+                to_seconds(self._max_run_us),
+                self.overruns[activity],
+            )
+
+    def pause_us(self, activity: str, rank: LoopPriority, period_us: int) -> int:
+        """Return how long a background task pauses, so that it takes no more than its share."""
+        took_us = self.last_us.get(activity, 0)
         return max(period_us, round(took_us * (1 / LOOP_SHARES[rank] - 1)))
 
     def must_defer(self, rank: LoopPriority) -> bool:
-        """Whether the loop is too late for duties of that rank."""
+        """Whether the loop is too late for background tasks of that rank."""
         share = LATE_SHARES.get(rank)
         return share is not None and self.lag_us > share * self._max_run_us
 
-    async def pause(self, duty: str, rank: LoopPriority, period_us: int) -> None:
-        """Pause between two runs of a duty, longer while the loop is late."""
-        await self._sleep(to_seconds(self.pause_us(duty, rank, period_us)))
+    async def pause(self, activity: str, rank: LoopPriority, period_us: int) -> None:
+        """Pause between two runs of a background task, longer while the loop is late."""
+        await self._sleep(to_seconds(self.pause_us(activity, rank, period_us)))
         since_us = self._clock()
         if self.must_defer(rank):
-            self.deferrals[duty] = self.deferrals.get(duty, 0) + 1
+            self.deferrals[activity] = self.deferrals.get(activity, 0) + 1
         while self.must_defer(rank) and self._clock() - since_us < MAX_DEFERRAL_US:
             await self._sleep(to_seconds(TICK_US))
 
     async def watch_lag(self) -> None:
-        """See how late the loop is; a duty."""
+        """See how late the loop is; a background task."""
         while True:
             due_us = self._clock() + TICK_US
             await self._sleep(to_seconds(TICK_US))
@@ -124,6 +128,11 @@
 
     def summary(self) -> str:
         """Return what was too long and what was put off, in one line; "" if nothing."""
-        parts = [f"{duty} held {count} times" for duty, count in sorted(self.overruns.items())]
-        parts += [f"{duty} put off {count} times" for duty, count in sorted(self.deferrals.items())]
+        parts = [
+            f"{activity} held {count} times" for activity, count in sorted(self.overruns.items())
+        ]
+        parts += [
+            f"{activity} put off {count} times"
+            for activity, count in sorted(self.deferrals.items())
+        ]
         return ", ".join(parts)
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -58,12 +58,12 @@
         self._leftovers: list[str] = []
         self.cancelling: dict[str, asyncio.Task[None]] = {}
         #: Seen to be over, and seen to have unsaved progress; kept until that is dealt with,
-        #: also when a duty fails and is begun again.
+        #: also when a background task fails and is begun again.
         self._over: dict[str, Job] = {}
         self._unsaved: dict[str, Job] = {}
 
     def start(self) -> None:
-        """Begin the duties."""
+        """Begin the background tasks."""
         jobs = self._term.cluster.jobs
         self._changed = jobs.feeds.subscribe()
         self._progressed = jobs.feeds.subscribe()
@@ -109,7 +109,8 @@
             return True
         return job.states[index] != TaskState.COMPLETED
 
-    # -- duties ----------------------------------------------------------------------------
+    # -- background tasks
+    # ----------------------------------------------------------------------------
 
     async def _finish_jobs(self) -> None:
         """Finish jobs that are over: their users wait for that."""
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -157,7 +157,7 @@
         return refusal(trouble.status, trouble.reason, trouble.field)
 
     def _admit(self, spec: JobSpec, at_us: int) -> tuple[JobRecord, AdmissionBinding]:
-        """Return a job's record with what calendars and gates say; CallFailed if unknown."""
+        """Return a job's record with what calendars and gates say; CallError if unknown."""
         documents = self._controller.documents
         if documents is None:
             return JobRecord(spec, at_us), AdmissionBinding()
@@ -171,7 +171,7 @@
         return admitted_record(spec, at_us, binding), binding
 
     async def _check_dependencies(self, spec: JobSpec) -> None:
-        """Refusal(422) if a job is named that cannot be waited for.
+        """SubmissionRefusedError(422) if a job is named that cannot be waited for.
 
         Accepted jobs stay accepted, so what the store said a moment ago still holds when
         the job is created; and as only accepted ones can be named, there are no circles.
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""When tasks are placed and stopped: the duties around placement and the preemptor."""
+"""When tasks are placed and stopped: the background tasks around placement and the preemptor."""
 
 import asyncio
 import logging
@@ -88,7 +88,7 @@
         if scene.reservations is not before:
             for name, job_id in scene.reservations.machines.items():
                 if name not in before.machines:
-                    log.info("%s is held for %s", name, job_id)
+                    log.info("machine %s is reserved for job %s", name, job_id)
 
     async def load_backlog(self) -> None:
         """Put all waiting jobs in order while workers are still being asked what they run."""
@@ -99,7 +99,7 @@
             await asyncio.sleep(0)
 
     async def run_placement(self) -> None:
-        """Place tasks whenever something has changed; a duty."""
+        """Place tasks whenever something has changed; a background task."""
         while True:
             await self._term.placement_wanted.wait()
             self._term.placement_wanted.clear()
@@ -149,7 +149,7 @@
                 self._dispatcher.schedule(machine)
 
     async def run_preemption(self) -> None:
-        """Make room for those who found none; a duty."""
+        """Make room for those who found none; a background task."""
         self.preemption_recorder.inherit(now_us())
         while True:
             await self.loop_budget.pause(
@@ -199,7 +199,7 @@
             self.reclaims.add(reclaim)
             for victim in reclaim.victims:
                 log.info(
-                    "%s (%s, %s) stops for %s (%s)",
+                    "preempting %s (%s, %s) for %s (%s)",
                     victim.task,
                     victim.job.spec.priority,
                     victim.job.team,
--- a/weldhead/controller/workers/heartbeat_handler.py
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -141,7 +141,7 @@
         effect = apply_heartbeat(self._term.cluster, machine, heartbeat, at_us, source)
         self._apply_effect(machine, effect, at_us)
         if machine.interruption_us and not had_notice:
-            log.info("machine %s will be taken back", machine.name)
+            log.info("machine %s: spot interruption notice", machine.name)
             self._machine_monitor.interrupted[machine.name] = machine
             self._machine_monitor.evacuate(machine, at_us)
 
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -144,7 +144,7 @@
         try:
             await self._term.state_writer.verify_leadership()
         except CallError as error:
-            log.info("leases are over, but not whether this node still leads: %s", error)
+            log.info("leases are expired, leadership not verified: %s", error)
         except LeadershipLostError:
             self._term.on_leadership_lost("the leader's key is not ours any more")
 
@@ -260,7 +260,7 @@
         machine.expired_session = max(machine.expired_session, machine.session)
         machine.reconciled = True
         machine.draining = machine.draining or not keep
-        log.info("machine %s: lease over, %d tasks lost", machine.name, len(gone))
+        log.info("lease of machine %s expired: %d tasks lost", machine.name, len(gone))
         self.on_known()
         for attempt in gone:
             if attempt.job.cancelled:
@@ -287,7 +287,9 @@
         for machine in review.faulty:
             machine.draining = True
             machine.notify_changed()
-            log.info("machine %s is drained: tasks fail on it that succeed elsewhere", machine.name)
+            log.info(
+                "machine %s is quarantined: tasks fail on it that succeed elsewhere", machine.name
+            )
         for job, standing in review.changed:
             job.broken = standing is JobHealth.BROKEN
             job.on_probation = standing is not JobHealth.SOUND
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -125,12 +125,14 @@
         machine.not_receiving = evidence.unreachable_since_us > 0
         machine.notify_changed()
         if machine.not_receiving:
-            log.info("machine %s hears nothing: %s", machine.name, evidence.describe())
+            log.info("machine %s does not receive commands: %s", machine.name, evidence.describe())
             evidence.next_probe_us = 0
             self.withdraw_unstarted(machine)
         else:
             log.info(
-                "machine %s hears again after %.1f s", machine.name, to_seconds(at_us - since_us)
+                "machine %s receives commands again after %.1f s",
+                machine.name,
+                to_seconds(at_us - since_us),
             )
         self._term.placement_wanted.set()
 
@@ -138,7 +140,7 @@
         """Take back what has not begun on a machine that hears nothing."""
         count = withdraw_unbegun(self._term.cluster, machine)
         if count:
-            log.info("machine %s: %d tasks that have not begun go elsewhere", machine.name, count)
+            log.info("machine %s: %d unstarted tasks withdrawn", machine.name, count)
             if not machine.attempts:
                 machine.idle_since_us = now_us()
             self._term.placement_wanted.set()
@@ -146,7 +148,7 @@
     # -- questions ---------------------------------------------------------------------------
 
     async def watch_suspects(self) -> None:
-        """Ask the doubted machines, and give back those that hear nothing; a duty."""
+        """Ask the doubted machines, and give back those that hear nothing; a background task."""
         while True:
             await asyncio.sleep(to_seconds(LOOK_US))
             if self._suspects and self._term.valid:
@@ -207,7 +209,7 @@
         )  # fmt: skip
         for machine in found:
             log.info(
-                "machine %s has heard nothing for %.0f s: replacing it costs no more",
+                "machine %s has received no command for %.0f s: replacing it costs no more",
                 machine.name, to_seconds(at_us - deaf[machine.name]),
             )  # fmt: skip
         self._return_machines({machine.name: machine for machine in found})
--- a/weldhead/emulator/arrivals.py
+++ b/weldhead/emulator/arrivals.py
@@ -14,7 +14,7 @@
 from weldhead.controller.leadership.leader import Leader
 from weldhead.controller.process import ControllerProcess
 from weldhead.emulator.experiment import Experiment
-from weldhead.emulator.machines import Machine
+from weldhead.emulator.machines import SimulatedMachine
 from weldhead.protocol.wire import DirectCommands, Heartbeat, HeartbeatAnswer, KeyValue
 from weldhead.transport.http_server import Response
 from weldhead.transport.state_client import decode
@@ -158,7 +158,7 @@
     def _winner(entry: KeyValue) -> str:
         return decode(bytes(entry.value), LeaderRecord).name
 
-    def commanded(self, machine: Machine, body: bytes) -> None:
+    def commanded(self, machine: SimulatedMachine, body: bytes) -> None:
         """A direct command reaches a machine."""
         asked = msgspec.json.decode(body, type=DirectCommands)
         self.deposed_commands += bool(asked.commands) and asked.token < machine.worker.token
--- a/weldhead/emulator/checker.py
+++ b/weldhead/emulator/checker.py
@@ -14,7 +14,7 @@
 
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.records import FinalRecord, JobRecord, final_key, job_key
-from weldhead.emulator.serving import Course, unserved
+from weldhead.emulator.job_timelines import JobTimeline, unserved
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import JobSpec, JobStatus, MachineType, split_task
 from weldhead.site.store.model import Store
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class TaskLocation:
     """Where a task is: its machine, and whether it may still be there (leases end)."""
 
     machine: str
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class Told:
+class ObservedAnswer:
     """What the users of a job know."""
 
     spec: JobSpec
@@ -79,9 +79,9 @@
     broken: Counter[str] = field(default_factory=Counter)
     details: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
-    jobs: dict[str, Told] = field(default_factory=dict)
+    jobs: dict[str, ObservedAnswer] = field(default_factory=dict)
     done: dict[str, set[int]] = field(default_factory=lambda: defaultdict(set))
-    on: dict[str, dict[str, Site]] = field(default_factory=lambda: defaultdict(dict))
+    on: dict[str, dict[str, TaskLocation]] = field(default_factory=lambda: defaultdict(dict))
     #: When the first task ran under each token, and when tasks were stopped by command.
     first_starts: dict[int, int] = field(default_factory=dict)
     stops: list[int] = field(default_factory=list)
@@ -104,7 +104,7 @@
     _since: dict[tuple[str, str], int] = field(default_factory=dict)
     _begun: set[tuple[str, int]] = field(default_factory=set)
     #: Cancelled jobs whose tasks may still go on, and the tasks that broke that rule.
-    _ending: deque[Told] = field(default_factory=deque)
+    _ending: deque[ObservedAnswer] = field(default_factory=deque)
     _ran_cancelled: set[str] = field(default_factory=set)
     _polls: Counter[bool] = field(default_factory=Counter)
     _digest: "hashlib._Hash" = field(default_factory=hashlib.sha256)
@@ -126,7 +126,7 @@
 
     # -- machines --------------------------------------------------------------------------
 
-    def started(self, task: str, attempt: int, site: Site) -> None:
+    def started(self, task: str, attempt: int, site: TaskLocation) -> None:
         """A task has its image and runs from now on."""
         self.look()
         self.note("start", task, attempt, site.machine)
@@ -190,7 +190,7 @@
         A task is on its machine until it exits, is killed or the machine is gone: whether that
         runs, hangs, is cut off or hears nothing makes no difference. One that hangs beyond its
         lease kills its tasks before anything else, so they are not held against it here, as in
-        all other rules (``Site.present``); they are if it goes on and kills them too late.
+        all other rules (``TaskLocation.present``); they are if it goes on and kills them too late.
         """
         while self._ending and self._overdue(self._ending[0]):
             self._judge_cancelled(self._ending.popleft().spec)
@@ -202,7 +202,7 @@
             if names:
                 self._breaks_cancelled(task, f"is on {names[0]} still")
 
-    def _overdue(self, told: Told) -> bool:
+    def _overdue(self, told: ObservedAnswer) -> bool:
         return bool(told.cancelled_us) and self.now_us() - told.cancelled_us > self.cancel_us
 
     def _breaks_cancelled(self, task: str, text: str) -> None:
@@ -234,7 +234,7 @@
         took_us = self.broken_us + self.others_us
         return self.broken_us / took_us if took_us else 0.0
 
-    def _check_place(self, spec: JobSpec, index: int, site: Site) -> None:
+    def _check_place(self, spec: JobSpec, index: int, site: TaskLocation) -> None:
         zones: Counter[str] = Counter()
         for other in range(spec.tasks):
             if other != index:
@@ -268,7 +268,7 @@
     def submitted(self, spec: JobSpec) -> None:
         """A user submits a job for the first time."""
         self.note("submit", spec.id)
-        self.jobs.setdefault(spec.id, Told(spec))
+        self.jobs.setdefault(spec.id, ObservedAnswer(spec))
 
     def answered(
         self, job_id: str, verb: str, status: int, state: str, asked_us: int | None = None
@@ -296,7 +296,7 @@
             told.accepted_us = told.accepted_us or at_us
             self._state(told, state, at_us, at_us if asked_us is None else asked_us)
 
-    def _polled(self, told: Told, good: bool, asked_us: int) -> None:
+    def _polled(self, told: ObservedAnswer, good: bool, asked_us: int) -> None:
         self._polls[good] += 1
         if good:
             told.failing_since_us = 0
@@ -311,7 +311,7 @@
             if at_us - max(told.failing_since_us, self.calm_us) > FORGOTTEN_IN_CALM_US:
                 self.breaks("forgotten", f"{told.spec.id}: no answer in calm")
 
-    def _state(self, told: Told, state: str, at_us: int, asked_us: int) -> None:
+    def _state(self, told: ObservedAnswer, state: str, at_us: int, asked_us: int) -> None:
         spec = told.spec
         if told.final and state != told.final:
             if asked_us < told.final_us:
@@ -351,11 +351,11 @@
 
     # -- the end ---------------------------------------------------------------------------
 
-    def _courses(self) -> Iterator[Course]:
+    def _courses(self) -> Iterator[JobTimeline]:
         for told in self.jobs.values():
             if told.accepted and not told.cancel_asked and told.spec.id not in self.broken_jobs:
                 served = told.final == "done" or (told.spec.is_service and told.begun_us > 0)
-                yield Course(told.spec, told.accepted_us, told.begun_us, served)
+                yield JobTimeline(told.spec, told.accepted_us, told.begun_us, served)
 
     def finish(self, *, serves: bool = False) -> None:
         """The run is over: see what is left, and who was served if there was room for all."""
--- a/weldhead/emulator/controller.py
+++ b/weldhead/emulator/controller.py
@@ -7,7 +7,7 @@
 from weldhead.clock import SECOND_US, now_us
 from weldhead.controller.process import ControllerProcess
 from weldhead.documents.records import DocumentSet
-from weldhead.emulator.loop import Life, VirtualLoop
+from weldhead.emulator.loop import ProcessInstance, VirtualLoop
 from weldhead.emulator.network import Network, SimulatedHttp, SimulatedServer
 from weldhead.emulator.processor import START_US
 from weldhead.protocol.settings import Settings
@@ -15,7 +15,7 @@
 from weldhead.tunables.defaults import Tunables
 
 
-class Controller:
+class SimulatedController:
     """A controller's machine, and the process that lives there now."""
 
     def __init__(
@@ -26,7 +26,7 @@
         tunables: Tunables,
         clock: tuple[float, int],
         offer: DocumentSet | None,
-        answered: Callable[["Controller", str], None],
+        answered: Callable[["SimulatedController", str], None],
         core_share: float = 0.0,
     ) -> None:
         self._loop, self._network, self._tunables = loop, network, tunables
@@ -34,16 +34,16 @@
         self.name = settings.name
         self._clock, self._offer, self._answered = clock, offer, answered
         self._core_share = core_share
-        self.life: Life | None = None
+        self.life: ProcessInstance | None = None
         #: All its processes so far.
-        self.lives: list[Life] = []
+        self.lives: list[ProcessInstance] = []
         self.node: ControllerProcess | None = None
 
     def start(self) -> None:
         """Start the process, unless it runs."""
         if self.life is not None:
             return
-        life = self.life = Life(self.name, *self._clock, self._core_share)
+        life = self.life = ProcessInstance(self.name, *self._clock, self._core_share)
         self.lives.append(life)
         network = self._network
 
--- a/weldhead/emulator/events.py
+++ b/weldhead/emulator/events.py
@@ -22,7 +22,7 @@
 )
 from weldhead.documents.records import PREFIX as DOCUMENTS
 from weldhead.emulator.checker import Checker
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.loop import VirtualLoop
 from weldhead.emulator.network import Network
 from weldhead.emulator.scenario import Event, WriteKind
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Happened:
+class SimulationEvent:
     """Something that happened: whose doing it was (a controller), and on which machine.
 
     ``leader`` led by then, as the store's record says.
@@ -67,9 +67,9 @@
     #: Only what another leader's term brought, or None.
     not_under: str | None
     nth: int
-    came: "asyncio.Future[Happened]"
+    came: "asyncio.Future[SimulationEvent]"
 
-    def see(self, happened: Happened) -> None:
+    def see(self, happened: SimulationEvent) -> None:
         """Count what happened, if it is of the kind."""
         if happened.event != self.event or happened.write != self.write:
             return
@@ -90,7 +90,7 @@
         network: Network,
         store: Store,
         checker: Checker,
-        controllers: list[Controller],
+        controllers: list[SimulatedController],
     ) -> None:
         self._loop, self._wanted, self._store = loop, wanted, store
         self._network, self._checker = network, checker
@@ -119,7 +119,7 @@
         """Say what has happened just now."""
         if event not in self._wanted:
             return
-        came = Happened(event, self._loop.true_s, controller, self.leader, machine, write)
+        came = SimulationEvent(event, self._loop.true_s, controller, self.leader, machine, write)
         for waiting in list(self._waiting):
             waiting.see(came)
 
@@ -131,9 +131,9 @@
         until_s: float,
         write: WriteKind | None = None,
         not_under: str | None = None,
-    ) -> Happened | None:
+    ) -> SimulationEvent | None:
         """Wait for an event from now on; None: it had not come at that (true) time."""
-        came: asyncio.Future[Happened] = self._loop.create_future()
+        came: asyncio.Future[SimulationEvent] = self._loop.create_future()
         waiting = Waiting(event, write, not_under, nth, came)
         self._waiting.append(waiting)
         try:
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -13,16 +13,16 @@
 from weldhead.controller.configuration.document_file import parse_source
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.records import DocumentSet
-from weldhead.emulator.calendars import CalendarRules
-from weldhead.emulator.cards import CardRules, Holding
+from weldhead.emulator.calendar_rules import CalendarRules
 from weldhead.emulator.checker import Checker
-from weldhead.emulator.controller import Controller
-from weldhead.emulator.faults import Faults, Met
-from weldhead.emulator.gates import GateKeeper
+from weldhead.emulator.controller import SimulatedController
+from weldhead.emulator.faults import Faults, TriggeredFault
+from weldhead.emulator.gate_actors import GateActors
+from weldhead.emulator.gpu_rules import GpuHolding, GpuRules
 from weldhead.emulator.loop import VirtualLoop, simulated
-from weldhead.emulator.machines import Machine
+from weldhead.emulator.machines import SimulatedMachine
+from weldhead.emulator.malformed_requests import MalformedRequests
 from weldhead.emulator.network import Network
-from weldhead.emulator.odd_users import OddUsers
 from weldhead.emulator.processor import metered
 from weldhead.emulator.scenario import Scenario
 from weldhead.emulator.services import (
@@ -33,8 +33,8 @@
 )
 from weldhead.emulator.starts import StartRules
 from weldhead.emulator.users import Users
-from weldhead.emulator.waiting import LOOK_S as WAITING_LOOK_S
-from weldhead.emulator.waiting import Healthy, WaitingRules
+from weldhead.emulator.waiting_rules import LOOK_S as WAITING_LOOK_S
+from weldhead.emulator.waiting_rules import Healthy, WaitingRules
 from weldhead.protocol.settings import (
     CloudLimits,
     Facts,
@@ -48,7 +48,7 @@
 from weldhead.protocol.settings import PeerSettings as Peer
 from weldhead.protocol.wire import JobSpec, MachineType, split_task
 from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, ReconciliationCounts
-from weldhead.site.pool import Machine as PoolMachine
+from weldhead.site.pool import PooledMachine as PoolMachine
 from weldhead.tunables.defaults import Tunables
 
 Observer = TypeVar("Observer")
@@ -87,7 +87,7 @@
     #: What jobs submitted with a mistake took of all CPU time that tasks had.
     broken_share: float = 0.0
     #: The faults tied to an event, or to who leads next, that came about; how many there were.
-    met: list[Met] = field(default_factory=list)
+    met: list[TriggeredFault] = field(default_factory=list)
     tied: int = 0
     #: The longest that a task went on after a user was told that its job is withdrawn.
     cancelled_s: float = 0.0
@@ -136,7 +136,7 @@
         self.users = Users(loop, self.network, self.checker, scenario, self.jobs, self.addresses,
             random.Random(rng.random()))  # fmt: skip
         # Luck of their own: what they do not do changes no run.
-        odd_users = OddUsers(
+        odd_users = MalformedRequests(
             loop, random.Random(f"users of {scenario.name}/{seed}"), scenario, self.users,
             self.checker, self.cloud,
         )  # fmt: skip
@@ -145,16 +145,16 @@
             self.users, odd_users, self.checker,
         )  # fmt: skip
         lease_us = round(scenario.lease_s * SECOND_US)
-        self.cards = CardRules(self.checker, lease_us, self._holdings)
+        self.cards = GpuRules(self.checker, lease_us, self._holdings)
         self.waiting = WaitingRules(self.checker, self._healthy)
         self.starts = StartRules(self.checker, self.network, self.store.service.store)
         self.checker.calendars = calendars = CalendarRules(self.checker)
         lateness.log.handlers = [calendars]
-        self.keeper: GateKeeper | None = None
+        self.keeper: GateActors | None = None
         if self.offer is not None and any(
             name.startswith("gate/") for name in self.offer.documents
         ):
-            self.keeper = GateKeeper(
+            self.keeper = GateActors(
                 self.offer, self.users, self.checker, random.Random(rng.random())
             )
         self.undecided: list[float] = []
@@ -166,7 +166,9 @@
         self._assigned: set[tuple[str, int]] = set()
         self._counting: list[asyncio.Task[None]] = []
 
-    def _make_controllers(self, teams: list[Team], limits: StateLimits) -> list[Controller]:
+    def _make_controllers(
+        self, teams: list[Team], limits: StateLimits
+    ) -> list[SimulatedController]:
         scenario, made = self.scenario, []
         peers = [
             Peer(f"n-{number}", scenario.zones[number % len(scenario.zones)], f"10.0.0.{number}:81")
@@ -186,7 +188,7 @@
             rate = 1 + self.rng.uniform(0, scenario.drift)
             clock = rate, self.rng.randint(-500_000, 500_000)
             made.append(
-                Controller(
+                SimulatedController(
                     self.loop,
                     self.network,
                     settings,
@@ -201,16 +203,16 @@
             self.network.known(peer.address, peer.name)
         return made
 
-    def _machine(self, made: PoolMachine) -> Machine:
+    def _machine(self, made: PoolMachine) -> SimulatedMachine:
         self._numbers += 1
         scenario = self.scenario
-        return Machine(
+        return SimulatedMachine(
             made.name, self._numbers, made.type, made.zone, made.spot, self.loop, self.network,
             self.checker, random.Random(self.rng.random()), self.jobs, self.addresses,
             (scenario.report_s, scenario.lease_s), scenario.drift,
         )  # fmt: skip
 
-    def check_lease(self, controller: Controller, what: str) -> None:
+    def check_lease(self, controller: SimulatedController, what: str) -> None:
         """Who answers as a leader must hold a lease that the store knows, or all promises."""
         node = controller.node
         if node is None or not node.election.lease.token:
@@ -227,26 +229,26 @@
         """Play the scenario from beginning to end."""
         for controller in self.controllers:
             controller.start()
-        duties = self.faults.start()
-        duties.append(asyncio.create_task(self._look()))
+        background_tasks = self.faults.start()
+        background_tasks.append(asyncio.create_task(self._look()))
         if self.keeper is not None:
-            duties.append(asyncio.create_task(self.keeper.keep()))
+            background_tasks.append(asyncio.create_task(self.keeper.keep()))
         if self.scenario.card_machines:
-            duties.append(asyncio.create_task(self._look_at_cards()))
+            background_tasks.append(asyncio.create_task(self._look_at_cards()))
         if not self.scenario.documents:
             # Gates and calendars make jobs wait.
-            duties.append(asyncio.create_task(self._look_at_waiting()))
+            background_tasks.append(asyncio.create_task(self._look_at_waiting()))
         self.users.store(self.store.service.store)
         self.users.start()
         await asyncio.sleep(self.scenario.seconds)
-        for duty in duties:
-            duty.cancel()
+        for background_task in background_tasks:
+            background_task.cancel()
         self.checker.finish(serves=self.scenario.serves)
 
-    def _holdings(self) -> Iterator[Holding]:
+    def _holdings(self) -> Iterator[GpuHolding]:
         for machine in self.cloud.up():
             tasks = {task: self.jobs[split_task(task)[0]] for task in machine.tasks()}
-            yield Holding(machine.name, machine.kind, tasks)
+            yield GpuHolding(machine.name, machine.kind, tasks)
 
     async def _look_at_cards(self) -> None:
         while True:
@@ -257,7 +259,7 @@
         for machine in self.cloud.up():
             if machine.present and not machine.was_sick:
                 tasks = {task: self.jobs[split_task(task)[0]] for task in machine.tasks()}
-                holding = Holding(machine.name, machine.kind, tasks)
+                holding = GpuHolding(machine.name, machine.kind, tasks)
                 yield Healthy(holding, machine.zone, machine.spot)
 
     async def _look_at_waiting(self) -> None:
--- a/weldhead/emulator/hand_overs.py
+++ b/weldhead/emulator/failover_observer.py
@@ -17,7 +17,7 @@
 from weldhead.controller.leadership.leader import Leader
 from weldhead.emulator.events import kinds
 from weldhead.emulator.experiment import Experiment
-from weldhead.emulator.loop import BEGIN_S, Life, simulated
+from weldhead.emulator.loop import BEGIN_S, ProcessInstance, simulated
 from weldhead.emulator.scenario import Scenario
 from weldhead.protocol.wire import split_task
 from weldhead.site.store.model import Batch
@@ -72,7 +72,7 @@
     lost_of_arrays: Counter[str] = field(default_factory=Counter)
     _token: int = 0
     #: Who won the key last; None: has left since.
-    _winner: Life | None = None
+    _winner: ProcessInstance | None = None
     _full: set[str] = field(default_factory=set)
     _seen: set[tuple[Step, int]] = field(default_factory=set)
 
--- a/weldhead/emulator/faults.py
+++ b/weldhead/emulator/faults.py
@@ -7,13 +7,13 @@
 
 from weldhead.cluster_state.records import LEADER_KEY, LeaderRecord
 from weldhead.emulator.checker import Checker
-from weldhead.emulator.controller import Controller
-from weldhead.emulator.events import LOOK_S, Events, Happened
+from weldhead.emulator.controller import SimulatedController
+from weldhead.emulator.events import LOOK_S, Events, SimulationEvent
 from weldhead.emulator.loop import BEGIN_S, VirtualLoop
-from weldhead.emulator.machines import Machine
+from weldhead.emulator.machines import SimulatedMachine
+from weldhead.emulator.malformed_requests import MalformedRequests
 from weldhead.emulator.message_faults import MessageFaults
-from weldhead.emulator.network import Network, Weather, cut_for
-from weldhead.emulator.odd_users import OddUsers
+from weldhead.emulator.network import LinkConditions, Network, cut_for
 from weldhead.emulator.roles import Roles
 from weldhead.emulator.scenario import Event, Fault, Kind, Scenario
 from weldhead.emulator.services import LateWrites, SimulatedCloud, SimulatedStore
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Met:
+class TriggeredFault:
     """A fault that was tied to an event, or to who leads next, and came about."""
 
     kind: Kind
@@ -49,9 +49,9 @@
         network: Network,
         store: SimulatedStore,
         cloud: SimulatedCloud,
-        controllers: list[Controller],
+        controllers: list[SimulatedController],
         users: Users,
-        odd_users: OddUsers,
+        odd_users: MalformedRequests,
         checker: Checker,
     ) -> None:
         self._loop, self._rng, self._scenario = loop, rng, scenario
@@ -67,10 +67,10 @@
         store.on_written = self._events.look
         users.on_confirmed = lambda controller: self._events.happened("confirmed", controller)
         #: The faults tied to something that came about, in their order.
-        self.met: list[Met] = []
+        self.met: list[TriggeredFault] = []
         #: Machines that hear no controller at all, and since when.
         self.deaf: dict[str, float] = {}
-        fair = Weather(delay_s=scenario.delay_s, lost=scenario.lost)
+        fair = LinkConditions(delay_s=scenario.delay_s, lost=scenario.lost)
         self._messages = MessageFaults(
             loop, network, fair, store, controllers, self._events, self._roles
         )
@@ -82,8 +82,8 @@
         self._left = len(faults)
         if not faults:
             self._checker.calm_us = self._loop.true_us
-        duties = [asyncio.create_task(self._befall(fault)) for fault in faults]
-        return [*duties, asyncio.create_task(self._events.watch())]
+        background_tasks = [asyncio.create_task(self._befall(fault)) for fault in faults]
+        return [*background_tasks, asyncio.create_task(self._events.watch())]
 
     def _draw(self) -> Iterator[Fault]:
         drawn, rng = self._scenario.drawn, self._rng
@@ -111,7 +111,7 @@
                 fault.again = fault.kind == "controllers_end" and rng.random() < 0.3
             yield fault
 
-    async def _tie(self, fault: Fault) -> tuple[bool, Happened | None]:
+    async def _tie(self, fault: Fault) -> tuple[bool, SimulationEvent | None]:
         """Wait for what a fault is tied to; false: that has not come in time."""
         events, until_s = self._events, BEGIN_S + fault.until_s
         former, happened = events.leader, None
@@ -133,17 +133,17 @@
         if fault.on is not None or fault.role == "successor":
             by = happened.controller if happened is not None else events.leader
             at_s = self._loop.true_s - BEGIN_S
-            self.met.append(Met(fault.kind, fault.on, at_s, by, former, events.leader))
+            self.met.append(TriggeredFault(fault.kind, fault.on, at_s, by, former, events.leader))
         return True, happened
 
-    def _some_machines(self, fault: Fault, concerned: str) -> list[Machine]:
+    def _some_machines(self, fault: Fault, concerned: str) -> list[SimulatedMachine]:
         up = self._cloud.up()
         if fault.concerned:
             return [machine for machine in up if machine.name == concerned]
         return self._rng.sample(up, round(len(up) * fault.share))
 
     async def _befall(self, fault: Fault) -> None:
-        duties: dict[str, Callable[[Fault], Awaitable[None]]] = {
+        background_tasks: dict[str, Callable[[Fault], Awaitable[None]]] = {
             "controllers": self._befall_controllers,
             "store": self._befall_store,
             "boots": self._befall_boots,
@@ -158,7 +158,9 @@
                 concerned = happened.machine if happened is not None else ""
                 await self._befall_machines(fault, self._some_machines(fault, concerned))
             else:
-                await duties.get(fault.kind.partition("_")[0], self._messages.befall)(fault)
+                await background_tasks.get(fault.kind.partition("_")[0], self._messages.befall)(
+                    fault
+                )
         # What lapses is over as well: the rest of the run is judged as calm.
         self._left -= 1
         if not self._left:
@@ -196,7 +198,7 @@
             case _:
                 await self._cut(names, machines, fault)
 
-    async def _bounce(self, controller: Controller, back_s: float) -> None:
+    async def _bounce(self, controller: SimulatedController, back_s: float) -> None:
         controller.end()
         await asyncio.sleep(back_s)
         controller.start()
@@ -229,7 +231,7 @@
 
     # -- machines --------------------------------------------------------------------------
 
-    async def _befall_machines(self, fault: Fault, chosen: list[Machine]) -> None:
+    async def _befall_machines(self, fault: Fault, chosen: list[SimulatedMachine]) -> None:
         match fault.kind:
             case "machines_die":
                 for machine in chosen:
@@ -265,7 +267,7 @@
                     {m.name for m in chosen}, {c.name for c in self._controllers}, fault
                 )
 
-    async def _hang(self, chosen: list[Machine], for_s: float) -> None:
+    async def _hang(self, chosen: list[SimulatedMachine], for_s: float) -> None:
         for machine in chosen:
             self._loop.freeze(machine.life)
         await asyncio.sleep(for_s)
--- a/weldhead/emulator/gates.py
+++ b/weldhead/emulator/gate_actors.py
@@ -34,7 +34,7 @@
     withdrawals: list[str] = field(default_factory=list)
 
 
-class GateKeeper:
+class GateActors:
     """Those who act on one gate, and what is known of its editions."""
 
     def __init__(
