--- a/weldhead/emulator/cards.py
+++ b/weldhead/emulator/gpu_rules.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Holding:
+class GpuHolding:
     """A machine that is up, and what is on it: the jobs' descriptions by task."""
 
     name: str
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Stopped:
+class StoppedGpuTask:
     """A task with cards that was told to stop, and the job that it was stopped for."""
 
     spec: JobSpec
@@ -48,16 +48,16 @@
     looks: int = 0
 
 
-class CardRules:
+class GpuRules:
     """Follows the cards of a run; ``look`` is called every second."""
 
     def __init__(
-        self, checker: Checker, lease_us: int, holdings: Callable[[], Iterable[Holding]]
+        self, checker: Checker, lease_us: int, holdings: Callable[[], Iterable[GpuHolding]]
     ) -> None:
         self._checker, self._holdings = checker, holdings
         self._window = lease_us // SECOND_US + 8
         self._held: dict[str, deque[float]] = defaultdict(lambda: deque(maxlen=self._window))
-        self._stopped: dict[tuple[str, str], Stopped] = {}
+        self._stopped: dict[tuple[str, str], StoppedGpuTask] = {}
         checker.on_started.append(self._started)
         checker.on_told_to_stop.append(self._told_to_stop)
 
@@ -73,7 +73,7 @@
         if told.spec.gpus and not told.cancel_asked and (task, machine) not in self._stopped:
             team = told.spec.team
             held = max(self._by_team()[team], *self._held[team], 0.0)
-            self._stopped[task, machine] = Stopped(told.spec, self._checker.now_us(), held)
+            self._stopped[task, machine] = StoppedGpuTask(told.spec, self._checker.now_us(), held)
 
     def _started(self, task: str, machine: str) -> None:
         spec, at_us = self._checker.jobs[split_task(task)[0]].spec, self._checker.now_us()
@@ -86,7 +86,7 @@
                 if at_us - stopped.at_us < FOLLOWS_US and not fits:
                     self._taken(key[0], stopped, spec)
 
-    def _taken(self, task: str, stopped: Stopped, by: JobSpec) -> None:
+    def _taken(self, task: str, stopped: StoppedGpuTask, by: JobSpec) -> None:
         stopped.taker = by.id
         team = next(t for t in self._checker.teams if t.name == stopped.spec.team)
         if by.team == team.name:
--- a/weldhead/emulator/planted.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -390,7 +390,7 @@
     yield patch.object(Job, "waiting", property(without))
 
 
-ERRORS: dict[str, Callable[[], Iterator[Any]]] = {
+INJECTED_BUGS: dict[str, Callable[[], Iterator[Any]]] = {
     "lease-from-the-answer": _lease_from_the_answer,
     "attempt-used-twice": _attempt_used_twice,
     "told-before-committed": _told_before_committed,
@@ -423,9 +423,9 @@
 
 
 @contextmanager
-def planted(name: str | None) -> Iterator[None]:
+def injected_bug(name: str | None) -> Iterator[None]:
     """Plant an error by its name; None: none."""
     with ExitStack() as stack:
-        for change in ERRORS[name]() if name is not None else ():
+        for change in INJECTED_BUGS[name]() if name is not None else ():
             stack.enter_context(change)
         yield
--- a/weldhead/emulator/serving.py
+++ b/weldhead/emulator/job_timelines.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Course:
+class JobTimeline:
     """One job from its acceptance to the end of the run; 0: that never came."""
 
     spec: JobSpec
@@ -34,17 +34,17 @@
         return self.accepted_us + WAIT_US + RUNS * self.spec.estimate_us <= end_us
 
 
-def largest(jobs: list[Course], size: Callable[[JobSpec], float]) -> list[Course]:
+def largest(jobs: list[JobTimeline], size: Callable[[JobSpec], float]) -> list[JobTimeline]:
     """Return the largest tenth and what is as large as its smallest."""
     sizes = sorted((size(job.spec) for job in jobs), reverse=True)
     least = sizes[max(1, len(sizes) // 10) - 1] if sizes else 0.0
     return [job for job in jobs if size(job.spec) >= least]
 
 
-def unserved(jobs: Iterable[Course], end_us: int) -> Iterator[str]:
+def unserved(jobs: Iterable[JobTimeline], end_us: int) -> Iterator[str]:
     """Yield in words what was served too little, or began too late."""
-    classes: dict[str, list[Course]] = defaultdict(list)
-    groups: dict[str, list[Course]] = defaultdict(list)
+    classes: dict[str, list[JobTimeline]] = defaultdict(list)
+    groups: dict[str, list[JobTimeline]] = defaultdict(list)
     for job in jobs:
         classes[job.spec.job_class].append(job)
         groups[f"team {job.spec.team}"].append(job)
--- a/weldhead/emulator/loop.py
+++ b/weldhead/emulator/loop.py
@@ -35,7 +35,7 @@
 CALLBACK_US = 10.0
 
 
-class Life:
+class ProcessInstance:
     """One life of a process: from its start to its end.
 
     ``rate`` is how much faster than true time its steady clock runs, ``off_us`` how far its
@@ -70,10 +70,10 @@
         return bool(self.share) and (bool(self.kept) or self.busy_s - at_s > RESOLUTION_S)
 
 
-_LIFE: ContextVar[Life | None] = ContextVar("life", default=None)
+_LIFE: ContextVar[ProcessInstance | None] = ContextVar("life", default=None)
 
 
-def current_life() -> Life | None:
+def current_life() -> ProcessInstance | None:
     """Return the process whose code runs now; None: the experiment itself."""
     return _LIFE.get()
 
@@ -123,7 +123,7 @@
         #: Nobody's.
         self._context = copy_context()
         #: The processes that ever had to wait for the processor.
-        self._waited: dict[Life, None] = {}
+        self._waited: dict[ProcessInstance, None] = {}
         self.set_task_factory(_make_task)
         self.set_exception_handler(_unless_ended)
         #: Where streams lead; set by the network.
@@ -184,24 +184,26 @@
 
     # -- processes -------------------------------------------------------------------------
 
-    def spawn(self, life: Life, duty: Callable[[], Coroutine[Any, Any, T]]) -> asyncio.Task[T]:
+    def spawn(
+        self, life: ProcessInstance, background_task: Callable[[], Coroutine[Any, Any, T]]
+    ) -> asyncio.Task[T]:
         """Run a coroutine as part of a process."""
-        return life.context.run(lambda: self.create_task(duty()))
+        return life.context.run(lambda: self.create_task(background_task()))
 
-    def freeze(self, life: Life) -> None:
+    def freeze(self, life: ProcessInstance) -> None:
         """Let a process stand still while its clocks run on; one that has ended does not.
 
         Frozen, what it was still to be told by its end never came, and the run never ended.
         """
         life.frozen = not life.ended
 
-    def thaw(self, life: Life) -> None:
+    def thaw(self, life: ProcessInstance) -> None:
         """Let a process go on with all that was due meanwhile, in that order."""
         life.frozen = False
         self._ready.extend(handle for _, handle in life.kept)
         life.kept.clear()
 
-    def end(self, life: Life) -> None:
+    def end(self, life: ProcessInstance) -> None:
         """End a process without a signal: what it would still do reaches nobody."""
         life.ended = True
         life.share = 0.0
@@ -237,14 +239,14 @@
             handle._context.run(self.spend, CALLBACK_US)  # type: ignore[attr-defined]
             life.in_callback = False
 
-    def _wake_later(self, life: Life) -> None:
+    def _wake_later(self, life: ProcessInstance) -> None:
         """Have a busy process go on as soon as it has the processor."""
         if life.share and not life.frozen and not life.wakes:
             life.wakes = True
             self._waited[life] = None
             self.call_at(life.busy_s, self._wake, life, context=self._context)
 
-    def _wake(self, life: Life) -> None:
+    def _wake(self, life: ProcessInstance) -> None:
         """Run what waits, until the process is busy again."""
         life.wakes = False
         while life.kept and not life.frozen and life.busy_s - self.true_s <= RESOLUTION_S:
@@ -263,7 +265,7 @@
             life.share = 0.0
             self.thaw(life)
 
-    def _cancel(self, life: Life) -> None:
+    def _cancel(self, life: ProcessInstance) -> None:
         """Cancel what is left; a task that was just being answered can miss its first one."""
         for task in list(life.tasks):
             task.cancel()
@@ -277,8 +279,10 @@
         loop.default_exception_handler(context)
 
 
-def _make_task(loop: asyncio.AbstractEventLoop, duty: Any, **more: Any) -> asyncio.Task[Any]:
-    task: asyncio.Task[Any] = asyncio.Task(duty, loop=loop, **more)
+def _make_task(
+    loop: asyncio.AbstractEventLoop, background_task: Any, **more: Any
+) -> asyncio.Task[Any]:
+    task: asyncio.Task[Any] = asyncio.Task(background_task, loop=loop, **more)
     life = _LIFE.get()
     if life is not None:
         life.tasks[task] = None
--- a/weldhead/emulator/machines.py
+++ b/weldhead/emulator/machines.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from weldhead.clock import SECOND_US, now_us
-from weldhead.emulator.checker import Checker, Site
-from weldhead.emulator.loop import Life, VirtualLoop
+from weldhead.emulator.checker import Checker, TaskLocation
+from weldhead.emulator.loop import ProcessInstance, VirtualLoop
 from weldhead.emulator.network import Network
 from weldhead.protocol.wire import (
     DirectCommands,
@@ -28,7 +28,7 @@
     Place,
     Remember,
     Signal,
-    Start,
+    StartSlot,
     Work,
     Worker,
 )
@@ -39,7 +39,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class Machine:
+class SimulatedMachine:
     """One machine with its worker."""
 
     def __init__(
@@ -74,14 +74,14 @@
         self.gone = False
         #: Every task that begins here fails; and whether that was ever so.
         self.sick = self.was_sick = False
-        self.life = Life(name)
+        self.life = ProcessInstance(name)
         network.known(self.address, name)
 
     # -- its life --------------------------------------------------------------------------
 
     def boot(self) -> None:
         """Start the worker's process."""
-        self.life = Life(self.name, 1 + self._rng.uniform(0, self._drift))
+        self.life = ProcessInstance(self.name, 1 + self._rng.uniform(0, self._drift))
         self._network.listen(self.life, self.address, self._serve)
         self._loop.spawn(self.life, self._run)
 
@@ -206,8 +206,10 @@
             match action:
                 case Fetch(task, attempt):
                     self._later(task, attempt, self._fetch(task, attempt))
-                case Start(task, attempt, _):
-                    site = Site(self.name, self.kind, self.zone, self.spot, lambda: self.present)
+                case StartSlot(task, attempt, _):
+                    site = TaskLocation(
+                        self.name, self.kind, self.zone, self.spot, lambda: self.present
+                    )
                     self._checker.started(task, attempt, site)
                     self._later(task, attempt, self._work(task, attempt))
                 case Signal(task, attempt, hard):
@@ -219,11 +221,11 @@
         if self.worker.changed:
             self._changed.set()
 
-    def _later(self, task: str, attempt: int, duty: object) -> None:
+    def _later(self, task: str, attempt: int, background_task: object) -> None:
         previous = self._running.pop((task, attempt), None)
         if previous is not None and previous is not asyncio.current_task():
             previous.cancel()
-        self._running[task, attempt] = asyncio.create_task(duty)  # type: ignore[arg-type]
+        self._running[task, attempt] = asyncio.create_task(background_task)  # type: ignore[arg-type]
 
     async def _fetch(self, task: str, attempt: int) -> None:
         spec = self._jobs.get(task.rpartition("/")[0])
--- a/weldhead/emulator/odd_users.py
+++ b/weldhead/emulator/malformed_requests.py
@@ -7,7 +7,7 @@
 
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.loop import VirtualLoop
-from weldhead.emulator.machines import Machine
+from weldhead.emulator.machines import SimulatedMachine
 from weldhead.emulator.scenario import Scenario
 from weldhead.emulator.services import SimulatedCloud
 from weldhead.emulator.users import Users
@@ -25,7 +25,7 @@
 UNFIT = 700_000
 
 
-class OddUsers:
+class MalformedRequests:
     """What users do besides: each for as long as a fault says."""
 
     def __init__(
@@ -71,7 +71,7 @@
 
     # -- cancelling ------------------------------------------------------------------------
 
-    def cancel_now(self, count: int) -> list[Machine]:
+    def cancel_now(self, count: int) -> list[SimulatedMachine]:
         """Cancel the running jobs with most to go; return the machines that they run on."""
         chosen = sorted(self._running(), key=self._left_s, reverse=True)[:count]
         names: dict[str, None] = {}
--- a/weldhead/emulator/message_faults.py
+++ b/weldhead/emulator/message_faults.py
@@ -4,10 +4,10 @@
 from dataclasses import replace
 
 from weldhead.cluster_state.records import LEADER_KEY
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.events import LOOK_S, Events
 from weldhead.emulator.loop import VirtualLoop
-from weldhead.emulator.network import HeldUp, Network, Weather
+from weldhead.emulator.network import DelayedMessage, LinkConditions, Network
 from weldhead.emulator.roles import Roles
 from weldhead.emulator.scenario import Fault
 from weldhead.emulator.services import SimulatedStore
@@ -23,9 +23,9 @@
         self,
         loop: VirtualLoop,
         network: Network,
-        fair: Weather,
+        fair: LinkConditions,
         store: SimulatedStore,
-        controllers: list[Controller],
+        controllers: list[SimulatedController],
         events: Events,
         roles: Roles,
     ) -> None:
@@ -51,14 +51,14 @@
                 late = replace(fair, late=fault.chance, late_s=fault.most_s)
                 await self._weather(late, fault.for_s)
 
-    async def _weather(self, weather: Weather, for_s: float) -> None:
+    async def _weather(self, weather: LinkConditions, for_s: float) -> None:
         self._network.weather = weather
         await asyncio.sleep(for_s)
         self._network.weather = self._fair
 
     async def _hold_commands(self, fault: Fault) -> None:
         held_up = self._network.commands_held_up
-        this = HeldUp(fault.chance, fault.least_s, fault.most_s)
+        this = DelayedMessage(fault.chance, fault.least_s, fault.most_s)
         names = [controller.name for controller in self._roles.chosen(fault)]
         held_up |= dict.fromkeys(names, this)
         await asyncio.sleep(fault.for_s)
--- a/weldhead/emulator/network.py
+++ b/weldhead/emulator/network.py
@@ -16,7 +16,7 @@
 from typing import Any, Literal
 
 from weldhead.clock import SECOND_US
-from weldhead.emulator.loop import Life, VirtualLoop, current_life
+from weldhead.emulator.loop import ProcessInstance, VirtualLoop, current_life
 from weldhead.emulator.processor import packet_us, request_us
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 from weldhead.transport.http_server import Handler, Response
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class LinkConditions:
     """How the network is: one way in seconds, and shares of messages."""
 
     delay_s: float = 0.001
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class HeldUp:
+class DelayedMessage:
     """A share of messages that are held up on their way, by how much at least and at most."""
 
     share: float
@@ -54,7 +54,7 @@
 
 @dataclass
 class _Listener:
-    life: Life
+    life: ProcessInstance
     serve: Serve | None
     factory: Callable[[], Any] | None
 
@@ -65,7 +65,7 @@
     def __init__(self, loop: VirtualLoop, rng: random.Random) -> None:
         self._loop = loop
         self._rng = rng
-        self.weather = Weather()
+        self.weather = LinkConditions()
         self._listeners: dict[str, _Listener] = {}
         #: Whose address it is, and whether that machine has power.
         self._machines: dict[str, str] = {}
@@ -86,7 +86,7 @@
         self.keeps = 0.0
         self.kept: list[tuple[str, bytes]] = []
         #: Whose direct commands are held up and stay unanswered.
-        self.commands_held_up: dict[str, HeldUp] = {}
+        self.commands_held_up: dict[str, DelayedMessage] = {}
         self.commands_held = self.kept_delivered = 0
         #: Who is told of each request just before it leaves (caller, called, path, body), of
         #: each answer (called, caller, path, answer), and of requests that were sent and got no
@@ -99,7 +99,7 @@
 
     # -- who is where ----------------------------------------------------------------------
 
-    def listen(self, life: Life, address: str, serve: Serve) -> None:
+    def listen(self, life: ProcessInstance, address: str, serve: Serve) -> None:
         """Serve HTTP at an address."""
         self._machines[address] = life.machine
         self._listeners[address] = _Listener(life, serve, None)
@@ -119,7 +119,7 @@
         found = self._listeners.get(address)
         return None if found is None or found.life.ended else found
 
-    def ended(self, life: Life) -> None:
+    def ended(self, life: ProcessInstance) -> None:
         """A process has ended: its connections are reset."""
         for stream in [s for s in self._streams if life in (s.life, s.other.life)]:
             stream.break_off()
@@ -167,7 +167,7 @@
     def _carry(
         self,
         source: str,
-        target: Life,
+        target: ProcessInstance,
         deliver: Callable[[], None],
         stream: "_Stream | None" = None,
     ) -> None:
@@ -194,7 +194,7 @@
     async def request(
         self, method: str, url: str, body: bytes | None, timeout_us: int, connect_us: int = 0
     ) -> Response:
-        """Send a request; CallFailed if no answer came in time."""
+        """Send a request; CallError if no answer came in time."""
         address, _, path = url.removeprefix("http://").partition("/")
         life = current_life()
         assert life is not None
@@ -222,14 +222,14 @@
             raise
 
     def _give_up(
-        self, life: Life, machine: str, path: str, body: bytes | None, *, sent: bool
+        self, life: ProcessInstance, machine: str, path: str, body: bytes | None, *, sent: bool
     ) -> None:
         """No answer came, or none will: say so if the request may have arrived."""
         for look in self.on_given_up if sent and not life.ended else ():
             look(life.machine, machine, path, body or b"")
 
     async def _connected(
-        self, life: Life, machine: str, address: str, connect_us: int
+        self, life: ProcessInstance, machine: str, address: str, connect_us: int
     ) -> _Listener:
         """Wait until a connection comes about."""
         until_s = self._loop.true_s + connect_us / SECOND_US if connect_us else 0.0
@@ -279,7 +279,7 @@
                 self._report_again(machine, address, body, after_s + self._delay_s())
 
     async def _exchange(
-        self, life: Life, listener: _Listener, method: str, path: str, body: bytes
+        self, life: ProcessInstance, listener: _Listener, method: str, path: str, body: bytes
     ) -> Response:
         loop, weather = self._loop, self.weather
         answered: asyncio.Future[Response] = loop.create_future()
@@ -393,7 +393,7 @@
 
     other: "_Stream"
 
-    def __init__(self, network: Network, life: Life, protocol: Any) -> None:
+    def __init__(self, network: Network, life: ProcessInstance, protocol: Any) -> None:
         super().__init__()
         self._network = network
         self.life = life
@@ -478,7 +478,7 @@
         *,
         close: bool = False,
     ) -> tuple[int, bytes]:
-        """Return status and body; CallFailed if none came in time."""
+        """Return status and body; CallError if none came in time."""
         return await self._network.call(method, url, body, timeout_us, connect_us)
 
     async def close(self) -> None:
--- a/weldhead/emulator/watched.py
+++ b/weldhead/emulator/observed_experiment.py
@@ -7,10 +7,10 @@
 from weldhead.clock import SECOND_US, surely_over_us
 from weldhead.controller.process import ControllerProcess
 from weldhead.emulator.arrivals import Arrivals
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.experiment import Experiment, Result, _result
 from weldhead.emulator.loop import VirtualLoop, simulated
-from weldhead.emulator.machines import Machine
+from weldhead.emulator.machines import SimulatedMachine
 from weldhead.emulator.scenario import Scenario
 from weldhead.transport.http_server import Response
 from weldhead.tunables.defaults import Tunables
@@ -30,7 +30,7 @@
         super().__init__(loop, scenario, seed, tunables)
         self._unaware_s = surely_over_us(0, tunables.leadership.ttl_us) / SECOND_US
 
-    def check_lease(self, controller: Controller, what: str) -> None:
+    def check_lease(self, controller: SimulatedController, what: str) -> None:
         """Look at whoever answers."""
         super().check_lease(controller, what)
         node = controller.node
@@ -44,7 +44,7 @@
 
 @contextmanager
 def _watched(arrivals: Arrivals) -> Iterator[None]:
-    report, serve = ControllerProcess._handle_heartbeat, Machine._serve
+    report, serve = ControllerProcess._handle_heartbeat, SimulatedMachine._serve
 
     async def reported(self: ControllerProcess, body: bytes, *, relayed: bool) -> Response:
         if not relayed:
@@ -55,14 +55,14 @@
             arrivals.answered(leader, answer)
         return answer
 
-    async def served(self: Machine, method: str, path: str, body: bytes) -> Response:
+    async def served(self: SimulatedMachine, method: str, path: str, body: bytes) -> Response:
         if path == "/commands":
             arrivals.commanded(self, body)
         return await serve(self, method, path, body)
 
     with (
         patch.object(ControllerProcess, "_handle_heartbeat", reported),
-        patch.object(Machine, "_serve", served),
+        patch.object(SimulatedMachine, "_serve", served),
     ):
         yield
 
--- a/weldhead/emulator/close_looks.py
+++ b/weldhead/emulator/read_your_writes.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.events import kinds
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import VirtualLoop, simulated
-from weldhead.emulator.scenario import JobClass, Scenario, TeamPart
+from weldhead.emulator.scenario import JobClass, Scenario, ScenarioTeam
 from weldhead.emulator.services import STATE_ADDRESS
 from weldhead.protocol.wire import JobSpec, JobStatus
 from weldhead.site.store.model import Batch
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Look:
+class VisibilityProbe:
     """What is done about one job, and when."""
 
     write: Write
@@ -52,7 +52,7 @@
 
 
 LOOKS = [
-    Look(*each)
+    VisibilityProbe(*each)
     for each in itertools.product(get_args(Write), get_args(Moment), get_args(Act), get_args(Act))
 ]
 
@@ -67,18 +67,18 @@
 
 
 @dataclass
-class CloseLooks:
+class ReadYourWritesProbes:
     """A site whose users look at all nodes around each write, and what they were told."""
 
     experiment: Experiment
     loop: VirtualLoop
     rng: random.Random
     #: Looks that wait for their moment, by job.
-    waiting: dict[str, tuple[Look, "asyncio.Event"]] = field(default_factory=dict)
+    waiting: dict[str, tuple[VisibilityProbe, "asyncio.Event"]] = field(default_factory=dict)
     known: dict[str, Known] = field(default_factory=dict)
     older: list[str] = field(default_factory=list)
     #: How often each look came about, by who could answer its second request.
-    seen: Counter[tuple[Look, Led]] = field(default_factory=Counter)
+    seen: Counter[tuple[VisibilityProbe, Led]] = field(default_factory=Counter)
     statuses: Counter[int] = field(default_factory=Counter)
     #: The terms whose leader was lost.
     lost: set[int] = field(default_factory=set)
@@ -98,26 +98,28 @@
                 self.loop.call_at(self.loop.true_s + self.rng.uniform(0, 0.003), come.set)
         return answer
 
-    def _waited_for(self, body: bytes) -> dict[str, tuple[Look, asyncio.Event]]:
+    def _waited_for(self, body: bytes) -> dict[str, tuple[VisibilityProbe, asyncio.Event]]:
         batch = msgspec.json.decode(body, type=Batch)
         names = {(write.set or write.delete or "").partition("/")[2] for write in batch.writes}
         met = set(kinds(batch))
         return {n: w for n in names if (w := self.waiting.get(n)) and w[0].write in met}
 
-    async def _hold(self, found: dict[str, tuple[Look, asyncio.Event]], moment: Moment) -> None:
+    async def _hold(
+        self, found: dict[str, tuple[VisibilityProbe, asyncio.Event]], moment: Moment
+    ) -> None:
         comes = [come for look, come in found.values() if look.moment == moment]
         for come in comes:
             come.set()
         if comes:
             await asyncio.sleep(HOLD_S)
 
-    def missing(self) -> list[tuple[Look, Led]]:
+    def missing(self) -> list[tuple[VisibilityProbe, Led]]:
         """What has not come about."""
         return [pair for pair in itertools.product(LOOKS, get_args(Led)) if not self.seen[pair]]
 
     # -- who leads ---------------------------------------------------------------------------
 
-    def leading(self) -> tuple[Controller, int] | None:
+    def leading(self) -> tuple[SimulatedController, int] | None:
         """The last one that may answer from its memory, and its token."""
         found = []
         for controller in self.experiment.controllers:
@@ -129,7 +131,7 @@
                 found.append((controller, leader.token))
         return max(found, key=lambda pair: pair[1], default=None)
 
-    def lose(self, who: Controller, loss: Loss) -> None:
+    def lose(self, who: SimulatedController, loss: Loss) -> None:
         """Have a controller end, hang, or lose the store and its peers, for a while."""
         network = self.experiment.network
         others = ["state", *(c.name for c in self.experiment.controllers if c is not who)]
@@ -186,7 +188,7 @@
             await self.ask(act, spec, self.rng.choice(addresses))
             await asyncio.sleep(1.0)
 
-    async def look(self, look: Look, loss: Loss) -> None:
+    async def look(self, look: VisibilityProbe, loss: Loss) -> None:
         """Bring one look about, and have who leads be lost then."""
         users, checker = self.experiment.users, self.experiment.checker
         short, long = self.experiment.scenario.jobs
@@ -215,7 +217,7 @@
         await asyncio.gather(*begun)
         await self.until("question", spec, "final_us")
 
-    async def _ask_all(self, look: Look, spec: JobSpec, token: int) -> None:
+    async def _ask_all(self, look: VisibilityProbe, spec: JobSpec, token: int) -> None:
         addresses = list(self.experiment.addresses.values())
         asks = [asyncio.create_task(self.ask(look.first, spec, self.rng.choice(addresses)))]
         until_s, led = self.loop.true_s + MOST_S, self.led_by(token)
@@ -240,16 +242,16 @@
         return "same" if leading[1] == token else "next"
 
 
-def play_close_looks(seed: int) -> CloseLooks:
+def play_close_looks(seed: int) -> ReadYourWritesProbes:
     """Look at a site of three controllers, whose leader is lost in another way in each part."""
     short, long = (
         JobClass(name, "red", 0.0, tasks=1, run_s=run_s, cpus=0.1, image_gb=0.1)
         for name, run_s in (("short", 1.0), ("long", 60.0))
     )
-    scenario = Scenario("close-looks", [TeamPart("red", 8.0, 40.0)], [short, long], machines=6)
+    scenario = Scenario("close-looks", [ScenarioTeam("red", 8.0, 40.0)], [short, long], machines=6)
     with simulated() as loop:
         experiment = Experiment(loop, scenario, seed, Tunables())
-        site = CloseLooks(experiment, loop, random.Random(seed))
+        site = ReadYourWritesProbes(experiment, loop, random.Random(seed))
 
         async def users() -> None:
             losses = itertools.cycle(site.rng.sample(get_args(Loss), len(get_args(Loss))))
--- a/weldhead/emulator/roles.py
+++ b/weldhead/emulator/roles.py
@@ -3,7 +3,7 @@
 import random
 from collections import Counter
 
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.events import Events
 from weldhead.emulator.scenario import Fault
 from weldhead.emulator.services import SimulatedCloud
@@ -15,14 +15,14 @@
     def __init__(
         self,
         rng: random.Random,
-        controllers: list[Controller],
+        controllers: list[SimulatedController],
         cloud: SimulatedCloud,
         events: Events,
     ) -> None:
         self._rng, self._controllers = rng, controllers
         self._cloud, self._events = cloud, events
 
-    def chosen(self, fault: Fault) -> list[Controller]:
+    def chosen(self, fault: Fault) -> list[SimulatedController]:
         """Return whom a fault befalls now."""
         match fault.role:
             case None:
@@ -36,14 +36,14 @@
                 # By then a successor leads.
                 return [self._named(self._events.leader)]
 
-    def _drawn(self, fault: Fault) -> list[Controller]:
+    def _drawn(self, fault: Fault) -> list[SimulatedController]:
         count = fault.count or len(self._controllers)
         order = self._rng.sample(self._controllers, len(self._controllers))
         if fault.leader:
             order.sort(key=lambda c: c.node is None or c.node.leader is None)
         return order[:count]
 
-    def _named(self, name: str) -> Controller:
+    def _named(self, name: str) -> SimulatedController:
         """Return the controller of that name; the first, as long as nobody has led."""
         return next((c for c in self._controllers if c.name == name), self._controllers[0])
 
--- a/weldhead/emulator/scenario.py
+++ b/weldhead/emulator/scenario.py
@@ -221,7 +221,7 @@
     to_s: float = 0.0
 
 
-class TeamPart(msgspec.Struct, forbid_unknown_fields=True, rename="kebab"):
+class ScenarioTeam(msgspec.Struct, forbid_unknown_fields=True, rename="kebab"):
     """A team's guarantee and limit in CPUs and cards; a limit of 0 is none."""
 
     name: str
@@ -235,7 +235,7 @@
     """A site, its users, and what goes wrong."""
 
     name: str
-    teams: list[TeamPart]
+    teams: list[ScenarioTeam]
     jobs: list[JobClass]
     seconds: float = 90.0
     controllers: int = 3
--- a/weldhead/emulator/services.py
+++ b/weldhead/emulator/services.py
@@ -10,14 +10,14 @@
 
 from weldhead.clock import SECOND_US, now_us
 from weldhead.emulator.events import kinds
-from weldhead.emulator.loop import Life, VirtualLoop
-from weldhead.emulator.machines import Machine
+from weldhead.emulator.loop import ProcessInstance, VirtualLoop
+from weldhead.emulator.machines import SimulatedMachine
 from weldhead.emulator.network import Network
 from weldhead.emulator.scenario import WriteKind
 from weldhead.protocol.settings import StateLimits
 from weldhead.protocol.wire import Catalog, MachineNames, MachineType, RentalRequest
-from weldhead.site.pool import Machine as PoolMachine
 from weldhead.site.pool import Pool, PoolError
+from weldhead.site.pool import PooledMachine as PoolMachine
 from weldhead.site.store.model import Batch
 from weldhead.site.store.server import StateService
 from weldhead.transport.background_tasks import BackgroundTasks
@@ -29,7 +29,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class _Asked:
+class _RecordedRequest:
     """What the state service reads of a request."""
 
     def __init__(self, method: str, path: str) -> None:
@@ -67,7 +67,7 @@
     """A local site's state service, behind faults."""
 
     def __init__(self, loop: VirtualLoop, network: Network, limits: StateLimits) -> None:
-        self.life = Life("state")
+        self.life = ProcessInstance("state")
         self.service = self.life.context.run(StateService, limits)
         self.slow_s = 0.0
         #: Controllers that are refused.
@@ -99,7 +99,7 @@
             late_s = self._rng.uniform(late.least_s, late.most_s)
         if late_s and not at_once:
             await asyncio.sleep(late_s)
-        answer = await self.service.handle(_Asked(method, path), body)  # type: ignore[arg-type]
+        answer = await self.service.handle(_RecordedRequest(method, path), body)  # type: ignore[arg-type]
         if path == "/multi":
             self.on_written()
         if late_s and at_once:
@@ -125,15 +125,15 @@
         network: Network,
         types: dict[MachineType, int],
         rps: float,
-        make: Callable[[PoolMachine], Machine],
+        make: Callable[[PoolMachine], SimulatedMachine],
         rng: random.Random,
     ) -> None:
-        self.life = Life("cloud")
+        self.life = ProcessInstance("cloud")
         self._types = list(types)
         self.pool = Pool(
             self._types, 1e9, 2 * SECOND_US, {kind.name: most for kind, most in types.items()}
         )
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, SimulatedMachine] = {}
         self.calls = 0
         #: How many times longer boots take, and how many machines never come up.
         self.boot_factor, self.boots_fail = 1.0, 0.0
@@ -141,7 +141,7 @@
         self._budget = self.life.context.run(TokenBucket, rps, 2 * rps)
         network.listen(self.life, CLOUD_ADDRESS, self._serve)
 
-    def up(self) -> list[Machine]:
+    def up(self) -> list[SimulatedMachine]:
         """Return the machines that are up."""
         return [machine for machine in self.machines.values() if not machine.gone]
 
@@ -190,7 +190,7 @@
                 machine.die()
             self.pool.gone(made.name, now_us())
 
-    def fail(self, machine: Machine) -> None:
+    def fail(self, machine: SimulatedMachine) -> None:
         """A machine dies by itself: listed as running for a while, then as failed."""
         machine.die()
         made = self.pool.machines.get(machine.name)
--- a/weldhead/emulator/users.py
+++ b/weldhead/emulator/users.py
@@ -9,7 +9,7 @@
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.records import JobRecord, job_key
 from weldhead.emulator.checker import Checker
-from weldhead.emulator.loop import BEGIN_S, Life, VirtualLoop
+from weldhead.emulator.loop import BEGIN_S, ProcessInstance, VirtualLoop
 from weldhead.emulator.network import Network
 from weldhead.emulator.scenario import JobClass, Scenario
 from weldhead.protocol.wire import JobSpec, JobStatus
@@ -35,7 +35,7 @@
         nodes: dict[str, str],
         rng: random.Random,
     ) -> None:
-        self.life = Life("users")
+        self.life = ProcessInstance("users")
         self._loop, self._network, self._checker = loop, network, checker
         self._scenario, self._jobs, self._rng = scenario, jobs, rng
         self.addresses = list(nodes.values())
--- a/weldhead/emulator/waiting.py
+++ b/weldhead/emulator/waiting_rules.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from weldhead.clock import SECOND_US
-from weldhead.emulator.cards import Holding
-from weldhead.emulator.checker import Checker, Told
+from weldhead.emulator.checker import Checker, ObservedAnswer
+from weldhead.emulator.gpu_rules import GpuHolding
 from weldhead.protocol.wire import JobSpec
 
 #: How long no job may wait, and for how long there has to be room on one machine without a break:
@@ -64,7 +64,7 @@
 class Healthy:
     """A machine that runs, as it is: what it has, where, and whether it is a spot machine."""
 
-    holding: Holding
+    holding: GpuHolding
     zone: str
     spot: bool
 
@@ -106,7 +106,7 @@
                     self.checker.breaks("left_waiting", f"{job_id} waits beside room for it")
         self._since = since
 
-    def _waits(self, told: Told, busy: set[str]) -> bool:
+    def _waits(self, told: ObservedAnswer, busy: set[str]) -> bool:
         spec = told.spec
         over = told.final or told.cancel_asked or spec.id in self._judged or spec.id in busy
         return told.accepted and not over and not spec.needs and self._unfinished(spec)
--- a/weldhead/emulator/zones.py
+++ b/weldhead/emulator/zones.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from weldhead.emulator.checker import Checker
-from weldhead.emulator.controller import Controller
+from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.events import Events
 from weldhead.emulator.network import Network, cut_for
 from weldhead.emulator.scenario import Fault
@@ -31,7 +31,7 @@
         self,
         network: Network,
         cloud: SimulatedCloud,
-        controllers: list[Controller],
+        controllers: list[SimulatedController],
         events: Events,
         checker: Checker,
     ) -> None:
--- a/weldhead/provisioning/boot_times.py
+++ b/weldhead/provisioning/boot_times.py
@@ -154,7 +154,7 @@
 def _judge(
     booting: list[Machine], came: Iterable[_Boot], at_us: int, usual: BootExpectation
 ) -> dict[str, BootExpectation]:
-    """Judge a zone's machines, the latest hires first."""
+    """Judge a zone's machines, the latest rentals first."""
     boots = sorted(came, key=lambda boot: -boot.hired_us)
     booting = sorted(booting, key=lambda machine: -machine.rented_us)
     found: dict[str, BootExpectation] = {}
--- a/weldhead/scheduling/autoscaling/scale_out.py
+++ b/weldhead/scheduling/autoscaling/scale_out.py
@@ -23,17 +23,17 @@
     _fill,
     offer_allows,
 )
-from weldhead.scheduling.autoscaling.unmet_demand import forecast_unmet_demand
+from weldhead.scheduling.autoscaling.unmet_demand import DemandForecastInput, forecast_unmet_demand
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 from weldhead.scheduling.reservations.wide_tasks import WideTaskForecast
 
 
-def replacements(hires: dict[RentalOffer, int], cpus: float) -> dict[RentalOffer, int]:
+def replacements(rentals: dict[RentalOffer, int], cpus: float) -> dict[RentalOffer, int]:
     """Return as many of the machines, the first ones first, as replace so many CPUs."""
     found: dict[RentalOffer, int] = {}
-    for offer, count in hires.items():
+    for offer, count in rentals.items():
         taken = min(count, int(cpus / offer.type.cpus)) if offer.type.cpus else 0
         if taken > 0:
             found[offer] = taken
@@ -78,51 +78,51 @@
     owned += sum(item.type.cpus * item.count for item in coming)
 
     @cache
-    def stretch_at(level: int) -> float:
+    def delay_factor_at(level: int) -> float:
         return demand.delay_factor(level, owned, at_us) if demand is not None else 1.0
 
-    def stretches(job: Job) -> float:
-        return stretch_at(job.effective_level)
+    def delay_factor(job: Job) -> float:
+        return delay_factor_at(job.effective_level)
 
     boot_us = seconds_us(min(offer.type.boot_s for offer in offers))
     boots = boots or usual_boots(settings)
     queue = CapacityForecast(cluster, coming, estimates, at_us, boots, silent)
 
     @cache
-    def in_zone(zone: str) -> CapacityForecast:
+    def zone_queue(zone: str) -> CapacityForecast:
         return CapacityForecast(cluster, coming, estimates, at_us, boots, silent, zone=zone)
 
-    missing = forecast_unmet_demand(
+    given = DemandForecastInput(
         cluster,
         plan,
-        queue,
         estimates,
         goals,
+        settings,
         at_us,
         boot_us,
-        stretches,
-        settings,
+        delay_factor,
         upcoming,
         backlog,
         lambda: CapacityForecast(cluster, coming, estimates, at_us, boots, silent, cards=True),
+        zone_queue,
         ahead(at_us + boot_us) if ahead is not None else None,
-        in_zone,
     )
-    hires: dict[RentalOffer, int] = defaultdict(int)
+    unmet = forecast_unmet_demand(given, queue)
+    rentals: dict[RentalOffer, int] = defaultdict(int)
     cheap = [offer for offer in offers if offer.spot]
-    rooms = _rent_for(missing.deferrable, cheap, hires, [], settings)
+    rooms = _rent_for(unmet.deferrable, cheap, rentals, [], settings)
     # More dear machines than this would share the backlog so thinly that they are idle
     # before they have been paid for; one is always allowed.
-    capacity = owned + sum(offer.type.cpus * number for offer, number in hires.items())
-    worthwhile = missing.backlog_us / settings.payback_us - capacity
-    _rent_for(missing.urgent, offers, hires, rooms, settings, worthwhile)
-    return dict(hires)
+    capacity = owned + sum(offer.type.cpus * number for offer, number in rentals.items())
+    worthwhile = unmet.backlog_us / settings.payback_us - capacity
+    _rent_for(unmet.urgent, offers, rentals, rooms, settings, worthwhile)
+    return dict(rentals)
 
 
 def _rent_for(
     missing: list[tuple[Job, int]],
     offers: list[RentalOffer],
-    hires: dict[RentalOffer, int],
+    rentals: dict[RentalOffer, int],
     rooms: list[tuple[RentalOffer, list[float]]],
     settings: FleetSettings,
     dear_cpus: float = 0.0,
@@ -149,7 +149,7 @@
             left = [best.type.cpus, best.type.gpus, best.type.memory_gb]
             count -= _fill(left, job, count)
             rooms.append((best, left))
-            hires[best] += 1
+            rentals[best] += 1
     return rooms
 
 
--- a/weldhead/scheduling/autoscaling/unmet_demand.py
+++ b/weldhead/scheduling/autoscaling/unmet_demand.py
@@ -31,94 +31,153 @@
     backlog_us: float = 0.0
 
 
-def forecast_unmet_demand(
-    cluster: Cluster,
-    plan: PlacementPlan,
-    queue: CapacityForecast,
-    estimates: RunTimeEstimates,
-    goals: ServiceLevelObjectives,
-    at_us: int,
-    boot_us: int,
-    stretches: Callable[[Job], float],
-    settings: FleetSettings,
-    upcoming: Sequence[ExpectedDemand] = (),
-    backlog: int = 0,
-    cards: Callable[[], CapacityForecast] | None = None,
-    ahead: WideTaskForecast | None = None,
-    in_zone: Callable[[str], CapacityForecast] | None = None,
-) -> UnmetDemand:
-    """Forecast what waits too long if nothing more is rented.
-
-    ``backlog`` is how many jobs wait; of very many only the foremost are looked at. ``cards``
-    makes the queue for cards, in which work that takes any has its place besides: free CPUs
-    elsewhere are no room for it, and nothing was rented for it while there were some.
-    ``in_zone`` makes the queue of one zone, for the same reason.
-    """
-    of_cards: CapacityForecast | None = None
-    missing = UnmetDemand()
-    boot_up_us = at_us + boot_us
-    held = defaultdict(float, {team: usage.cpus for team, usage in cluster.usage.items()})
-    waiting = ((job, count, at_us) for job, count in plan.unplaced)
-    wanted = list(islice(waiting, settings.most_considered))
-    more = any(True for _ in waiting)
-    for item in upcoming:
-        # What will be lost is no use that stands in its own way.
-        held[item.job.team] -= item.at_risk * item.job.spec.cpus
-    wanted += [(item.job, item.tasks(cluster), item.starts_us) for item in upcoming]
-    for job, count, ready_us in wanted:
-        # Nothing can be too late for a job before it is released.
-        up_us = max(boot_up_us, ready_us)
-        task_us = estimates.task_us(job)
-        target_us = goals.target_us(job, task_us, up_us)
-        # No money brings in time what is late already; it only must not wait for ever.
-        lost = up_us + task_us > target_us
-        # The forecast is hopeful: it knows neither preemption nor leftover room.
-        target_us -= round((target_us - job.runnable_since_us) * settings.goal_margin)
-        # What a team is guaranteed need not wait for others, however patient the job is.
-        # (A job that still waits for others has no waiting tasks by which to count.)
-        team = cluster.teams[job.team]
-        guaranteed = tasks_that_fit(job.spec, team.cpus - held[job.team], team.gpus) >= count
-        if job.spec.gpus > 0:
-            cpus, used = cluster.usage[job.team].units
-            guaranteed = within_guarantee(team, (cpus, used), job.spec, count) >= count
-        held[job.team] += job.spec.cpus * count
-        late_us = settings.overdue_patience_us if lost else max(0, target_us - task_us - up_us)
-        bound_us = up_us if guaranteed else up_us + late_us
-        stretch = stretches(job)
+@dataclass(frozen=True)
+class DemandForecastInput:
+    """What the forecast of unmet demand looks at besides the queue of CPUs."""
+
+    cluster: Cluster
+    plan: PlacementPlan
+    estimates: RunTimeEstimates
+    objectives: ServiceLevelObjectives
+    settings: FleetSettings
+    at_us: int
+    #: How long a machine that is rented now takes to come up.
+    boot_us: int
+    #: By what factor a job waits longer than what waits now lets it seem.
+    delay_factor: Callable[[Job], float]
+    expected: Sequence[ExpectedDemand] = ()
+    #: How many jobs wait; of very many only the foremost are looked at.
+    backlog: int = 0
+    #: Makes the queue for GPUs: for work that takes any, free CPUs elsewhere are no capacity.
+    gpu_queue: Callable[[], CapacityForecast] | None = None
+    #: Makes the queue of one zone, for work bound to it.
+    zone_queue: Callable[[str], CapacityForecast] | None = None
+    wide_tasks: WideTaskForecast | None = None
+
+
+def forecast_unmet_demand(given: DemandForecastInput, cpu_queue: CapacityForecast) -> UnmetDemand:
+    """Forecast what waits too long if nothing more is rented; ``cpu_queue`` is used up."""
+    return _DemandForecast(given, cpu_queue).run()
+
+
+@dataclass(frozen=True)
+class _Bounds:
+    """By when a job's tasks are to start."""
+
+    #: When a machine rented now would be up, and the job may start.
+    up_us: int
+    #: When the job ought to be finished, with the operators' margin.
+    target_us: int
+    #: A later start is late.
+    latest_start_us: int
+
+
+class _DemandForecast:
+    """One forecast: jobs take capacity in order, as running tasks give it back."""
+
+    def __init__(self, given: DemandForecastInput, cpu_queue: CapacityForecast) -> None:
+        self._given = given
+        self._cpu_queue = cpu_queue
+        self._gpu_queue: CapacityForecast | None = None
+        self._used = defaultdict(
+            float, {team: usage.cpus for team, usage in given.cluster.usage.items()}
+        )
+        self._unmet = UnmetDemand()
+
+    def run(self) -> UnmetDemand:
+        given = self._given
+        waiting = ((job, count, given.at_us) for job, count in given.plan.unplaced)
+        wanted = list(islice(waiting, given.settings.most_considered))
+        more = any(True for _ in waiting)
+        for item in given.expected:
+            # Usage that is about to be lost does not stand in its own way.
+            self._used[item.job.team] -= item.at_risk * item.job.spec.cpus
+        wanted += [(item.job, item.tasks(given.cluster), item.starts_us) for item in given.expected]
+        for job, count, ready_us in wanted:
+            self._add(job, count, ready_us)
+        if more:
+            # Those behind are taken to be like those that were looked at.
+            self._unmet.backlog_us *= max(1.0, given.backlog / len(wanted))
+        return self._unmet
+
+    def _add(self, job: Job, count: int, ready_us: int) -> None:
+        """Let a job's tasks take capacity, and enter those that start too late."""
+        settings = self._given.settings
+        task_us = self._given.estimates.task_us(job)
+        bounds = self._bounds(job, count, ready_us, task_us)
+        delay_factor = self._given.delay_factor(job)
         slow = late = 0
-        taken = queue.schedule(job.spec.cpus, task_us, ready_us, count)
-        if job.spec.gpus > 0 and cards is not None:
-            of_cards = of_cards or cards()
-            deque(taken, maxlen=0)
-            taken = of_cards.schedule(job.spec.gpus, task_us, ready_us, count)
-        starts = list(taken)
-        if job.spec.zone is not None and in_zone is not None:
-            there = in_zone(job.spec.zone).schedule(job.spec.cpus, task_us, ready_us, count)
-            starts = max(starts, list(there), key=_last_start_us)
-        for start_us, together in starts:
+        for start_us, together in self._schedule(job, count, ready_us, task_us):
             never = start_us is None
-            start_us = 0 if start_us is None else ready_us + round((start_us - ready_us) * stretch)
-            # A machine rented now is up only after its boot: it helps only what would
-            # start later than that, however long it has to wait until then.
-            if never or start_us > up_us:
-                missing.backlog_us += job.spec.cpus * task_us * together
-            if never or start_us > up_us + settings.spot_patience_us:
+            expected_us = (
+                0 if start_us is None else ready_us + round((start_us - ready_us) * delay_factor)
+            )
+            # A machine rented now helps only what would start after its boot.
+            if never or expected_us > bounds.up_us:
+                self._unmet.backlog_us += job.spec.cpus * task_us * together
+            if never or expected_us > bounds.up_us + settings.spot_patience_us:
                 slow += together
-            if never or start_us > bound_us:
+            if never or expected_us > bounds.latest_start_us:
                 late += together
-        if ahead is not None and (short := ahead.shortfall(job, count)):
+        wide_tasks = self._given.wide_tasks
+        if wide_tasks is not None and (short := wide_tasks.shortfall(job, count)):
             slow, late = max(slow, short), max(late, short)
-        # Tasks that a new machine can run one after the other and still be in time.
-        turns = max(1, (target_us - up_us) // max(1, task_us))
         if slow:
-            short = max(1, settings.spot_patience_us // max(1, task_us))
-            missing.deferrable.append((job, -(-slow // short)))
+            in_turn = max(1, settings.spot_patience_us // max(1, task_us))
+            self._unmet.deferrable.append((job, -(-slow // in_turn)))
         if late:
-            missing.urgent.append((job, -(-late // turns)))
-    if more:
-        # Those behind are taken to be like those that were looked at.
-        missing.backlog_us *= max(1.0, backlog / len(wanted))
-    return missing
+            # Tasks that a new machine can run one after the other and still be in time.
+            in_turn = max(1, (bounds.target_us - bounds.up_us) // max(1, task_us))
+            self._unmet.urgent.append((job, -(-late // in_turn)))
+
+    def _bounds(self, job: Job, count: int, ready_us: int, task_us: int) -> _Bounds:
+        given = self._given
+        # Nothing can be too late for a job before it is released.
+        up_us = max(given.at_us + given.boot_us, ready_us)
+        target_us = given.objectives.target_us(job, task_us, up_us)
+        # No money brings in time what is late already; it only must not wait for ever.
+        missed = up_us + task_us > target_us
+        # The forecast is hopeful: it knows neither preemption nor fragmentation.
+        target_us -= round((target_us - job.runnable_since_us) * given.settings.goal_margin)
+        if self._is_guaranteed(job, count):
+            return _Bounds(up_us, target_us, up_us)
+        patience_us = (
+            given.settings.overdue_patience_us if missed else max(0, target_us - task_us - up_us)
+        )
+        return _Bounds(up_us, target_us, up_us + patience_us)
+
+    def _is_guaranteed(self, job: Job, count: int) -> bool:
+        """Whether the tasks are inside their team's guarantee; they count as used from here on.
+
+        What is guaranteed need not wait for others, however patient the job is. (A job that still
+        waits for others has no waiting tasks by which to count.)
+        """
+        cluster = self._given.cluster
+        team = cluster.teams[job.team]
+        free_cpus = team.cpus - self._used[job.team]
+        guaranteed = tasks_that_fit(job.spec, free_cpus, team.gpus) >= count
+        if job.spec.gpus > 0:
+            cpus, gpus = cluster.usage[job.team].units
+            guaranteed = within_guarantee(team, (cpus, gpus), job.spec, count) >= count
+        self._used[job.team] += job.spec.cpus * count
+        return guaranteed
+
+    def _schedule(
+        self, job: Job, count: int, ready_us: int, task_us: int
+    ) -> list[tuple[int | None, int]]:
+        """Return when how many of the tasks start; None: they never can."""
+        spec = job.spec
+        taken = self._cpu_queue.schedule(spec.cpus, task_us, ready_us, count)
+        if spec.gpus > 0 and self._given.gpu_queue is not None:
+            self._gpu_queue = self._gpu_queue or self._given.gpu_queue()
+            deque(taken, maxlen=0)
+            taken = self._gpu_queue.schedule(spec.gpus, task_us, ready_us, count)
+        starts = list(taken)
+        if spec.zone is not None and self._given.zone_queue is not None:
+            zone_queue = self._given.zone_queue(spec.zone)
+            there = zone_queue.schedule(spec.cpus, task_us, ready_us, count)
+            starts = max(starts, list(there), key=_last_start_us)
+        return starts
 
 
 def _last_start_us(starts: list[tuple[int | None, int]]) -> float:
--- a/weldhead/site/front.py
+++ b/weldhead/site/front.py
@@ -6,6 +6,7 @@
 import os
 import time
 from collections.abc import Iterator
+from functools import partial
 from pathlib import Path
 
 import msgspec
@@ -75,10 +76,10 @@
         self._probes = HttpClient(32)
         self.balancer = Balancer(Backend(name, address) for name, address in settings.nodes.items())
 
-    def start(self, duties: BackgroundTasks) -> None:
+    def start(self, background_tasks: BackgroundTasks) -> None:
         """Start probing."""
         for backend in self.balancer.backends:
-            duties.start(f"probe {backend.name}", lambda backend=backend: self._probe(backend))  # type: ignore[misc]
+            background_tasks.start(f"probe {backend.name}", partial(self._probe, backend))
 
     async def close(self) -> None:
         """Close the connections to the controllers."""
--- a/weldhead/site/pool.py
+++ b/weldhead/site/pool.py
@@ -57,7 +57,7 @@
 
 
 @dataclass
-class Machine:
+class PooledMachine:
     """A machine of the pool."""
 
     name: str
@@ -84,7 +84,7 @@
     cores: float
     lag_us: int
     at_most: dict[str, int] = field(default_factory=dict)
-    machines: dict[str, Machine] = field(default_factory=dict)
+    machines: dict[str, PooledMachine] = field(default_factory=dict)
     rentals: dict[str, tuple[Rented, tuple[str, ...]]] = field(default_factory=dict)
     _count: int = 0
 
@@ -118,12 +118,12 @@
                 elif machine.pid:
                     yield Launched(name, machine.pid, machine.started, machine.port)
 
-    def _add(self, name: str, kind: MachineType, rental: Rented) -> Machine:
-        machine = Machine(name, kind, rental.zone, rental.spot, rental.at_us)
+    def _add(self, name: str, kind: MachineType, rental: Rented) -> PooledMachine:
+        machine = PooledMachine(name, kind, rental.zone, rental.spot, rental.at_us)
         self.machines[name] = machine
         return machine
 
-    def _present(self) -> Iterator[Machine]:
+    def _present(self) -> Iterator[PooledMachine]:
         return (machine for machine in self.machines.values() if not machine.gone_us)
 
     def room(self, kind: MachineType) -> int:
@@ -153,14 +153,14 @@
         record = Rented(request.request, names, kind.name, request.zone, request.spot, now_us)
         return list(names), record
 
-    def rented(self, record: Rented) -> list[Machine]:
+    def rented(self, record: Rented) -> list[PooledMachine]:
         """A new rental is on record: its machines are there now."""
         kind = next(one for one in self.types if one.name == record.kind)
         self._count += len(record.machines)
         self.rentals[record.request] = (record, record.machines)
         return [self._add(name, kind, record) for name in record.machines]
 
-    def leave(self, names: Sequence[str]) -> list[Machine]:
+    def leave(self, names: Sequence[str]) -> list[PooledMachine]:
         """Return the machines among the names that are to be ended."""
         found = []
         for name in dict.fromkeys(names):
--- a/weldhead/site/pool_process.py
+++ b/weldhead/site/pool_process.py
@@ -21,8 +21,8 @@
     MOST_DELETED,
     Gone,
     Launched,
-    Machine,
     Pool,
+    PooledMachine,
     PoolError,
     Record,
     plan_recall,
@@ -111,17 +111,17 @@
 
     # Machines
 
-    def _mark(self, machine: Machine) -> str:
+    def _mark(self, machine: PooledMachine) -> str:
         return f"{self._settings.site}/{machine.name}"
 
-    def _keep(self, machine: Machine) -> None:
+    def _keep(self, machine: PooledMachine) -> None:
         self._keepers[machine.name] = self._duties.spawn(
             f"machine {machine.name}", self._keep_running(machine)
         )
         if machine.spot:
             self._duties.spawn(f"recall {machine.name}", self._recall(machine))
 
-    async def _keep_running(self, machine: Machine) -> None:
+    async def _keep_running(self, machine: PooledMachine) -> None:
         """Have a worker run on the machine until it is deleted."""
         backoff = Backoff()
         process = Process(machine.pid, machine.started)
@@ -143,7 +143,7 @@
             await asyncio.sleep(pause_us / SECOND_US)
             process = self._launch(machine)
 
-    def _launch(self, machine: Machine) -> Process:
+    def _launch(self, machine: PooledMachine) -> Process:
         settings = self._settings
         path = self._layout.settings(machine.name)
         told = WorkerSettings(
@@ -178,7 +178,7 @@
         self._file.append([Launched(machine.name, process.pid, process.started, machine.port)])
         return process
 
-    async def _stop(self, machine: Machine) -> None:
+    async def _stop(self, machine: PooledMachine) -> None:
         """End a machine: when this returns, everything on it is gone."""
         machine.leaving = True
         process = Process(machine.pid, machine.started)
@@ -193,7 +193,7 @@
             self.pool.gone(machine.name, wall_us())
             self._layout.settings(machine.name).unlink(missing_ok=True)
 
-    async def _recall(self, machine: Machine) -> None:
+    async def _recall(self, machine: PooledMachine) -> None:
         """Take a spot machine back when its time has come."""
         recall = plan_recall(self._settings.spot, machine.name, machine.rented_us)
         if recall is None:
--- a/weldhead/site/records.py
+++ b/weldhead/site/records.py
@@ -18,7 +18,7 @@
 _HEADER = 8
 
 
-class DamagedRecords(Exception):
+class DamagedRecordsError(Exception):
     """A record in the middle of the file is not what was written."""
 
 
@@ -61,7 +61,7 @@
             return body
         if at + _HEADER + length >= len(data):
             return None
-        raise DamagedRecords(f"{self._path}: record at byte {at} is damaged")
+        raise DamagedRecordsError(f"{self._path}: record at byte {at} is damaged")
 
     def rewrite(self, records: Iterable[T]) -> None:
         """Replace the file by these records, at once or not at all, and append from here."""
--- a/weldhead/site/store/model.py
+++ b/weldhead/site/store/model.py
@@ -29,17 +29,17 @@
     status = 400
 
 
-class NoSuchLease(StoreError):
+class NoSuchLeaseError(StoreError):
     """A grant that has ended or never was."""
 
 
-class GrantGone(StoreError):
+class GrantGoneError(StoreError):
     """The grant that a call is about has ended."""
 
     status = 404
 
 
-class Failed(StoreError):
+class ConditionFailedError(StoreError):
     """Conditions that did not hold."""
 
     status = 409
@@ -50,7 +50,7 @@
         self.revision = revision
 
 
-class TooOld(StoreError):
+class RevisionTooOldError(StoreError):
     """A watch from a revision whose changes are not kept any more."""
 
     status = 410
@@ -72,7 +72,7 @@
     writes: list[Write] = []
 
 
-class Put(msgspec.Struct, array_like=True, tag="put", frozen=True):
+class StoredPut(msgspec.Struct, array_like=True, tag="put", frozen=True):
     """A recorded write: the key, its raw JSON value, the grant that it hangs on."""
 
     key: str
@@ -90,7 +90,7 @@
     """Everything that happened at one revision."""
 
     revision: int
-    writes: tuple[Put | Removal, ...]
+    writes: tuple[StoredPut | Removal, ...]
 
 
 class Granted(msgspec.Struct, array_like=True, tag="grant", frozen=True):
@@ -106,7 +106,7 @@
     lease: int
 
 
-class Kept(msgspec.Struct, array_like=True, tag="kept", frozen=True):
+class StoredKey(msgspec.Struct, array_like=True, tag="kept", frozen=True):
     """A key in a snapshot."""
 
     key: str
@@ -122,7 +122,7 @@
     last_lease: int
 
 
-Change = Commit | Granted | Ended | Kept | Base
+Change = Commit | Granted | Ended | StoredKey | Base
 
 #: Makes changes last; raises if it cannot, and then nothing is applied.
 Recorder = Callable[[Sequence[Change]], None]
@@ -149,7 +149,7 @@
         self.limits = limits
         self.revision = 0
         self._recorder = recorder
-        self._keys: SortedDict[str, Kept] = SortedDict()
+        self._keys: SortedDict[str, StoredKey] = SortedDict()
         self._grants: dict[int, _Grant] = {}
         self._last_lease = 0
         self._changes: deque[KeyEvent] = deque()
@@ -202,7 +202,7 @@
     def changes(self, prefix: str, start: int) -> list[KeyEvent]:
         """Return the changes of keys with the prefix after a revision; TooOld if forgotten."""
         if start < self._forgotten or start > self.revision:
-            raise TooOld(f"changes after {start} are not kept")
+            raise RevisionTooOldError(f"changes after {start} are not kept")
         found: list[KeyEvent] = []
         for event in reversed(self._changes):
             if event.version <= start:
@@ -230,11 +230,11 @@
             if self._version(condition.key) != condition.version
         ]
         if failed:
-            raise Failed(failed, self.revision)
+            raise ConditionFailedError(failed, self.revision)
         self._commit(writes, now_us)
         return self.revision
 
-    def _checked(self, write: Write) -> Put | Removal:
+    def _checked(self, write: Write) -> StoredPut | Removal:
         if (write.set is None) == (write.delete is None):
             raise StoreError("a write has either set or delete")
         if write.delete is not None:
@@ -246,23 +246,23 @@
         if len(value) > min(self.limits.value_bytes, MAX_BODY_BYTES):
             raise StoreError(f"{key}: a value of {len(value)} bytes")
         if write.lease is not None and write.lease not in self._grants:
-            raise NoSuchLease("no such lease")
-        return Put(key, value, write.lease)
+            raise NoSuchLeaseError("no such lease")
+        return StoredPut(key, value, write.lease)
 
     def _version(self, key: str) -> int:
         kept = self._keys.get(key)
         return 0 if kept is None else kept.version
 
     def _commit(
-        self, writes: Sequence[Put | Removal], now_us: int, ended: Sequence[Ended] = ()
+        self, writes: Sequence[StoredPut | Removal], now_us: int, ended: Sequence[Ended] = ()
     ) -> None:
         # Removing what is not there changes nothing; in one transaction the last write of a
         # key counts, and what an earlier one of them put can still be removed.
-        put = {write.key for write in writes if isinstance(write, Put)}
+        put = {write.key for write in writes if isinstance(write, StoredPut)}
         real = [
             write
             for write in writes
-            if isinstance(write, Put) or write.key in self._keys or write.key in put
+            if isinstance(write, StoredPut) or write.key in self._keys or write.key in put
         ]
         changes: list[Change] = []
         if real:
@@ -289,7 +289,7 @@
                 self._grants[lease] = _Grant(ttl_ms, now_us + ttl_ms * MILLISECOND_US)
             case Ended(lease):
                 self._grants.pop(lease, None)
-            case Kept():
+            case StoredKey():
                 self._keys[change.key] = change
                 if change.lease in self._grants:
                     self._grants[change.lease].keys.add(change.key)
@@ -297,14 +297,14 @@
                 self.revision = revision
                 self._last_lease = last_lease
 
-    def _write(self, write: Put | Removal, revision: int) -> None:
+    def _write(self, write: StoredPut | Removal, revision: int) -> None:
         old = self._keys.pop(write.key, None)
         if old is not None and old.lease in self._grants:
             self._grants[old.lease].keys.discard(write.key)
         if isinstance(write, Removal):
             self._changes.append(KeyEvent(revision, delete=write.key))
             return
-        self._keys[write.key] = Kept(write.key, write.value, revision, write.lease)
+        self._keys[write.key] = StoredKey(write.key, write.value, revision, write.lease)
         if write.lease in self._grants:
             self._grants[write.lease].keys.add(write.key)
         self._changes.append(KeyEvent(revision, put=write.key, value=msgspec.Raw(write.value)))
@@ -328,14 +328,14 @@
         self.expire(now_us)
         grant = self._grants.get(lease)
         if grant is None:
-            raise GrantGone("no such lease")
+            raise GrantGoneError("no such lease")
         grant.ends_us = now_us + grant.ttl_ms * MILLISECOND_US
 
     def revoke(self, lease: int, now_us: int) -> None:
         """End a grant at once."""
         self.expire(now_us)
         if lease not in self._grants:
-            raise GrantGone("no such lease")
+            raise GrantGoneError("no such lease")
         self._end([lease], now_us)
 
     def expire(self, now_us: int) -> bool:
@@ -355,5 +355,5 @@
         self._commit([Removal(key) for key in keys], now_us, [Ended(lease) for lease in leases])
 
 
-def _entry(kept: Kept) -> KeyValue:
+def _entry(kept: StoredKey) -> KeyValue:
     return KeyValue(kept.key, msgspec.Raw(kept.value), kept.version, kept.lease)
--- a/weldhead/site/store/server.py
+++ b/weldhead/site/store/server.py
@@ -19,7 +19,7 @@
 )
 from weldhead.site.http import Reply, error, integer, reply
 from weldhead.site.records import RecordFile
-from weldhead.site.store.model import Batch, Change, Failed, Store, StoreError
+from weldhead.site.store.model import Batch, Change, ConditionFailedError, Store, StoreError
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.token_bucket import TokenBucket
 
@@ -66,9 +66,9 @@
         self.outage = False
         self.store.renew_all(now_us())
 
-    def start(self, duties: BackgroundTasks) -> None:
+    def start(self, background_tasks: BackgroundTasks) -> None:
         """Start ending grants."""
-        duties.start("grants", self._sweep)
+        background_tasks.start("grants", self._sweep)
 
     async def _sweep(self) -> None:
         while True:
@@ -97,7 +97,7 @@
         try:
             self._expire()
             return await self._route(request, body)
-        except Failed as failed:
+        except ConditionFailedError as failed:
             return reply(409, {"failed": failed.keys, "ledger": failed.revision})
         except StoreError as refused:
             return error(refused.status, str(refused))
--- a/weldhead/site/worker.py
+++ b/weldhead/site/worker.py
@@ -38,7 +38,7 @@
     directory: str | None = None
 
 
-class Phase(enum.Enum):
+class SlotPhase(enum.Enum):
     """Where an attempt is."""
 
     FETCHING = "pulling"
@@ -53,7 +53,7 @@
 
     task: str
     attempt: int
-    phase: Phase = Phase.FETCHING
+    phase: SlotPhase = SlotPhase.FETCHING
     why: str | None = None
     saved: bool | None = None
     work: Work | None = None
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class Start:
+class StartSlot:
     """Start the task's command."""
 
     task: str
@@ -102,7 +102,7 @@
     token: int
 
 
-Action = Fetch | Start | Signal | KillAll | Remember
+Action = Fetch | StartSlot | Signal | KillAll | Remember
 
 
 @dataclass
@@ -250,7 +250,7 @@
                 continue
             elif command.op == "kill":
                 actions += self._kill(slot, seconds_us(command.grace_s or 0.0), now_us)
-            elif slot.phase is Phase.ENDED:
+            elif slot.phase is SlotPhase.ENDED:
                 del self.slots[(command.task, command.attempt)]
         return actions
 
@@ -258,7 +258,8 @@
         slot = Slot(task, attempt)
         self.changed = True
         busy = any(
-            other.task == task and other.phase is not Phase.ENDED for other in self.slots.values()
+            other.task == task and other.phase is not SlotPhase.ENDED
+            for other in self.slots.values()
         )
         self.slots[(task, attempt)] = slot
         if busy:
@@ -267,9 +268,9 @@
         return [Fetch(task, attempt)]
 
     def _kill(self, slot: Slot, grace_us: int, now_us: int) -> list[Action]:
-        if slot.phase is Phase.ENDED:
+        if slot.phase is SlotPhase.ENDED:
             return []
-        if slot.phase is Phase.FETCHING:
+        if slot.phase is SlotPhase.FETCHING:
             self._end(slot, "halted")
             return []
         repeated = slot.stopping
@@ -282,7 +283,7 @@
         if repeated:
             return []
         if saves:
-            slot.phase = Phase.SAVING
+            slot.phase = SlotPhase.SAVING
             self.changed = True
         slot.kill_us = now_us + (grace_us if saves else min(grace_us, POLITE_US))
         return [Signal(slot.task, slot.attempt, hard=False)]
@@ -292,7 +293,7 @@
     def fetched(self, task: str, attempt: int, work: Work | None, done: bool) -> list[Action]:
         """The description is here (None: there is none); ``done``: its result is kept."""
         slot = self.slots.get((task, attempt))
-        if slot is None or slot.phase is not Phase.FETCHING:
+        if slot is None or slot.phase is not SlotPhase.FETCHING:
             return []
         index = split_task(task)[1]
         if work is None or index >= work.tasks:
@@ -303,9 +304,9 @@
             self._end(slot, "no_room")
         else:
             slot.work = work
-            slot.phase = Phase.RUNNING
+            slot.phase = SlotPhase.RUNNING
             self.changed = True
-            return [Start(task, attempt, work)]
+            return [StartSlot(task, attempt, work)]
         return []
 
     def _room(self, work: Work) -> bool:
@@ -320,33 +321,33 @@
     def exited(self, task: str, attempt: int, code: int | None) -> None:
         """The command has ended with an exit code; None: by a signal, or it never began."""
         slot = self.slots.get((task, attempt))
-        if slot is None or slot.phase is Phase.ENDED:
+        if slot is None or slot.phase is SlotPhase.ENDED:
             return
         if code == 0:
             self._end(slot, "done")
         elif slot.stopping:
-            slot.saved = slot.phase is Phase.SAVING and code == SAVED_CODE
+            slot.saved = slot.phase is SlotPhase.SAVING and code == SAVED_CODE
             self._end(slot, "halted")
         else:
             self._end(slot, "error")
 
     def _end(self, slot: Slot, why: str) -> None:
-        slot.phase = Phase.ENDED
+        slot.phase = SlotPhase.ENDED
         slot.why = why
         slot.kill_us = 0
         self.changed = True
 
 
 def _live(slot: Slot) -> bool:
-    return slot.phase is not Phase.ENDED
+    return slot.phase is not SlotPhase.ENDED
 
 
-def _state(phase: Phase) -> ReportedTaskState:
+def _state(phase: SlotPhase) -> ReportedTaskState:
     match phase:
-        case Phase.FETCHING:
+        case SlotPhase.FETCHING:
             return "pulling"
-        case Phase.RUNNING:
+        case SlotPhase.RUNNING:
             return "running"
-        case Phase.SAVING:
+        case SlotPhase.SAVING:
             return "saving"
     return "ended"
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -27,7 +27,7 @@
     Place,
     Remember,
     Signal,
-    Start,
+    StartSlot,
     Work,
     Worker,
 )
@@ -63,7 +63,7 @@
     left_s: float
 
 
-class GuardGone(Exception):
+class GuardGoneError(Exception):
     """The guard's process has ended."""
 
 
@@ -103,7 +103,7 @@
         line = await self._from.readline()
         if not line.endswith(b"\n"):
             await self._process.wait()
-            raise GuardGone(f"exit code {self._process.returncode}")
+            raise GuardGoneError(f"exit code {self._process.returncode}")
         message: list[object] = msgspec.json.decode(line)
         return message
 
@@ -194,7 +194,7 @@
                 self._clear.set()
             try:
                 message = await guard.hear()
-            except GuardGone as gone:
+            except GuardGoneError as gone:
                 await self._lost_guard(gone)
                 continue
             self._do(self._worker.check_lease(now_us()))
@@ -212,7 +212,7 @@
                 case _:
                     log.error("the guard says %r", message)
 
-    async def _lost_guard(self, gone: GuardGone) -> None:
+    async def _lost_guard(self, gone: GuardGoneError) -> None:
         log.error(
             "the guard is gone (%s): everything here is ended",
             gone,
@@ -275,7 +275,7 @@
                         os._exit(1)
                 case Fetch(task, attempt):
                     self._duties.spawn(f"fetch {task}", self._fetch(task, attempt))
-                case Start(task, attempt, work):
+                case StartSlot(task, attempt, work):
                     self._start(task, attempt, work)
                 case Signal(task, attempt, hard):
                     number = signal.SIGKILL if hard else signal.SIGTERM
--- a/weldhead/transport/background_tasks.py
+++ b/weldhead/transport/background_tasks.py
@@ -1,4 +1,4 @@
-"""Long-lived duties: asyncio tasks that never die unnoticed."""
+"""Long-lived background tasks: asyncio tasks that never die unnoticed."""
 
 import asyncio
 import logging
@@ -11,14 +11,16 @@
 
 
 class BackgroundTasks:
-    """Runs duties until closed; one that fails is logged and begun again."""
+    """Runs background tasks until closed; one that fails is logged and begun again."""
 
     def __init__(self) -> None:
         self._tasks: dict[asyncio.Task[None], None] = {}
 
-    def start(self, name: str, duty: Callable[[], Awaitable[None]], pause_s: float = 0.5) -> None:
-        """Keep a duty running: it is expected never to return."""
-        self._add(self._keep(name, duty, pause_s), name)
+    def start(
+        self, name: str, routine: Callable[[], Awaitable[None]], pause_s: float = 0.5
+    ) -> None:
+        """Keep a background task running: it is expected never to return."""
+        self._add(self._keep(name, routine, pause_s), name)
 
     def spawn(self, name: str, job: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a single errand; a failure is logged."""
@@ -30,15 +32,17 @@
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
         return task
 
-    async def _keep(self, name: str, duty: Callable[[], Awaitable[None]], pause_s: float) -> None:
+    async def _keep(
+        self, name: str, routine: Callable[[], Awaitable[None]], pause_s: float
+    ) -> None:
         while True:
             try:
-                await duty()
-                log.error("duty %s ended by itself; begun again", name)
+                await routine()
+                log.error("background task %s ended unexpectedly, restarting", name)
             except CallError as error:
-                log.info("duty %s: %s", name, error)
+                log.info("background task %s: %s", name, error)
             except Exception:
-                log.exception("duty %s failed; begun again", name)
+                log.exception("background task %s failed, restarting", name)
             await asyncio.sleep(pause_s)
 
     async def _guard(self, name: str, job: Coroutine[Any, Any, None]) -> None:
--- a/weldhead/transport/cloud_client.py
+++ b/weldhead/transport/cloud_client.py
@@ -71,7 +71,7 @@
     ) -> list[str]:
         """Rent machines; repeating a request rents nothing more.
 
-        ``wanted`` is asked in the moment before the request is sent; NotAsked if it says no.
+        ``wanted`` is asked in the moment before the request is sent; NotSentError if it says no.
         """
         status, body = await self._call(
             "POST", "/rentals", msgspec.json.encode(request), wanted=wanted
--- a/weldhead/transport/http_client.py
+++ b/weldhead/transport/http_client.py
@@ -74,10 +74,10 @@
         *,
         close: bool = False,
     ) -> tuple[int, bytes]:
-        """Return status and body; CallFailed if none came in time.
+        """Return status and body; CallError if none came in time.
 
         ``connect_us`` bounds how long a new connection may take (0: the whole call), and has
-        a call that got none in time fail as NotConnected. ``close`` asks the other side not to
+        a call that got none in time fail as NotConnectedError. ``close`` asks the other side not to
         keep the connection.
         """
         timeout = _timeout(timeout_us, connect_us)
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -85,7 +85,7 @@
         return self._next_id
 
     async def run(self) -> None:
-        """Connect and read answers, again and again; a duty."""
+        """Connect and read answers, again and again; a background task."""
         while True:
             await self._connect()
             await asyncio.sleep(0.1)
@@ -125,7 +125,7 @@
                 if waiting is not None and not waiting.done():
                     waiting.set_result(message)
         except PeerProtocolError as error:
-            log.error("peer %s sent nonsense, connection closed: %s", self.name, error)
+            log.error("peer %s sent a malformed message, connection closed: %s", self.name, error)
         except (OSError, asyncio.IncompleteReadError) as error:
             log.info("peer %s: connection ended: %r", self.name, error)
         finally:
@@ -142,7 +142,7 @@
             self._pending.clear()
 
     def drop(self) -> None:
-        """Give the connection up; the duty connects anew."""
+        """Give the connection up; the background task connects anew."""
         if self._writer is not None:
             self._writer.transport.abort()
 
@@ -163,7 +163,7 @@
         return True
 
     async def request(self, message: Message, kind: type[M], timeout_us: int) -> M:
-        """Send a request and return its answer; NotConnected if it was never sent."""
+        """Send a request and return its answer; NotConnectedError if it was never sent."""
         request_id: int = getattr(message, "id")  # noqa: B009  (all requests have one)
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._pending[request_id] = future
@@ -186,9 +186,11 @@
 class PeerServer:
     """The answering side: each incoming connection has its own routine."""
 
-    def __init__(self, handler: Handler, duties: BackgroundTasks, names: set[str]) -> None:
+    def __init__(
+        self, handler: Handler, background_tasks: BackgroundTasks, names: set[str]
+    ) -> None:
         self._handler = handler
-        self._duties = duties
+        self._duties = background_tasks
         self._names = names
         self._server: asyncio.Server | None = None
 
@@ -212,7 +214,7 @@
                     # A slow request must not hold up the pings behind it.
                     self._duties.spawn("peer request", self._answer(name, message, writer))
         except PeerProtocolError as error:
-            log.error("peer %s sent nonsense, connection closed: %s", name, error)
+            log.error("peer %s sent a malformed message, connection closed: %s", name, error)
         except (OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
             pass
         finally:
--- a/weldhead/transport/state_client.py
+++ b/weldhead/transport/state_client.py
@@ -64,7 +64,7 @@
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """Decode an answer; CallFailed if it is nonsense."""
+    """Decode an answer; CallError if it is nonsense."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -204,15 +204,21 @@
 
         ``patience_us``: for how long a submission may wait for its turn; None: it is the
         leader's, and waits for a second, or for ever where it is urgent.
-        Busy if that was not long enough, or others had used the rate up, Conflict if a
-        condition failed, LeaseGone if a lease is over, Refused if it was surely not executed,
-        Rejected if it never will be, CallFailed if that is not known.
+        RateLimitedError if that was not long enough, or others had used the rate up, ConflictError
+        if a condition failed, LeaseNotFoundError if a lease is over, RequestRefusedError if it was
+        surely not executed, TransactionRejectedError if it never will be, CallError if that is not
+        known.
         """
         body = msgspec.json.encode(Transaction(conditions, writes))
         status, answer = await self._call(
-            "POST", "/multi", body, timeout_us, urgent, writes=len(writes),
+            "POST",
+            "/multi",
+            body,
+            timeout_us,
+            urgent,
+            writes=len(writes),
             patience_us=patience_us,
-        )  # fmt: skip
+        )
         if status == http_status.OK:
             return decode(answer, CommittedRevision).revision
         if status == http_status.CONFLICT:
@@ -232,7 +238,7 @@
         return decode(answer, GrantedLease).lease
 
     async def extend(self, lease: int, timeout_us: int) -> None:
-        """Renew a lease; LeaseGone if it has ended."""
+        """Renew a lease; LeaseNotFoundError if it has ended."""
         status, _ = await self._call("POST", f"/grants/{lease}/extend", b"{}", timeout_us, True)
         if status == http_status.NOT_FOUND:
             raise LeaseNotFoundError
@@ -246,7 +252,7 @@
             raise CallError(f"state service: {status}")
 
     async def watch(self, prefix: str, revision: int, wait_us: int) -> KeyChanges:
-        """Wait for changes after the revision; Compacted if it is too old."""
+        """Wait for changes after the revision; RevisionCompactedError if it is too old."""
         path = f"/changes?starts={prefix}&from={revision}&wait_ms={wait_us // MILLISECOND_US}"
         status, body = await self._call(
             "GET", path, None, wait_us + 2 * SECOND_US, True, passive=True
--- a/weldhead/transport/worker_commands.py
+++ b/weldhead/transport/worker_commands.py
@@ -20,7 +20,7 @@
 ) -> tuple[bool, Heartbeat]:
     """Send commands; return whether they were executed, and the worker's report.
 
-    CallFailed leaves open whether, and when, they are executed; NotConnected does not.
+    CallError leaves open whether, and when, they are executed; NotConnectedError does not.
     ``close``: the connection is not kept for later.
     """
     body = msgspec.json.encode(DirectCommands(token, session, commands))
