--- a/run.py
+++ b/run.py
@@ -21,10 +21,11 @@
 
 if __name__ == "__main__":
     arguments = sys.argv[1:]
-    if len(arguments) == 2 and arguments[0] == "--config":
-        from weldhead.serving import run_for_platform
+    match arguments:
+        case ["--config", config]:
+            from weldhead.serving import run_for_platform
 
-        sys.exit(run_for_platform(arguments[1]))
+            sys.exit(run_for_platform(config))
     if arguments and arguments[0] == "--config":
         arguments.insert(0, "serve")
     from weldhead.cli import main
--- a/tests/site/test_local_site.py
+++ b/tests/site/test_local_site.py
@@ -320,6 +320,9 @@
 def test_the_end_is_orderly(site: Site) -> None:
     for part in ("controller-0", "front", "pool", "state"):
         kill_and_await_restart(site, part)
+    # The pool has its machines again once a job runs.
+    done = weldhead(site, "submit", "--cpus", "1", "--memory-gb", "0.1", "--wait", "--", "true")
+    assert done.returncode == 0, done.stderr
     site.end()
     assert site.process.returncode == 0
     assert not (site.root / "address").exists()
--- a/weldhead/cluster_state/state_writer.py
+++ b/weldhead/cluster_state/state_writer.py
@@ -20,7 +20,7 @@
 
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY
-from weldhead.protocol.wire import Condition, DeleteKey, PutKey
+from weldhead.protocol.wire import Condition, DeleteKey, KeyValue, PutKey
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import (
     ConflictError,
@@ -33,7 +33,22 @@
 
 
 class LeadershipLostError(Exception):
-    """Another leader has taken over, or this one's key is gone."""
+    """Another leader has taken over, or this one's key is gone.
+
+    ``seen_token`` is the version of the leader's key that was read; 0: it is gone; None: it was
+    not read, as the term was over already.
+    """
+
+    def __init__(self, own_token: int, seen_token: int | None = None) -> None:
+        if seen_token is None:
+            text = f"the term of fencing token {own_token} is over"
+        elif not seen_token:
+            text = f"the leader key of fencing token {own_token} is gone"
+        else:
+            text = f"fencing token {own_token} was replaced by {seen_token}"
+        super().__init__(text)
+        self.own_token = own_token
+        self.seen_token = seen_token
 
 
 class _QueuedWrite:
@@ -79,9 +94,12 @@
         sent_us = now_us()
         leader = await self._state.get(LEADER_KEY, urgent=True)
         if leader is None or leader.version != self._token:
-            raise LeadershipLostError
+            raise self._leadership_lost(leader)
         self.leadership_verified_us = max(self.leadership_verified_us, sent_us)
 
+    def _leadership_lost(self, leader: KeyValue | None) -> LeadershipLostError:
+        return LeadershipLostError(self._token, 0 if leader is None else leader.version)
+
     def record_version(self, key: str, version: int) -> None:
         """Note a key's version, read from the store or its watch."""
         if version > self._versions.get(key, 0):
@@ -112,7 +130,7 @@
         LeadershipLostError if we are, TransactionRejectedError if the store will never take them.
         """
         if self._closed:
-            raise LeadershipLostError
+            raise LeadershipLostError(self._token)
         if len(changes) > self._state.max_writes:
             raise ValueError(f"{len(changes)} changes in one transaction")
         write = _QueuedWrite(changes, asyncio.get_running_loop().create_future())
@@ -129,7 +147,7 @@
         change a turn, however many changes it has seen.
         """
         if self._closed:
-            raise LeadershipLostError
+            raise LeadershipLostError(self._token)
         write = self._latest.get(key)
         if write is None:
             write = _QueuedWrite(
@@ -183,7 +201,7 @@
             try:
                 await self._commit_batch(batch)
             except BaseException as error:
-                cause = error if isinstance(error, Exception) else LeadershipLostError()
+                cause = error if isinstance(error, Exception) else LeadershipLostError(self._token)
                 for write, _ in batch:
                     self._fail(write, cause)
                 raise
@@ -216,7 +234,7 @@
                     await self._commit_batch([one])
                 return
             write, values = batch[0]
-            log.error("write rejected for good: %s: %s", ", ".join(values), error)
+            log.exception("write rejected for good: %s", ", ".join(values))
             self._fail(write, error)
             return
         for write, _ in batch:
@@ -272,7 +290,7 @@
             try:
                 leader = await self._state.get(LEADER_KEY, urgent=True)
                 if leader is None or leader.version != self._token:
-                    raise LeadershipLostError
+                    raise self._leadership_lost(leader)
                 applied = True
                 for key, value in changes.items():
                     entry = await self._state.get(key, urgent=True)
@@ -294,7 +312,7 @@
         self._closed = True
         for write in (*self._urgent, *self._queue):
             if not write.future.done():
-                write.future.set_exception(LeadershipLostError())
+                write.future.set_exception(LeadershipLostError(self._token))
                 write.future.exception()
         self._urgent.clear()
         self._queue.clear()
--- a/weldhead/controller/configuration/calendar_keeper.py
+++ b/weldhead/controller/configuration/calendar_keeper.py
@@ -147,7 +147,7 @@
         except UnusableCalendarError as error:
             # It was usable for who brought it into force: other releases of the zones' rules.
             problem, instants, until_us = str(error), (), None
-            log.error("calendar %s binds nothing: %s", calendar.name, problem)
+            log.exception("calendar %s binds nothing", calendar.name)
         if same and former is not None:
             return None if problem else continued(former, instants, until_us, at_us)
         fresh = CalendarState(digest_of(body), edition, instants, until_us, problem=problem)
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -82,8 +82,8 @@
             # Its successor finds the same jobs late, and tells it.
             self._waiting.clear()
             return
-        except TransactionRejectedError as error:
-            log.error("lateness cannot be noted: %s", error)
+        except TransactionRejectedError:
+            log.exception("lateness cannot be recorded")
         chunks = self._load()
         for key, chunk in changes.items():
             if chunk is None:
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -20,7 +20,7 @@
 from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.fleet.autoscaler import Autoscaler
 from weldhead.controller.fleet.rental_manager import RentalManager
-from weldhead.controller.leadership.term_recovery import TermRecovery
+from weldhead.controller.leadership.term_recovery import RecoveryParts, TermRecovery
 from weldhead.controller.loop_budget import EventLoopBudget
 from weldhead.controller.requests.completions import Completions
 from weldhead.controller.requests.job_dependencies import JobDependencies
@@ -94,8 +94,7 @@
             self.rental_manager.return_machines,
             self.machine_monitor.silent_live,
         )
-        self.recovery = TermRecovery(
-            term,
+        parts = RecoveryParts(
             self.completions,
             self.rental_manager,
             self.job_dependencies,
@@ -106,6 +105,7 @@
             self.publisher,
             self.gate_keeper,
         )
+        self.recovery = TermRecovery(term, parts)
         self.heartbeats = HeartbeatHandler(
             term,
             self.completions,
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -33,11 +33,11 @@
     handicap_us,
     predecessor_over_us,
 )
-from weldhead.controller.leadership.lease_renewer import LeaseRenewer
+from weldhead.controller.leadership.lease_renewer import LeaseRenewer, RenewalActions
 from weldhead.controller.leadership.peer_failure_detector import PeerFailureDetector
 from weldhead.controller.leadership.previous_leaders import PreviousLeaders, missed_from_us
 from weldhead.controller.leadership.promises import ask_for_promises
-from weldhead.controller.term import Term
+from weldhead.controller.term import Term, TermContext
 from weldhead.protocol.peer import LeaderResigned, Pong, PromiseAnswer, PromiseRequest
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.wire import Condition, MachineType, PutKey
@@ -309,15 +309,26 @@
         self._key_absent.clear()
         over_us = max(predecessor_over_us(at_us, believes_us), self.previous_leaders.expired_us)
         log.info("leader election won: %s, fencing token %d", self.settings.name, token)
-        term = Term(
-            self.settings, self.tunables, self.lease, self._state, self._cloud,
-            self._worker_http, self.catalog, over_us, self.step_down,
-            answers_until_us(
-                sent_us, wall, inherited_us, cancel_us, lease_us,
+        context = TermContext(
+            self.settings,
+            self.tunables,
+            self.lease,
+            self._state,
+            self._cloud,
+            self._worker_http,
+            self.catalog,
+            previous_leader_expired_us=over_us,
+            on_leadership_lost=self.step_down,
+            answer_unloaded_until_us=answers_until_us(
+                sent_us,
+                wall,
+                inherited_us,
+                cancel_us,
+                lease_us,
                 round(facts.clock_error_ms * MILLISECOND_US),
             ),
-        )  # fmt: skip
-        self.leader = Leader(term, self._documents)
+        )
+        self.leader = Leader(Term(context), self._documents)
         self.leader.start()
         self._background_tasks.spawn("lease renewal", self._renew(self.leader))
 
@@ -333,10 +344,14 @@
         def unanswered() -> None:
             self._state.failed_us = now_us()
 
-        self._lease_renewer = LeaseRenewer(
-            self.timing, self.lease, lambda: self.leader is leader, attempt, self._request_promises,
-            self.step_down, unanswered,
-        )  # fmt: skip
+        actions = RenewalActions(
+            is_leading=lambda: self.leader is leader,
+            attempt=attempt,
+            request_promises=self._request_promises,
+            step_down=self.step_down,
+            on_late_answer=unanswered,
+        )
+        self._lease_renewer = LeaseRenewer(self.timing, self.lease, actions)
         await self._lease_renewer.run()
 
     async def _extend_lease(self, patience_us: int) -> None:
--- a/weldhead/controller/leadership/lease_renewer.py
+++ b/weldhead/controller/leadership/lease_renewer.py
@@ -9,6 +9,7 @@
 import asyncio
 import logging
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
 from weldhead.clock import now_us, to_seconds
 from weldhead.controller.leadership.leader_lease import LeaderLease, LeaseTiming
@@ -26,27 +27,28 @@
     """An attempt is not answered in time, and goes on."""
 
 
+@dataclass(frozen=True)
+class RenewalActions:
+    """What renewals do in the term that they are of."""
+
+    #: Whether the term goes on.
+    is_leading: Callable[[], bool]
+    #: Extends the lease and reads the leader's key within so many microseconds; returns whether
+    #: the key was seen.
+    attempt: Callable[[int], Awaitable[bool]]
+    #: Asks the other controllers for promises not to lead.
+    request_promises: Callable[[], Awaitable[None]]
+    #: Ends the term; called with the reason.
+    step_down: Callable[[str], None]
+    #: Called when an answer is late.
+    on_late_answer: Callable[[], None]
+
+
 class LeaseRenewer:
-    """The renewals of one term.
-
-    ``leads`` says whether the term goes on; ``attempt`` extends the lease and reads the leader's
-    key, within the time given, and says whether the key was seen; ``hold_on`` asks the others for
-    promises; ``step_down`` ends the term; ``unanswered`` is called when an answer is late.
-    """
-
-    def __init__(
-        self,
-        timing: LeaseTiming,
-        authority: LeaderLease,
-        leads: Callable[[], bool],
-        attempt: Callable[[int], Awaitable[bool]],
-        hold_on: Callable[[], Awaitable[None]],
-        step_down: Callable[[str], None],
-        unanswered: Callable[[], None],
-    ) -> None:
-        self._timing, self._lease = timing, authority
-        self._leads, self._attempt = leads, attempt
-        self._request_promises, self._step_down, self._unanswered = hold_on, step_down, unanswered
+    """The renewals of one term's lease."""
+
+    def __init__(self, timing: LeaseTiming, lease: LeaderLease, actions: RenewalActions) -> None:
+        self._timing, self._lease, self._actions = timing, lease, actions
         #: Attempts without an answer, the newest last.
         self._attempts: list[asyncio.Future[bool]] = []
         self._failing = False
@@ -71,9 +73,9 @@
         """Keep the lease; the term ends with the authority."""
         pause_us = self._timing.renew_us - self._age_us()
         try:
-            while self._leads():
+            while self._actions.is_leading():
                 await asyncio.sleep(to_seconds(max(0, pause_us)))
-                if self._leads():
+                if self._actions.is_leading():
                     pause_us = await self._renew()
         finally:
             for attempt in self._attempts:
@@ -90,14 +92,14 @@
             seen = await self._answer(renew_us if self._failing else self._patience_us)
         except LeaseNotFoundError:
             # A term of its own may have begun since this was asked for the one before.
-            if self._leads():
-                self._step_down("the lease is gone")
+            if self._actions.is_leading():
+                self._actions.step_down("the lease is gone")
             return 0
         except CallError as error:
             return await self._failed(error)
         self._failing = False
-        if self._leads() and not self._lease.valid(now_us()):
-            self._step_down("it could not see that its key is its own")
+        if self._actions.is_leading() and not self._lease.valid(now_us()):
+            self._actions.step_down("it could not see that its key is its own")
         least_us = renew_us // 3
         # Of a slow service the answer has used up some of the time until the next attempt.
         return max(least_us, renew_us - self._age_us()) if seen else least_us
@@ -129,13 +131,13 @@
         if self._lease.lease_valid_until_us > lease_until_us:
             # Extended, and the key seen by another request.
             return False
-        self._unanswered()
+        self._actions.on_late_answer()
         raise RenewalTimeoutError("no answer yet")
 
     async def _timed(self) -> bool:
         """Make an attempt, and note how long a good answer took."""
         sent_us = now_us()
-        seen = await self._attempt(self._timing.ttl_us)
+        seen = await self._actions.attempt(self._timing.ttl_us)
         self._last_latency_us = now_us() - sent_us
         return seen
 
@@ -154,7 +156,7 @@
             # One lost message is no trouble of the store's: asked again at once, while
             # the lease lasts. To hand over for it cost a term (found in the emulator).
             return 0
-        await self._request_promises()
-        if self._leads() and not self._lease.valid(now_us()):
-            self._step_down("the lease ran out")
+        await self._actions.request_promises()
+        if self._actions.is_leading() and not self._lease.valid(now_us()):
+            self._actions.step_down("the lease ran out")
         return renew_us // 3
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -4,6 +4,7 @@
 import contextlib
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import msgspec
@@ -61,35 +62,36 @@
 ASK_PAUSE_US = 20 * MILLISECOND_US
 
 
+@dataclass(frozen=True)
+class RecoveryParts:
+    """The parts of the term that its recovery fills or asks."""
+
+    completions: Completions
+    rental_manager: RentalManager
+    job_dependencies: JobDependencies
+    machine_monitor: MachineMonitor
+    dispatcher: CommandDispatcher
+    loop_budget: EventLoopBudget
+    #: Takes what a machine said before its records were loaded.
+    apply: Callable[[BufferedHeartbeat], None]
+    publisher: DocumentPublisher | None = None
+    gate_keeper: "GateKeeper | None" = None
+
+
 class TermRecovery:
-    """Loads the term; ``all_known`` is set when nothing can run that this leader does not know of.
-
-    ``apply`` takes what a machine said before its records were there.
-    """
-
-    def __init__(
-        self,
-        term: Term,
-        completions: Completions,
-        rentals: RentalManager,
-        linking: JobDependencies,
-        watch: MachineMonitor,
-        dispatcher: CommandDispatcher,
-        pacer: EventLoopBudget,
-        apply: Callable[[BufferedHeartbeat], None],
-        publisher: DocumentPublisher | None = None,
-        gates: "GateKeeper | None" = None,
-    ) -> None:
+    """Loads the term; ``all_known`` is set once nothing can run that this leader does not know."""
+
+    def __init__(self, term: Term, parts: RecoveryParts) -> None:
         self._term = term
-        self._completions = completions
-        self._rental_manager = rentals
-        self._job_dependencies = linking
-        self._machine_monitor = watch
-        self._dispatcher = dispatcher
-        self._loop_budget = pacer
-        self._apply = apply
-        self._publisher = publisher
-        self._gates = gates
+        self._completions = parts.completions
+        self._rental_manager = parts.rental_manager
+        self._job_dependencies = parts.job_dependencies
+        self._machine_monitor = parts.machine_monitor
+        self._dispatcher = parts.dispatcher
+        self._loop_budget = parts.loop_budget
+        self._apply = parts.apply
+        self._publisher = parts.publisher
+        self._gates = parts.gate_keeper
         #: The revision at which the jobs were read.
         self.jobs_revision = 0
         self.all_known = asyncio.Event()
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -263,7 +263,7 @@
         try:
             report = _report_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            log.error("malformed heartbeat refused: %s", error)
+            log.exception("malformed heartbeat refused")
             return refusal(http_status.BAD_REQUEST, str(error))
         leader = self.leader
         if leader is not None and self.election.lease.valid(at_us):
--- a/weldhead/controller/term.py
+++ b/weldhead/controller/term.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Callable, Iterator, Sequence
+from dataclasses import dataclass
 from typing import TypeVar
 
 from weldhead.calendars.job_deadlines import JobDeadlines
@@ -36,42 +37,48 @@
     return (items[start : start + size] for start in range(0, len(items), size))
 
 
+@dataclass(frozen=True)
+class TermContext:
+    """What a term begins with."""
+
+    settings: Settings
+    tunables: Tunables
+    lease: LeaderLease
+    state: StateClient
+    cloud: CloudClient
+    worker_http: HttpClient
+    machine_types: list[MachineType]
+    #: Until then an earlier leader may still answer users and workers (steady clock).
+    previous_leader_expired_us: int
+    #: Ends the term; called with the reason.
+    on_leadership_lost: Callable[[str], None]
+    #: Until then workers with tasks are answered although the jobs are not read (steady clock).
+    answer_unloaded_until_us: int
+
+
 class Term:
-    """One term: the authority to lead, the picture, the store, and the clients."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        tunables: Tunables,
-        authority: LeaderLease,
-        state: StateClient,
-        cloud: CloudClient,
-        worker_http: HttpClient,
-        types: list[MachineType],
-        predecessor_over_us: int,
-        on_deposed: Callable[[str], None],
-        answers_until_us: int,
-    ) -> None:
+    """One term: the lease, the view of the cluster, and the clients that its parts share."""
+
+    def __init__(self, context: TermContext) -> None:
+        settings, tunables, state = context.settings, context.tunables, context.state
         self.settings = settings
         self.tunables = tunables
-        self._lease = authority
-        #: Until then workers with tasks are answered although the jobs are not read.
-        self.answer_unloaded_until_us = answers_until_us
+        self._lease = context.lease
+        self.answer_unloaded_until_us = context.answer_unloaded_until_us
         self.state = state
-        self.cloud = cloud
-        self.worker_http = worker_http
-        self.types = {machine_type.name: machine_type for machine_type in types}
-        #: Until then an earlier leader may still answer users and workers.
-        self.previous_leader_expired_us = predecessor_over_us
-        self.on_leadership_lost = on_deposed
-        self.token = authority.token
+        self.cloud = context.cloud
+        self.worker_http = context.worker_http
+        self.types = {machine_type.name: machine_type for machine_type in context.machine_types}
+        self.previous_leader_expired_us = context.previous_leader_expired_us
+        self.on_leadership_lost = context.on_leadership_lost
+        self.token = context.lease.token
         self.cluster = Cluster(settings.facts.teams, self.token)
         self.dependency_graph = DependencyGraph(self.cluster.jobs)
         self.state_writer = StateWriter(state, self.token)
         self.estimates = RunTimeEstimates()
         self.arrival_rates = ArrivalRates(tunables.fleet.demand_memory_us)
         self.objectives = ServiceLevelObjectives(settings.facts.objectives)
-        self.rental_offers = RentalOffers(types=types)
+        self.rental_offers = RentalOffers(types=context.machine_types)
         self.boot_history = BootHistory()
         self.reconciliation_counts = ReconciliationCounts()
         self.job_deadlines = JobDeadlines(round(settings.facts.clock_error_ms * MILLISECOND_US))
--- a/weldhead/controller/workers/heartbeat_handler.py
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -17,7 +17,7 @@
 from weldhead.controller.workers.pending_commands import kill_all, pending_commands, pending_kills
 from weldhead.controller.workers.reachability_monitor import ReachabilityMonitor
 from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer
-from weldhead.reachability.freshness import Freshness
+from weldhead.reachability.freshness import Freshness, answerable
 from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat, MessageSource
 
 log = logging.getLogger(__name__)
@@ -61,11 +61,7 @@
         if machine.deleting or freshness is Freshness.COPY:
             return None
         if freshness is Freshness.OVERTAKEN:
-            if not self._reachability.answerable(machine):
-                return None
-            machine.lease_from_us = max(machine.lease_from_us, machine.last_message_us)
-            # No answer renews a lease without the kills: a run may not be repeated, they may.
-            return HeartbeatAnswer(self._term.token, pending_kills(machine))
+            return self._answer_overtaken(machine)
         self._reachability.observe_heartbeat(machine, heartbeat, at_us, relayed=relayed)
         machine.relayed = relayed
         self.apply(machine, heartbeat, MessageSource.HEARTBEAT)
@@ -86,12 +82,20 @@
         self._reachability.record_answer(machine, heartbeat, commands, at_us, relayed=relayed)
         return HeartbeatAnswer(self._term.token, commands)
 
+    def _answer_overtaken(self, machine: Machine) -> HeartbeatAnswer | None:
+        """Answer a heartbeat that a newer message has overtaken; nothing of it is applied."""
+        if not answerable(machine):
+            return None
+        machine.lease_from_us = max(machine.lease_from_us, machine.last_message_us)
+        # No answer renews a lease without the kills: a run may not be repeated, they may.
+        return HeartbeatAnswer(self._term.token, pending_kills(machine))
+
     def _count_answer(self, machine: Machine, freshness: Freshness, at_us: int) -> bool:
         """Enter that a heartbeat is about to be answered; false: it must not be."""
         if freshness is Freshness.FRESH:
             self._machine_monitor.record_heartbeat(machine, at_us)
             return True
-        if not self._reachability.answerable(machine):
+        if not answerable(machine):
             return False
         # The answer may renew a lease; that its machine lives is not shown by it.
         machine.stale_token_answers += 1
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -11,7 +11,7 @@
 from weldhead.controller.workers.stop_requests import withdraw_unbegun
 from weldhead.protocol.wire import Command, Heartbeat
 from weldhead.reachability.evidence import DeliveryEvidence, DeliverySignal, sent_answer
-from weldhead.reachability.freshness import Freshness, answerable, freshness_of
+from weldhead.reachability.freshness import Freshness, freshness_of
 from weldhead.reachability.replacement import machines_to_replace
 
 log = logging.getLogger(__name__)
@@ -84,10 +84,6 @@
         else:
             evidence.last_answer = said
 
-    def answerable(self, machine: Machine) -> bool:
-        """Whether a machine that does not show this term's token is answered."""
-        return answerable(machine)
-
     def observe_answer(self, machine: Machine) -> None:
         """It answered a direct request: it hears."""
         evidence = self._evidence.get(machine.name)
--- a/weldhead/protocol/settings.py
+++ b/weldhead/protocol/settings.py
@@ -8,6 +8,12 @@
 
 import msgspec
 
+MAX_PORT = 65_535
+#: Finishing a job changes so many keys.
+MIN_TRANSACTION_OPS = 4
+#: A chunk of a job's progress takes so much.
+MIN_VALUE_KB = 2
+
 
 class SettingsError(Exception):
     """The settings file cannot be used."""
@@ -167,7 +173,7 @@
 def split_address(address: str) -> tuple[str, int]:
     """Split ``host:port``; ValueError if it is neither."""
     host, colon, port = address.rpartition(":")
-    if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"not host:port: {address!r}")
     return host, int(port)
 
@@ -220,9 +226,9 @@
     tightest = facts.state.tightest()
     _positive("facts.state.next.rps", tightest.rps)
     _positive("facts.state.next.write_rps", tightest.write_rps)
-    if tightest.txn_ops < 4:
+    if tightest.txn_ops < MIN_TRANSACTION_OPS:
         raise SettingsError("facts.state.txn_ops: at least 4 are needed to finish a job")
-    if tightest.value_kb < 2:
+    if tightest.value_kb < MIN_VALUE_KB:
         raise SettingsError("facts.state.value_kb: at least 2 are needed for a job's progress")
     _check_memory(facts.limits.memory_mb)
     for team in facts.teams:
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -114,32 +114,39 @@
             writer.write(encode_frame(Hello(self._own_name)))
             self.up.set()
             while True:
-                message = await read_message(reader)
-                self.last_message_us = now_us()
-                if isinstance(message, Pong):
-                    self.state_ok = message.state_ok
-                    if message.format != self.format:
-                        log.info("peer %s has format %d", self.name, message.format)
-                        self.format = message.format
-                waiting = self._pending.pop(getattr(message, "id", -1), None)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(message)
-        except PeerProtocolError as error:
-            log.error("peer %s sent a malformed message, connection closed: %s", self.name, error)
+                self._receive(await read_message(reader))
+        except PeerProtocolError:
+            log.exception("peer %s sent a malformed message, connection closed", self.name)
         except (OSError, asyncio.IncompleteReadError) as error:
             log.info("peer %s: connection ended: %r", self.name, error)
         finally:
-            self._writer = None
-            self.connected_us = 0
-            self.lost_us = now_us()
-            self.up.clear()
-            self.state_ok = False
-            self.format = 0
-            writer.transport.abort()
-            for future in self._pending.values():
-                if not future.done():
-                    future.set_exception(CallError(f"peer {self.name}: connection ended"))
-            self._pending.clear()
+            self._disconnected(writer)
+
+    def _receive(self, message: Message) -> None:
+        """Hand a message to whoever waits for it."""
+        self.last_message_us = now_us()
+        if isinstance(message, Pong):
+            self.state_ok = message.state_ok
+            if message.format != self.format:
+                log.info("peer %s has format %d", self.name, message.format)
+                self.format = message.format
+        waiting = self._pending.pop(getattr(message, "id", -1), None)
+        if waiting is not None and not waiting.done():
+            waiting.set_result(message)
+
+    def _disconnected(self, writer: asyncio.StreamWriter) -> None:
+        """Forget what the connection told, and fail what waits on it."""
+        self._writer = None
+        self.connected_us = 0
+        self.lost_us = now_us()
+        self.up.clear()
+        self.state_ok = False
+        self.format = 0
+        writer.transport.abort()
+        for future in self._pending.values():
+            if not future.done():
+                future.set_exception(CallError(f"peer {self.name}: connection ended"))
+        self._pending.clear()
 
     def drop(self) -> None:
         """Give the connection up; the background task connects anew."""
@@ -213,8 +220,8 @@
                 else:
                     # A slow request must not hold up the pings behind it.
                     self._duties.spawn("peer request", self._answer(name, message, writer))
-        except PeerProtocolError as error:
-            log.error("peer %s sent a malformed message, connection closed: %s", name, error)
+        except PeerProtocolError:
+            log.exception("peer %s sent a malformed message, connection closed", name)
         except (OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
             pass
         finally:
--- a/weldhead/transport/state_client.py
+++ b/weldhead/transport/state_client.py
@@ -39,6 +39,18 @@
 STAND_US = 1_300 * MILLISECOND_US
 
 
+#: Statuses that say for sure what became of a request.
+_DEFINITE_STATUSES = frozenset(
+    {
+        http_status.OK,
+        http_status.BAD_REQUEST,
+        http_status.NOT_FOUND,
+        http_status.CONFLICT,
+        http_status.GONE,
+    }
+)
+
+
 class RequestRefusedError(CallError):
     """The service said that it did not execute the request (503, 429)."""
 
@@ -56,12 +68,21 @@
 
 
 class LeaseNotFoundError(Exception):
-    """The lease has ended."""
+    """A lease has ended."""
+
+    def __init__(self, lease: int | None = None) -> None:
+        super().__init__("lease not found" if lease is None else f"lease {lease} not found")
+        self.lease = lease
 
 
 class RevisionCompactedError(Exception):
     """The watch's starting point is too old; read the keys again."""
 
+    def __init__(self, prefix: str, revision: int) -> None:
+        super().__init__(f"changes of {prefix} after revision {revision} are compacted")
+        self.prefix = prefix
+        self.revision = revision
+
 
 def decode(body: bytes, kind: type[T]) -> T:
     """Decode an answer; CallError if it is nonsense."""
@@ -135,13 +156,7 @@
                 (budget if writes else self.request_budget).drain()
                 raise RateLimitedError("state service: 429")
             raise RequestRefusedError(f"state service: {status}")
-        if status not in (
-            http_status.OK,
-            http_status.BAD_REQUEST,
-            http_status.NOT_FOUND,
-            http_status.CONFLICT,
-            http_status.GONE,
-        ):
+        if status not in _DEFINITE_STATUSES:
             raise CallError(f"state service: {status}")
         if not passive:
             self.served_us = max(self.served_us, started_us)
@@ -241,7 +256,7 @@
         """Renew a lease; LeaseNotFoundError if it has ended."""
         status, _ = await self._call("POST", f"/grants/{lease}/extend", b"{}", timeout_us, True)
         if status == http_status.NOT_FOUND:
-            raise LeaseNotFoundError
+            raise LeaseNotFoundError(lease)
         if status != http_status.OK:
             raise CallError(f"state service: {status}")
 
@@ -258,7 +273,7 @@
             "GET", path, None, wait_us + 2 * SECOND_US, True, passive=True
         )
         if status == http_status.GONE:
-            raise RevisionCompactedError
+            raise RevisionCompactedError(prefix, revision)
         if status != http_status.OK:
             raise CallError(f"state service: {status}")
         return decode(body, KeyChanges)
