--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -656,7 +656,7 @@
             ServiceLevelObjectives([]),
             S,
             settings,
-            upcoming=upcoming,
+            expected=upcoming,
         )
         return sum(found.values())
 
@@ -687,7 +687,7 @@
         found = plan_scale_out(
             into, PlacementPlan(), market, RunTimeEstimates(), ServiceLevelObjectives([]), S,
             settings,
-            upcoming=[ExpectedDemand(waiting, 20 * S)],
+            expected=[ExpectedDemand(waiting, 20 * S)],
         )  # fmt: skip
         return sum(found.values())
 
--- a/weldhead/calendars/calendar_state.py
+++ b/weldhead/calendars/calendar_state.py
@@ -61,8 +61,8 @@
 
     def runs_out(self, wall_us: int) -> bool:
         """Whether more instants have to be computed."""
-        coming = len(self.instants) - bisect_right(self.instants, wall_us)
-        return self.until_us is not None and coming < FEW_INSTANTS
+        pending = len(self.instants) - bisect_right(self.instants, wall_us)
+        return self.until_us is not None and pending < FEW_INSTANTS
 
     def moved(self, bound: CalendarDeadline) -> CalendarDeadline:
         """Return to what a job is bound now whose record says ``bound``."""
--- a/weldhead/calendars/job_deadlines.py
+++ b/weldhead/calendars/job_deadlines.py
@@ -1,4 +1,4 @@
-"""Bound jobs in a leader's memory: their instants on its steady clock. No I/O.
+"""Calendar deadlines of jobs in a leader's memory: their instants on its steady clock. No I/O.
 
 An instant is met only if it is by every clock: this node's time of day may be off by
 ``error_us``, so the job is due that much earlier here. The time of day may also be set while
--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -171,7 +171,7 @@
         """A direct request with the attempt's ``run`` may be lost, and may be executed late."""
         attempt.unconfirmed_since_us = at_us
         # A request can fail long after its machine is gone, and the attempt with it: entered
-        # then, it would never leave, and the machine watch failed over it (found on the bench).
+        # then, it would never leave, and the machine watch failed over it.
         if attempt.job.active.get(attempt.index) is attempt:
             self.unconfirmed[attempt.task, attempt.number] = attempt
 
--- a/weldhead/cluster_state/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -215,7 +215,7 @@
         """How many tasks wait for a place; none while the job waits for others, or is held.
 
         One that fails wherever it runs took its whole width in room, again and again, and
-        spoiled every machine for others (found on the operations' sites): it waits for one.
+        spoiled every machine for others: it waits for one.
         """
         if self.unwanted or self.unmet_dependencies or self._held is not None:
             return 0
--- a/weldhead/cluster_state/reclaim.py
+++ b/weldhead/cluster_state/reclaim.py
@@ -41,7 +41,7 @@
         return len(self._lists.get(job_id, ()))
 
     def granted(self, job_id: str, machine: str) -> None:
-        """Room was granted to a job: its entry leaves, the one for that machine first."""
+        """Capacity was granted to a job: its entry leaves, the one for that machine first."""
         entries = self._lists.get(job_id)
         if not entries:
             return
--- a/weldhead/cluster_state/records.py
+++ b/weldhead/cluster_state/records.py
@@ -34,7 +34,7 @@
 #: Tasks in one chunk of progress: 1 KiB of bits, well inside any value limit.
 CHUNK_TASKS = 8192
 
-#: Room for a machine's address, "255.255.255.255:65535", with what stands around it.
+#: Bytes of a machine's address, "255.255.255.255:65535", with what stands around it.
 ADDRESS_BYTES = 25
 
 
--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -40,12 +40,12 @@
         self,
         documents: DocumentReplica,
         state: StateClient,
-        ledger: Callable[[], StateWriter],
+        state_writer: Callable[[], StateWriter],
         valid: Callable[[], bool],
     ) -> None:
         self._documents = documents
         self._state = state
-        self._ledger = ledger
+        self._ledger = state_writer
         self._valid = valid
         self._offers: asyncio.Queue[DocumentSet] = asyncio.Queue()
         self.cache = DocumentCache()
--- a/weldhead/controller/configuration/gate_binder.py
+++ b/weldhead/controller/configuration/gate_binder.py
@@ -51,21 +51,23 @@
         # Whoever finds no gate for a job does so by this edition of the documents.
         conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
         hold: GateHold | None = None
-        deed: GateAction | None = None
+        recorded_action: GateAction | None = None
         for name, gate in _documents(cache, cache.head):
             if gate is None:
                 raise DocumentsNotLoadedError
-            holds = gate.holds_job(spec.job_class, spec.team)
+            reservations = gate.holds_job(spec.job_class, spec.team)
             act = gate.act_of(spec.job_class, spec.team)
-            if not holds and not act:
+            if not reservations and not act:
                 continue
             state = _state(cache, name)
             if state is None:
                 raise DocumentsNotLoadedError
             key = state_key(KIND, name)
             conditions.append(Condition(key, cache.version(key)))
-            if holds:
+            if reservations:
                 hold = GateHold(name, needed_now(state))
             else:
-                deed = gate_action(gate, state, act)
-        return AdmissionBinding(gate_hold=hold, gate_action=deed, conditions=tuple(conditions))
+                recorded_action = gate_action(gate, state, act)
+        return AdmissionBinding(
+            gate_hold=hold, gate_action=recorded_action, conditions=tuple(conditions)
+        )
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -23,11 +23,11 @@
     """Looks ahead of a term's gates."""
 
     def __init__(
-        self, term: Term, linking: JobDependencies, books: Mapping[str, GateTracker]
+        self, term: Term, job_dependencies: JobDependencies, trackers: Mapping[str, GateTracker]
     ) -> None:
         self._term = term
-        self._linking = linking
-        self._trackers = books
+        self._linking = job_dependencies
+        self._trackers = trackers
         #: Held since the last look at what they lend.
         self.newly_held: list[Job] = []
         #: When it was looked last; 0: something has changed since.
@@ -38,16 +38,16 @@
         if at_us < self.refreshed_us + EXPECT_US:
             return
         self.refreshed_us = at_us
-        for book in self._trackers.values():
-            if book.state is None or not (book.jobs or book.state.pending):
+        for tracker in self._trackers.values():
+            if tracker.state is None or not (tracker.jobs or tracker.state.pending):
                 continue
             jobs = self._term.cluster.jobs
-            acts = [jobs[p.job] for p in book.state.pending if p.job in jobs]
-            book.status.reason = book.waiting_reason()
-            book.status.expected_open_us = opens_us(
-                book, {a.id: self._end_us(a, at_us) for a in acts}
+            acts = [jobs[p.job] for p in tracker.state.pending if p.job in jobs]
+            tracker.status.reason = tracker.waiting_reason()
+            tracker.status.expected_open_us = opens_us(
+                tracker, {a.id: self._end_us(a, at_us) for a in acts}
             )
-            self._inherit(book, acts, at_us)
+            self._inherit(tracker, acts, at_us)
         self.newly_held.clear()
 
     def _end_us(self, job: Job, at_us: int) -> int | None:
@@ -63,31 +63,31 @@
             return at_us + max(a.remaining_us(task_us, at_us) for a in job.active.values())
         return at_us + self._linking.stage_us(job)
 
-    def _inherit(self, book: GateTracker, acts: list[Job], at_us: int) -> None:
+    def _inherit(self, tracker: GateTracker, acts: list[Job], at_us: int) -> None:
         """Let acts count with the priority and the deadlines of what waits for them."""
-        chains, goals = self._term.dependency_graph, self._term.objectives
-        if book.jobs_left and at_us > book.inheritance_checked_us + LENT_US:
+        dependency_graph, objectives = self._term.dependency_graph, self._term.objectives
+        if tracker.jobs_left and at_us > tracker.inheritance_checked_us + LENT_US:
             # Some may have gone that lent the most.
-            book.jobs_left, book.inheritance_checked_us = False, at_us
+            tracker.jobs_left, tracker.inheritance_checked_us = False, at_us
             for act in acts:
-                chains.gate_inheritance.pop(act.id, None)
+                dependency_graph.gate_inheritance.pop(act.id, None)
         for act in acts:
-            before = chains.gate_inheritance.get(act.id)
+            before = dependency_graph.gate_inheritance.get(act.id)
             bounds: list[tuple[int, list[int]]] = []
             if before is not None:
                 bounds.append((before[0], list(before[1])))
                 fresh = [
-                    j for j in self.newly_held if j.gate_hold and j.gate_hold.gate == book.name
+                    j for j in self.newly_held if j.gate_hold and j.gate_hold.gate == tracker.name
                 ]
             else:
-                fresh = list(held(book))
+                fresh = list(held(tracker))
             for job in fresh:
-                ends = (*goals.deadlines_us(job), *job.inherited_due_us)
+                ends = (*objectives.deadlines_us(job), *job.inherited_due_us)
                 path_us = self._linking.stage_us(job) if ends else 0
                 bounds.append((job.effective_level, [end_us - path_us for end_us in ends]))
             now = lent(bounds, MOST_BOUNDS, at_us)
             if now != before:
-                chains.gate_inheritance[act.id] = now
+                dependency_graph.gate_inheritance[act.id] = now
                 self._linking.refresh_inherited([act])
 
     def expected_demand(self, at_us: int, until_us: int) -> list[ExpectedDemand]:
@@ -97,21 +97,21 @@
         rented ahead for twice the time of foresight at most, until something changes.
         """
         found: list[ExpectedDemand] = []
-        for book in self._trackers.values():
-            starts_us = book.status.expected_open_us
+        for tracker in self._trackers.values():
+            starts_us = tracker.status.expected_open_us
             if starts_us is None or starts_us > until_us:
                 continue
-            book.prerented_since_us = book.prerented_since_us or at_us
-            if at_us - book.prerented_since_us > 2 * (until_us - at_us):
+            tracker.prerented_since_us = tracker.prerented_since_us or at_us
+            if at_us - tracker.prerented_since_us > 2 * (until_us - at_us):
                 continue
             teams = self._term.cluster.teams
-            ready = (j for j in held(book) if j.team in teams and not j.unmet_dependencies)
+            ready = (j for j in held(tracker) if j.team in teams and not j.unmet_dependencies)
             found += [
                 ExpectedDemand(j, starts_us) for j in nsmallest(MOST_FORESEEN, ready, key=urgency)
             ]
         return found
 
 
-def held(book: GateTracker) -> Iterator[Job]:
+def held(tracker: GateTracker) -> Iterator[Job]:
     """Iterate over the jobs that a gate holds."""
-    return (job for job in book.jobs.values() if job.blocking_gate is not None)
+    return (job for job in tracker.jobs.values() if job.blocking_gate is not None)
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -58,12 +58,12 @@
         self,
         term: Term,
         publisher: DocumentPublisher,
-        linking: JobDependencies,
+        job_dependencies: JobDependencies,
         dispatcher: CommandDispatcher,
     ) -> None:
         self._term = term
         self._publisher = publisher
-        self._linking = linking
+        self._linking = job_dependencies
         self._dispatcher = dispatcher
         self.trackers: dict[str, GateTracker] = {}
         #: Jobs that perform acts and are not entered yet: gate, act, and what was written
@@ -71,7 +71,7 @@
         self._unentered_actions: dict[str, tuple[Job, str, str, GateAction | None]] = {}
         #: Held jobs of which something may run.
         self._draining: dict[str, Job] = {}
-        self.forecast = GateForecast(term, linking, self.trackers)
+        self.forecast = GateForecast(term, job_dependencies, self.trackers)
         #: One state is written at a time.
         self._lock = asyncio.Lock()
         self._wake = asyncio.Event()
@@ -101,11 +101,11 @@
         names = set()
         for name, gate in self._documents():
             names.add(name)
-            book = self._tracker(name)
-            book.document, book.retired = gate, False
-        for book in self.trackers.values():
+            tracker = self._tracker(name)
+            tracker.document, tracker.retired = gate, False
+        for tracker in self.trackers.values():
             # Without any edition nothing is known, and nothing let through.
-            book.retired = book.name not in names and self._publisher.cache.head is not None
+            tracker.retired = tracker.name not in names and self._publisher.cache.head is not None
 
     def _documents(self) -> Iterable[tuple[str, Gate | None]]:
         """Return the gates in force, and those of the edition that is being written.
@@ -113,18 +113,18 @@
         Followers may have read that one and hold jobs by it before this term has its answer: a
         gate that only it has was taken for one of an edition that is over, and let them pass.
         """
-        cache, coming = self._publisher.cache, self._publisher.pending_head
-        found = dict(_documents(cache, coming)) if coming is not None else {}
+        cache, pending = self._publisher.cache, self._publisher.pending_head
+        found = dict(_documents(cache, pending)) if pending is not None else {}
         found.update(_documents(cache, cache.head))
         return found.items()
 
     def _tracker(self, name: str) -> GateTracker:
-        book = self.trackers.get(name)
-        if book is None:
-            book = self.trackers[name] = GateTracker(name)
-            book.state = _state(self._publisher.cache, name)
-            book.retired = not self._documents_changed and self._publisher.cache.head is not None
-        return book
+        tracker = self.trackers.get(name)
+        if tracker is None:
+            tracker = self.trackers[name] = GateTracker(name)
+            tracker.state = _state(self._publisher.cache, name)
+            tracker.retired = not self._documents_changed and self._publisher.cache.head is not None
+        return tracker
 
     def add_job(self, job: Job, record: JobRecord) -> None:
         """Take up a job: hold it if a gate does, or until the act that it performs is entered."""
@@ -143,33 +143,35 @@
 
     def _by_class(self, job: Job) -> None:
         """Take up a job that was accepted by somebody who knew of no gate."""
-        for book in self.trackers.values():
-            if book.document is None or book.retired:
+        for tracker in self.trackers.values():
+            if tracker.document is None or tracker.retired:
                 continue
-            if book.document.holds_job(job.spec.job_class, job.team):
-                self._hold(book, job)
+            if tracker.document.holds_job(job.spec.job_class, job.team):
+                self._hold(tracker, job)
                 return
-            act = book.document.act_of(job.spec.job_class, job.team)
+            act = tracker.document.act_of(job.spec.job_class, job.team)
             if act:
-                self._register_action(job, book.name, act, None)
+                self._register_action(job, tracker.name, act, None)
                 return
 
-    def _hold(self, book: GateTracker, job: Job) -> None:
-        book.add_job(job)
+    def _hold(self, tracker: GateTracker, job: Job) -> None:
+        tracker.add_job(job)
         if job.blocking_gate is not None:
             self.forecast.newly_held.append(job)
         else:
-            self._count_from_opening(book, job)
+            self._count_from_opening(tracker, job)
 
-    def _register_action(self, job: Job, gate: str, act: str, deed: GateAction | None) -> None:
-        book = self._tracker(gate)
-        job.blocking_gate = book.status
-        self._unentered_actions[job.id] = job, gate, act, deed
+    def _register_action(
+        self, job: Job, gate: str, act: str, recorded_action: GateAction | None
+    ) -> None:
+        tracker = self._tracker(gate)
+        job.blocking_gate = tracker.status
+        self._unentered_actions[job.id] = job, gate, act, recorded_action
         self._wake.set()
 
-    def _count_from_opening(self, book: GateTracker, job: Job) -> None:
+    def _count_from_opening(self, tracker: GateTracker, job: Job) -> None:
         """Users' times but the deadline count from when the gate opened, whoever saw it."""
-        opened_us = book.opened_us(job)
+        opened_us = tracker.opened_us(job)
         if opened_us:
             job.runnable_since_us = max(
                 job.runnable_since_us, now_us() - max(0, wall_us() - opened_us)
@@ -181,37 +183,44 @@
         """Say why a job is held; "": no gate holds it. For warnings."""
         if job.gate_hold is None or job.blocking_gate is None or job.cancelled:
             return ""
-        book = self.trackers.get(job.gate_hold.gate)
+        tracker = self.trackers.get(job.gate_hold.gate)
         return (
-            f"gate {book.name}: {book.waiting_reason() or 'it opens'}" if book is not None else ""
+            f"gate {tracker.name}: {tracker.waiting_reason() or 'it opens'}"
+            if tracker is not None
+            else ""
         )
 
     def held_by(self, job: Job) -> str | None:
         """Say what holds a job, since when and who has to act; None: nothing does for sure."""
         if job.gate_hold is None or job.blocking_gate is None or job.cancelled:
             return None
-        book = self.trackers.get(job.gate_hold.gate)
-        if book is None or book.state is None or not book.quiesced or not book.waiting_reason():
+        tracker = self.trackers.get(job.gate_hold.gate)
+        if (
+            tracker is None
+            or tracker.state is None
+            or not tracker.quiesced
+            or not tracker.waiting_reason()
+        ):
             return None
         since = ""
-        if book.state.since_us:
-            moment = datetime.fromtimestamp(book.state.since_us // SECOND_US, UTC)
+        if tracker.state.since_us:
+            moment = datetime.fromtimestamp(tracker.state.since_us // SECOND_US, UTC)
             since = f", since {moment:%Y-%m-%dT%H:%M:%SZ}"
-        return f"{book.name}: {book.waiting_reason()}{since}"
+        return f"{tracker.name}: {tracker.waiting_reason()}{since}"
 
-    def _log_state(self, book: GateTracker) -> None:
+    def _log_state(self, tracker: GateTracker) -> None:
         """Log what has become of a gate, once a change, when it is certain."""
-        if not book.quiesced or book.state is None or book.retired:
+        if not tracker.quiesced or tracker.state is None or tracker.retired:
             return
-        why = book.waiting_reason()
-        said = f"{book.state.edition}: {why}"
-        if said == book.last_logged:
+        why = tracker.waiting_reason()
+        said = f"{tracker.state.edition}: {why}"
+        if said == tracker.last_logged:
             return
-        book.last_logged = said
+        tracker.last_logged = said
         if why:
-            log.info("gate %s is closed, %d jobs wait: %s", book.name, book.held_count(), why)
+            log.info("gate %s is closed, %d jobs wait: %s", tracker.name, tracker.held_count(), why)
         else:
-            log.info("gate %s is open for edition %d", book.name, book.state.edition)
+            log.info("gate %s is open for edition %d", tracker.name, tracker.state.edition)
 
     # -- the background task
     # --------------------------------------------------------------------------
@@ -220,9 +229,9 @@
         """Enter acts, stop what must not begin, release what may; a background task."""
         term = self._term
         feed = term.cluster.jobs.feeds.subscribe()
-        for book in self.trackers.values():
+        for tracker in self.trackers.values():
             # The last run of this background task may have failed in the midst of a release.
-            book.needs_release = True
+            tracker.needs_release = True
         try:
             await self._reconcile_pending()
             for job in term.cluster.active_jobs.values():
@@ -264,29 +273,33 @@
                     and job.id not in self._unentered_actions
                     and not job.cancelled
                 ):
-                    if not any(self._is_entered(book, job.id) for book in self.trackers.values()):
+                    if not any(
+                        self._is_entered(tracker, job.id) for tracker in self.trackers.values()
+                    ):
                         self._by_class(job)
                         self._track(job)
             await asyncio.sleep(0)
-        for book in self.trackers.values():
-            book.needs_release = True
-            self._hold_jobs(book)
+        for tracker in self.trackers.values():
+            tracker.needs_release = True
+            self._hold_jobs(tracker)
 
     @staticmethod
-    def _is_entered(book: GateTracker, job_id: str) -> bool:
-        return book.state is not None and any(p.job == job_id for p in book.state.pending)
+    def _is_entered(tracker: GateTracker, job_id: str) -> bool:
+        return tracker.state is not None and any(p.job == job_id for p in tracker.state.pending)
 
     async def _reconcile_pending(self) -> None:
         """Learn the ends of acts that an earlier leader committed without their consequence."""
-        for book in list(self.trackers.values()):
-            for entry in book.state.pending if book.state is not None else ():
+        for tracker in list(self.trackers.values()):
+            for entry in tracker.state.pending if tracker.state is not None else ():
                 if entry.job in self._term.cluster.jobs:
                     continue
                 final = await self._read_final(entry.job)
                 async with self._lock:
-                    assert book.state is not None
+                    assert tracker.state is not None
                     done = final is not None and final.status == "done"
-                    await self._change(book, ended(book.state, entry.job, wall_us(), done=done))
+                    await self._change(
+                        tracker, ended(tracker.state, entry.job, wall_us(), done=done)
+                    )
 
     async def _read_final(self, job_id: str) -> FinalRecord | None:
         while True:
@@ -302,9 +315,9 @@
         """Something about a job has changed."""
         gone = self._term.cluster.jobs.get(job.id) is not job or job.cancelled
         if job.gate_hold is not None:
-            book = self.trackers.get(job.gate_hold.gate)
-            if gone and book is not None:
-                book.jobs_left = book.jobs.pop(job.id, None) is not None or book.jobs_left
+            tracker = self.trackers.get(job.gate_hold.gate)
+            if gone and tracker is not None:
+                tracker.jobs_left = tracker.jobs.pop(job.id, None) is not None or tracker.jobs_left
                 self._draining.pop(job.id, None)
             elif job.blocking_gate is not None and job.active:
                 self._draining[job.id] = job
@@ -367,33 +380,33 @@
 
     @staticmethod
     def _entry(
-        state: GateState, job: Job, act: str, deed: GateAction | None
+        state: GateState, job: Job, act: str, recorded_action: GateAction | None
     ) -> tuple[GateState, ActionEntry]:
-        return enter(state, act, job.id, job.spec.needs or (), deed, wall_us())
+        return enter(state, act, job.id, job.spec.needs or (), recorded_action, wall_us())
 
     async def _change(
-        self, book: GateTracker, state: GateState, also: dict[str, Any] | None = None
+        self, tracker: GateTracker, state: GateState, also: dict[str, Any] | None = None
     ) -> None:
         """Commit a gate's state, with what belongs to it; the lock is held.
 
         What it closes is held before it is written, what it opens is released afterwards.
         """
-        if also is None and state == book.state:
+        if also is None and state == tracker.state:
             return
-        book.pending_state = state
-        self._hold_jobs(book)
-        key = state_key(KIND, book.name)
+        tracker.pending_state = state
+        self._hold_jobs(tracker)
+        key = state_key(KIND, tracker.name)
         revision = await self._term.state_writer.write({**(also or {}), key: state}, urgent=True)
         self._publisher.cache.put(key, _encode(state), revision)
-        book.state, book.pending_state, book.needs_release = state, None, True
-        book.prerented_since_us = self.forecast.refreshed_us = 0
+        tracker.state, tracker.pending_state, tracker.needs_release = state, None, True
+        tracker.prerented_since_us = self.forecast.refreshed_us = 0
         self._wake.set()
 
-    def _hold_jobs(self, book: GateTracker) -> None:
-        held = book.hold_jobs()
+    def _hold_jobs(self, tracker: GateTracker) -> None:
+        held = tracker.hold_jobs()
         if not held:
             return
-        book.quiesced = False
+        tracker.quiesced = False
         self.forecast.newly_held += held
         self._draining.update((job.id, job) for job in held if job.active)
         self._drain()
@@ -401,20 +414,20 @@
     async def commit_end(self, job: Job, final: FinalRecord, changes: dict[str, Any]) -> bool:
         """Commit a job's end with what it does to a gate; False: it does nothing to any."""
         known = self._unentered_actions.get(job.id)
-        book = self.trackers.get(known[1]) if known is not None else None
-        if book is None:
-            book = next((b for b in self.trackers.values() if self._is_entered(b, job.id)), None)
-        if book is None:
+        tracker = self.trackers.get(known[1]) if known is not None else None
+        if tracker is None:
+            tracker = next((b for b in self.trackers.values() if self._is_entered(b, job.id)), None)
+        if tracker is None:
             return False
         async with self._lock:
-            state = book.state
+            state = tracker.state
             if state is None:
                 return False
             if known is not None and final.status == "done":
                 # Done without having been entered: by a version that knew of no gate.
                 state, _ = self._entry(state, job, known[2], known[3])
             state = ended(state, job.id, wall_us(), done=final.status == "done")
-            await self._change(book, state, changes)
+            await self._change(tracker, state, changes)
         self._term.dependency_graph.gate_inheritance.pop(job.id, None)
         return True
 
@@ -425,13 +438,13 @@
         at_us = now_us()
         cluster = self._term.cluster
         for job in list(self._draining.values()):
-            book = self.trackers[job.gate_hold.gate] if job.gate_hold is not None else None
-            if book is None or job.blocking_gate is None or not job.active:
+            tracker = self.trackers[job.gate_hold.gate] if job.gate_hold is not None else None
+            if tracker is None or job.blocking_gate is None or not job.active:
                 del self._draining[job.id]
                 continue
-            for attempt, stop in list(book.required_stops(job)):
+            for attempt, stop in list(tracker.required_stops(job)):
                 machine = cluster.machines[attempt.machine]
-                if not request_stop(cluster, attempt, stop, at_us, f"gate {book.name}"):
+                if not request_stop(cluster, attempt, stop, at_us, f"gate {tracker.name}"):
                     self._dispatcher.schedule(machine)
                 else:
                     self._term.placement_wanted.set()
@@ -443,15 +456,17 @@
             for job in self._draining.values()
             if job.gate_hold is not None and job.blocking_gate is not None and unbegun(job)
         }
-        for book in self.trackers.values():
+        for tracker in self.trackers.values():
             # Before every machine is known, an earlier leader's command may start a task.
             certain = self._term.ready and self._term.valid
-            book.quiesced = certain and book.pending_state is None and book.name not in about
-            if book.quiesced:
-                for job in book.pending_actions.values():
+            tracker.quiesced = (
+                certain and tracker.pending_state is None and tracker.name not in about
+            )
+            if tracker.quiesced:
+                for job in tracker.pending_actions.values():
                     self._release_job(job)
-                book.pending_actions.clear()
-                self._log_state(book)
+                tracker.pending_actions.clear()
+                self._log_state(tracker)
 
     # -- opening ---------------------------------------------------------------------------
 
@@ -466,15 +481,15 @@
 
     async def _release(self) -> None:
         """Release the jobs for which a gate is open, in slices, most urgent first."""
-        for book in [book for book in self.trackers.values() if book.needs_release]:
-            book.needs_release = False
-            found = book.releasable()
+        for tracker in [tracker for tracker in self.trackers.values() if tracker.needs_release]:
+            tracker.needs_release = False
+            found = tracker.releasable()
             for some in batches(found, RELEASED_AT_ONCE):
                 for job in some:
                     # It may have been closed, and the job be gone, since the last slice.
-                    if book.jobs.get(job.id) is job and book.may_start(job):
-                        self._count_from_opening(book, job)
+                    if tracker.jobs.get(job.id) is job and tracker.may_start(job):
+                        self._count_from_opening(tracker, job)
                         self._release_job(job)
                 await asyncio.sleep(RELEASE_PAUSE_S)
             if found:
-                log.info("gate %s: %d jobs released", book.name, len(found))
+                log.info("gate %s: %d jobs released", tracker.name, len(found))
--- a/weldhead/controller/configuration/late_notifications.py
+++ b/weldhead/controller/configuration/late_notifications.py
@@ -1,4 +1,4 @@
-"""Bound jobs that will be late: told once, whoever leads.
+"""Jobs that will miss a calendar deadline: notified once, whoever leads.
 
 What was told is committed first and logged then, in records that hold many jobs: a successor
 reads them and does not tell it again. If a leader ends in between, the line of the next one's
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -1,4 +1,4 @@
-"""When machines are rented, emptied and returned; what is said of the fleet."""
+"""Autoscaling: when machines are rented, drained and returned."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -34,20 +34,20 @@
     def __init__(
         self,
         term: Term,
-        deciding: SchedulingLoop,
+        scheduling_loop: SchedulingLoop,
         rentals: RentalManager,
         watch: MachineMonitor,
         gates: "GateKeeper | None" = None,
     ) -> None:
         self._term = term
-        self._scheduling_loop = deciding
+        self._scheduling_loop = scheduling_loop
         self._rental_manager = rentals
         self._machine_monitor = watch
         self._gate_keeper = gates
         self._logged_summary = ""
 
     async def run(self) -> None:
-        """Look at the fleet's size, again and again; a background task."""
+        """Scale the fleet again and again; a background task."""
         said_us = 0
         while True:
             await self._scheduling_loop.loop_budget.pause(
@@ -70,7 +70,7 @@
         """Rent what replaces machines that recovery waits for in vain.
 
         After half of a fleet died together with its controllers, recovery waits for a whole
-        lease, and the boots of what replaces them came on top of it (found on an own day).
+        lease, and the boots of what replaces them came on top of it.
         Nothing is started by this, and nothing given up on.
         """
         if at_us - self._term.loaded_us < HIRE_AHEAD_US or self._rental_manager.busy:
@@ -78,9 +78,9 @@
         unknown = [m for m in self._machine_monitor.live() if not m.reconciled]
         if not unknown or not all(m.probes_failed for m in unknown):
             return
-        scene = self._scheduling_loop.placement_input()
+        placement_input = self._scheduling_loop.placement_input()
         settings = self._term.tunables.fleet.settings()
-        plan = plan_nothing(scene, at_us, settings.most_considered)
+        plan = plan_nothing(placement_input, at_us, settings.most_considered)
         fresh = [
             m for m in self._term.cluster.machines.values() if m.rented_us >= self._term.loaded_us
         ]
@@ -96,7 +96,7 @@
             settings,
             self._rental_manager.pending(),
             self._term.arrival_rates,
-            backlog=len(scene.backlog),
+            backlog=len(placement_input.backlog),
             silent={m.name for m in unknown},
         )
         for offer, count in replacements(rentals, missing).items():
@@ -106,15 +106,15 @@
 
     def audit(self, at_us: int) -> None:
         """See that no waiting job was lost observation of, and say what the loop suffered from."""
-        scene = self._scheduling_loop.placement_input()
-        scene.refresh(at_us)
-        strays = scene.backlog.inconsistent_jobs()
+        placement_input = self._scheduling_loop.placement_input()
+        placement_input.refresh(at_us)
+        strays = placement_input.backlog.inconsistent_jobs()
         if strays:
             log.error(
                 "%d jobs were out of order, %s first; the order is made anew",
                 len(strays), strays[0],
             )  # fmt: skip
-            scene.close()
+            placement_input.close()
             self._scheduling_loop.current_input = None
         summary = self._scheduling_loop.loop_budget.summary()
         if summary != self._logged_summary:
@@ -123,17 +123,17 @@
             log.info("event loop: %s", summary)
 
     def _scale(self, at_us: int) -> None:
-        """Look once at what to rent, what to return, and what to empty."""
+        """Decide once what to rent, what to return, and what to drain."""
         settings = self._term.tunables.fleet.settings()
         silent = self._machine_monitor.at_risk(at_us)
-        upcoming = self._expected_demand(at_us + settings.foresight_us)
+        expected = self._expected_demand(at_us + settings.foresight_us)
         if self._gate_keeper is not None:
-            upcoming += self._gate_keeper.forecast.expected_demand(
+            expected += self._gate_keeper.forecast.expected_demand(
                 at_us, at_us + settings.foresight_us
             )
-        upcoming += endangered(silent, at_us, self._term.lease_us)
+        expected += endangered(silent, at_us, self._term.lease_us)
         closing = choose_scale_in_candidates(
-            self._term.cluster, self._scheduling_loop.last_plan, settings, upcoming
+            self._term.cluster, self._scheduling_loop.last_plan, settings, expected
         )
         for machine in self._term.cluster.machines.values():
             machine.scale_in_candidate = machine.name in closing
@@ -167,7 +167,7 @@
             settings,
             self._rental_manager.pending(),
             self._term.arrival_rates,
-            upcoming,
+            expected,
             len(self._scheduling_loop.current_input.backlog)
             if self._scheduling_loop.current_input is not None
             else 0,
@@ -229,18 +229,18 @@
         if not machines:
             return
         names = ("booting", "free", "bare", "assigned", "pulling", "running", "saving")
-        cards = dict.fromkeys(names, 0.0)
+        gpus = dict.fromkeys(names, 0.0)
         for machine in machines:
             state = "booting" if machine.booting else "free" if machine.cpus >= 1.0 else "bare"
-            cards[state] += machine.gpus
+            gpus[state] += machine.gpus
             for attempt in machine.attempts.values():
-                cards[attempt.phase.value] += attempt.job.spec.gpus
+                gpus[attempt.phase.value] += attempt.job.spec.gpus
         unplaced = [
             (job, n) for job, n in self._scheduling_loop.last_plan.unplaced if job.spec.gpus > 0
         ]
         log.info(
             "gpus: %s, allowed %.0f of %d jobs",
-            ", ".join(f"{name} {amount:.0f}" for name, amount in cards.items()),
+            ", ".join(f"{name} {amount:.0f}" for name, amount in gpus.items()),
             sum(count * job.spec.gpus for job, count in unplaced),
             len(unplaced),
         )
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -90,7 +90,7 @@
                 self._term.background_tasks.spawn("rental record", self._write_or_drop(name))
         self._duplicated.clear()
         for name in self._unsettled():
-            self._term.background_tasks.spawn("hire", self._settle(name))
+            self._term.background_tasks.spawn("rental", self._settle(name))
 
     def _parts(self, name: str) -> list[dict[str, str | None]]:
         """Divide a rental's machines so that a value holds each part."""
@@ -196,7 +196,7 @@
                 offer.type.name, offer.zone, offer.spot, part, wall_us()
             )
             self._unsent.add(name)
-            self._term.background_tasks.spawn("hire", self._record_and_settle(name))
+            self._term.background_tasks.spawn("rental", self._record_and_settle(name))
 
     def _new_name(self) -> str:
         """Return a name that no rental ever had: tokens are unique."""
@@ -393,7 +393,7 @@
             self._to_delete.pop(machine.name, None)
             self._on_gone(machine)
             # Its place is free again: a refusal from before says nothing any more. After a
-            # fall of half the fleet the cloud was not asked for 15 s (found on an own day).
+            # fall of half the fleet the cloud was not asked for 15 s.
             offer = (machine.type.name, machine.zone, machine.spot)
             self._term.rental_offers.refused_until_us.pop(offer, None)
             record = self._records.get(machine.rental_name)
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -197,7 +197,11 @@
 
     async def _recover(self) -> None:
         """Read everything, learn what runs where, then start the other background tasks."""
-        term, background_tasks, deciding = self.term, self._background_tasks, self.scheduling_loop
+        term, background_tasks, scheduling_loop = (
+            self.term,
+            self._background_tasks,
+            self.scheduling_loop,
+        )
         background_tasks.spawn("questions", self.recovery.probe_machines())
         background_tasks.spawn("safe revision", self.recovery.find_safe_revision())
         await self.recovery.load_until_done()
@@ -220,9 +224,9 @@
         self.rental_manager.start()
         term.commit_wanted.set()
         self._check_known()
-        await deciding.load_backlog()
+        await scheduling_loop.load_backlog()
         background_tasks.start("fleet", self.autoscaler.run)
-        background_tasks.start("placement", deciding.run_placement, 0.2)
+        background_tasks.start("placement", scheduling_loop.run_placement, 0.2)
         await self.recovery.finish(self._start_preempting)
 
     async def _log_lateness(self) -> None:
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -1,6 +1,6 @@
-"""Who leads: following the leader's key, standing for it, keeping it, and handing it over.
+"""Leader election: following the leader's key, campaigning, renewing, and failover.
 
-The rules are in ``leadership.py``; this asks the state service and the other controllers.
+The rules are in ``leader_lease.py``; this asks the state service and the other controllers.
 """
 
 import asyncio
@@ -360,7 +360,7 @@
         self.lease.confirm_renewal(sent_us)
 
     async def _verify_key(self, leader: Leader, patience_us: int) -> bool:
-        """Look whether the key is still ours; false if that cannot be seen now."""
+        """Verify that the key is still ours; false if that cannot be seen now."""
         try:
             await self.read_leader(patience_us)
         except CallError as error:
--- a/weldhead/controller/leadership/leader_lease.py
+++ b/weldhead/controller/leadership/leader_lease.py
@@ -185,7 +185,7 @@
 
     A successor that a zone cut keeps from some controllers is also kept from that zone's
     workers, whose leases then run out; one that reaches everybody is a few milliseconds
-    away (found at size, where both kinds compete for a dead leader's key).
+    away.
     """
     return min(unreached, 4) * 100 * MILLISECOND_US
 
--- a/weldhead/controller/leadership/lease_renewer.py
+++ b/weldhead/controller/leadership/lease_renewer.py
@@ -154,7 +154,7 @@
             return renew_us // 3
         if lost:
             # One lost message is no trouble of the store's: asked again at once, while
-            # the lease lasts. To hand over for it cost a term (found in the emulator).
+            # the lease lasts. To hand over for it cost a term.
             return 0
         await self._actions.request_promises()
         if self._actions.is_leading() and not self._lease.valid(now_us()):
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -66,7 +66,7 @@
         return self._isolation.isolated
 
     async def watch(self) -> None:
-        """Look again and again whether this node is alone; a background task."""
+        """Update whether this controller is isolated, again and again; a background task."""
         while self._links:
             await asyncio.sleep(to_seconds(LOOK_US))
             self._update_isolation()
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -1,4 +1,4 @@
-"""Judging the other controllers: who is refused is looked at, with what third ones see of it.
+"""Peer failure detection: a refused peer is judged with what third controllers see of it.
 
 The rules are in ``membership/peer_verdict.py``; this asks.
 """
--- a/weldhead/controller/leadership/promises.py
+++ b/weldhead/controller/leadership/promises.py
@@ -1,6 +1,6 @@
-"""Asking the other controllers for promises not to lead, while the state service is out.
+"""Requests to the other controllers to promise not to lead, while the state service is out.
 
-What a promise counts for is in ``leadership.py``. Times are microseconds of the steady clock.
+What a promise counts for is in ``leader_lease.py``. Times are microseconds of the steady clock.
 """
 
 import asyncio
@@ -25,10 +25,10 @@
 
 
 async def ask_for_promises(
-    links: Sequence[PeerLink], authority: LeaderLease, timing: LeaseTiming
+    links: Sequence[PeerLink], leader_lease: LeaderLease, timing: LeaseTiming
 ) -> PromiseDenied | None:
     """Ask all for a promise and enter those that count; return who denied one, if anybody."""
-    token, sent_us = authority.token, now_us()
+    token, sent_us = leader_lease.token, now_us()
     asked = [
         link.request(
             PromiseRequest(link.next_id(), token, timing.promise_us), PromiseAnswer, timing.renew_us
@@ -36,7 +36,7 @@
         for link in links
     ]
     answers = await asyncio.gather(*asked, return_exceptions=True)
-    if authority.token != token:
+    if leader_lease.token != token:
         # Promised to a term that is over: counted for the next one, they would bind
         # nobody who has said since that it knows of no term.
         return None
@@ -45,18 +45,18 @@
             continue
         if not answer.promised or answer.known_token > token:
             return PromiseDenied(link, answer.known_token)
-        _enter(link, answer, authority, sent_us)
+        _enter(link, answer, leader_lease, sent_us)
     return None
 
 
-def _enter(link: PeerLink, answer: PromiseAnswer, authority: LeaderLease, sent_us: int) -> None:
+def _enter(link: PeerLink, answer: PromiseAnswer, leader_lease: LeaderLease, sent_us: int) -> None:
     """Enter a promise, unless a former process of its giver may have replaced this node."""
     at_us = now_us()
     began_us = began_by_us(link, answer, at_us)
-    late_us = began_us - authority.unreplaced_until_us(link.name)
+    late_us = began_us - leader_lease.unreplaced_until_us(link.name)
     if late_us <= 0:
-        authority.record_promise(link.name, sent_us, at_us)
-    elif authority.valid(at_us):
+        leader_lease.record_promise(link.name, sent_us, at_us)
+    elif leader_lease.valid(at_us):
         log.info(
             "promise of %s ignored: it may have begun %.2f s after the key was last "
             "seen, and may have led before that", link.name, to_seconds(late_us),
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -303,9 +303,9 @@
             self.status_probes.mark_known(name)
         # Its turn is another's at once, not at the next look.
         self._probe_next()
-        early = BufferedHeartbeat(report, MessageSource.COMMAND_ANSWER, 0, False)
+        buffered = BufferedHeartbeat(report, MessageSource.COMMAND_ANSWER, 0, False)
         if self._term.loaded:
-            self._apply(early)
+            self._apply(buffered)
         else:
             self.heartbeat_buffer.add_probe_answer(report)
 
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -146,7 +146,7 @@
                 asyncio.get_running_loop().call_later(to_seconds(wait_us), term.commit_wanted.set)
                 continue
             # What takes longer than a second is not begun at once: ends of other teams' jobs
-            # that come meanwhile waited behind hundreds of one team's (found in the emulator).
+            # that come meanwhile waited behind hundreds of one team's.
             most = max(term.state.max_writes, round(term.settings.facts.state.write_rps / 2))
             turn = round_robin(over, lambda job: job.team)[:most]
             for job in turn:
--- a/weldhead/controller/requests/job_dependencies.py
+++ b/weldhead/controller/requests/job_dependencies.py
@@ -114,14 +114,17 @@
         Until the write of that is answered this term says something older, while other
         nodes tell users what they read. Nobody is kept without an answer for long by it.
         """
-        ledger = self._term.state_writer
-        if not ledger.unanswered_keys or now_us() - ledger.unanswered_since_us > DOUBT_US:
+        state_writer = self._term.state_writer
+        if (
+            not state_writer.unanswered_keys
+            or now_us() - state_writer.unanswered_since_us > DOUBT_US
+        ):
             return False
         job = self._term.cluster.jobs.get(job_id)
         if job is None:
             return False
         keys = (JOBS, FINAL)
-        names = {key[len(JOBS) :] for key in ledger.unanswered_keys if key.startswith(keys)}
+        names = {key[len(JOBS) :] for key in state_writer.unanswered_keys if key.startswith(keys)}
         return job_id in names or self._term.dependency_graph.depends_on_any(job, names)
 
     def refresh_inherited(self, jobs: Iterable[Job]) -> None:
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -32,9 +32,11 @@
 class CompletionForecaster:
     """Keeps the forecasts; ``stage_us`` estimates a job's own part of its chain."""
 
-    def __init__(self, term: Term, pacer: EventLoopBudget, stage_us: Callable[[Job], int]) -> None:
+    def __init__(
+        self, term: Term, loop_budget: EventLoopBudget, stage_us: Callable[[Job], int]
+    ) -> None:
         self._term = term
-        self._loop_budget = pacer
+        self._loop_budget = loop_budget
         self._stage_us = stage_us
         #: What was told of bound jobs, and who follows the clocks; None: no calendars here.
         self.late_notices: LateNotices | None = None
@@ -75,13 +77,13 @@
         """Bring the forecasts that are due up to date."""
         if self.follow_clock is not None:
             self.follow_clock(at_us, wall_us())
-        outlook = self._current_forecasts()
+        forecasts = self._current_forecasts()
         try:
-            for job in outlook.refresh(at_us):
+            for job in forecasts.refresh(at_us):
                 self._report_if_late(job, at_us)
         except Exception:
             # It may have lost a job out of its observation: made anew at the next look.
-            outlook.close()
+            forecasts.close()
             self._forecasts = None
             raise
 
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -35,10 +35,12 @@
 class SchedulingLoop:
     """Places tasks and makes room for them."""
 
-    def __init__(self, term: Term, dispatcher: CommandDispatcher, pacer: EventLoopBudget) -> None:
+    def __init__(
+        self, term: Term, dispatcher: CommandDispatcher, loop_budget: EventLoopBudget
+    ) -> None:
         self._term = term
         self._dispatcher = dispatcher
-        self.loop_budget = pacer
+        self.loop_budget = loop_budget
         self.reclaims = ReclaimLists(term.preemption_history)
         self.preemption_recorder = PreemptionRecorder(term)
         self._rate_limit = PreemptionRateLimit(term.tunables.recovery.pace())
@@ -66,27 +68,29 @@
         return self.current_input
 
     def wide_task_forecast(
-        self, coming: Iterable[tuple[MachineType, int]], up_us: int
+        self, pending: Iterable[tuple[MachineType, int]], up_us: int
     ) -> WideTaskForecast:
         """Return which wide tasks will find machines by a time."""
-        holds = (
+        reservations = (
             self.current_input.reservations if self.current_input is not None else Reservations()
         )
         least = self._term.tunables.holding.least
-        return WideTaskForecast(self._term.cluster.machines.values(), coming, holds, least, up_us)
+        return WideTaskForecast(
+            self._term.cluster.machines.values(), pending, reservations, least, up_us
+        )
 
-    def _update_reservations(self, scene: PlacementInput, at_us: int) -> None:
+    def _update_reservations(self, placement_input: PlacementInput, at_us: int) -> None:
         """Decide what is kept free for wide work; nothing while machines are unknown."""
         if self._reserver is None or not self._term.ready:
             return
-        before = scene.reservations
-        scene.reservations = self._reserver.update(
+        before = placement_input.reservations
+        placement_input.reservations = self._reserver.update(
             at_us,
             lambda machine: usable(machine, at_us, self._term.silence_us),
             ((entry.machine, entry.job_id) for entry in self.reclaims.entries()),
         )
-        if scene.reservations is not before:
-            for name, job_id in scene.reservations.machines.items():
+        if placement_input.reservations is not before:
+            for name, job_id in placement_input.reservations.machines.items():
                 if name not in before.machines:
                     log.info("machine %s is reserved for job %s", name, job_id)
 
@@ -118,19 +122,23 @@
         if not self._term.valid:
             return
         at_us = now_us()
-        scene = self.placement_input()
+        placement_input = self.placement_input()
         may_start = None
         if not self._term.ready:
             assert self.partial_view is not None
             may_start = self.partial_view().is_settled
         try:
-            self._update_reservations(scene, at_us)
+            self._update_reservations(placement_input, at_us)
             plan = plan_pass(
-                scene, at_us, self._term.silence_us, self._term.tunables.fetch_weight, may_start
+                placement_input,
+                at_us,
+                self._term.silence_us,
+                self._term.tunables.fetch_weight,
+                may_start,
             )
         except Exception:
             # What it had read of the feeds may be lost with it: made anew at the next pass.
-            scene.close()
+            placement_input.close()
             self.current_input = None
             raise
         self.last_plan = plan
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -45,7 +45,7 @@
     completed: list[Job] = field(default_factory=list)
     #: Attempts that ended without completing, with the reason.
     lost: list[tuple[Attempt, str]] = field(default_factory=list)
-    #: Observed run times of completed tasks: (job, microseconds).
+    #: Run times of completed tasks: (job, microseconds).
     run_times: list[tuple[Job, int]] = field(default_factory=list)
     #: When the last of the tasks that completed was seen to begin; 0: not known.
     verified_start_us: int = 0
@@ -53,7 +53,7 @@
     failed: list[Attempt] = field(default_factory=list)
     #: What attempts were judged that this term has not started.
     verdicts: dict[AttemptVerdict, int] = field(default_factory=dict)
-    #: Room has become free, or something else that placement should look at.
+    #: Capacity has become free, or something else that placement should look at.
     capacity_freed: bool = False
 
 
--- a/weldhead/gates/gate_state.py
+++ b/weldhead/gates/gate_state.py
@@ -152,7 +152,7 @@
     act: str,
     job_id: str,
     needs: Iterable[str],
-    deed: GateAction | None,
+    recorded_action: GateAction | None,
     at_us: int,
 ) -> tuple[GateState, ActionEntry]:
     """Take up an accepted job that performs an act; without a deed only ``needs`` tells of what.
@@ -168,14 +168,17 @@
         state = _put(state, GateEdition(number, job_id), at_us)
         pending = (*state.pending, PendingAction(job_id, act, number))
         return msgspec.structs.replace(state, edition=number, pending=pending), ActionEntry.TAKEN
-    number = _named(state, needs) or (deed.edition if deed is not None else 0)
+    number = _named(state, needs) or (recorded_action.edition if recorded_action is not None else 0)
     if act == "withdrawal" and not number:
         # Nobody says of which edition: to close is safe.
         number = newest_rebuilt(state)
     edition = state.find(number)
     if edition is None:
         return state, ActionEntry.NOTHING
-    if act == "approval" and (deed.round if deed is not None else 0) < edition.revoked:
+    if (
+        act == "approval"
+        and (recorded_action.round if recorded_action is not None else 0) < edition.revoked
+    ):
         return state, ActionEntry.NOTHING
     pending = (*state.pending, PendingAction(job_id, act, number))
     if act == "withdrawal":
--- a/weldhead/gates/gate_tracker.py
+++ b/weldhead/gates/gate_tracker.py
@@ -129,14 +129,14 @@
     return -job.effective_level, due_us, job.first_seen_us
 
 
-def opens_us(book: GateTracker, ends_us: dict[str, int | None]) -> int | None:
+def opens_us(tracker: GateTracker, ends_us: dict[str, int | None]) -> int | None:
     """Return when a gate is expected to open for what it holds; None: it cannot be told.
 
     ``ends_us`` are the expected ends of the acts under way. While somebody still has to submit
     an act nobody knows when that will be.
     """
-    state = book.state
-    if state is None or state.newest is None or state.newest.open or book.document is None:
+    state = tracker.state
+    if state is None or state.newest is None or state.newest.open or tracker.document is None:
         return None
     edition = state.newest
     missing = [
--- a/weldhead/membership/isolation.py
+++ b/weldhead/membership/isolation.py
@@ -44,7 +44,7 @@
         self.probe_wanted = False
 
     def update(self, contact: LastContact, at_us: int) -> bool:
-        """Look again; whether that has changed."""
+        """Take a new observation; whether the verdict has changed."""
         if at_us - self._looked_us > STOOD_STILL_US and not self.isolated:
             self._since_us = at_us
         self._looked_us = at_us
--- a/weldhead/protocol/settings.py
+++ b/weldhead/protocol/settings.py
@@ -40,7 +40,7 @@
     """A team's guarantee and limit, in CPUs and cards.
 
     In the platform's file a 0 means none: no guarantee, and no limit. Taken for a limit of
-    nothing, it refused all of a guest team's work (found on the operations' sites). Whoever
+    nothing, it refused all of a guest team's work. Whoever
     decides sees a limit that does not exist as infinite.
     """
 
--- a/weldhead/reconciliation/status_probes.py
+++ b/weldhead/reconciliation/status_probes.py
@@ -71,7 +71,7 @@
                 found.append(name)
         if len(found) < room:
             # Who was asked least comes first: in the order of asking, those that are gone
-            # held all turns, and the last of them was never asked twice (found on an own day).
+            # held all turns, and the last of them was never asked twice.
             due = [(a.times, a.last_us, name) for name, a in self._probes.items()]
             for _, _, name in sorted(d for d in due if self._due(self._probes[d[2]], at_us)):
                 if len(found) >= room:
--- a/weldhead/scheduling/autoscaling/capacity_forecast.py
+++ b/weldhead/scheduling/autoscaling/capacity_forecast.py
@@ -18,21 +18,21 @@
     def __init__(
         self,
         cluster: Cluster,
-        coming: Iterable[PendingRental],
+        pending: Iterable[PendingRental],
         estimates: RunTimeEstimates,
         at_us: int,
         boots: BootExpectations,
         silent: Collection[str] = (),
         *,
-        cards: bool = False,
+        gpus: bool = False,
         zone: str | None = None,
     ) -> None:
-        """Look at CPUs, or at cards for work that takes any; of one zone alone, if it is given."""
+        """Forecast CPUs, or GPUs for work that takes any; of one zone alone, if it is given."""
         pools: dict[int, float] = defaultdict(float)
-        for item in coming:
+        for item in pending:
             if zone is not None and item.zone != zone:
                 continue
-            amount = item.type.gpus if cards else item.type.cpus
+            amount = item.type.gpus if gpus else item.type.cpus
             pools[at_us + seconds_us(item.type.boot_s)] += amount * item.count
         away = set(silent)
         for machine in cluster.machines.values():
@@ -41,15 +41,15 @@
                 away.add(machine.name)
             elif machine.booting:
                 if not boots.is_late(machine, at_us):
-                    amount = machine.gpus if cards else machine.cpus
+                    amount = machine.gpus if gpus else machine.cpus
                     pools[boots.ready_us(machine, at_us)] += amount
-            elif (amount := machine.gpus if cards else machine.cpus) > EPSILON:
+            elif (amount := machine.gpus if gpus else machine.cpus) > EPSILON:
                 pools[at_us] += amount
         for job in cluster.active_jobs.values():
             if job.spec.is_service:
                 continue
-            task_us, amount = estimates.task_us(job), job.spec.gpus if cards else job.spec.cpus
-            if cards and amount <= 0:
+            task_us, amount = estimates.task_us(job), job.spec.gpus if gpus else job.spec.cpus
+            if gpus and amount <= 0:
                 continue
             for end_us in job.expected_ends_us(task_us, at_us, away):
                 pools[end_us] += amount
--- a/weldhead/scheduling/autoscaling/consolidation.py
+++ b/weldhead/scheduling/autoscaling/consolidation.py
@@ -39,7 +39,7 @@
     at_us: int,
     settings: FleetSettings,
     silence_us: int,
-    goals: ServiceLevelObjectives | None = None,
+    objectives: ServiceLevelObjectives | None = None,
 ) -> list[MachineDrain]:
     """Choose closing machines to be emptied by moving their tasks, the dearest first.
 
@@ -47,7 +47,7 @@
     ``move_worth`` sooner for it. Tasks that save go on there, others begin anew where little
     is lost (``_unloading``). Machines that have the image come first; to fetch it must be
     worth FETCH_WEIGHT times its time. After a backlog long tasks hold machines that are
-    otherwise empty: without moves a seventh of a day's money went there (found at size).
+    otherwise empty: without moves a seventh of a day's money went there.
     """
     if plan.unplaced:
         return []
@@ -60,7 +60,7 @@
             if machine.cpus > EPSILON:
                 targets.append((machine, [machine.cpus, machine.gpus, machine.memory_gb]))
         elif machine.attempts:
-            move = _unloading(machine, estimates, goals, at_us, settings.move_loss)
+            move = _unloading(machine, estimates, objectives, at_us, settings.move_loss)
             if move is not None and move.gain_us >= settings.move_worth_us:
                 closing.append((machine.price * move.gain_us, move))
     closing.sort(key=lambda item: (-item[0], item[1].machine.name))
@@ -86,7 +86,7 @@
 
 
 def _may_begin_anew(
-    attempt: Attempt, estimates: RunTimeEstimates, goals: ServiceLevelObjectives, at_us: int
+    attempt: Attempt, estimates: RunTimeEstimates, objectives: ServiceLevelObjectives, at_us: int
 ) -> bool:
     """Whether a task that saves nothing may begin anew elsewhere now, and be in time.
 
@@ -99,7 +99,7 @@
         return False
     job, task_us = attempt.job, estimates.task_us(attempt.job)
     remaining_us = estimates.remaining_us(attempt, at_us)
-    bound_us = goals.target_us(job, remaining_us, at_us)
+    bound_us = objectives.target_us(job, remaining_us, at_us)
     # As late as estimates are rough, or later still.
     return at_us + task_us + slack_us(task_us) + ANEW_US <= bound_us
 
@@ -107,7 +107,7 @@
 def _unloading(
     machine: Machine,
     estimates: RunTimeEstimates,
-    goals: ServiceLevelObjectives | None,
+    objectives: ServiceLevelObjectives | None,
     at_us: int,
     most_loss: float,
 ) -> MachineDrain | None:
@@ -115,7 +115,7 @@
 
     A task that saves nothing loses what it has run. Where that is a small part of what the
     machine would cost until it ends, it is the cheaper of the two: a burst of long small
-    tasks kept hundreds of CPUs idle for minutes (found with a guest's, on its sites).
+    tasks kept hundreds of CPUs idle for minutes.
     """
     leaving: list[Attempt] = []
     anew: list[Attempt] = []
@@ -129,7 +129,7 @@
             leaving.append(attempt)
             leaving_us = max(leaving_us, remaining_us)
             saving_us = max(saving_us, seconds_us(attempt.job.spec.save_s))
-        elif goals is not None and _may_begin_anew(attempt, estimates, goals, at_us):
+        elif objectives is not None and _may_begin_anew(attempt, estimates, objectives, at_us):
             anew.append(attempt)
             anew_us = max(anew_us, remaining_us)
             lost += attempt.job.spec.cpus * attempt.elapsed_us(at_us)
--- a/weldhead/scheduling/autoscaling/scale_in.py
+++ b/weldhead/scheduling/autoscaling/scale_in.py
@@ -18,7 +18,7 @@
     cluster: Cluster,
     plan: PlacementPlan,
     settings: FleetSettings,
-    upcoming: Sequence[ExpectedDemand] = (),
+    expected: Sequence[ExpectedDemand] = (),
 ) -> set[str]:
     """Choose machines that are no longer needed, so that they are filled last.
 
@@ -34,15 +34,15 @@
         return set()
     used = {m.name: m.type.cpus - m.cpus for m in open_machines}
     free = sum(m.cpus for m in open_machines)
-    reserve = settings.reserve * sum(used.values())
-    reserve += sum(item.tasks(cluster) * item.job.spec.cpus for item in upcoming)
+    allowance = settings.reserve * sum(used.values())
+    allowance += sum(item.tasks(cluster) * item.job.spec.cpus for item in expected)
 
     def waste(machine: Machine) -> float:
         return machine.price / (used[machine.name] + 0.1 * machine.type.cpus)
 
     closing: set[str] = set()
     for machine in sorted(open_machines, key=waste, reverse=True):
-        if free - machine.type.cpus < reserve:
+        if free - machine.type.cpus < allowance:
             continue
         free -= machine.type.cpus
         closing.add(machine.name)
--- a/weldhead/scheduling/autoscaling/scale_out.py
+++ b/weldhead/scheduling/autoscaling/scale_out.py
@@ -49,14 +49,14 @@
 def plan_scale_out(
     cluster: Cluster,
     plan: PlacementPlan,
-    market: RentalOffers,
+    rental_offers: RentalOffers,
     estimates: RunTimeEstimates,
-    goals: ServiceLevelObjectives,
+    objectives: ServiceLevelObjectives,
     at_us: int,
     settings: FleetSettings,
-    coming: Sequence[PendingRental] = (),
+    pending: Sequence[PendingRental] = (),
     demand: ArrivalRates | None = None,
-    upcoming: Sequence[ExpectedDemand] = (),
+    expected: Sequence[ExpectedDemand] = (),
     backlog: int = 0,
     silent: Collection[str] = (),
     boots: BootExpectations | None = None,
@@ -67,15 +67,15 @@
     Two patiences: cheap machines are rented as soon as work would wait longer than
     ``spot_patience``; dear ones only for work that would otherwise miss its goal.
     """
-    offers = market.available(at_us)
-    if not (plan.unplaced or upcoming) or not offers:
+    offers = rental_offers.available(at_us)
+    if not (plan.unplaced or expected) or not offers:
         return {}
     owned = sum(
         machine.type.cpus
         for machine in cluster.machines.values()
         if not machine.deleting and machine.name not in silent
     )
-    owned += sum(item.type.cpus * item.count for item in coming)
+    owned += sum(item.type.cpus * item.count for item in pending)
 
     @cache
     def delay_factor_at(level: int) -> float:
@@ -86,24 +86,24 @@
 
     boot_us = seconds_us(min(offer.type.boot_s for offer in offers))
     boots = boots or usual_boots(settings)
-    queue = CapacityForecast(cluster, coming, estimates, at_us, boots, silent)
+    queue = CapacityForecast(cluster, pending, estimates, at_us, boots, silent)
 
     @cache
     def zone_queue(zone: str) -> CapacityForecast:
-        return CapacityForecast(cluster, coming, estimates, at_us, boots, silent, zone=zone)
+        return CapacityForecast(cluster, pending, estimates, at_us, boots, silent, zone=zone)
 
     given = DemandForecastInput(
         cluster,
         plan,
         estimates,
-        goals,
+        objectives,
         settings,
         at_us,
         boot_us,
         delay_factor,
-        upcoming,
+        expected,
         backlog,
-        lambda: CapacityForecast(cluster, coming, estimates, at_us, boots, silent, cards=True),
+        lambda: CapacityForecast(cluster, pending, estimates, at_us, boots, silent, gpus=True),
         zone_queue,
         ahead(at_us + boot_us) if ahead is not None else None,
     )
--- a/weldhead/scheduling/forecast/completion_times.py
+++ b/weldhead/scheduling/forecast/completion_times.py
@@ -64,13 +64,13 @@
 
 
 def forecast_chains(
-    chains: DependencyGraph, cluster: Cluster, stage_us: Callable[[Job], int], at_us: int
+    dependency_graph: DependencyGraph, cluster: Cluster, stage_us: Callable[[Job], int], at_us: int
 ) -> None:
     """Forecast the jobs that wait for others, from the forecasts of those; in place.
 
     Those that are needed come first, so each edge is looked at once.
     """
-    for job in chains.topological_order():
+    for job in dependency_graph.topological_order():
         ends = [
             cluster.jobs[n].expected_finish_us if n in cluster.jobs else None
             for n in job.unmet_dependencies
--- a/weldhead/scheduling/forecast/job_forecasts.py
+++ b/weldhead/scheduling/forecast/job_forecasts.py
@@ -77,7 +77,7 @@
     def __init__(
         self,
         cluster: Cluster,
-        chains: DependencyGraph,
+        dependency_graph: DependencyGraph,
         estimates: RunTimeEstimates,
         stage_us: Callable[[Job], int],
         period_us: int,
@@ -85,7 +85,7 @@
         most: int,
     ) -> None:
         self._cluster = cluster
-        self._chains = chains
+        self._chains = dependency_graph
         self._estimates = estimates
         self._stage_us = stage_us
         self._period_us = period_us
@@ -106,7 +106,7 @@
         self._boot_tracker.close()
 
     def _plan(self, job: Job, at_us: int) -> None:
-        """Look at a job at that time, or earlier if that is planned already."""
+        """Refresh a job at that time, or earlier if that is planned already."""
         planned_us = self._next.due_us(job.id)
         if planned_us is None or planned_us > at_us:
             self._next.set(job.id, job.serial, at_us)
--- a/weldhead/scheduling/forecast/run_times.py
+++ b/weldhead/scheduling/forecast/run_times.py
@@ -45,7 +45,7 @@
 
 
 class RunTimeEstimates:
-    """Observed run times against estimates."""
+    """Run time estimates, corrected by what was observed."""
 
     def __init__(self) -> None:
         self._classes: dict[str, Mean] = {}
--- a/weldhead/scheduling/inherited_priority.py
+++ b/weldhead/scheduling/inherited_priority.py
@@ -45,9 +45,9 @@
 
 
 def refresh(
-    chains: DependencyGraph,
+    dependency_graph: DependencyGraph,
     jobs: Iterable[Job],
-    goals: ServiceLevelObjectives,
+    objectives: ServiceLevelObjectives,
     path_us: Callable[[Job], int],
     at_us: int,
 ) -> None:
@@ -57,13 +57,13 @@
     first, so each edge upstream of the change is looked at once.
     """
     paths_us: dict[str, int] = {}
-    for job in chains.upstream(jobs):
-        lent_level, lent_us = chains.gate_inheritance.get(job.id, (0, ()))
+    for job in dependency_graph.upstream(jobs):
+        lent_level, lent_us = dependency_graph.gate_inheritance.get(job.id, (0, ()))
         level = max(job.spec.level, lent_level)
         bounds = set(lent_us)
-        for follower in chains.dependents(job.id):
+        for follower in dependency_graph.dependents(job.id):
             level = max(level, follower.effective_level)
-            ends = (*goals.deadlines_us(follower), *follower.inherited_due_us)
+            ends = (*objectives.deadlines_us(follower), *follower.inherited_due_us)
             if ends:
                 if follower.id not in paths_us:
                     paths_us[follower.id] = path_us(follower)
--- a/weldhead/scheduling/placement/backlog.py
+++ b/weldhead/scheduling/placement/backlog.py
@@ -29,12 +29,12 @@
         self,
         cluster: Cluster,
         estimates: RunTimeEstimates,
-        goals: ServiceLevelObjectives,
+        objectives: ServiceLevelObjectives,
         patience_us: int,
     ) -> None:
         self._cluster = cluster
         self._estimates = estimates
-        self._goals = goals
+        self._goals = objectives
         self._patience_us = patience_us
         self.queues: dict[JobKind, list[BacklogEntry]] = {}
         self._positions: dict[str, tuple[JobKind, BacklogEntry]] = {}
--- a/weldhead/scheduling/placement/backlog_entry.py
+++ b/weldhead/scheduling/placement/backlog_entry.py
@@ -64,13 +64,13 @@
 def entry_of(
     job: Job,
     estimates: RunTimeEstimates,
-    goals: ServiceLevelObjectives,
+    objectives: ServiceLevelObjectives,
     at_us: int,
     patience_us: int,
 ) -> tuple[BacklogEntry, int]:
     """Return a job's place in the order, and until when it is that."""
     task_us = estimates.order_us(job)
-    press, start_us, until_us = goals.urgency_window(job, task_us, at_us, patience_us)
+    press, start_us, until_us = objectives.urgency_window(job, task_us, at_us, patience_us)
     return BacklogEntry(
         int(press),
         -job.effective_level if press is not Urgency.PATIENT else 0,
--- a/weldhead/scheduling/placement/pass_capacity.py
+++ b/weldhead/scheduling/placement/pass_capacity.py
@@ -28,13 +28,13 @@
         free: CapacityIndex,
         at_us: int,
         silence_us: int,
-        holds: Reservations | None = None,
+        reservations: Reservations | None = None,
         estimates: RunTimeEstimates | None = None,
     ) -> None:
         self._free = free
         #: Machines that are held for others' work, and until when that cannot begin there.
-        self._reserved = holds.machines if holds is not None else {}
-        self._until_us = holds.until_us if holds is not None else {}
+        self._reserved = reservations.machines if reservations is not None else {}
+        self._until_us = reservations.until_us if reservations is not None else {}
         self._estimates = estimates
         self._at_us = at_us
         self._silence_us = silence_us
--- a/weldhead/scheduling/placement/placement_pass.py
+++ b/weldhead/scheduling/placement/placement_pass.py
@@ -25,21 +25,21 @@
 from weldhead.scheduling.placement.team_allowance import TeamAllowance
 
 
-def plan_nothing(scene: PlacementInput, at_us: int, most: int) -> PlacementPlan:
+def plan_nothing(placement_input: PlacementInput, at_us: int, most: int) -> PlacementPlan:
     """Return a plan that starts nothing: up to that many waiting jobs, in order, are left over.
 
     For what is decided while nothing may be started yet: what unknown machines may hold does
     not count here, as those that are to be replaced are among them.
     """
-    scene.refresh(at_us)
+    placement_input.refresh(at_us)
     plan, given = PlacementPlan(), dict[str, TeamAllowance]()
-    for number, job in enumerate(islice(scene.backlog, most)):
+    for number, job in enumerate(islice(placement_input.backlog, most)):
         if job.team not in given:
-            given[job.team] = TeamAllowance(scene.cluster, job.team)
-        reserve = given[job.team]
-        count = min(job.waiting, reserve.within_limit(job))
+            given[job.team] = TeamAllowance(placement_input.cluster, job.team)
+        allowance = given[job.team]
+        count = min(job.waiting, allowance.within_limit(job))
         if count > 0 and (not job.on_probation or job.stranded):
-            reserve.allocate(job, count)
+            allowance.allocate(job, count)
             plan.unplaced.add(BacklogEntry(0, 0, 0, 0, 0, number, job), count)
     return plan
 
@@ -47,22 +47,22 @@
 def plan_starts(
     cluster: Cluster,
     estimates: RunTimeEstimates,
-    goals: ServiceLevelObjectives,
+    objectives: ServiceLevelObjectives,
     at_us: int,
     silence_us: int,
     patience_us: int,
     fetch_weight: float = 1.0,
 ) -> PlacementPlan:
     """Decide which waiting tasks start where, of a cluster that nobody follows yet."""
-    scene = PlacementInput(cluster, estimates, goals, patience_us)
+    placement_input = PlacementInput(cluster, estimates, objectives, patience_us)
     try:
-        return plan_pass(scene, at_us, silence_us, fetch_weight)
+        return plan_pass(placement_input, at_us, silence_us, fetch_weight)
     finally:
-        scene.close()
+        placement_input.close()
 
 
 def plan_pass(
-    scene: PlacementInput,
+    placement_input: PlacementInput,
     at_us: int,
     silence_us: int,
     fetch_weight: float = 1.0,
@@ -74,16 +74,20 @@
     jobs of one kind is left at the first that finds no room, or for which the limit or the
     guarantee of its team has none.
     """
-    scene.refresh(at_us)
+    placement_input.refresh(at_us)
     plan = PlacementPlan()
-    if not scene.backlog.queues:
+    if not placement_input.backlog.queues:
         return plan
     rooms = PassCapacity(
-        scene.capacity_index, at_us, silence_us, scene.reservations, scene.estimates
+        placement_input.capacity_index,
+        at_us,
+        silence_us,
+        placement_input.reservations,
+        placement_input.estimates,
     )
-    run = _PlacementPass(scene, plan, rooms, fetch_weight, may_start)
-    if scene.reservations.machines or scene.reservations.limits:
-        run.place_reserved(scene, at_us, silence_us, may_start)
+    run = _PlacementPass(placement_input, plan, rooms, fetch_weight, may_start)
+    if placement_input.reservations.machines or placement_input.reservations.limits:
+        run.place_reserved(placement_input, at_us, silence_us, may_start)
     # Two rounds: first what each team is guaranteed, then what it borrows.
     run.place_in_order(guaranteed=True)
     run.place_in_order(guaranteed=False)
@@ -95,14 +99,14 @@
 
     def __init__(
         self,
-        scene: PlacementInput,
+        placement_input: PlacementInput,
         plan: PlacementPlan,
         rooms: PassCapacity,
         fetch_weight: float,
         may_start: Callable[[Job], bool] | None,
     ) -> None:
-        self._cluster = scene.cluster
-        self._queues = scene.backlog.queues
+        self._cluster = placement_input.cluster
+        self._queues = placement_input.backlog.queues
         if may_start is not None:
             kept = {
                 kind: [entry for entry in queue if may_start(entry.job)]
@@ -112,9 +116,11 @@
         self._plan = plan
         self._rooms = rooms
         self._fetch_weight = fetch_weight
-        doubts = scene.cluster.unverified_usage
+        unverified_usage = placement_input.cluster.unverified_usage
         self._allowances = {
-            team: TeamAllowance(scene.cluster, team, doubts.get(team, NO_UNVERIFIED_USAGE))
+            team: TeamAllowance(
+                placement_input.cluster, team, unverified_usage.get(team, NO_UNVERIFIED_USAGE)
+            )
             for team in {kind.team for kind in self._queues}
         }
         if any(
@@ -122,14 +128,14 @@
             for kind, queue in self._queues.items()
         ):
             plan.gpu_reservation = rooms.gpu_reservation = GpuReservation(
-                scene.cluster.machines.values()
+                placement_input.cluster.machines.values()
             )
         self._planned: dict[str, int] = defaultdict(int)
         self._zones: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
 
     def place_reserved(
         self,
-        scene: PlacementInput,
+        placement_input: PlacementInput,
         at_us: int,
         silence_us: int,
         may_start: Callable[[Job], bool] | None,
@@ -138,23 +144,26 @@
 
         What is kept of their teams' limits is out of the others' reach.
         """
-        kept = {team: list(limit) for team, limit in scene.reservations.limits.items()}
-        for name, job_id in scene.reservations.machines.items():
-            place, machine = scene.backlog.position_of(job_id), self._cluster.machines.get(name)
+        kept = {team: list(limit) for team, limit in placement_input.reservations.limits.items()}
+        for name, job_id in placement_input.reservations.machines.items():
+            place, machine = (
+                placement_input.backlog.position_of(job_id),
+                self._cluster.machines.get(name),
+            )
             if place is None or machine is None or not usable(machine, at_us, silence_us):
                 continue
             job = place[1].job
             if not machine.allows(job) or (may_start is not None and not may_start(job)):
                 continue
-            reserve = self._allowances[job.team]
+            allowance = self._allowances[job.team]
             allowed = min(
                 job.waiting - self._planned[job.id],
-                self._allowed_count(job, reserve, guaranteed=False),
+                self._allowed_count(job, allowance, guaranteed=False),
             )
             if allowed <= 0:
                 continue
             placed = self._place(
-                job, allowed, reserve, ReservedCapacity(self._rooms.capacity_of(machine))
+                job, allowed, allowance, ReservedCapacity(self._rooms.capacity_of(machine))
             )
             if job.team in kept:
                 kept[job.team][0] -= placed * job.spec.cpus
@@ -166,14 +175,14 @@
     def place_in_order(self, *, guaranteed: bool) -> None:
         """Go through the queues in one order, and leave those where no more is to be had."""
         if not guaranteed:
-            for reserve in self._allowances.values():
-                reserve.record_position(None)
+            for allowance in self._allowances.values():
+                allowance.record_position(None)
         heap = [(queue[0], 0, kind) for kind, queue in self._queues.items()]
         heapify(heap)
         while heap:
             entry, number, kind = heap[0]
-            job, reserve = entry.job, self._allowances[kind.team]
-            most = self._allowed_count(job, reserve, guaranteed=guaranteed)
+            job, allowance = entry.job, self._allowances[kind.team]
+            most = self._allowed_count(job, allowance, guaranteed=guaranteed)
             if most <= 0:
                 # Neither is there any for those behind it: the team only gets more.
                 heappop(heap)
@@ -182,14 +191,14 @@
             if self._rooms.has_no_capacity_for(job):
                 heappop(heap)
                 if not guaranteed and wants_room:
-                    self._plan.unplaced.add_tail(kind, self._queues[kind], number, reserve)
+                    self._plan.unplaced.add_tail(kind, self._queues[kind], number, allowance)
                 continue
             allowed = min(job.waiting - self._planned[job.id], most)
             if allowed > 0:
-                placed = self._place(job, allowed, reserve)
+                placed = self._place(job, allowed, allowance)
                 if not guaranteed:
                     if placed:
-                        reserve.record_position(entry)
+                        allowance.record_position(entry)
                     if allowed > placed and wants_room:
                         self._plan.unplaced.add(entry, allowed - placed)
             if number + 1 < len(self._queues[kind]):
@@ -197,16 +206,16 @@
             else:
                 heappop(heap)
 
-    def _allowed_count(self, job: Job, reserve: TeamAllowance, *, guaranteed: bool) -> int:
+    def _allowed_count(self, job: Job, allowance: TeamAllowance, *, guaranteed: bool) -> int:
         """How many tasks of a job its team may be given more."""
-        most = reserve.within_limit(job)
-        return min(most, reserve.within_guarantee(job)) if guaranteed else most
+        most = allowance.within_limit(job)
+        return min(most, allowance.within_guarantee(job)) if guaranteed else most
 
     def _place(
         self,
         job: Job,
         allowed: int,
-        reserve: TeamAllowance,
+        allowance: TeamAllowance,
         rooms: PassCapacity | ReservedCapacity | None = None,
     ) -> int:
         placed = _place(
@@ -216,7 +225,7 @@
         if placed:
             self._planned[job.id] += placed
             self._plan.unplaced.record_placed(job, self._planned[job.id])
-            reserve.allocate(job, placed)
+            allowance.allocate(job, placed)
         return placed
 
 
--- a/weldhead/scheduling/placement/placement_plan.py
+++ b/weldhead/scheduling/placement/placement_plan.py
@@ -41,12 +41,12 @@
         self,
         cluster: Cluster,
         estimates: RunTimeEstimates,
-        goals: ServiceLevelObjectives,
+        objectives: ServiceLevelObjectives,
         patience_us: int,
     ) -> None:
         self.cluster = cluster
         self.estimates = estimates
-        self.backlog = Backlog(cluster, estimates, goals, patience_us)
+        self.backlog = Backlog(cluster, estimates, objectives, patience_us)
         self.capacity_index = CapacityIndex(cluster.machines)
         #: What is kept free for wide work; nothing unless somebody decides it.
         self.reservations = Reservations()
--- a/weldhead/scheduling/placement/team_allowance.py
+++ b/weldhead/scheduling/placement/team_allowance.py
@@ -15,16 +15,16 @@
     __slots__ = ("_given", "_marks", "_remaining", "_team", "_used", "allocated")
 
     def __init__(
-        self, cluster: Cluster, team: str, doubt: UnverifiedUsage = NO_UNVERIFIED_USAGE
+        self, cluster: Cluster, team: str, unverified: UnverifiedUsage = NO_UNVERIFIED_USAGE
     ) -> None:
         self._team = cluster.teams[team]
-        cpus, cards = cluster.usage[team].units
-        self._used: Amount = cpus, cards
+        cpus, gpus = cluster.usage[team].units
+        self._used: Amount = cpus, gpus
         limit = bounds_of(self._team).limit
         # While machines are unknown, what they may hold of the team counts as used.
         self._remaining: Amount = (
-            left(limit[0], cpus, required_units(doubt.cpus)),
-            left(limit[1], cards, required_units(doubt.gpus)),
+            left(limit[0], cpus, required_units(unverified.cpus)),
+            left(limit[1], gpus, required_units(unverified.gpus)),
         )
         #: What was given so far, in units.
         self.allocated: Amount = NOTHING
@@ -33,8 +33,8 @@
 
     def allocate(self, job: Job, count: int) -> None:
         """Reserve room for tasks."""
-        cpus, cards = required_amounts(job.spec)
-        self.allocated = self.allocated[0] + cpus * count, self.allocated[1] + cards * count
+        cpus, gpus = required_amounts(job.spec)
+        self.allocated = self.allocated[0] + cpus * count, self.allocated[1] + gpus * count
 
     def within_limit(self, job: Job) -> int:
         """How many more tasks of a job the limit allows."""
--- a/weldhead/scheduling/placement/unplaced_tasks.py
+++ b/weldhead/scheduling/placement/unplaced_tasks.py
@@ -37,11 +37,11 @@
         self._listed[entry.job.id] = count
 
     def add_tail(
-        self, kind: JobKind, queue: list[BacklogEntry], number: int, reserve: TeamAllowance
+        self, kind: JobKind, queue: list[BacklogEntry], number: int, allowance: TeamAllowance
     ) -> None:
         """Enter what stands in a queue from that place on."""
         self._kinds[kind] = len(self._tails)
-        self._tails.append((queue[number:], reserve))
+        self._tails.append((queue[number:], allowance))
 
     def record_placed(self, job: Job, count: int) -> None:
         """Note that the plan gives room to so many tasks of a job."""
@@ -53,26 +53,26 @@
             return self._listed[job.id]
         if place is None or place[0] not in self._kinds:
             return 0
-        tail, reserve = self._tails[self._kinds[place[0]]]
+        tail, allowance = self._tails[self._kinds[place[0]]]
         if place[1] < tail[0]:
             return 0
-        return self.count_at(place[1], reserve)
+        return self.count_at(place[1], allowance)
 
-    def count_at(self, entry: BacklogEntry, reserve: TeamAllowance) -> int:
+    def count_at(self, entry: BacklogEntry, allowance: TeamAllowance) -> int:
         """Return how many tasks found no room of a job that a pass did not come to."""
         job = entry.job
         if job.finishing:
             return 0
         waiting = min(job.waiting, self._waiting.get(job.id, job.spec.tasks))
-        return max(0, min(waiting, reserve.remaining_at(entry)))
+        return max(0, min(waiting, allowance.remaining_at(entry)))
 
     def scan(self) -> "QueueScan":
         """Return a walk over them in order."""
         return QueueScan(self, self._entries, self._counts, self._tails)
 
     def __iter__(self) -> Iterator[tuple[Job, int]]:
-        walk = self.scan()
-        while (found := walk.next()) is not None:
+        scan = self.scan()
+        while (found := scan.next()) is not None:
             yield found
 
     def __bool__(self) -> bool:
@@ -95,7 +95,7 @@
         self._unplaced = unplaced
         self._counts = counts
         self._tails = [entries, *(tail for tail, _ in tails)]
-        self._reserves = [reserve for _, reserve in tails]
+        self._reserves = [allowance for _, allowance in tails]
         self._heap = [(tail[0], 0, n) for n, tail in enumerate(self._tails) if tail]
         heapify(self._heap)
         #: The job that was given last: its place, and which queue's.
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -152,15 +152,15 @@
         chosen: list[tuple[tuple[int, ...], Attempt]] = []
         lost: dict[str, int] = {}
         # Cards first; only then what is missing besides, of those who hold no cards if it can be.
-        for cards, only_cards in ((True, True), (False, False), (True, False)):
+        for gpus, only_cards in ((True, True), (False, False), (True, False)):
             for key, attempt in may:
                 if not _missing(short, only_cards=only_cards):
                     break
-                if (attempt.job.spec.gpus > 0) is not cards:
+                if (attempt.job.spec.gpus > 0) is not gpus:
                     continue
                 if any(attempt is other for _, other in chosen):
                     continue
-                if cards and not self._may_lose(claimant, attempt, lost):
+                if gpus and not self._may_lose(claimant, attempt, lost):
                     continue
                 chosen.append((key, attempt))
                 _add(short, attempt.job, -1)
@@ -204,10 +204,10 @@
 
 
 def _missing(short: Iterable[float], *, only_cards: bool = False) -> bool:
-    cpus, cards, memory_gb = short
+    cpus, gpus, memory_gb = short
     if only_cards:
-        return cards > EPSILON
-    return cpus > EPSILON or cards > EPSILON or memory_gb > EPSILON
+        return gpus > EPSILON
+    return cpus > EPSILON or gpus > EPSILON or memory_gb > EPSILON
 
 
 def _add(short: list[float], job: Job, sign: int) -> None:
--- a/weldhead/scheduling/preemption/preemption_pass.py
+++ b/weldhead/scheduling/preemption/preemption_pass.py
@@ -78,7 +78,7 @@
         self._settings = settings
         self._index = free
         self.victims: set[int] = set()
-        #: Room that is free or being freed on a machine, less what is promised already; as
+        #: Capacity that is free or being freed on a machine, less what is promised already; as
         #: far as it has been looked at. None: the machine takes no new work.
         self._capacity: dict[str, list[float] | None] = {}
         #: How that differs from what is free, where it does.
@@ -100,7 +100,7 @@
         self._levels_and_teams: set[tuple[int, str]] | None = None
         self._attempts: dict[str, list[Attempt]] = {}
         self._progress: dict[tuple[object, ...], _ClaimProgress] = {}
-        #: Room beyond what was asked for has appeared: claimants that found none look again.
+        #: Capacity beyond what was asked for has appeared: claimants that found none look again.
         self.capacity_reopened = False
 
     def _move(self, machine: str, job: Job, sign: int) -> None:
@@ -241,10 +241,12 @@
         """Sort the tasks of a job, the first one stops first."""
         return victim_key(attempt, self.estimates, self.at_us)
 
-    def urgency_of(self, claimant: Job, goals: ServiceLevelObjectives) -> Urgency:
+    def urgency_of(self, claimant: Job, objectives: ServiceLevelObjectives) -> Urgency:
         """Say how urgently a claimant needs room: the patient claim none by themselves."""
         task_us = self.estimates.order_us(claimant)
-        return goals.urgency_of(claimant, task_us, self.at_us, self._settings.claim_patience_us)
+        return objectives.urgency_of(
+            claimant, task_us, self.at_us, self._settings.claim_patience_us
+        )
 
     def _kind(self, claimant: Job) -> tuple[object, ...]:
         """Return what claimants have in common that look for room alike."""
@@ -301,7 +303,7 @@
         kind = self._kind(claimant)
         claim = self._claim(claimant, kind)
         # A victim larger than its claimant leaves room for others: without this, a
-        # job of six small tasks stopped six large ones (found on the bench).
+        # job of six small tasks stopped six large ones.
         while claim.machines:
             name = claim.machines[-1]
             room = self.capacity(name)
--- a/weldhead/scheduling/preemption/preemption_plan.py
+++ b/weldhead/scheduling/preemption/preemption_plan.py
@@ -21,13 +21,13 @@
     estimates: RunTimeEstimates,
     at_us: int,
     settings: PreemptorSettings,
-    goals: ServiceLevelObjectives,
+    objectives: ServiceLevelObjectives,
     most: int = 64,
     free: CapacityIndex | None = None,
     held: Mapping[str, str] | None = None,
 ) -> list[Reclaim]:
     """Return the new requests of one run; ``plan`` says who found no room."""
-    walk = plan.unplaced.scan()
+    scan = plan.unplaced.scan()
     following = free if free is not None else CapacityIndex(cluster.machines)
     try:
         following.refresh()
@@ -36,7 +36,7 @@
                 cluster, lists, estimates, at_us, settings, following,
                 kept=plan.gpu_reservation, held=held,
             ),
-            walk, lists, goals, most,
+            scan, lists, objectives, most,
         )  # fmt: skip
     finally:
         if free is None:
@@ -45,9 +45,9 @@
 
 def _reclaims(
     run: PreemptionPass,
-    walk: QueueScan,
+    scan: QueueScan,
     lists: ReclaimLists,
-    goals: ServiceLevelObjectives,
+    objectives: ServiceLevelObjectives,
     most: int,
 ) -> list[Reclaim]:
     """Choose victims for those who found no room, in order.
@@ -57,25 +57,25 @@
     """
     reclaims: list[Reclaim] = []
     held = _empty_held(run, lists, reclaims, most) if run.reserved else {}
-    while (found := walk.next()) is not None:
+    while (found := scan.next()) is not None:
         job, unplaced = found
-        press = run.urgency_of(job, goals)
+        press = run.urgency_of(job, objectives)
         if press is Urgency.PATIENT and not run.within_guarantee(job):
             # They stand in the order of their laxity: those behind have more of it. What is
             # late already claims, and comes after what can be in time.
-            walk.skip_to_urgency(Urgency.LATE)
+            scan.skip_to_urgency(Urgency.LATE)
             continue
         for _ in range(max(0, unplaced - lists.count(job.id) - held.get(job.id, 0))):
             if len(reclaims) >= most:
                 return reclaims
             reclaim = run.choose(job)
             if reclaim is None:
-                walk.skip_queue()
+                scan.skip_queue()
                 break
             reclaims.append(reclaim)
             if run.capacity_reopened:
                 run.capacity_reopened = False
-                walk.resume_skipped()
+                scan.resume_skipped()
     return reclaims
 
 
--- a/weldhead/scheduling/preemption/victim_rules.py
+++ b/weldhead/scheduling/preemption/victim_rules.py
@@ -56,9 +56,9 @@
     return at_us - begun_us < BEGUN_US and begun_us - job.runnable_since_us >= WAITED_US
 
 
-def stop_for(claimant: Job, victim: Job, goals: ServiceLevelObjectives) -> StopRequest:
+def stop_for(claimant: Job, victim: Job, objectives: ServiceLevelObjectives) -> StopRequest:
     """Whether a victim may save first: not if the claimant's start cannot wait for that."""
-    wait_us = goals.wait_us(claimant)
+    wait_us = objectives.wait_us(claimant)
     if victim.spec.checkpoint_s <= 0 or (
         wait_us is not None and seconds_us(victim.spec.save_s) >= wait_us
     ):
--- a/weldhead/scheduling/reservations/capacity_reserver.py
+++ b/weldhead/scheduling/reservations/capacity_reserver.py
@@ -146,14 +146,14 @@
         self._replace(self._choose(at_us, usable, claims))
         return self.reservations
 
-    def _replace(self, holds: Reservations) -> None:
+    def _replace(self, reservations: Reservations) -> None:
         """Hold these instead; what is held no longer is room that may have appeared."""
-        for name in self.reservations.machines.keys() - holds.machines.keys():
+        for name in self.reservations.machines.keys() - reservations.machines.keys():
             machine = self._cluster.machines.get(name)
             if machine is not None:
                 # Shapes that found no room without it are looked for again.
                 machine.notify_changed()
-        self.reservations = holds
+        self.reservations = reservations
 
     # -- who ------------------------------------------------------------------------------
 
@@ -178,7 +178,7 @@
         usable: Callable[[Machine], bool],
         claims: Iterable[tuple[str, str]],
     ) -> Reservations:
-        holds = Reservations()
+        reservations = Reservations()
         waiting = self._waiting(at_us)
         claimed: dict[str, str] = {}
         for name, job_id in claims:
@@ -193,13 +193,13 @@
             and not self.is_wide(job)
         ]
         if not waiting and not claimed and not first:
-            return holds
-        choice = _ReservationPass(self, holds, at_us, usable, claimed)
+            return reservations
+        choice = _ReservationPass(self, reservations, at_us, usable, claimed)
         for job in waiting:
             choice.reserve_for(job, job.waiting)
         for job in first:
             choice.reserve_for(job, 1)
-        return holds
+        return reservations
 
     def available_us(self, machine: Machine, job: Job, at_us: int) -> int | None:
         """Estimate when a machine has room for a task of the job; None: not by itself."""
@@ -222,13 +222,13 @@
     def __init__(
         self,
         holding: CapacityReserver,
-        holds: Reservations,
+        reservations: Reservations,
         at_us: int,
         usable: Callable[[Machine], bool],
         claimed: dict[str, str],
     ) -> None:
         self._reserver = holding
-        self._reservations = holds
+        self._reservations = reservations
         self._at_us = at_us
         self._usable = usable
         self._before = holding.reservations.machines
@@ -243,7 +243,7 @@
         # What the preemptor frees for a wide job is kept for it, whatever the share: else the
         # pieces are given away one by one while the last of them is still being freed.
         for name, job_id in claimed.items():
-            holds.machines[name] = job_id
+            reservations.machines[name] = job_id
             self._count(holding._cluster.machines.get(name))
 
     def _count(self, machine: Machine | None) -> None:
--- a/weldhead/scheduling/reservations/wide_tasks.py
+++ b/weldhead/scheduling/reservations/wide_tasks.py
@@ -36,8 +36,8 @@
     def __init__(
         self,
         machines: Iterable[Machine],
-        coming: Iterable[tuple[MachineType, int]],
-        holds: Reservations,
+        pending: Iterable[tuple[MachineType, int]],
+        reservations: Reservations,
         least: float,
         up_us: int,
     ) -> None:
@@ -49,11 +49,11 @@
             if machine.deleting or machine.draining:
                 continue
             self._types[machine.type.name] = machine.type
-            holder = holds.machines.get(machine.name)
-            until_us, _ = holds.until_us.get(machine.name, (0, 0))
+            holder = reservations.machines.get(machine.name)
+            until_us, _ = reservations.until_us.get(machine.name, (0, 0))
             if machine.booting or (holder is not None and until_us <= up_us):
                 self._rooms.append((machine, machine.type, _whole(machine.type), holder))
-        for kind, count in coming:
+        for kind, count in pending:
             self._types[kind.name] = kind
             self._rooms += [(None, kind, _whole(kind), None) for _ in range(count)]
 
--- a/weldhead/transport/http_server.py
+++ b/weldhead/transport/http_server.py
@@ -112,7 +112,7 @@
 
     aiohttp's own response makes its head anew each time, from fields that are the same for all
     answers here; with hundreds of reports a second that took a third of a leader's time for
-    them (measured at 650 machines).
+    them.
     """
 
     def __init__(self, answer: Response, *, close: bool = False) -> None:
--- a/weldhead/transport/token_bucket.py
+++ b/weldhead/transport/token_bucket.py
@@ -16,7 +16,7 @@
 
     Several processes share a service's rate and cannot see one another: whoever is told that
     it is used up slows down by a third, to the share ``least``, and recovers by and by. With
-    each at its whole rate most of their calls were refused (found on a flood of jobs).
+    each at its whole rate most of their calls were refused.
     """
 
     def __init__(self, rate: float, burst: float, reserve: float = 0.0, least: float = 0.1) -> None:
