--- a/tests/cluster_state/test_late_writes.py
+++ b/tests/cluster_state/test_late_writes.py
@@ -217,13 +217,15 @@
     What had been refused was rented then, though nobody wanted it; of what had been had and
     returned the successor was told the names of machines that were gone.
     """
-    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
     state, cloud = StandInState(), StandInCloud()
     cloud.capacity = capacity
     first = term(state, cloud)
 
     async def rent_and_return() -> None:
-        first.term.background_tasks.start("deletions", first.rental_manager._delete_returned)
+        first.term.background_tasks.start(
+            "deletions", first.rental_manager.returner.delete_returned
+        )
         state.fates = list(fates)
         first.rental_manager.rent(RentalOffer(machine_type(), "a", True), 2)
         await settle()
--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -336,7 +336,7 @@
     key = RENTALS
 
     async def write(self) -> None:
-        self.leader.rental_manager._deleted([self.machine])
+        self.leader.rental_manager.returner.deleted([self.machine])
         records = self.leader.rental_manager._records
         await eventually(lambda: not records or self.duty.done())
 
--- a/tests/controller/test_process_pauses.py
+++ b/tests/controller/test_process_pauses.py
@@ -40,12 +40,12 @@
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
-    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
     rentals, authority = leader.rental_manager, leader.term._lease
 
     async def scenario() -> None:
         background_task = asyncio.create_task(leader.state_writer.run())
-        leader.term.background_tasks.start("deletions", rentals._delete_returned)
+        leader.term.background_tasks.start("deletions", rentals.returner.delete_returned)
         rentals.rent(RentalOffer(machine_type(), "a", True), 3)
         await settle()
         assert len(leader.cluster.machines) == 3
--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -152,12 +152,12 @@
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
-    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
     rentals = leader.rental_manager
 
     async def scenario() -> None:
         background_task = asyncio.create_task(leader.state_writer.run())
-        leader.term.background_tasks.start("deletions", rentals._delete_returned)
+        leader.term.background_tasks.start("deletions", rentals.returner.delete_returned)
         rentals.rent(RentalOffer(machine_type(), "a", True), 230)
         await settle()
         machines = dict(leader.cluster.machines)
@@ -225,12 +225,12 @@
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     cloud.capacity = 50
-    monkeypatch.setattr("weldhead.controller.fleet.rental_manager.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
     rentals, market = leader.rental_manager, leader.term.rental_offers
 
     async def scenario() -> None:
         background_task = asyncio.create_task(leader.state_writer.run())
-        leader.term.background_tasks.start("deletions", rentals._delete_returned)
+        leader.term.background_tasks.start("deletions", rentals.returner.delete_returned)
         rentals.rent(RentalOffer(machine_type(), "a", True), 100)
         await settle()
         asked = {(offer.zone, offer.spot) for offer in market.available(now_us())}
--- a/tests/support/held_network.py
+++ b/tests/support/held_network.py
@@ -174,13 +174,13 @@
 
     async def delete(self) -> None:
         """The cloud carries out what the leader has asked it to return, and answers."""
-        doomed = list(self.leader.rental_manager._to_delete.values())
+        doomed = list(self.leader.rental_manager.returner.to_delete.values())
         for machine in doomed:
             worker = self.hosts.pop(machine.name, None)
             if worker is not None:
                 worker.slots.clear()
         if doomed:
-            self.leader.rental_manager._deleted(doomed)
+            self.leader.rental_manager.returner.deleted(doomed)
             await settle()
 
     # -- workers -------------------------------------------------------------------------------
--- a/tests/test_loaded_modules.py
+++ b/tests/test_loaded_modules.py
@@ -35,7 +35,7 @@
 #: As many modules as it loads without what an environment's own start adds, and not one more:
 #: of the interpreter's and of libraries, and of weldhead's own.
 MOST_FOREIGN_MODULES = 326
-MOST_OWN_MODULES = 163
+MOST_OWN_MODULES = 164
 FOREIGN = {
     "sqlite3",
     "sortedcontainers",
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -10,8 +10,10 @@
 from weldhead.controller.scheduling_loop.scheduling_loop import SchedulingLoop
 from weldhead.controller.term import Term
 from weldhead.controller.workers.machine_monitor import MachineMonitor
+from weldhead.provisioning.boot_times import BootExpectations
 from weldhead.scheduling.autoscaling.consolidation import MachineDrain, movable, plan_consolidation
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand, endangered
+from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
 from weldhead.scheduling.autoscaling.scale_in import choose_scale_in_candidates, plan_scale_in
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out, replacements
 from weldhead.scheduling.placement.placement_pass import plan_nothing
@@ -124,53 +126,34 @@
 
     def _scale(self, at_us: int) -> None:
         """Decide once what to rent, what to return, and what to drain."""
-        settings = self._term.tunables.fleet.settings()
+        term = self._term
+        settings = term.tunables.fleet.settings()
         silent = self._machine_monitor.at_risk(at_us)
-        expected = self._expected_demand(at_us + settings.foresight_us)
+        until_us = at_us + settings.foresight_us
+        expected = self._expected_demand(until_us)
         if self._gate_keeper is not None:
-            expected += self._gate_keeper.forecast.expected_demand(
-                at_us, at_us + settings.foresight_us
-            )
-        expected += endangered(silent, at_us, self._term.lease_us)
-        closing = choose_scale_in_candidates(
-            self._term.cluster, self._scheduling_loop.last_plan, settings, expected
+            expected += self._gate_keeper.forecast.expected_demand(at_us, until_us)
+        expected += endangered(silent, at_us, term.lease_us)
+        self._consolidate(expected, settings, at_us)
+        boots = term.boot_history.expectations(
+            term.cluster.machines.values(), at_us, settings.boots, settings.minimum_charge_us
         )
-        for machine in self._term.cluster.machines.values():
-            machine.scale_in_candidate = machine.name in closing
-        for move in plan_consolidation(
-            self._term.cluster,
-            self._scheduling_loop.last_plan,
-            self._term.estimates,
-            at_us,
-            settings,
-            self._term.silence_us,
-            self._term.objectives,
-        ):
-            self._drain(move, at_us)
-        boots = self._term.boot_history.expectations(
-            self._term.cluster.machines.values(), at_us, settings.boots, settings.minimum_charge_us
-        )
-        returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
-        hopeless = [machine.name for machine in returned if machine.booting]
-        if hopeless:
-            log.info("%d machines never came up: %s", len(hopeless), ", ".join(hopeless))
-        self._rental_manager.return_machines({m.name: m for m in returned})
+        self._scale_in(settings, boots, at_us)
         if self._rental_manager.busy:
             return
+        current = self._scheduling_loop.current_input
         rentals = plan_scale_out(
-            self._term.cluster,
+            term.cluster,
             self._scheduling_loop.last_plan,
-            self._term.rental_offers,
-            self._term.estimates,
-            self._term.objectives,
+            term.rental_offers,
+            term.estimates,
+            term.objectives,
             at_us,
             settings,
             self._rental_manager.pending(),
-            self._term.arrival_rates,
+            term.arrival_rates,
             expected,
-            len(self._scheduling_loop.current_input.backlog)
-            if self._scheduling_loop.current_input is not None
-            else 0,
+            len(current.backlog) if current is not None else 0,
             {machine.name for machine in silent},
             boots,
             lambda up_us: self._scheduling_loop.wide_task_forecast(
@@ -180,6 +163,33 @@
         for offer, count in rentals.items():
             self._rental_manager.rent(offer, count)
 
+    def _consolidate(
+        self, expected: list[ExpectedDemand], settings: FleetSettings, at_us: int
+    ) -> None:
+        """Mark machines that are no longer needed, and drain those that can go sooner for it."""
+        term, plan = self._term, self._scheduling_loop.last_plan
+        candidates = choose_scale_in_candidates(term.cluster, plan, settings, expected)
+        for machine in term.cluster.machines.values():
+            machine.scale_in_candidate = machine.name in candidates
+        for drain in plan_consolidation(
+            term.cluster,
+            plan,
+            term.estimates,
+            at_us,
+            settings,
+            term.silence_us,
+            term.objectives,
+        ):
+            self._drain(drain, at_us)
+
+    def _scale_in(self, settings: FleetSettings, boots: BootExpectations, at_us: int) -> None:
+        """Return idle machines, and those that never came up."""
+        returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
+        hopeless = [machine.name for machine in returned if machine.booting]
+        if hopeless:
+            log.info("%d machines never came up: %s", len(hopeless), ", ".join(hopeless))
+        self._rental_manager.return_machines({m.name: m for m in returned})
+
     def _expected_demand(self, until_us: int) -> list[ExpectedDemand]:
         """Return the jobs that are expected to wait for nothing more by then."""
         return [
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -14,6 +14,7 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.records import RENTALS, RentalRecord, divide_machines
 from weldhead.cluster_state.state_writer import LeadershipLostError
+from weldhead.controller.fleet.machine_returner import MachineReturner
 from weldhead.controller.term import Term
 from weldhead.protocol.wire import Heartbeat, ListedMachine, MachineType, RentalRequest
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer
@@ -22,14 +23,10 @@
 
 log = logging.getLogger(__name__)
 
-#: The cloud's own limits: machines in one rental, names in one deletion, machines on a page.
+#: The cloud's own limits: machines in one rental, machines on a page.
 MOST_RENTED = 50
-MOST_DELETED = 100
 PAGE = 500
 
-#: Deletions asked for within this time go out in one call.
-DELETE_GATHER_S = 0.1
-
 
 def _offer_key(record: RentalRecord) -> tuple[str, str, bool]:
     """Return what the cloud may refuse: type, zone and whether spot."""
@@ -47,11 +44,8 @@
         #: Read with machines that another record holds as well.
         self._duplicated: set[str] = set()
         self._adopting: set[str] = set()
-        #: Names that are gone for good, though the cloud's list may show them for a while.
-        self._returned: set[str] = set()
-        self._to_delete: dict[str, Machine] = {}
+        self.returner = MachineReturner(term, self._deleted)
         self._limit = term.state.limits.value_bytes
-        self._deletion = asyncio.Event()
         #: Rentals of this term that were never sent to the cloud: only those can be dropped.
         self._unsent: set[str] = set()
 
@@ -78,7 +72,7 @@
 
     def start(self) -> None:
         """Begin the background tasks, and find out what became of an earlier leader's rentals."""
-        self._term.background_tasks.start("deletions", self._delete_returned)
+        self._term.background_tasks.start("deletions", self.returner.delete_returned)
         self._term.background_tasks.start("machine list", self._list_machines)
         for name in list(self._records):
             # Larger than a value may become: divided before anything has to be changed in it.
@@ -314,7 +308,11 @@
     def is_unexpected(self, report: Heartbeat) -> bool:
         """Whether a machine that says it reports is one that nobody expects."""
         name = report.machine
-        if name in self._adopting or name in self._returned or name in self._term.cluster.machines:
+        if (
+            name in self._adopting
+            or name in self.returner.returned
+            or name in self._term.cluster.machines
+        ):
             return False
         # Up before the answer to its rental: it will be entered in a moment.
         return not self._may_be_ours(report.type, report.zone, report.spot)
@@ -348,52 +346,14 @@
 
     def return_machines(self, machines: dict[str, Machine]) -> None:
         """Return machines; what runs there counts until the deletion is answered."""
-        if not machines:
-            return
-        for machine in machines.values():
-            machine.deleting = True
-        self._returned.update(machines)
-        self._to_delete.update(machines)
-        self._deletion.set()
-        log.info("scale in: returning machines %s", ", ".join(machines))
-
-    async def _delete_returned(self) -> None:
-        """Return machines, many in a call."""
-        while True:
-            await self._deletion.wait()
-            self._deletion.clear()
-            await asyncio.sleep(DELETE_GATHER_S)
-            while self._to_delete:
-                # What holds work up goes first.
-                order = sorted(
-                    self._to_delete.values(), key=lambda m: m.reconciled and not m.attempts
-                )
-                batch = order[:MOST_DELETED]
-                if not self._term.valid:
-                    # Decided before this process stood still: a successor may use them now.
-                    await asyncio.sleep(0.1)
-                    continue
-                try:
-                    await self._term.cloud.delete([m.name for m in batch], self._may_delete)
-                except NotSentError:
-                    continue
-                except CallError as error:
-                    log.info("deletion failed: %s", error)
-                    await asyncio.sleep(0.5)
-                    continue
-                self._deleted(batch)
-
-    def _may_delete(self) -> bool:
-        return self._term.valid
+        self.returner.return_machines(machines)
 
     def _deleted(self, machines: list[Machine]) -> None:
         """Answered, so the machines and everything on them are gone."""
         rentals = set()
         for machine in machines:
-            self._to_delete.pop(machine.name, None)
             self._on_gone(machine)
-            # Its place is free again: a refusal from before says nothing any more. After a
-            # fall of half the fleet the cloud was not asked for 15 s.
+            # Its place is free again: a refusal from before says nothing any more.
             offer = (machine.type.name, machine.zone, machine.spot)
             self._term.rental_offers.refused_until_us.pop(offer, None)
             record = self._records.get(machine.rental_name)
@@ -426,7 +386,7 @@
                 machine.in_cloud_list = True
                 if item.state == "failed" and not machine.deleting:
                     doomed[machine.name] = machine
-            elif item.id in self._returned or item.id in self._adopting:
+            elif item.id in self.returner.returned or item.id in self._adopting:
                 continue
             elif item.age_s > 4 * lag_s and not self._may_be_ours(item.type, item.zone, item.spot):
                 # Gone ones are still listed for a while, new ones may be about to be entered.
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -1,6 +1,7 @@
 """Leader election: following the leader's key, campaigning, renewing, and failover.
 
 The rules are in ``leader_lease.py``; this asks the state service and the other controllers.
+One module, as all its events read and change the same few fields in one order.
 """
 
 import asyncio
@@ -9,6 +10,7 @@
 import logging
 import secrets
 from collections.abc import Mapping
+from dataclasses import dataclass
 
 from weldhead.clock import (
     MILLISECOND_US,
@@ -68,6 +70,21 @@
 RELEASE_S = 5.0
 
 
+@dataclass(frozen=True)
+class _CampaignAttempt:
+    """One attempt at the leader's key."""
+
+    record: LeaderRecord
+    lease: int
+    #: When its lease was asked for, on the steady clock and by the time of day.
+    sent_us: int
+    wall_us: int
+    #: Since when earlier terms may have missed cancellations (time of day); None: settled.
+    inherited_us: int | None
+    #: For how long the leader that is replaced may still believe in its lease.
+    believes_us: int
+
+
 class LeaderElection:
     """One controller's part in who leads; ``leader`` is its own term, if it has one."""
 
@@ -268,27 +285,10 @@
         # at once, has to wait for the same leaders as this one.
         earlier_us = max(believes_us, self.previous_leaders.expired_us - sent_us, 0)
         record = LeaderRecord(self.settings.name, nonce, self.timing.ttl_us, earlier_us)
-        facts = self.settings.facts
-        cancel_us, lease_us = seconds_us(facts.workers.cancel_s), seconds_us(facts.workers.lease_s)
-        unsettled = UnsettledRecord(earliest_missed(wall, lease_us, inherited_us))
-        try:
-            token = await self._state.transact(
-                [Condition(LEADER_KEY, replaced)],
-                # On no condition of its own: applied late, it says what was so earlier, and
-                # whoever believes that is only more careful.
-                [PutKey(LEADER_KEY, record, lease), PutKey(UNSETTLED_KEY, unsettled)],
-                urgent=True,
-            )
-        except (ConflictError, LeaseNotFoundError):
-            self._background_tasks.spawn("lease returned", self._state.revoke(lease))
-            await self.read_leader()
+        attempt = _CampaignAttempt(record, lease, sent_us, wall, inherited_us, believes_us)
+        token = await self._write_leader_key(replaced, attempt)
+        if token is None:
             return
-        except CallError:
-            # It may have been applied: only the key itself can tell.
-            entry = await self._state.get(LEADER_KEY, urgent=True)
-            if entry is None or decode(bytes(entry.value), LeaderRecord).nonce != record.nonce:
-                return
-            token = entry.version
         if believes_us < self.timing.ttl_us:
             # Whoever was replaced of late is over as soon as a leader replaced just now.
             await self.previous_leaders.catch_up()
@@ -304,11 +304,45 @@
         if not self.lease.valid(at_us):
             self.lease.end()
             return
-        self.known_leader, self.known_token = record, token
+        self._begin_term(token, attempt, at_us)
+
+    async def _write_leader_key(self, replaced: int, attempt: _CampaignAttempt) -> int | None:
+        """Write the leader's key; return its token, None if another controller has it."""
+        workers = self.settings.facts.workers
+        lease_us = seconds_us(workers.lease_s)
+        missed_us = earliest_missed(attempt.wall_us, lease_us, attempt.inherited_us)
+        try:
+            return await self._state.transact(
+                [Condition(LEADER_KEY, replaced)],
+                # On no condition of its own: applied late, it says what was so earlier, and
+                # whoever believes that is only more careful.
+                [
+                    PutKey(LEADER_KEY, attempt.record, attempt.lease),
+                    PutKey(UNSETTLED_KEY, UnsettledRecord(missed_us)),
+                ],
+                urgent=True,
+            )
+        except (ConflictError, LeaseNotFoundError):
+            self._background_tasks.spawn("lease returned", self._state.revoke(attempt.lease))
+            await self.read_leader()
+            return None
+        except CallError:
+            # It may have been applied: only the key itself can tell.
+            entry = await self._state.get(LEADER_KEY, urgent=True)
+            if entry is None:
+                return None
+            written = decode(bytes(entry.value), LeaderRecord)
+            return entry.version if written.nonce == attempt.record.nonce else None
+
+    def _begin_term(self, token: int, attempt: _CampaignAttempt, at_us: int) -> None:
+        self.known_leader, self.known_token = attempt.record, token
         self.highest_token = token
         self._key_absent.clear()
-        over_us = max(predecessor_over_us(at_us, believes_us), self.previous_leaders.expired_us)
+        expired_us = max(
+            predecessor_over_us(at_us, attempt.believes_us), self.previous_leaders.expired_us
+        )
         log.info("leader election won: %s, fencing token %d", self.settings.name, token)
+        facts = self.settings.facts
         context = TermContext(
             self.settings,
             self.tunables,
@@ -317,14 +351,14 @@
             self._cloud,
             self._worker_http,
             self.catalog,
-            previous_leader_expired_us=over_us,
+            previous_leader_expired_us=expired_us,
             on_leadership_lost=self.step_down,
             answer_unloaded_until_us=answers_until_us(
-                sent_us,
-                wall,
-                inherited_us,
-                cancel_us,
-                lease_us,
+                attempt.sent_us,
+                attempt.wall_us,
+                attempt.inherited_us,
+                seconds_us(facts.workers.cancel_s),
+                seconds_us(facts.workers.lease_s),
                 round(facts.clock_error_ms * MILLISECOND_US),
             ),
         )
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -7,7 +7,7 @@
 from weldhead.clock import MILLISECOND_US, now_us
 from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.machines import Machine
-from weldhead.cluster_state.reclaim import ReclaimLists
+from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
 from weldhead.cluster_state.states import StopRequest
 from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
 from weldhead.controller.scheduling_loop.preemption_recorder import PreemptionRecorder
@@ -21,7 +21,7 @@
 from weldhead.scheduling.placement.placement_pass import plan_pass
 from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
-from weldhead.scheduling.preemption.victim_rules import overdue, stop_for
+from weldhead.scheduling.preemption.victim_rules import PreemptorSettings, overdue, stop_for
 from weldhead.scheduling.reservations.capacity_reserver import CapacityReserver
 from weldhead.scheduling.reservations.reservations import Reservations
 from weldhead.scheduling.reservations.wide_tasks import WideTaskForecast
@@ -170,17 +170,11 @@
                 self._preempt_for_waiting(now_us())
 
     def _preempt_for_waiting(self, at_us: int) -> None:
-        """Ask for room on behalf of those who found none."""
+        """Ask for capacity on behalf of those who found none."""
         settings = self._term.tunables.preemptor.settings(self._term.silence_us)
         self._trim_reclaims()
-        hard, expired = overdue(self.reclaims, at_us, settings)
-        for entry in expired:
-            self.reclaims.remove(entry)
-        for entry in hard:
-            entry.hard_kill_us = at_us
-            for victim in entry.victims:
-                if victim.job.active.get(victim.index) is victim:
-                    self.stop(victim, StopRequest.HARD, at_us, "room, overdue")
+        self._escalate_overdue(settings, at_us)
+        current = self.current_input
         planned = plan_preemptions(
             self._term.cluster,
             self.reclaims,
@@ -189,10 +183,8 @@
             at_us,
             settings,
             self._term.objectives,
-            free=self.current_input.capacity_index if self.current_input is not None else None,
-            held=self.current_input.reservations.machines
-            if self.current_input is not None
-            else None,
+            free=current.capacity_index if current is not None else None,
+            held=current.reservations.machines if current is not None else None,
         )
         running = sum(len(job.active) for job in self._term.cluster.active_jobs.values())
         allowed = self._rate_limit.allowed(self._term.ready_us, running, at_us)
@@ -204,21 +196,36 @@
                     continue
                 allowed -= len(reclaim.victims)
                 self._rate_limit.record(len(reclaim.victims))
-            self.reclaims.add(reclaim)
-            for victim in reclaim.victims:
-                log.info(
-                    "preempting %s (%s, %s) for %s (%s)",
-                    victim.task,
-                    victim.job.spec.priority,
-                    victim.job.team,
-                    reclaim.job_id,
-                    self._who(reclaim.job_id),
-                )
-                claimant = self._term.cluster.jobs[reclaim.job_id]
-                if victim.job.spec.gpus > 0:
-                    self.preemption_recorder.record(victim, at_us)
-                stop = stop_for(claimant, victim.job, self._term.objectives)
-                self.stop(victim, stop, at_us, "room")
+            self._carry_out(reclaim, at_us)
+
+    def _escalate_overdue(self, settings: PreemptorSettings, at_us: int) -> None:
+        """Kill victims that take too long, and give up requests that bring nothing."""
+        hard, expired = overdue(self.reclaims, at_us, settings)
+        for entry in expired:
+            self.reclaims.remove(entry)
+        for entry in hard:
+            entry.hard_kill_us = at_us
+            for victim in entry.victims:
+                if victim.job.active.get(victim.index) is victim:
+                    self.stop(victim, StopRequest.HARD, at_us, "room, overdue")
+
+    def _carry_out(self, reclaim: Reclaim, at_us: int) -> None:
+        """Enter a request and stop its victims."""
+        self.reclaims.add(reclaim)
+        claimant = self._term.cluster.jobs[reclaim.job_id]
+        for victim in reclaim.victims:
+            log.info(
+                "preempting %s (%s, %s) for %s (%s)",
+                victim.task,
+                victim.job.spec.priority,
+                victim.job.team,
+                reclaim.job_id,
+                self._who(reclaim.job_id),
+            )
+            if victim.job.spec.gpus > 0:
+                self.preemption_recorder.record(victim, at_us)
+            stop = stop_for(claimant, victim.job, self._term.objectives)
+            self.stop(victim, stop, at_us, "room")
 
     def _trim_reclaims(self) -> None:
         """Drop requests on behalf of jobs that wait for less than they did."""
