--- a/tools/measure_memory.py
+++ b/tools/measure_memory.py
@@ -39,6 +39,8 @@
 #: How long a real process is left alone before it is looked at, and a site at most to come up.
 SETTLED_S = 6.0
 SITE_UP_S = 60.0
+#: The begin of a new leader's log line.
+ELECTION_WON = "leader election won"
 #: The address of connections to many hosts: every one of 127.0.0.0/8 is this machine.
 LOOPBACK = "127.{}.{}.1"
 
@@ -206,7 +208,7 @@
     )  # fmt: skip
     try:
         until = time.monotonic() + SITE_UP_S
-        while not (led := [p for p in root.glob("log/*.log") if "leads with" in p.read_text()]):
+        while not (led := [p for p in root.glob("log/*.log") if ELECTION_WON in p.read_text()]):
             if time.monotonic() > until or process.poll() is not None:
                 raise click.ClickException("the local site does not come up")
             time.sleep(0.2)
--- a/weldhead/controller/leadership/lease_renewer.py
+++ b/weldhead/controller/leadership/lease_renewer.py
@@ -158,5 +158,5 @@
             return 0
         await self._actions.request_promises()
         if self._actions.is_leading() and not self._lease.valid(now_us()):
-            self._actions.step_down("the lease ran out")
+            self._actions.step_down("the lease expired")
         return renew_us // 3
