--- a/tests/cluster_state/test_late_writes.py
+++ b/tests/cluster_state/test_late_writes.py
@@ -119,7 +119,7 @@
         state = StateClient(cast(HttpClient, transport), "state", LIMITS)
         told: dict[str, Any] = dict.fromkeys(KEYS)
         created: dict[str, list[int]] = defaultdict(list)
-        doubts: set[str] = set()
+        unsettled_keys: set[str] = set()
 
         async def lead(name: str) -> tuple[StateWriter, "asyncio.Task[None]"]:
             ledger = StateWriter(state, await transport.lead(name))
@@ -129,10 +129,10 @@
             return ledger, asyncio.create_task(ledger.run())
 
         def look(ledger: StateWriter) -> None:
-            doubts.update(key for key in KEYS if ledger.creation_unconfirmed(key))
+            unsettled_keys.update(key for key in KEYS if ledger.creation_unconfirmed(key))
             for key, value in told.items():
                 stored = transport.stored(key)
-                came_back = value is None and key in doubts and stored in created[key]
+                came_back = value is None and key in unsettled_keys and stored in created[key]
                 assert stored == value or came_back, (key, stored, value)
 
         ledger, background_task = await lead("n-0")
@@ -145,7 +145,7 @@
                 for key in KEYS:
                     # What had come back is there for the next leader, and is no surprise.
                     told[key] = transport.stored(key)
-                doubts.clear()
+                unsettled_keys.clear()
             transport.fates = list(fates)
             values: dict[str, Any] = {}
             for key, put in writes.items():
--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -90,15 +90,15 @@
 
     async def begin(self) -> None:
         self.leader = await self.leads()
-        self.duty = asyncio.create_task(self.leader.state_writer.run())
+        self.writer_task = asyncio.create_task(self.leader.state_writer.run())
         node = StandInNode()
         node.leader = self.leader
         self.near, self.far = desk(self.state, node), desk(self.state)
 
     async def end(self) -> None:
         await self.leader.close()
-        self.duty.cancel()
-        await asyncio.gather(self.duty, return_exceptions=True)
+        self.writer_task.cancel()
+        await asyncio.gather(self.writer_task, return_exceptions=True)
 
     def job(self, number: int = 1) -> Any:
         """Return what the first leader has of a job."""
@@ -250,7 +250,7 @@
 
     async def write(self) -> None:
         self.leader.rental_manager.rent(RentalOffer(machine_type(), "a", True), 2)
-        await eventually(lambda: self.cloud.rented or self.duty.done())
+        await eventually(lambda: self.cloud.rented or self.writer_task.done())
 
     async def meanwhile(self) -> None:
         assert not self.cloud.rented
@@ -271,8 +271,12 @@
 
     async def write(self) -> None:
         await super().write()
-        await eventually(lambda: self.leader.rental_manager._unsettled() == [] or self.duty.done())
-        await eventually(lambda: not self.leader.state_writer.unanswered_keys or self.duty.done())
+        await eventually(
+            lambda: self.leader.rental_manager._unsettled() == [] or self.writer_task.done()
+        )
+        await eventually(
+            lambda: not self.leader.state_writer.unanswered_keys or self.writer_task.done()
+        )
 
     async def meanwhile(self) -> None:
         self.worker = StandInWorker(next(iter(self.leader.cluster.machines)), 4.0)
@@ -302,7 +306,7 @@
         self.reported()
         self.reported()
         self.start()
-        await eventually(lambda: self.machine.enrolled or self.duty.done())
+        await eventually(lambda: self.machine.enrolled or self.writer_task.done())
 
     async def meanwhile(self) -> None:
         assert not self.machine.enrolled
@@ -323,7 +327,7 @@
     async def write(self) -> None:
         self.leader.rental_manager._adopt_soon("vm-000007", RentalRecord("m4", "a", True, 1, 0))
         machines = self.leader.cluster.machines
-        await eventually(lambda: "vm-000007" in machines or self.duty.done())
+        await eventually(lambda: "vm-000007" in machines or self.writer_task.done())
 
     async def meanwhile(self) -> None:
         assert "vm-000007" not in self.leader.cluster.machines
@@ -338,7 +342,7 @@
     async def write(self) -> None:
         self.leader.rental_manager.returner.deleted([self.machine])
         records = self.leader.rental_manager._records
-        await eventually(lambda: not records or self.duty.done())
+        await eventually(lambda: not records or self.writer_task.done())
 
     async def meanwhile(self) -> None:
         assert not [key for key in self.state.keys if key.startswith(RENTALS)]
@@ -379,14 +383,16 @@
         assert sorted(name for machines in kept for name in machines) == self.names
 
 
-class Taken(Story):
+class PreemptionRecord(Story):
     key = "t/"
 
     async def write(self) -> None:
         attempt = self.start(index=1)
         self.leader.scheduling_loop.preemption_recorder.record(attempt, self.clock())
         await eventually(lambda: self.state.lost)
-        await eventually(lambda: not self.leader.state_writer.unanswered_keys or self.duty.done())
+        await eventually(
+            lambda: not self.leader.state_writer.unanswered_keys or self.writer_task.done()
+        )
 
     async def meanwhile(self) -> None:
         pass
@@ -612,7 +618,7 @@
 
 STORIES = [
     Submission, Cancellation, End, Progress, RentalName, RentedMachines, UpMark, Adoption, Returned,
-    Division, Taken, Unsettled, Edition, EditionsDocument, Act, ActsEnd, Instants,
+    Division, PreemptionRecord, Unsettled, Edition, EditionsDocument, Act, ActsEnd, Instants,
 ]  # fmt: skip
 
 
@@ -645,8 +651,8 @@
         for successor in successors:
             story.succeeded(successor)
             if story.leaders:
-                await asyncio.wait({story.duty}, timeout=10.0)
-                assert isinstance(story.duty.exception(), LeadershipLostError)
+                await asyncio.wait({story.writer_task}, timeout=10.0)
+                assert isinstance(story.writer_task.exception(), LeadershipLostError)
             await successor.close()
         if not successors:
             await story.answered()
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -75,13 +75,13 @@
         self.leader = new_leader(self.state, self.clock())
         self.node = StandInNode()
         self.node.leader = self.leader
-        self.duty = self.loop.create_task(self.leader.state_writer.run())
+        self.writer_task = self.loop.create_task(self.leader.state_writer.run())
 
     def close(self) -> None:
-        if hasattr(self, "duty"):
+        if hasattr(self, "writer_task"):
             self.leader.state_writer.close()
-            self.duty.cancel()
-            self.loop.run_until_complete(asyncio.gather(self.duty, return_exceptions=True))
+            self.writer_task.cancel()
+            self.loop.run_until_complete(asyncio.gather(self.writer_task, return_exceptions=True))
 
     def run(self, call: Awaitable[T]) -> T:
         async def wait() -> T:
--- a/tests/gates/test_gates.py
+++ b/tests/gates/test_gates.py
@@ -266,7 +266,7 @@
         leader = leader_of(self.state, self.clock())
         self.leader = Leader(leader.term, self.documents() if with_documents else None)
         self.run(self.leader.recovery.load())
-        self.duty = self.loop.create_task(self.leader.state_writer.run())
+        self.writer_task = self.loop.create_task(self.leader.state_writer.run())
         self.leader.term.ready = True
         for machine in self.leader.cluster.machines.values():
             machine.reconciled = True
@@ -275,10 +275,10 @@
         self.look()
 
     def close(self) -> None:
-        if hasattr(self, "duty"):
+        if hasattr(self, "writer_task"):
             self.leader.state_writer.close()
-            self.duty.cancel()
-            self.loop.run_until_complete(asyncio.gather(self.duty, return_exceptions=True))
+            self.writer_task.cancel()
+            self.loop.run_until_complete(asyncio.gather(self.writer_task, return_exceptions=True))
 
     def run(self, call: Awaitable[T]) -> T:
         async def wait() -> T:
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -117,14 +117,16 @@
     assert (first.index, first.machine) == (7, last)
 
 
-@pytest.mark.parametrize("flaw", ["ghosts", "draining", "deleting", "notice", "silent", "unsynced"])
+@pytest.mark.parametrize(
+    "flaw", ["orphans", "draining", "deleting", "notice", "silent", "unsynced"]
+)
 def test_doubtful_machines_get_nothing(flaw: str) -> None:
     into = cluster()
     machine = add_machine(into)
     add_job(into, job_spec())
     at_us = S
     match flaw:
-        case "ghosts":
+        case "orphans":
             machine.orphans.add(("run-9/1", 1))
         case "notice":
             machine.interruption_us = 9 * S
