--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -15,7 +15,7 @@
 from weldhead.documents.records import HEAD_KEY, PREFIX, DocumentSet, HeadRecord
 from weldhead.protocol import http_status
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.http_server import Response, refusal, unavailable
 from weldhead.transport.prefix_follower import read_prefix
 from weldhead.transport.state_client import (
     StateClient,
@@ -98,7 +98,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return refusal(http_status.BAD_REQUEST, str(error))
         if not self.loaded or not self._valid():
-            return refusal(http_status.UNAVAILABLE, "not now", retry_after_s=1)
+            return unavailable("not now")
         verdict = judge_edition(self.cache.head, offer, self._state.limits.value_bytes)
         if verdict is EditionVerdict.TAKEN:
             self._offers.put_nowait(offer)
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -266,8 +266,8 @@
         if name not in self._unsent:
             return True
         record = self._records[name]
-        offer = (record.type, record.zone, record.spot)
-        return self._term.rental_offers.refused_until_us.get(offer, 0) <= now_us()
+        refused_until_us = self._term.rental_offers.refused_until_us
+        return refused_until_us.get(_offer_key(record), 0) <= now_us()
 
     def _send(self, name: str) -> bool:
         """The cloud's turn has come: from here on the rental may have been asked for.
@@ -320,9 +320,7 @@
     def _may_be_ours(self, type_name: str, zone: str, spot: bool) -> bool:
         """Whether a rental is open that such a machine could have come of."""
         offer = (type_name, zone, spot)
-        return any(
-            (r.type, r.zone, r.spot) == offer for r in self._records.values() if not r.settled
-        )
+        return any(_offer_key(r) == offer for r in self._records.values() if not r.settled)
 
     def _adopt_soon(self, name: str, record: RentalRecord) -> None:
         self._adopting.add(name)
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -16,7 +16,7 @@
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import MachineType
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.http_server import Response, unavailable
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import StateClient
 
@@ -95,13 +95,11 @@
     def ready(self) -> Response:
         """Tell the load balancer whether users are served here as well as elsewhere."""
         if not self.catalog:
-            return refusal(http_status.UNAVAILABLE, "machine types not known yet", retry_after_s=1)
+            return unavailable("machine types not known yet")
         if self.isolated:
-            return refusal(http_status.UNAVAILABLE, "this node is alone", retry_after_s=1)
+            return unavailable("this node is alone")
         if not self._state.available and self._served_peers(now_us()):
-            return refusal(
-                http_status.UNAVAILABLE, "the state service refuses this node", retry_after_s=1
-            )
+            return unavailable("the state service refuses this node")
         # In an outage all stay: a balancer without a healthy node serves nobody.
         return Response(http_status.OK, b"{}")
 
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -35,7 +35,14 @@
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.cloud_client import CloudClient
 from weldhead.transport.http_client import CallError, HttpClient
-from weldhead.transport.http_server import Handler, HttpListener, HttpServer, Response, refusal
+from weldhead.transport.http_server import (
+    Handler,
+    HttpListener,
+    HttpServer,
+    Response,
+    refusal,
+    unavailable,
+)
 from weldhead.transport.peer_links import PeerLink, PeerServer
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
@@ -222,11 +229,7 @@
                 # Without its memory it has nothing over others: whose turn it is to read is
                 # counted by the job's home.
                 if self.leader is None or not self.leader.loaded:
-                    return refusal(
-                        http_status.UNAVAILABLE,
-                        "not a leader that has read the jobs",
-                        retry_after_s=1,
-                    )
+                    return unavailable("not a leader that has read the jobs")
                 return await self._request_handler.poll(ask.job_id, forwarded=True)
             case "read":
                 return await self._request_handler.poll(ask.job_id, elsewhere=False)
@@ -239,7 +242,7 @@
             case "documents" if self.leader is not None and self.leader.publisher is not None:
                 return self.leader.publisher.accept_offer(ask.body)
             case _:
-                return refusal(http_status.UNAVAILABLE, "unknown kind", retry_after_s=1)
+                return unavailable("unknown kind")
 
     # -- HTTP -------------------------------------------------------------------------
 
@@ -270,7 +273,7 @@
             answer = leader.handle_heartbeat(report, at_us, relayed=relayed)
             if answer is not None:
                 return Response(http_status.OK, _encode(answer))
-            return refusal(http_status.UNAVAILABLE, "not now", retry_after_s=1)
+            return unavailable("not now")
         self.election.observe_token(report.machine, report.token)
         record = self.election.known_leader
         if record is None or record.name not in self._links:
--- a/weldhead/controller/requests/cancellation_handler.py
+++ b/weldhead/controller/requests/cancellation_handler.py
@@ -11,7 +11,7 @@
 )
 from weldhead.protocol.wire import JobStatus
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.http_server import Response, refusal, unavailable
 
 _encode = msgspec.json.Encoder().encode
 
@@ -35,17 +35,17 @@
                 answer = await self._controller.ask_leader("cancel", job_id, b"")
                 if answer is not None:
                     return answer
-            return refusal(http_status.UNAVAILABLE, "no leader", retry_after_s=1)
+            return unavailable("no leader")
         try:
             answer_now = await leader.cancel(job_id)
             if answer_now is not None:
                 return Response(http_status.OK, _encode(answer_now))
             stored = await self._reader.read_status(job_id)
         except (CallError, NotReadyError):
-            return refusal(http_status.UNAVAILABLE, "cannot be decided yet", retry_after_s=1)
+            return unavailable("cannot be decided yet")
         if stored is None:
             return refusal(http_status.NOT_FOUND, "no such job")
         if stored.state in ("done", "withdrawn"):
             return Response(http_status.OK, _encode(JobStatus(job_id, stored.state)))
         # Accepted by another node a moment ago, and taken up just now.
-        return refusal(http_status.UNAVAILABLE, "cannot be decided yet", retry_after_s=1)
+        return unavailable("cannot be decided yet")
--- a/weldhead/controller/requests/controller_view.py
+++ b/weldhead/controller/requests/controller_view.py
@@ -6,9 +6,8 @@
     DocumentReplica,
 )
 from weldhead.controller.leadership.leader import Leader
-from weldhead.protocol import http_status
 from weldhead.protocol.wire import MachineType
-from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.http_server import Response, unavailable
 
 
 class ControllerView(Protocol):
@@ -54,6 +53,6 @@
     The caller's next connection goes to another controller once the load balancer knows; nobody
     is kept waiting for what cannot come.
     """
-    answer = refusal(http_status.UNAVAILABLE, "this node reaches nobody" + known, retry_after_s=1)
+    answer = unavailable("this node reaches nobody" + known)
     answer.close = True
     return answer
--- a/weldhead/controller/requests/poll_handler.py
+++ b/weldhead/controller/requests/poll_handler.py
@@ -17,7 +17,7 @@
     is_job_id,
 )
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.http_server import Response, refusal, unavailable
 
 log = logging.getLogger(__name__)
 
@@ -126,7 +126,7 @@
 
     def _refuse(self, job_id: str, why: str) -> Response:
         deadline = self._reader.describe_deadline(job_id)
-        return refusal(http_status.UNAVAILABLE, why + deadline, retry_after_s=1)
+        return unavailable(why + deadline)
 
     async def _poll_leader(self, job_id: str) -> Response | None:
         """Have the leader answer a poll; None if it does not, or has enough to answer already.
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -33,7 +33,7 @@
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import Condition, JobSpec, JobStatus, PutKey
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.http_server import Response, refusal, unavailable
 from weldhead.transport.state_client import (
     ConflictError,
     RateLimitedError,
@@ -51,10 +51,6 @@
 _encode = msgspec.json.Encoder().encode
 
 
-def _unavailable(why: str) -> Response:
-    return refusal(http_status.UNAVAILABLE, why, retry_after_s=1)
-
-
 class SubmissionHandler:
     """Answers submissions on one controller."""
 
@@ -85,7 +81,7 @@
         if self._controller.isolated:
             return isolated_response()
         if not self._controller.catalog:
-            return _unavailable("machine types not known yet")
+            return unavailable("machine types not known yet")
         if not self._memory.admits(now_us()):
             return await self._refuse_for_now(spec.id, COME_BACK_S, forwarded, "no memory is left")
         # Names that the settings do not know share one part, or many of them took all.
@@ -103,7 +99,7 @@
         except CallError as error:
             log.info("submission not committed: job %s: %s", spec.id, error)
             answer = None if forwarded else await self._forward(spec, body)
-            return answer or _unavailable("state service unavailable")
+            return answer or unavailable("state service unavailable")
 
     async def _forward(self, spec: JobSpec, body: bytes) -> Response | None:
         """Have a controller accept a job that the state service serves; None: there is none."""
@@ -122,13 +118,13 @@
             answer = await self._controller.ask_leader("known", job_id, b"")
             if answer is not None and answer.status == http_status.OK:
                 return answer
-        return refusal(http_status.UNAVAILABLE, why, retry_after_s=wait_s)
+        return unavailable(why, wait_s)
 
     def known_status(self, job_id: str) -> Response:
         """Tell a job's state if it is in memory; the store is not asked."""
         known = self._reader.in_memory(job_id)
         if known is None:
-            return refusal(http_status.UNAVAILABLE, "not known here", retry_after_s=1)
+            return unavailable("not known here")
         return Response(http_status.OK, _encode(known))
 
     async def _accept(self, spec: JobSpec) -> Response:
@@ -208,7 +204,7 @@
             # Lower limits than were announced: no promise that cannot be kept.
             log.exception("submission rejected by the state service: job %s", spec.id)
             raise SubmissionRefusedError(
-                422, f"the state service takes no record of {size} bytes"
+                http_status.UNPROCESSABLE, f"the state service takes no record of {size} bytes"
             ) from error
         except ConflictError:
             stored = self._reader.in_memory(spec.id) or await self._reader.read_status(spec.id)
@@ -222,5 +218,6 @@
             for tell in self._controller.documents.on_accepted:
                 tell(record)
         return Response(
-            201, _encode(JobStatus(spec.id, "pending", due_at=self._reader.due_at(record)))
+            http_status.CREATED,
+            _encode(JobStatus(spec.id, "pending", due_at=self._reader.due_at(record))),
         )
--- a/weldhead/reconciliation/buffered_heartbeats.py
+++ b/weldhead/reconciliation/buffered_heartbeats.py
@@ -70,26 +70,19 @@
 
     def add_probe_answer(self, report: Heartbeat) -> None:
         """Keep what a machine answered to a direct request, unless something newer is here."""
-        kept = self._kept.get(report.machine)
-        if kept is None:
-            self._kept[report.machine] = BufferedHeartbeat(
-                report, MessageSource.COMMAND_ANSWER, 0, False
-            )
-        elif _order(report) > _order(kept.heartbeat):
-            kept.heartbeat = report
-            kept.source = MessageSource.COMMAND_ANSWER
-            kept.answered = False
+        self._keep_unanswered(report, MessageSource.COMMAND_ANSWER, relayed=False)
 
     def add_unanswered(self, report: Heartbeat, *, relayed: bool) -> None:
         """Keep a report that is not answered, unless something newer is here."""
+        self._keep_unanswered(report, MessageSource.HEARTBEAT, relayed=relayed)
+
+    def _keep_unanswered(self, report: Heartbeat, source: MessageSource, *, relayed: bool) -> None:
         kept = self._kept.get(report.machine)
         if kept is None:
-            self._kept[report.machine] = BufferedHeartbeat(
-                report, MessageSource.HEARTBEAT, 0, relayed
-            )
+            self._kept[report.machine] = BufferedHeartbeat(report, source, 0, relayed)
         elif _order(report) > _order(kept.heartbeat):
             kept.heartbeat = report
-            kept.source = MessageSource.HEARTBEAT
+            kept.source = source
             kept.answered = False
 
     def take(self) -> list[BufferedHeartbeat]:
--- a/weldhead/scheduling/autoscaling/consolidation.py
+++ b/weldhead/scheduling/autoscaling/consolidation.py
@@ -8,7 +8,7 @@
 from weldhead.cluster_state.machines import EPSILON, Machine, tasks_that_fit
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
-from weldhead.scheduling.autoscaling.rental_offers import _fill
+from weldhead.scheduling.autoscaling.rental_offers import fill_room
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, slack_us
 from weldhead.scheduling.placement.eligibility import usable
@@ -47,7 +47,7 @@
     ``move_worth`` sooner for it. Tasks that save go on there, others begin anew where little
     is lost (``_unloading``). Machines that have the image come first; to fetch it must be
     worth FETCH_WEIGHT times its time. After a backlog long tasks hold machines that are
-    otherwise empty: without moves a seventh of a day's money went there.
+    otherwise empty.
     """
     if plan.unplaced:
         return []
@@ -90,8 +90,8 @@
 ) -> bool:
     """Whether a task that saves nothing may begin anew elsewhere now, and be in time.
 
-    Only idle work that nobody waits for: where tasks with deadlines and of chains began anew
-    as well, nine days of other sites lost 0.014 on the mean, as estimates are rough.
+    Only idle work that nobody waits for: estimates are too rough for tasks with deadlines and
+    of chains.
     """
     if not _may_move(attempt) or attempt.adopted or attempt.job.effective_level > 0:
         return False
@@ -168,6 +168,6 @@
                 room[2] += other.spec.memory_gb
             return False
         room = targets[best[1]][1]
-        _fill(room, job, 1)
+        fill_room(room, job, 1)
         taken.append((room, job))
     return True
--- a/weldhead/scheduling/autoscaling/rental_offers.py
+++ b/weldhead/scheduling/autoscaling/rental_offers.py
@@ -62,7 +62,8 @@
     )
 
 
-def _fill(room: list[float], job: Job, most: int) -> int:
+def fill_room(room: list[float], job: Job, most: int) -> int:
+    """Take the room of as many of a job's tasks as fit, ``most`` at the most; return how many."""
     spec = job.spec
     most = min(most, tasks_that_fit(spec, *room))
     room[0] -= spec.cpus * most
--- a/weldhead/scheduling/autoscaling/scale_out.py
+++ b/weldhead/scheduling/autoscaling/scale_out.py
@@ -20,7 +20,7 @@
     PendingRental,
     RentalOffer,
     RentalOffers,
-    _fill,
+    fill_room,
     offer_allows,
 )
 from weldhead.scheduling.autoscaling.unmet_demand import DemandForecastInput, forecast_unmet_demand
@@ -137,7 +137,7 @@
             if count <= 0:
                 break
             if offer_allows(offer, job):
-                count -= _fill(left, job, count)
+                count -= fill_room(left, job, count)
         while count > 0 and len(rooms) < settings.most_per_look:
             best = _best_offer(job, count, missing, offers)
             if best is None:
@@ -147,7 +147,7 @@
                     return rooms
                 dear += best.type.cpus
             left = [best.type.cpus, best.type.gpus, best.type.memory_gb]
-            count -= _fill(left, job, count)
+            count -= fill_room(left, job, count)
             rooms.append((best, left))
             rentals[best] += 1
     return rooms
@@ -163,7 +163,7 @@
         if not offer_allows(offer, job):
             continue
         room = [offer.type.cpus, offer.type.gpus, offer.type.memory_gb]
-        fitting = _fill(room, job, job.spec.tasks)
+        fitting = fill_room(room, job, job.spec.tasks)
         own = min(fitting, count) * job.spec.cpus
         used = max(own, min(offer.type.cpus, demand, fitting * job.spec.cpus))
         fetch_s = job.spec.image_gb / (offer.type.fetch_gb_per_s or 1.0)
--- a/weldhead/scheduling/placement/scoring.py
+++ b/weldhead/scheduling/placement/scoring.py
@@ -21,7 +21,7 @@
 
 
 #: The same, of work without cards on a machine that has some: its cards were bare of CPUs
-#: while work that takes them waited (a tenth of all cards, measured on an own site).
+#: while work that takes them waited.
 CARDS_PENALTY = 60.0
 
 
--- a/weldhead/transport/http_server.py
+++ b/weldhead/transport/http_server.py
@@ -52,6 +52,11 @@
     return Response(status, _encode(ErrorBody(error, field)), retry_after_s)
 
 
+def unavailable(error: str, retry_after_s: int = 1) -> Response:
+    """Return the answer that this cannot be told or done now; the caller is to come back."""
+    return refusal(http_status.UNAVAILABLE, error, retry_after_s=retry_after_s)
+
+
 #: method, path, body -> response
 Handler = Callable[[str, str, bytes], Awaitable[Response]]
 
@@ -175,7 +180,7 @@
             raise
         except Exception:
             log.exception("%s %s failed", request.method, request.path)
-            answer = refusal(http_status.UNAVAILABLE, "internal error", retry_after_s=1)
+            answer = unavailable("internal error")
         return ReadyResponse(answer, close=close or answer.close)
 
     async def close(self) -> None:
