--- a/tests/controller/leadership/test_repeated_failover.py
+++ b/tests/controller/leadership/test_repeated_failover.py
@@ -152,6 +152,24 @@
     play(story)
 
 
+async def _replaced_by_one_that_ended(
+    site: Site,
+) -> tuple[SimulatedController, SimulatedController]:
+    """Return the leader and the third: the second alone has taken the leader for dead, and has
+    ended before its key was written.
+    """
+    first = await site.led()
+    second, third = site.others(first)
+    await asyncio.sleep(5.0)
+    site.store.held_s[second.name] = 2.9
+    site.cut(third.name, first.name, "drop")
+    site.cut(second.name, third.name, "drop")
+    site.cut(second.name, first.name, "refuse")
+    await site.until(lambda: site.store.holds > 0)
+    second.end()
+    return first, third
+
+
 def test_a_key_that_was_replaced_and_is_gone_was_not_given_up_by_its_holder() -> None:
     """A successor's key, written late, went with its lease a moment later. Who had stood still
     meanwhile took the free key and counted nobody as active: the leader before the last still
@@ -159,16 +177,7 @@
     """
 
     async def story(site: Site) -> None:
-        first = await site.led()
-        second, third = site.others(first)
-        await asyncio.sleep(5.0)
-        site.store.held_s[second.name] = 2.9
-        # The second alone takes it for dead, and ends before its key is written.
-        site.cut(third.name, first.name, "drop")
-        site.cut(second.name, third.name, "drop")
-        site.cut(second.name, first.name, "refuse")
-        await site.until(lambda: site.store.holds > 0)
-        second.end()
+        first, third = await _replaced_by_one_that_ended(site)
         await asyncio.sleep(2.7)
         # It learns nothing more, and commands by the last extension for 2 s and more.
         site.cut(first.name, "state", "drop")
@@ -187,15 +196,7 @@
     """As before, and the third was only started when the key was gone."""
 
     async def story(site: Site) -> None:
-        first = await site.led()
-        second, third = site.others(first)
-        await asyncio.sleep(5.0)
-        site.store.held_s[second.name] = 2.9
-        site.cut(third.name, first.name, "drop")
-        site.cut(second.name, third.name, "drop")
-        site.cut(second.name, first.name, "refuse")
-        await site.until(lambda: site.store.holds > 0)
-        second.end()
+        first, third = await _replaced_by_one_that_ended(site)
         third.end()
         site.cut(third.name, "state", "refuse")
         await asyncio.sleep(1.0)
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -6,8 +6,7 @@
 
 import asyncio
 import logging
-from collections.abc import Awaitable
-from typing import Any, TypeVar
+from typing import Any
 
 import msgspec
 import pytest
@@ -16,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from tests.support.builders import add_job, add_machine, cluster, job_spec, machine_type
-from tests.support.leaders import START, Clock, fixed_clock, new_leader
+from tests.support.leaders import START, Clock, LeaderOnLoop, fixed_clock, new_leader
 from tests.support.old_formats import OldFinal, OldJob
 from tests.support.stand_ins import StandInState
 from tests.support.users import StandInNode, desk
@@ -52,7 +51,6 @@
 from weldhead.tunables.defaults import Tunables
 
 S = 1_000_000
-T = TypeVar("T")
 TUNABLES = Tunables()
 LEVELS = {"idle": 0, "normal": 1, "high": 2, "production": 3}
 
@@ -61,12 +59,12 @@
     return f"run-{number:06}"
 
 
-class World:
+class World(LeaderOnLoop):
     """A store, the leader of the moment, and a loop on which only its ledger runs."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.loop = asyncio.new_event_loop()
+        super().__init__()
         self.state = StandInState()
         self.take_over()
 
@@ -75,19 +73,7 @@
         self.leader = new_leader(self.state, self.clock())
         self.node = StandInNode()
         self.node.leader = self.leader
-        self.writer_task = self.loop.create_task(self.leader.state_writer.run())
-
-    def close(self) -> None:
-        if hasattr(self, "writer_task"):
-            self.leader.state_writer.close()
-            self.writer_task.cancel()
-            self.loop.run_until_complete(asyncio.gather(self.writer_task, return_exceptions=True))
-
-    def run(self, call: Awaitable[T]) -> T:
-        async def wait() -> T:
-            return await call
-
-        return self.loop.run_until_complete(wait())
+        self.start_writer()
 
     def submit(self, spec: JobSpec, *, at_leader: bool = True) -> tuple[int, Any]:
         front = desk(self.state, self.node if at_leader else None)
--- a/tests/gates/test_gates.py
+++ b/tests/gates/test_gates.py
@@ -1,8 +1,8 @@
 """Release gates: what opens and closes them, whoever ends in between; nothing stale starts."""
 
 import asyncio
-from collections.abc import Awaitable, Iterator
-from typing import Any, TypeVar, cast
+from collections.abc import Iterator
+from typing import Any, cast
 
 import msgspec
 import pytest
@@ -12,7 +12,7 @@
 
 from tests.support.builders import job_spec
 from tests.support.gates import CLASSES, KEY, gate
-from tests.support.leaders import START, Clock, leader_of
+from tests.support.leaders import START, Clock, LeaderOnLoop, leader_of
 from tests.support.stand_ins import StandInState
 from tests.support.users import StandInNode, desk
 from weldhead.cluster_state.jobs import Job
@@ -49,8 +49,6 @@
 from weldhead.tomlfiles import FileProblemError
 from weldhead.transport.state_client import StateClient
 
-T = TypeVar("T")
-
 S = 1_000_000
 
 
@@ -226,14 +224,14 @@
             check(*wrong)
 
 
-class World:
+class World(LeaderOnLoop):
     """A store, a leader with gates, and a follower's desk; the background task is looked at by
     hand.
     """
 
     def __init__(self, clock: Clock, document: Gate | None = None) -> None:
         self.clock = clock
-        self.loop = asyncio.new_event_loop()
+        super().__init__()
         self.state = StandInState()
         self.edition = 0
         self.publish(document or gate())
@@ -266,7 +264,7 @@
         leader = leader_of(self.state, self.clock())
         self.leader = Leader(leader.term, self.documents() if with_documents else None)
         self.run(self.leader.recovery.load())
-        self.writer_task = self.loop.create_task(self.leader.state_writer.run())
+        self.start_writer()
         self.leader.term.ready = True
         for machine in self.leader.cluster.machines.values():
             machine.reconciled = True
@@ -274,18 +272,6 @@
             self.run(self.leader.gate_keeper._reconcile_pending())
         self.look()
 
-    def close(self) -> None:
-        if hasattr(self, "writer_task"):
-            self.leader.state_writer.close()
-            self.writer_task.cancel()
-            self.loop.run_until_complete(asyncio.gather(self.writer_task, return_exceptions=True))
-
-    def run(self, call: Awaitable[T]) -> T:
-        async def wait() -> T:
-            return await call
-
-        return self.loop.run_until_complete(wait())
-
     @property
     def gates(self) -> GateKeeper:
         assert self.leader.gate_keeper is not None
--- a/tests/support/leaders.py
+++ b/tests/support/leaders.py
@@ -1,7 +1,8 @@
 """Leaders of stand-in state services, at a clock that the test moves."""
 
 import asyncio
-from typing import Any, cast
+from collections.abc import Awaitable
+from typing import Any, TypeVar, cast
 
 import msgspec
 import pytest
@@ -26,6 +27,8 @@
 from weldhead.transport.state_client import StateClient
 from weldhead.tunables.defaults import Tunables
 
+T = TypeVar("T")
+
 S = 1_000_000
 
 
@@ -121,6 +124,31 @@
     return Leader(Term(context), documents)
 
 
+class LeaderOnLoop:
+    """A leader on a loop of its own; between calls only its state writer runs."""
+
+    leader: Leader
+
+    def __init__(self) -> None:
+        self.loop = asyncio.new_event_loop()
+        self._writer_task: asyncio.Task[None] | None = None
+
+    def start_writer(self) -> None:
+        self._writer_task = self.loop.create_task(self.leader.state_writer.run())
+
+    def close(self) -> None:
+        if self._writer_task is not None:
+            self.leader.state_writer.close()
+            self._writer_task.cancel()
+            self.loop.run_until_complete(asyncio.gather(self._writer_task, return_exceptions=True))
+
+    def run(self, call: Awaitable[T]) -> T:
+        async def wait() -> T:
+            return await call
+
+        return self.loop.run_until_complete(wait())
+
+
 def put_job(state: StandInState, spec: JobSpec, **changes: Any) -> None:
     state.put(job_key(spec.id), JobRecord(spec, START - 10 * S, **changes))
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+from tests.support.paths import ROOT
+
 #: From the top to the bottom; docs/architecture.md says what each is for.
 LAYERS = (
     "cli",
