--- a/tests/controller/leadership/test_promises.py
+++ b/tests/controller/leadership/test_promises.py
@@ -89,7 +89,9 @@
 
 
 def test_token_reported_by_a_worker_reaches_replaced_leader() -> None:
-    """A controller that a worker tells a later token denies a promise and states the token."""
+    """A controller that learns a later token from a worker denies the promise to the replaced
+    leader, and its answer states that token.
+    """
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
     node.election._state = cast(Any, SlowStore([CallError("no answer")]))
     report = Heartbeat("vm-000001", "", "m4", "a", False, 1, 1, token=9, tasks=[])
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -83,7 +83,7 @@
     #: The time of day since which earlier terms may have missed cancellations; None: they missed
     #: none.
     unsettled_from_us: int | None
-    #: How long the replaced leader may still trust its lease; 0 if the lease had expired.
+    #: How long the replaced leader may still trust its lease; 0 if it has surely stopped.
     remaining_lease_us: int
 
 
@@ -196,7 +196,8 @@
             if entry.version == self.leader.token:
                 self.lease.confirm_key(sent_us)
             elif entry.version > self.leader.token:
-                # The lease may still be renewed successfully, but that does not protect the key.
+                # The state service may still renew the lease of this node, but another node has
+                # replaced the key.
                 self.step_down(f"{record.name} has replaced it")
         self.known_leader, self.known_leader_token = record, entry.version
         self._key_absent.clear()
@@ -278,7 +279,8 @@
         """Try to write the leader's key.
 
         ``replaced_token`` is the token of the leader to be replaced, or 0 if the key has to be
-        absent; ``remaining_lease_us`` is how long that leader may still trust its lease.
+        absent. ``remaining_lease_us`` is how long that leader may still trust its lease, or 0 if
+        it has surely stopped commanding.
         """
         async with self._campaign_lock:
             if self.leader is not None:
@@ -472,7 +474,10 @@
         return PromiseAnswer(request.id, promised, self.highest_token, running_us)
 
     async def grant_promise(self, request: PromiseRequest) -> bool:
-        """Promise not to campaign if the state service fails this node too; return whether so."""
+        """Promise not to campaign, unless the state service serves this node.
+
+        Returns whether the promise was given.
+        """
         try:
             await self._state.get(
                 LEADER_KEY, urgent=True, timeout_us=self.timing.renewal_interval_us // 2
@@ -525,7 +530,7 @@
             gc.collect()
 
     def observe_token(self, source: str, token: int) -> None:
-        """Record a leader's token that ``source`` has named; step down if it is a later one."""
+        """Record a token reported by ``source``; step down if it is later than this node's own."""
         self.highest_token = max(self.highest_token, token)
         if self.leader is not None and token > self.leader.token:
             self.step_down(f"{source} knows of token {token}")
@@ -551,7 +556,10 @@
                 self.known_leader_token = token
 
     def observe_pong(self, name: str, pong: Pong, sent_us: int) -> None:
-        """Process a peer's answer, which states if the peer is in a term, to a ping sent then."""
+        """Process a peer's answer to a ping that this node sent at ``sent_us``.
+
+        The answer states whether the peer is in a term, and the highest token that it knows.
+        """
         self.observe_token(name, pong.known_token)
         if self.previous_leaders.observe_pong(name, pong, sent_us):
             self.candidacy.discard_earlier_promises()
--- a/weldhead/controller/leadership/leader_lease.py
+++ b/weldhead/controller/leadership/leader_lease.py
@@ -186,9 +186,9 @@
     """Return when the previous leader has surely stopped commanding.
 
     ``remaining_lease_us`` is how long that leader may have trusted its lease after its key was
-    replaced at ``replaced_us``. It is 0 if the lease had expired by itself, as the holder stops
-    before that. A replaced leader may have renewed its lease just before, without knowing that
-    it was replaced.
+    replaced at ``replaced_us``. It is 0 if that leader has surely stopped, for example because its
+    lease expired by itself: the holder stops before that. Any other replaced leader may have
+    renewed its lease just before, without knowing that it was replaced.
     """
     return surely_over_us(replaced_us, remaining_lease_us) if remaining_lease_us else replaced_us
 
