--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -43,7 +43,7 @@
 from weldhead.scheduling.forecast.completion_times import forecast_chains
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.backlog_entry import entry_of
+from weldhead.scheduling.placement.backlog_entry import create_backlog_entry
 from weldhead.scheduling.placement.placement_pass import plan_starts
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
@@ -503,9 +503,9 @@
 
     def placed(job: Job, *rest: Any) -> Any:
         calls.append(job.id)
-        return entry_of(job, *rest)
+        return create_backlog_entry(job, *rest)
 
-    monkeypatch.setattr("weldhead.scheduling.placement.backlog.entry_of", placed)
+    monkeypatch.setattr("weldhead.scheduling.placement.backlog.create_backlog_entry", placed)
     plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert sorted(calls) == [name(1), name(2)]
 
@@ -555,7 +555,10 @@
         job_spec(3, priority="normal", tasks=1, cpus=4.0, deadline_s=30.0),
     )
     goals = ServiceLevelObjectives([])
-    order = [entry_of(job, RunTimeEstimates(), goals, S, 45 * S)[0] for job in (upstream, rival)]
+    order = [
+        create_backlog_entry(job, RunTimeEstimates(), goals, S, 45 * S)[0]
+        for job in (upstream, rival)
+    ]
     assert order[0] < order[1]
     machine = add_machine(into)
     attempt = into.start(rival, 0, machine, S)
--- a/tests/reachability/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -24,7 +24,7 @@
 )
 from weldhead.reachability.freshness import MOST_UNSHOWN, RELAYED_MORE
 from weldhead.reachability.replacement import machines_to_replace
-from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.eligibility import is_schedulable
 
 S = 1_000_000
 LEASE = 12 * S
@@ -156,7 +156,7 @@
     answer = deliver(leader, worker.report(), clock())
     assert answer is not None and answer.commands == []
     assert hears_nothing(leader) == [machine.name]
-    assert not usable(machine, clock(), leader.term.silence_us)
+    assert not is_schedulable(machine, clock(), leader.term.silence_us)
     # The report showed that both answers were dropped: nothing of it can begin there any more.
     assert machine.attempts == {} and job.waiting == 4
     # It hears again when its session outlives its lease.
@@ -164,7 +164,7 @@
         clock.us += 4 * S
         answer = deliver(leader, worker.report(), clock())
     assert hears_nothing(leader) == []
-    assert usable(machine, clock(), leader.term.silence_us)
+    assert is_schedulable(machine, clock(), leader.term.silence_us)
 
 
 def test_a_new_leaders_barrier_ends_though_a_machine_never_hears_of_it(clock: Clock) -> None:
@@ -200,7 +200,7 @@
     clock.us += 5 * S
     assert deliver(leader, workers[0].report(), clock()) is not None
     assert machine.name not in hears_nothing(leader)
-    assert usable(machine, clock(), leader.term.silence_us)
+    assert is_schedulable(machine, clock(), leader.term.silence_us)
 
 
 def test_a_machine_on_no_record_is_asked_before_it_is_entered(
@@ -327,7 +327,7 @@
                 case "start" if leader.recovery.all_known.is_set() and machine is not None:
                     job = leader.cluster.jobs["run-000001"]
                     indexes = job.waiting_indexes(1)
-                    if usable(machine, clock(), leader.term.silence_us) and indexes:
+                    if is_schedulable(machine, clock(), leader.term.silence_us) and indexes:
                         if machine.capacity_for(job):
                             leader.cluster.start(job, indexes[0], machine, clock())
                 case "term":
--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -1,7 +1,7 @@
-"""What size must not cost: operations are counted, never timed.
+"""Bounds on the cost of scheduling large fleets; operations are counted, never timed.
 
-Found at size: each of these grew with machines times jobs times tasks, or with machines
-one by one, until a leader spent most of its processor time, writes or calls on it.
+Each operation tested here once grew with the product of machines, jobs and tasks, or ran for each
+machine separately, until it took most of a leader's CPU time, store writes or cloud API calls.
 """
 
 import asyncio
@@ -36,117 +36,124 @@
 TUNABLES = Tunables()
 
 
-def test_a_placement_pass_over_a_full_fleet_looks_into_no_machine(
+def test_placement_pass_over_full_fleet_inspects_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    into = full_fleet(100, 50)
+    fleet = full_fleet(100, 50)
     counts: dict[str, int] = {}
     for module in (pass_capacity, placement_pass):
-        count_calls(monkeypatch, module, "usable", counts)
+        count_calls(monkeypatch, module, "is_schedulable", counts)
     count_calls(monkeypatch, FreeCapacity, "__init__", counts)
-    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
+    plan = plan_starts(fleet, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert len(plan.unplaced) == 50
     assert counts == {}
 
 
-def test_a_shape_that_found_no_room_is_not_looked_for_again(
+def test_shape_without_capacity_is_not_searched_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    into = full_fleet(100, 50)
-    # Room for a smaller task than any of the queue's, on every machine.
-    for attempt in list(into.jobs["run-000001"].active.values())[::4]:
-        into.release(attempt)
-        into.adopt(attempt, into.machines[attempt.machine])
-    small = add_job(into, job_spec(99, tasks=1, cpus=0.0, memory_gb=0.0))
+    fleet = full_fleet(100, 50)
+    # Every machine gets capacity for a task smaller than any queued one.
+    for attempt in list(fleet.jobs["run-000001"].active.values())[::4]:
+        fleet.release(attempt)
+        fleet.adopt(attempt, fleet.machines[attempt.machine])
+    small = add_job(fleet, job_spec(99, tasks=1, cpus=0.0, memory_gb=0.0))
     counts: dict[str, int] = {}
     count_calls(monkeypatch, FreeCapacity, "capacity_for", counts)
-    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
+    plan = plan_starts(fleet, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert [start.job for start in plan.starts] == [small]
-    # Three shapes over a hundred machines, not fifty jobs twice over.
+    # A search for three shapes on a hundred machines, not for fifty jobs in both rounds.
     assert counts["capacity_for"] <= 5 * 100
 
 
-def test_the_preemptor_looks_at_each_victim_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    into = full_fleet(100, 50)
-    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
+def test_preemption_pass_evaluates_each_victim_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    fleet = full_fleet(100, 50)
+    plan = plan_starts(fleet, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     counts: dict[str, int] = {}
     count_calls(monkeypatch, preemption_pass, "victim_key", counts)
     count_calls(monkeypatch, preemption_pass, "over_guarantee", counts)
-    found = plan_preemptions(
-        into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S,
+    reclaims = plan_preemptions(
+        fleet, ReclaimLists(), plan, RunTimeEstimates(), 2 * S,
         TUNABLES.preemptor.settings(10 * S), ServiceLevelObjectives([]), most=64,
     )  # fmt: skip
-    assert len(found) == 64
-    victims = [victim for reclaim in found for victim in reclaim.victims]
+    assert len(reclaims) == 64
+    victims = [victim for reclaim in reclaims for victim in reclaim.victims]
     assert len({id(victim) for victim in victims}) == len(victims)
-    # 400 tasks sorted once; the rest are neighbours on a victim's machine.
+    # 400 tasks are sorted once; the other calls are for tasks on the machine of a victim.
     assert counts["victim_key"] <= 400 + 4 * 64
     assert counts["over_guarantee"] <= 64 * 5 + 2 * 51
 
 
-def test_what_is_being_rented_counts_when_more_is_planned() -> None:
-    """Requests are under way side by side; each look would rent the same again."""
-    into = cluster(Team("red", 1_000, 1_000))
-    add_job(into, job_spec(1, tasks=100, cpus=4.0))
-    plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
-    kind = machine_type(zones=("a",))
+def test_pending_rentals_count_when_more_are_planned() -> None:
+    """While rental requests were pending, each scale-out pass rented the same capacity again."""
+    fleet = cluster(Team("red", 1_000, 1_000))
+    add_job(fleet, job_spec(1, tasks=100, cpus=4.0))
+    plan = plan_starts(fleet, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
+    rental_type = machine_type(zones=("a",))
 
-    def rented(coming: list[PendingRental]) -> int:
-        market = RentalOffers([kind])
-        fleet = TUNABLES.fleet.settings()
+    def count_rentals(pending: list[PendingRental]) -> int:
+        offers = RentalOffers([rental_type])
+        fleet_settings = TUNABLES.fleet.settings()
         return sum(
             plan_scale_out(
-                into, plan, market, RunTimeEstimates(), ServiceLevelObjectives([]), S, fleet, coming
+                fleet,
+                plan,
+                offers,
+                RunTimeEstimates(),
+                ServiceLevelObjectives([]),
+                S,
+                fleet_settings,
+                pending,
             ).values()
         )
 
-    assert rented([]) >= 50
-    assert rented([PendingRental(kind, 100)]) == 0
+    assert count_rentals([]) >= 50
+    assert count_rentals([PendingRental(rental_type, 100)]) == 0
 
 
-def test_changes_of_one_record_share_a_write() -> None:
+def test_concurrent_changes_of_one_record_share_a_write() -> None:
     async def scenario() -> None:
         state = StandInState()
-        ledger = StateWriter(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
+        writer = StateWriter(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
         record: dict[str, int] = {}
-        waiting = []
+        writes = []
         for number in range(50):
             record[f"vm-{number}"] = number
-            waiting.append(asyncio.create_task(ledger.write_latest("h/x", lambda: dict(record))))
-        before = state.revision
+            writes.append(asyncio.create_task(writer.write_latest("h/x", lambda: dict(record))))
+        revision_before = state.revision
         await asyncio.sleep(0)
-        background_task = asyncio.create_task(ledger.run())
-        await asyncio.gather(*waiting)
-        assert state.revision == before + 1
+        background_task = asyncio.create_task(writer.run())
+        await asyncio.gather(*writes)
+        assert state.revision == revision_before + 1
         assert len(state.keys["h/x"][0]) == 50
-        # What changes after its turn is another write.
+        # A change after the write needs another write.
         record["late"] = 1
-        await ledger.write_latest("h/x", lambda: dict(record))
+        await writer.write_latest("h/x", lambda: dict(record))
         assert state.keys["h/x"][0]["late"] == 1
-        ledger.close()
+        writer.close()
         await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
 
-def test_a_hastened_write_overtakes() -> None:
+def test_prioritized_write_overtakes_earlier_writes() -> None:
     async def scenario() -> None:
         state = StandInState()
         state.max_writes = 1
-        ledger = StateWriter(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
-        first = asyncio.create_task(ledger.write({"p/1": 1}))
-        last = asyncio.create_task(ledger.write_latest("p/2", lambda: 2))
+        writer = StateWriter(cast(StateClient, state), state.put(LEADER_KEY, {"name": "n-0"}))
+        first = asyncio.create_task(writer.write({"p/1": 1}))
+        last = asyncio.create_task(writer.write_latest("p/2", lambda: 2))
         await asyncio.sleep(0)
-        ledger.prioritize("p/2")
-        background_task = asyncio.create_task(ledger.run())
+        writer.prioritize("p/2")
+        background_task = asyncio.create_task(writer.run())
         assert await last < await first
-        ledger.close()
+        writer.close()
         await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
 
-def test_hundreds_of_machines_are_rented_marked_and_returned_in_few_calls_and_writes(
+def test_hundreds_of_machines_need_few_cloud_calls_and_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     state, cloud = StandInState(), StandInCloud()
@@ -164,31 +171,31 @@
         assert len(machines) == 230
         assert [request.count for request in cloud.rented] == [50, 50, 50, 50, 30]
         assert len({request.request for request in cloud.rented}) == 5
-        before = state.revision
+        revision_before = state.revision
         for number, machine in enumerate(machines.values()):
             machine.address = f"10.1.0.{number}:9000"
             leader.term.background_tasks.spawn("up", rentals.enroll(machine))
         await settle()
         assert all(machine.enrolled for machine in machines.values())
-        assert state.revision - before <= 5
+        assert state.revision - revision_before <= 5
         stored = [value for key, (value, _) in state.keys.items() if key.startswith(RENTALS)]
-        marked = [address for record in stored for address in record["machines"].values()]
-        assert len(marked) == 230 and None not in marked
-        before = state.revision
+        addresses = [address for record in stored for address in record["machines"].values()]
+        assert len(addresses) == 230 and None not in addresses
+        revision_before = state.revision
         rentals.return_machines(machines)
         await settle()
         assert [len(names) for names in cloud.deleted] == [100, 100, 30]
         assert leader.cluster.machines == {}
         assert not any(key.startswith(RENTALS) for key in state.keys)
-        assert state.revision - before <= 10
+        assert state.revision - revision_before <= 10
         await leader.close()
         await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
 
-def test_what_was_never_sent_is_not_asked_for_once_a_part_of_it_is_refused() -> None:
-    """Each of many parts was refused in turn, at the cloud's few calls a second."""
+def test_refused_rental_cancels_its_unsent_requests() -> None:
+    """The unsent requests for a refused offer used up the cloud's few calls per second."""
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
@@ -198,17 +205,17 @@
     async def scenario() -> None:
         background_task = asyncio.create_task(leader.state_writer.run())
         rentals.rent(RentalOffer(machine_type(), "a", True), 500)
-        # What an earlier leader may have asked for has to be settled all the same.
+        # A request that an earlier leader may have sent still has to be resolved.
         rentals._records["n-9-9-1"] = RentalRecord("m4", "a", True, 7, 0)
         await settle()
         assert [request.count for request in cloud.rented][:3] == [50, 50, 50]
-        asked = len(cloud.rented)
-        assert asked == 3
+        request_count = len(cloud.rented)
+        assert request_count == 3
         await rentals._settle("n-9-9-1")
-        assert cloud.rented[asked].request == "n-9-9-1"
+        assert cloud.rented[request_count].request == "n-9-9-1"
         assert len(leader.cluster.machines) == 100
         await settle()
-        # Nothing of what was refused, or never asked for, stays on record.
+        # No record of a refused or unsent request is left.
         assert len([key for key in state.keys if key.startswith(RENTALS)]) == 2
         assert not rentals.pending() and not rentals._unsent
         await leader.close()
@@ -217,36 +224,36 @@
     asyncio.run(scenario())
 
 
-def test_a_returned_machine_makes_its_offer_worth_asking_for_again(
+def test_returned_machine_makes_its_offer_available_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After half of a fleet had fallen its place was free, and was not asked for for 15 s."""
+    """After half of a fleet had failed, the freed cloud capacity was not requested for 15 s."""
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     cloud.capacity = 50
     monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
-    rentals, market = leader.rental_manager, leader.term.rental_offers
+    rentals, offers = leader.rental_manager, leader.term.rental_offers
 
     async def scenario() -> None:
         background_task = asyncio.create_task(leader.state_writer.run())
         leader.term.background_tasks.start("deletions", rentals.returner.delete_returned)
         rentals.rent(RentalOffer(machine_type(), "a", True), 100)
         await settle()
-        asked = {(offer.zone, offer.spot) for offer in market.available(now_us())}
-        assert ("a", True) not in asked and ("b", True) in asked
+        available = {(offer.zone, offer.spot) for offer in offers.available(now_us())}
+        assert ("a", True) not in available and ("b", True) in available
         name = next(iter(leader.cluster.machines))
         rentals.return_machines({name: leader.cluster.machines[name]})
         await settle()
         assert name not in leader.cluster.machines
-        assert RentalOffer(machine_type(), "a", True) in market.available(now_us())
+        assert RentalOffer(machine_type(), "a", True) in offers.available(now_us())
         await leader.close()
         await asyncio.gather(background_task, return_exceptions=True)
 
     asyncio.run(scenario())
 
 
-def test_a_rentals_machines_are_divided_so_that_each_record_fits_with_all_addresses() -> None:
+def test_divided_rental_records_fit_with_all_addresses() -> None:
     for limit in (1024, 2048, 8192):
         names: dict[str, str | None] = {f"vm-{n:012}": None for n in range(50)}
         record = RentalRecord("a-rather-long-type-name", "zone-name", True, 50, 2**52, True, names)
@@ -255,27 +262,30 @@
         for part in parts:
             record.machines = dict.fromkeys(part, "255.255.255.255:65535")
             assert len(msgspec.json.encode(record)) <= limit
-            # What fits stays as it is.
+            # A record that fits is not divided further.
             assert divide_machines(record, limit) == [record.machines]
-        # No more of them than it takes.
+        # The machines are divided into no more records than necessary.
         assert len(parts) <= 1 + 50 * 45 // (limit - 200)
 
 
-def test_a_wave_of_taken_spot_machines_is_told_from_a_cut() -> None:
-    """A third of the fleet was silent after a wave: a takeover waited for all its leases."""
-    kind = machine_type()
-
-    def fleet(zone: str, spot: bool, count: int) -> list[Machine]:
-        return [Machine(f"{zone}-{spot}-{n}", kind, zone, spot, 0) for n in range(count)]
-
-    spots, ordinary = fleet("a", True, 10), fleet("a", False, 3)
-    others = fleet("b", True, 3)
-    live = spots + ordinary + others
-    assert look_lost(spots[:5], live)
-    # More than a third, but only spot machines, beside ordinary ones that are heard.
-    assert look_lost(spots[:9], live)
-    assert not look_lost(spots[:9] + ordinary[:1], live)
-    # Nothing ordinary is heard in that zone: it may be cut off.
-    assert not look_lost(spots[:5] + others, live)
-    assert not look_lost(live, live)
-    assert look_lost(ordinary[:1], ordinary[:1])
+def test_wave_of_spot_interruptions_is_told_from_network_cut() -> None:
+    """After a wave silenced a third of the fleet, a takeover waited for all leases to expire."""
+    common_type = machine_type()
+
+    def create_machines(zone: str, spot: bool, count: int) -> list[Machine]:
+        return [Machine(f"{zone}-{spot}-{n}", common_type, zone, spot, 0) for n in range(count)]
+
+    spot_machines, full_price_machines = (
+        create_machines("a", True, 10),
+        create_machines("a", False, 3),
+    )
+    other_zone = create_machines("b", True, 3)
+    known_machines = spot_machines + full_price_machines + other_zone
+    assert look_lost(spot_machines[:5], known_machines)
+    # More than a third is silent, but only spot machines; full-price ones in the zone respond.
+    assert look_lost(spot_machines[:9], known_machines)
+    assert not look_lost(spot_machines[:9] + full_price_machines[:1], known_machines)
+    # No machine of the zone at the full price responds: the zone may be cut off.
+    assert not look_lost(spot_machines[:5] + other_zone, known_machines)
+    assert not look_lost(known_machines, known_machines)
+    assert look_lost(full_price_machines[:1], full_price_machines[:1])
--- a/tests/scheduling/test_cost_of_changes.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -84,11 +84,11 @@
     into = full_fleet(machines, jobs)
     scene = scene_of(into)
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, backlog, "entry_of", counts)
+    count_calls(monkeypatch, backlog, "create_backlog_entry", counts)
     count_calls(monkeypatch, FreeCapacity, "__init__", counts)
     count_calls(monkeypatch, FreeCapacity, "capacity_for", counts)
     for module in (pass_capacity, placement_pass):
-        count_calls(monkeypatch, module, "usable", counts)
+        count_calls(monkeypatch, module, "is_schedulable", counts)
     plan = plan_pass(scene, 2 * S, 10 * S)
     assert plan.starts == [] and bool(plan.unplaced)
     assert counts == {}
@@ -98,9 +98,9 @@
     into.release(attempt, completed=True)
     plan = plan_pass(scene, 2 * S, 10 * S)
     assert len(plan.starts) == 1
-    assert counts["entry_of"] == 1
+    assert counts["create_backlog_entry"] == 1
     assert counts["__init__"] == 1
-    assert counts["usable"] <= 4 and counts["capacity_for"] <= 8
+    assert counts["is_schedulable"] <= 4 and counts["capacity_for"] <= 8
 
 
 def test_time_alone_moves_only_the_jobs_that_it_carries_over_a_bound(
@@ -111,13 +111,13 @@
         add_job(into, job_spec(100 + number, deadline_s=1_000.0 + number, estimate_s=10.0))
     scene = scene_of(into)
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, backlog, "entry_of", counts)
+    count_calls(monkeypatch, backlog, "create_backlog_entry", counts)
     plan_pass(scene, 900 * S, 2_000 * S)
     assert counts == {}
     # Patient until 45 s before the last start that is in time: one a second from here on.
     plan_pass(scene, 945 * S + 1, 2_000 * S)
     plan_pass(scene, 950 * S + 1, 2_000 * S)
-    assert counts["entry_of"] == 6
+    assert counts["create_backlog_entry"] == 6
 
 
 @pytest.mark.parametrize(("machines", "jobs"), SIZES)
--- a/tests/scheduling/test_incremental_equivalence.py
+++ b/tests/scheduling/test_incremental_equivalence.py
@@ -26,7 +26,7 @@
         town.compare_placement()
         town.cluster.check_invariants()
         town.scene.refresh(town.now)
-        assert town.scene.backlog.inconsistent_jobs() == []
+        assert town.scene.backlog.find_inconsistent_jobs() == []
         town.compare_forecasts()
 
 
--- a/tests/support/reference_decisions.py
+++ b/tests/support/reference_decisions.py
@@ -23,10 +23,10 @@
 from weldhead.scheduling.autoscaling.scale_out import usual_boots
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.eligibility import is_schedulable
 from weldhead.scheduling.placement.free_capacity import FreeCapacity
 from weldhead.scheduling.placement.pass_capacity import PassCapacity
-from weldhead.scheduling.placement.placement_pass import _place
+from weldhead.scheduling.placement.placement_pass import _place_tasks
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 from weldhead.scheduling.preemption.preemption_pass import PreemptionPass
 from weldhead.scheduling.preemption.victim_rules import PreemptorSettings
@@ -47,7 +47,7 @@
         self.open = [
             FreeCapacity(machine)
             for machine in cluster.machines.values()
-            if usable(machine, at_us, silence_us)
+            if is_schedulable(machine, at_us, silence_us)
         ]
 
     def candidates_for(self, job: Job) -> list[FreeCapacity]:
@@ -117,7 +117,7 @@
                 allowed = min(allowed, most)
             if allowed <= 0:
                 continue
-            placed = _place(
+            placed = _place_tasks(
                 plan, job, allowed, rooms, planned[job.id], planned_zones[job.id], fetch_weight
             )
             planned[job.id] += placed
@@ -151,7 +151,7 @@
                     self._add(room, attempt.job, 1)
                     self.freed[attempt.job.team] += attempt.job.spec.cpus
             self._capacity[machine.name] = (
-                room if usable(machine, at_us, settings.silence_us) else None
+                room if is_schedulable(machine, at_us, settings.silence_us) else None
             )
         for entry in lists.entries():
             job = cluster.jobs.get(entry.job_id)
--- a/tests/support/towns.py
+++ b/tests/support/towns.py
@@ -218,7 +218,7 @@
         counts = {job.id: count for job, count in plain.listed}
         backlog = self.scene.backlog
         for job in self.cluster.jobs.values():
-            found = plan.unplaced.count_of(job, backlog.position_of(job.id))
+            found = plan.unplaced.count_for_job(job, backlog.position_of(job.id))
             assert found == counts.get(job.id, 0)
         expected = plain_reclaims(
             self.cluster, self.lists, plain, self.estimates, self.now, PREEMPTOR, GOALS, 8
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -16,7 +16,7 @@
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
 from weldhead.scheduling.autoscaling.scale_in import choose_scale_in_candidates, plan_scale_in
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out, replacements
-from weldhead.scheduling.placement.placement_pass import plan_nothing
+from weldhead.scheduling.placement.placement_pass import plan_without_starts
 
 if TYPE_CHECKING:
     from weldhead.controller.configuration.gate_keeper import GateKeeper
@@ -82,7 +82,7 @@
             return
         placement_input = self._scheduling_loop.placement_input()
         settings = self._term.tunables.fleet.settings()
-        plan = plan_nothing(placement_input, at_us, settings.most_considered)
+        plan = plan_without_starts(placement_input, at_us, settings.most_considered)
         fresh = [
             m for m in self._term.cluster.machines.values() if m.rented_us >= self._term.loaded_us
         ]
@@ -110,7 +110,7 @@
         """See that no waiting job was lost observation of, and say what the loop suffered from."""
         placement_input = self._scheduling_loop.placement_input()
         placement_input.refresh(at_us)
-        strays = placement_input.backlog.inconsistent_jobs()
+        strays = placement_input.backlog.find_inconsistent_jobs()
         if strays:
             log.error(
                 "%d jobs were out of order, %s first; the order is made anew",
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -17,7 +17,7 @@
 from weldhead.protocol.wire import MachineType
 from weldhead.reconciliation.partial_view import PartialView
 from weldhead.reconciliation.preemption_rate_limit import PreemptionRateLimit
-from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.eligibility import is_schedulable
 from weldhead.scheduling.placement.placement_pass import plan_pass
 from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
@@ -86,7 +86,7 @@
         before = placement_input.reservations
         placement_input.reservations = self._reserver.update(
             at_us,
-            lambda machine: usable(machine, at_us, self._term.silence_us),
+            lambda machine: is_schedulable(machine, at_us, self._term.silence_us),
             ((entry.machine, entry.job_id) for entry in self.reclaims.entries()),
         )
         if placement_input.reservations is not before:
@@ -234,7 +234,7 @@
             waiting = 0
             if job is not None and self.current_input is not None:
                 place = self.current_input.backlog.position_of(job_id)
-                waiting = self.last_plan.unplaced.count_of(job, place)
+                waiting = self.last_plan.unplaced.count_for_job(job, place)
             self.reclaims.trim(job_id, waiting)
 
     def _who(self, job_id: str) -> str:
--- a/weldhead/scheduling/autoscaling/consolidation.py
+++ b/weldhead/scheduling/autoscaling/consolidation.py
@@ -11,7 +11,7 @@
 from weldhead.scheduling.autoscaling.rental_offers import fill_room
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, slack_us
-from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.eligibility import is_schedulable
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 
 #: How much sooner, in times of the fetch, a machine must go for a move that costs a fetch.
@@ -54,7 +54,7 @@
     closing: list[tuple[float, MachineDrain]] = []
     targets: list[tuple[Machine, list[float]]] = []
     for machine in cluster.machines.values():
-        if not usable(machine, at_us, silence_us):
+        if not is_schedulable(machine, at_us, silence_us):
             continue
         if not machine.scale_in_candidate:
             if machine.cpus > EPSILON:
--- a/weldhead/scheduling/placement/__init__.py
+++ b/weldhead/scheduling/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which waiting task starts on which machine."""
+"""Placement of waiting tasks on machines."""
--- a/weldhead/scheduling/placement/backlog_entry.py
+++ b/weldhead/scheduling/placement/backlog_entry.py
@@ -1,7 +1,8 @@
 """Shapes of tasks, kinds of jobs, and a job's position in the placement order.
 
-Jobs of one kind look for the same capacity and stand in one queue: where one of them finds none,
-or its team's limit refuses it, none behind it does better, and a pass leaves the whole queue.
+Jobs of one kind need the same sort of capacity and share one queue. If a job finds no capacity,
+or its team's limit rejects it, the same holds for all jobs behind it in the queue, so that a
+placement pass skips the rest of that queue.
 """
 
 from typing import NamedTuple
@@ -12,7 +13,7 @@
 
 
 class TaskShape(NamedTuple):
-    """What decides where a task fits, whoever's it is."""
+    """The resources and placement constraints of a task, regardless of its team and job."""
 
     cpus: float
     gpus: float
@@ -29,53 +30,62 @@
 
 
 class JobKind(NamedTuple):
-    """Jobs whose tasks are looked for room alike."""
+    """The properties by which placement treats jobs alike; the key of a backlog queue."""
 
     team: str
     level: int
     job_class: str
     service: bool
     shape: TaskShape
-    #: The job alone, where its own tasks limit or move where others may go.
-    own: str
+    #: The job's ID if its running or failed tasks restrict where its other tasks may run, so
+    #: that the job has a queue of its own; empty for all other jobs.
+    exclusive_job_id: str
 
     @classmethod
     def of(cls, job: Job) -> "JobKind":
         """Return a job's kind."""
         spec = job.spec
-        own = job.id if spec.one_zone or spec.spread or job.failed_machines else ""
+        exclusive_job_id = job.id if spec.one_zone or spec.spread or job.failed_machines else ""
         return cls(
-            job.team, job.effective_level, spec.job_class, spec.is_service, TaskShape.of(job), own
+            job.team,
+            job.effective_level,
+            spec.job_class,
+            spec.is_service,
+            TaskShape.of(job),
+            exclusive_job_id,
         )
 
 
 class BacklogEntry(NamedTuple):
-    """A job's place in the order; the first differing field decides, the serial at last."""
+    """A job's sort key in the placement order, compared field by field.
+
+    The serial is unique, so that the comparison never reaches the job.
+    """
 
     urgency: int
-    level: int
+    negated_level: int
     service: int
-    start_us: int
+    latest_start_us: int
     first_seen_us: int
     serial: int
     job: Job
 
 
-def entry_of(
+def create_backlog_entry(
     job: Job,
     estimates: RunTimeEstimates,
     objectives: ServiceLevelObjectives,
     at_us: int,
     patience_us: int,
 ) -> tuple[BacklogEntry, int]:
-    """Return a job's place in the order, and until when it is that."""
+    """Return a job's entry in the placement order, and the time until which it stays valid."""
     task_us = estimates.order_us(job)
-    press, start_us, until_us = objectives.urgency_window(job, task_us, at_us, patience_us)
+    urgency, latest_start_us, until_us = objectives.urgency_window(job, task_us, at_us, patience_us)
     return BacklogEntry(
-        int(press),
-        -job.effective_level if press is not Urgency.PATIENT else 0,
+        int(urgency),
+        -job.effective_level if urgency is not Urgency.PATIENT else 0,
         1 if job.spec.is_service else 0,
-        start_us,
+        latest_start_us,
         job.first_seen_us,
         job.serial,
         job,
--- a/weldhead/scheduling/placement/eligibility.py
+++ b/weldhead/scheduling/placement/eligibility.py
@@ -1,10 +1,14 @@
-"""Which machines may take new work."""
+"""The rule for which machines may receive new tasks."""
 
 from weldhead.cluster_state.machines import Machine
 
 
-def usable(machine: Machine, at_us: int, silence_us: int) -> bool:
-    """Whether new work may be placed on a machine."""
+def is_schedulable(machine: Machine, at_us: int, silence_us: int) -> bool:
+    """Whether new tasks may be placed on a machine.
+
+    A machine counts as silent ``silence_us`` after its last heartbeat or its first probe,
+    whichever is later.
+    """
     return (
         machine.reconciled
         and not machine.draining
--- a/weldhead/scheduling/placement/free_capacity.py
+++ b/weldhead/scheduling/placement/free_capacity.py
@@ -7,10 +7,10 @@
 
 
 class FreeCapacity:
-    """A machine's free amounts while a plan is made."""
+    """A machine's free resources, reduced by the tasks that the current pass places there."""
 
     __slots__ = (
-        "_pulls",
+        "_image_pulls",
         "cpus",
         "gpu_reservation",
         "gpus",
@@ -20,60 +20,60 @@
         "used",
     )  # fmt: skip
 
-    def __init__(self, machine: Machine, keep: GpuReservation | None = None) -> None:
+    def __init__(self, machine: Machine, gpu_reservation: GpuReservation | None = None) -> None:
         self.machine = machine
-        #: Free cards keep their share of the CPUs and the memory for work that takes cards.
-        self.gpu_reservation = keep if machine.type.gpus > 0 else None
+        #: Reserves CPUs and memory in proportion to the free GPUs for jobs that need GPUs.
+        self.gpu_reservation = gpu_reservation if machine.type.gpus > 0 else None
         self.cpus = machine.cpus
         self.gpus = machine.gpus
         self.memory_gb = machine.memory_gb
         self.used = bool(machine.attempts)
-        #: Images that tasks there use or wait for; looked up when first asked for.
+        #: Images that tasks on the machine use or wait for; None until first requested.
         self.images: set[str] | None = None
-        self._pulls = 0
+        self._image_pulls = 0
 
     def capacity_for(self, job: Job) -> int:
-        """How many tasks of the job fit."""
+        """How many tasks of the job fit into the free resources."""
         if (
             self.gpu_reservation is not None
             and self.gpus > 0
             and self.gpu_reservation.excludes(job)
         ):
-            share = self.gpus / self.machine.type.gpus
-            cpus = self.cpus - self.machine.type.cpus * share
-            memory_gb = self.memory_gb - self.machine.type.memory_gb * share
+            free_gpu_fraction = self.gpus / self.machine.type.gpus
+            cpus = self.cpus - self.machine.type.cpus * free_gpu_fraction
+            memory_gb = self.memory_gb - self.machine.type.memory_gb * free_gpu_fraction
             return tasks_that_fit(job.spec, max(0.0, cpus), self.gpus, max(0.0, memory_gb))
         return tasks_that_fit(job.spec, self.cpus, self.gpus, self.memory_gb)
 
-    def allocate(self, job: Job, count: int) -> None:
-        """Reserve room for tasks of the job."""
-        self.cpus -= job.spec.cpus * count
-        self.gpus -= job.spec.gpus * count
-        self.memory_gb -= job.spec.memory_gb * count
+    def allocate(self, job: Job, task_count: int) -> None:
+        """Subtract the resources of some tasks of the job from the free resources."""
+        self.cpus -= job.spec.cpus * task_count
+        self.gpus -= job.spec.gpus * task_count
+        self.memory_gb -= job.spec.memory_gb * task_count
         self.used = True
-        images = self.wanted_images()
+        images = self.find_images_in_use()
         if self.machine.type.gpus > 0 and job.spec.image not in images | self.machine.images.keys():
-            # Weights placed side by side in one pass share the rate, as those under way do.
-            self._pulls += 1
+            # Images that one pass adds share the download bandwidth with the running downloads.
+            self._image_pulls += 1
         images.add(job.spec.image)
 
-    def wanted_images(self) -> set[str]:
-        """Return the images that tasks there use or wait for."""
+    def find_images_in_use(self) -> set[str]:
+        """Return the images that tasks on the machine use or wait for."""
         if self.images is None:
             self.images = {a.job.spec.image for a in self.machine.attempts.values()}
-            self._pulls = self.machine.image_pulls()
+            self._image_pulls = self.machine.image_pulls()
             if self.machine.type.gpus > 0:
-                self._pulls = coming_images(self.machine)
+                self._image_pulls = count_incoming_images(self.machine)
         return self.images
 
-    def image_pulls(self) -> int:
-        """How many images are being fetched there."""
-        self.wanted_images()
-        return self._pulls
+    def count_image_pulls(self) -> int:
+        """How many images the machine downloads at the same time."""
+        self.find_images_in_use()
+        return self._image_pulls
 
 
-def coming_images(machine: Machine) -> int:
-    """How many images a machine fetches or is about to fetch."""
-    before = (AttemptPhase.ASSIGNED, AttemptPhase.PULLING)
-    images = {a.job.spec.image for a in machine.attempts.values() if a.phase in before}
+def count_incoming_images(machine: Machine) -> int:
+    """How many images a machine downloads or is about to download."""
+    phases_before_start = (AttemptPhase.ASSIGNED, AttemptPhase.PULLING)
+    images = {a.job.spec.image for a in machine.attempts.values() if a.phase in phases_before_start}
     return len(images - machine.images.keys())
--- a/weldhead/scheduling/placement/gpu_reservation.py
+++ b/weldhead/scheduling/placement/gpu_reservation.py
@@ -1,4 +1,4 @@
-"""CPUs and memory that free GPUs keep for work that takes GPUs."""
+"""CPUs and memory that are reserved beside free GPUs for jobs that need GPUs."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -12,30 +12,32 @@
 
 
 class GpuReservation:
-    """From whom free cards keep their CPUs while work with cards waits.
+    """Decides which jobs may not use the CPUs and memory beside free GPUs.
 
-    From work without cards that has somewhere else to run. Where all machines have cards it
-    would wait for as long as some task of several cards does that fits nowhere.
+    The reservation is in force while jobs that need GPUs wait. It excludes jobs without GPUs that
+    can also run on a machine without GPUs. In a fleet in which every machine has GPUs it excludes
+    no job: jobs without GPUs would otherwise wait for as long as a task of several GPUs waits that
+    fits on no machine.
     """
 
     def __init__(self, machines: Iterable[Machine]) -> None:
-        #: One of each kind of machine without cards.
-        self._plain = list(
+        #: One machine for each combination of type, zone and spot of machines without GPUs.
+        self._cpu_only_machines = list(
             {
                 (m.type.name, m.zone, m.spot): m
                 for m in machines
                 if m.type.gpus <= 0 and not m.draining and not m.deleting
             }.values()
         )
-        self._known: dict[TaskShape, bool] = {}
+        self._excluded_by_shape: dict[TaskShape, bool] = {}
 
     def excludes(self, job: Job) -> bool:
-        """Whether a job's tasks get nothing that free cards need beside them."""
+        """Whether a job's tasks may not use the CPUs and memory reserved beside free GPUs."""
         if job.spec.gpus > 0:
             return False
         shape = TaskShape.of(job)
-        kept = self._known.get(shape)
-        if kept is None:
-            kept = any(m.allows(job) and m.type.fits(job.spec) for m in self._plain)
-            self._known[shape] = kept
-        return kept
+        excluded = self._excluded_by_shape.get(shape)
+        if excluded is None:
+            excluded = any(m.allows(job) and m.type.fits(job.spec) for m in self._cpu_only_machines)
+            self._excluded_by_shape[shape] = excluded
+        return excluded
--- a/weldhead/scheduling/placement/placement_pass.py
+++ b/weldhead/scheduling/placement/placement_pass.py
@@ -1,9 +1,10 @@
 """Placement: which waiting task starts on which machine.
 
-The plan is a function of the cluster and the time; only copies of the free amounts change.
-Order: work inside its team's guarantee first, as it need not wait for others; then urgent work by
-priority and least laxity; then work with time to spare, by laxity alone. Within a job, stopped
-tasks restart before new ones, preferably on their last machine.
+A plan depends only on the cluster and the time; the pass allocates from copies of the machines'
+free resources. Jobs within their team's guarantee come first, because they need not wait for
+other teams. Urgent jobs follow, by priority and then by least laxity (the time that a job can
+still wait and be in time). Jobs with time to spare come last, by laxity alone. Within a job,
+stopped tasks restart before new ones, preferably on their last machine.
 """
 
 from collections import defaultdict
@@ -16,28 +17,31 @@
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.scheduling.placement.backlog_entry import BacklogEntry
-from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.eligibility import is_schedulable
 from weldhead.scheduling.placement.free_capacity import FreeCapacity
 from weldhead.scheduling.placement.gpu_reservation import GpuReservation
 from weldhead.scheduling.placement.pass_capacity import PassCapacity, ReservedCapacity
 from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan, TaskStart
-from weldhead.scheduling.placement.scoring import score
+from weldhead.scheduling.placement.scoring import score_machine
 from weldhead.scheduling.placement.team_allowance import TeamAllowance
 
 
-def plan_nothing(placement_input: PlacementInput, at_us: int, most: int) -> PlacementPlan:
-    """Return a plan that starts nothing: up to that many waiting jobs, in order, are left over.
+def plan_without_starts(
+    placement_input: PlacementInput, at_us: int, max_jobs: int
+) -> PlacementPlan:
+    """Return a plan without starts that lists the first ``max_jobs`` waiting jobs as unplaced.
 
-    For what is decided while nothing may be started yet: what unknown machines may hold does
-    not count here, as those that are to be replaced are among them.
+    The plan serves decisions that are made while no task may be started yet. Tasks that unverified
+    machines may still run don't count against the quotas here, because the machines that are to be
+    replaced are among the unverified ones.
     """
     placement_input.refresh(at_us)
-    plan, given = PlacementPlan(), dict[str, TeamAllowance]()
-    for number, job in enumerate(islice(placement_input.backlog, most)):
-        if job.team not in given:
-            given[job.team] = TeamAllowance(placement_input.cluster, job.team)
-        allowance = given[job.team]
-        count = min(job.waiting, allowance.within_limit(job))
+    plan, allowances = PlacementPlan(), dict[str, TeamAllowance]()
+    for number, job in enumerate(islice(placement_input.backlog, max_jobs)):
+        if job.team not in allowances:
+            allowances[job.team] = TeamAllowance(placement_input.cluster, job.team)
+        allowance = allowances[job.team]
+        count = min(job.waiting, allowance.tasks_within_limit(job))
         if count > 0 and (not job.on_probation or job.stranded):
             allowance.allocate(job, count)
             plan.unplaced.add(BacklogEntry(0, 0, 0, 0, 0, number, job), count)
@@ -53,7 +57,7 @@
     patience_us: int,
     fetch_weight: float = 1.0,
 ) -> PlacementPlan:
-    """Decide which waiting tasks start where, of a cluster that nobody follows yet."""
+    """Plan one pass for a cluster for which no ``PlacementInput`` is maintained."""
     placement_input = PlacementInput(cluster, estimates, objectives, patience_us)
     try:
         return plan_pass(placement_input, at_us, silence_us, fetch_weight)
@@ -68,53 +72,53 @@
     fetch_weight: float = 1.0,
     may_start: Callable[[Job], bool] | None = None,
 ) -> PlacementPlan:
-    """Decide which waiting tasks start where; ``may_start`` leaves jobs out (None: none).
+    """Decide which waiting tasks start on which machines.
 
-    The same plan as one that looks at all waiting jobs, each in its turn; but a queue of
-    jobs of one kind is left at the first that finds no room, or for which the limit or the
-    guarantee of its team has none.
+    ``may_start`` excludes the jobs for which it returns False. The plan equals that of a pass
+    over all waiting jobs one by one, but a queue of jobs of one kind is skipped from the first
+    job on that finds no capacity or that its team's limit or guarantee rejects.
     """
     placement_input.refresh(at_us)
     plan = PlacementPlan()
     if not placement_input.backlog.queues:
         return plan
-    rooms = PassCapacity(
+    pass_capacity = PassCapacity(
         placement_input.capacity_index,
         at_us,
         silence_us,
         placement_input.reservations,
         placement_input.estimates,
     )
-    run = _PlacementPass(placement_input, plan, rooms, fetch_weight, may_start)
-    if placement_input.reservations.machines or placement_input.reservations.limits:
-        run.place_reserved(placement_input, at_us, silence_us, may_start)
-    # Two rounds: first what each team is guaranteed, then what it borrows.
-    run.place_in_order(guaranteed=True)
-    run.place_in_order(guaranteed=False)
+    placement_pass = _PlacementPass(placement_input, plan, pass_capacity, fetch_weight, may_start)
+    if placement_input.reservations.machines or placement_input.reservations.quota_by_team:
+        placement_pass.place_reserved(placement_input, at_us, silence_us, may_start)
+    # The first round places tasks within guarantees, the second what teams borrow beyond them.
+    placement_pass.place_in_order(guaranteed=True)
+    placement_pass.place_in_order(guaranteed=False)
     return plan
 
 
 class _PlacementPass:
-    """One pass over the queues."""
+    """The state of one placement pass over the queues of the backlog."""
 
     def __init__(
         self,
         placement_input: PlacementInput,
         plan: PlacementPlan,
-        rooms: PassCapacity,
+        pass_capacity: PassCapacity,
         fetch_weight: float,
         may_start: Callable[[Job], bool] | None,
     ) -> None:
         self._cluster = placement_input.cluster
         self._queues = placement_input.backlog.queues
         if may_start is not None:
-            kept = {
+            filtered_queues = {
                 kind: [entry for entry in queue if may_start(entry.job)]
                 for kind, queue in self._queues.items()
             }
-            self._queues = {kind: queue for kind, queue in kept.items() if queue}
+            self._queues = {kind: queue for kind, queue in filtered_queues.items() if queue}
         self._plan = plan
-        self._rooms = rooms
+        self._pass_capacity = pass_capacity
         self._fetch_weight = fetch_weight
         unverified_usage = placement_input.cluster.unverified_usage
         self._allowances = {
@@ -124,14 +128,14 @@
             for team in {kind.team for kind in self._queues}
         }
         if any(
-            kind.shape.gpus > 0 and self._allowances[kind.team].within_limit(queue[0].job) > 0
+            kind.shape.gpus > 0 and self._allowances[kind.team].tasks_within_limit(queue[0].job) > 0
             for kind, queue in self._queues.items()
         ):
-            plan.gpu_reservation = rooms.gpu_reservation = GpuReservation(
+            plan.gpu_reservation = pass_capacity.gpu_reservation = GpuReservation(
                 placement_input.cluster.machines.values()
             )
         self._planned: dict[str, int] = defaultdict(int)
-        self._zones: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
+        self._planned_by_zone: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
 
     def place_reserved(
         self,
@@ -140,19 +144,25 @@
         silence_us: int,
         may_start: Callable[[Job], bool] | None,
     ) -> None:
-        """Give held machines to those that they are held for, before anything else.
+        """Place jobs on the machines reserved for them, before all other jobs.
 
-        What is kept of their teams' limits is out of the others' reach.
+        Quota that stays reserved afterwards is withheld from the team's other jobs.
         """
-        kept = {team: list(limit) for team, limit in placement_input.reservations.limits.items()}
+        reserved_quota = {
+            team: list(quota) for team, quota in placement_input.reservations.quota_by_team.items()
+        }
         for name, job_id in placement_input.reservations.machines.items():
-            place, machine = (
+            position, machine = (
                 placement_input.backlog.position_of(job_id),
                 self._cluster.machines.get(name),
             )
-            if place is None or machine is None or not usable(machine, at_us, silence_us):
+            if (
+                position is None
+                or machine is None
+                or not is_schedulable(machine, at_us, silence_us)
+            ):
                 continue
-            job = place[1].job
+            job = position[1].job
             if not machine.allows(job) or (may_start is not None and not may_start(job)):
                 continue
             allowance = self._allowances[job.team]
@@ -162,65 +172,69 @@
             )
             if allowed <= 0:
                 continue
-            placed = self._place(
-                job, allowed, allowance, ReservedCapacity(self._rooms.capacity_of(machine))
+            placed = self._place_job(
+                job, allowed, allowance, ReservedCapacity(self._pass_capacity.capacity_of(machine))
             )
-            if job.team in kept:
-                kept[job.team][0] -= placed * job.spec.cpus
-                kept[job.team][1] -= placed * job.spec.gpus
-        for team, (cpus, gpus) in kept.items():
+            if job.team in reserved_quota:
+                reserved_quota[job.team][0] -= placed * job.spec.cpus
+                reserved_quota[job.team][1] -= placed * job.spec.gpus
+        for team, (cpus, gpus) in reserved_quota.items():
             if team in self._allowances:
                 self._allowances[team].reserve(max(0.0, cpus), max(0.0, gpus))
 
     def place_in_order(self, *, guaranteed: bool) -> None:
-        """Go through the queues in one order, and leave those where no more is to be had."""
+        """Place the jobs of all queues in placement order.
+
+        A queue is skipped as soon as one of its jobs finds no capacity or quota. With
+        ``guaranteed``, only tasks within their team's guarantee are placed.
+        """
         if not guaranteed:
             for allowance in self._allowances.values():
                 allowance.record_position(None)
         heap = [(queue[0], 0, kind) for kind, queue in self._queues.items()]
         heapify(heap)
         while heap:
-            entry, number, kind = heap[0]
+            entry, index, kind = heap[0]
             job, allowance = entry.job, self._allowances[kind.team]
-            most = self._allowed_count(job, allowance, guaranteed=guaranteed)
-            if most <= 0:
-                # Neither is there any for those behind it: the team only gets more.
+            max_tasks = self._allowed_count(job, allowance, guaranteed=guaranteed)
+            if max_tasks <= 0:
+                # The jobs behind this one are rejected as well: a team's use only grows in a pass.
                 heappop(heap)
                 continue
-            wants_room = not job.on_probation or job.stranded
-            if self._rooms.has_no_capacity_for(job):
+            counts_as_unplaced = not job.on_probation or job.stranded
+            if self._pass_capacity.has_no_capacity_for(job):
                 heappop(heap)
-                if not guaranteed and wants_room:
-                    self._plan.unplaced.add_tail(kind, self._queues[kind], number, allowance)
+                if not guaranteed and counts_as_unplaced:
+                    self._plan.unplaced.add_tail(kind, self._queues[kind], index, allowance)
                 continue
-            allowed = min(job.waiting - self._planned[job.id], most)
+            allowed = min(job.waiting - self._planned[job.id], max_tasks)
             if allowed > 0:
-                placed = self._place(job, allowed, allowance)
+                placed = self._place_job(job, allowed, allowance)
                 if not guaranteed:
                     if placed:
                         allowance.record_position(entry)
-                    if allowed > placed and wants_room:
+                    if allowed > placed and counts_as_unplaced:
                         self._plan.unplaced.add(entry, allowed - placed)
-            if number + 1 < len(self._queues[kind]):
-                heapreplace(heap, (self._queues[kind][number + 1], number + 1, kind))
+            if index + 1 < len(self._queues[kind]):
+                heapreplace(heap, (self._queues[kind][index + 1], index + 1, kind))
             else:
                 heappop(heap)
 
     def _allowed_count(self, job: Job, allowance: TeamAllowance, *, guaranteed: bool) -> int:
-        """How many tasks of a job its team may be given more."""
-        most = allowance.within_limit(job)
-        return min(most, allowance.within_guarantee(job)) if guaranteed else most
+        """How many more tasks of a job its team's limit, or also its guarantee, allows."""
+        max_tasks = allowance.tasks_within_limit(job)
+        return min(max_tasks, allowance.tasks_within_guarantee(job)) if guaranteed else max_tasks
 
-    def _place(
+    def _place_job(
         self,
         job: Job,
         allowed: int,
         allowance: TeamAllowance,
-        rooms: PassCapacity | ReservedCapacity | None = None,
+        capacity_source: PassCapacity | ReservedCapacity | None = None,
     ) -> int:
-        placed = _place(
-            self._plan, job, allowed, rooms or self._rooms, self._planned[job.id],
-            self._zones[job.id], self._fetch_weight,
+        placed = _place_tasks(
+            self._plan, job, allowed, capacity_source or self._pass_capacity,
+            self._planned[job.id], self._planned_by_zone[job.id], self._fetch_weight,
         )  # fmt: skip
         if placed:
             self._planned[job.id] += placed
@@ -229,74 +243,85 @@
         return placed
 
 
-def _most_in(rooms: Iterable[FreeCapacity], job: Job, most: int) -> int:
-    """How many of so many tasks of a job find room; no more rooms are looked at than it takes."""
-    found = 0
-    for room in rooms:
-        found += room.capacity_for(job)
-        if found >= most:
-            return most
-    return found
+def _count_tasks_that_fit(candidates: Iterable[FreeCapacity], job: Job, max_tasks: int) -> int:
+    """How many of ``max_tasks`` tasks fit; later machines are skipped once all of them fit."""
+    count = 0
+    for capacity in candidates:
+        count += capacity.capacity_for(job)
+        if count >= max_tasks:
+            return max_tasks
+    return count
 
 
-def _place(
+def _place_tasks(
     plan: PlacementPlan,
     job: Job,
-    most: int,
-    rooms: PassCapacity | ReservedCapacity,
-    skip: int,
-    zones: dict[str, int],
+    max_tasks: int,
+    capacity_source: PassCapacity | ReservedCapacity,
+    already_planned: int,
+    planned_by_zone: dict[str, int],
     fetch_weight: float,
 ) -> int:
-    """Place up to ``most`` tasks of a job; return how many were placed."""
-    fitting = rooms.candidates_for(job)
+    """Add starts of up to ``max_tasks`` tasks of a job to the plan; return their number.
+
+    ``already_planned`` tasks of the job have been placed earlier in the same pass.
+    """
+    candidates = capacity_source.candidates_for(job)
     if job.failed_machines:
-        # A task that failed somewhere is first tried elsewhere.
-        fitting = [r for r in fitting if r.machine.name not in job.failed_machines] or fitting
-    if not fitting:
+        # Machines on which a task of the job failed are used only if there are no others.
+        candidates = [
+            c for c in candidates if c.machine.name not in job.failed_machines
+        ] or candidates
+    if not candidates:
         return 0
-    # No more tasks are looked up than there is room for.
-    most = _most_in(fitting, job, most)
-    indexes = job.waiting_indexes(most + skip)[skip:]
-    count = 0
-    by_name = {r.machine.name: r for r in fitting}
+    # Searching for more waiting tasks than can be placed would be wasted work.
+    max_tasks = _count_tasks_that_fit(candidates, job, max_tasks)
+    indexes = job.waiting_indexes(max_tasks + already_planned)[already_planned:]
+    placed = 0
+    capacity_by_machine = {c.machine.name: c for c in candidates}
 
-    def room_for(room: FreeCapacity) -> int:
-        zone = room.machine.zone
-        if job.spec.one_zone and any(n for z, n in zones.items() if z != zone):
+    def tasks_allowed_on(capacity: FreeCapacity) -> int:
+        zone = capacity.machine.zone
+        if job.spec.one_zone and any(n for z, n in planned_by_zone.items() if z != zone):
             return 0
-        return min(room.capacity_for(job), job.capacity_in_zone(zone) - zones.get(zone, 0))
+        return min(
+            capacity.capacity_for(job), job.capacity_in_zone(zone) - planned_by_zone.get(zone, 0)
+        )
 
-    rest: list[int] = []
+    remaining_indexes: list[int] = []
     for index in indexes:
-        last = by_name.get(job.last_machine.get(index, ""))
-        if last is not None and room_for(last) > 0:
-            last.allocate(job, 1)
-            zones[last.machine.zone] = zones.get(last.machine.zone, 0) + 1
-            plan.starts.append(TaskStart(job, index, last.machine))
-            count += 1
+        last_capacity = capacity_by_machine.get(job.last_machine.get(index, ""))
+        if last_capacity is not None and tasks_allowed_on(last_capacity) > 0:
+            last_capacity.allocate(job, 1)
+            planned_by_zone[last_capacity.machine.zone] = (
+                planned_by_zone.get(last_capacity.machine.zone, 0) + 1
+            )
+            plan.starts.append(TaskStart(job, index, last_capacity.machine))
+            placed += 1
         else:
-            rest.append(index)
-    if not rest:
-        return count
-    fitting.sort(key=lambda room: score(job, room, fetch_weight))
-    if job.spec.one_zone and not any(zones.values()):
-        # Everything has to be in one zone: take the zone that holds most.
-        best: dict[str, int] = defaultdict(int)
-        for room in fitting:
-            best[room.machine.zone] += room.capacity_for(job)
-        choice = max(best, key=lambda zone: best[zone])
-        fitting.sort(key=lambda room: room.machine.zone != choice)
-    for room in fitting:
-        if not rest:
+            remaining_indexes.append(index)
+    if not remaining_indexes:
+        return placed
+    candidates.sort(key=lambda capacity: score_machine(job, capacity, fetch_weight))
+    if job.spec.one_zone and not any(planned_by_zone.values()):
+        # All tasks have to run in one zone: the zone with the most capacity is chosen.
+        capacity_by_zone: dict[str, int] = defaultdict(int)
+        for capacity in candidates:
+            capacity_by_zone[capacity.machine.zone] += capacity.capacity_for(job)
+        chosen_zone = max(capacity_by_zone, key=lambda zone: capacity_by_zone[zone])
+        candidates.sort(key=lambda capacity: capacity.machine.zone != chosen_zone)
+    for capacity in candidates:
+        if not remaining_indexes:
             break
-        number = min(len(rest), room_for(room))
-        if number <= 0:
+        count = min(len(remaining_indexes), tasks_allowed_on(capacity))
+        if count <= 0:
             continue
-        room.allocate(job, number)
-        zone = room.machine.zone
-        zones[zone] = zones.get(zone, 0) + number
-        plan.starts += [TaskStart(job, index, room.machine) for index in rest[:number]]
-        rest = rest[number:]
-        count += number
-    return count
+        capacity.allocate(job, count)
+        zone = capacity.machine.zone
+        planned_by_zone[zone] = planned_by_zone.get(zone, 0) + count
+        plan.starts += [
+            TaskStart(job, index, capacity.machine) for index in remaining_indexes[:count]
+        ]
+        remaining_indexes = remaining_indexes[count:]
+        placed += count
+    return placed
--- a/weldhead/scheduling/placement/placement_plan.py
+++ b/weldhead/scheduling/placement/placement_plan.py
@@ -1,4 +1,4 @@
-"""What placement decides by, and what it decides."""
+"""The input and the result of a placement pass."""
 
 from dataclasses import dataclass, field
 
@@ -25,17 +25,17 @@
 
 @dataclass
 class PlacementPlan:
-    """The decisions of one pass, and what is left over."""
+    """The task starts that one pass decided on, and the tasks that it could not place."""
 
     starts: list[TaskStart] = field(default_factory=list)
-    #: Jobs whose tasks found no room, with how many of them the limits would allow.
+    #: Jobs whose tasks found no capacity, with the number of tasks that quotas would allow.
     unplaced: UnplacedTasks = field(default_factory=UnplacedTasks)
-    #: Work that takes cards waits: from whom what free cards need beside them was kept.
+    #: Reservation of CPUs and memory beside free GPUs; None if no job that needs GPUs waits.
     gpu_reservation: GpuReservation | None = None
 
 
 class PlacementInput:
-    """What placement is decided by: the cluster, and what is kept in order about it."""
+    """The cluster and the indexes that placement maintains between its passes."""
 
     def __init__(
         self,
@@ -48,15 +48,15 @@
         self.estimates = estimates
         self.backlog = Backlog(cluster, estimates, objectives, patience_us)
         self.capacity_index = CapacityIndex(cluster.machines)
-        #: What is kept free for wide work; nothing unless somebody decides it.
+        #: Reserved machines and quota; empty unless a ``CapacityReserver`` is in use.
         self.reservations = Reservations()
 
     def refresh(self, at_us: int) -> None:
-        """Take up what has changed, and what time has brought."""
+        """Update the indexes to the cluster's state at the given time."""
         self.backlog.refresh(at_us)
         self.capacity_index.refresh()
 
     def close(self) -> None:
-        """Stop following the cluster."""
+        """Unsubscribe from changes of the cluster."""
         self.backlog.close()
         self.capacity_index.close()
--- a/weldhead/scheduling/placement/team_allowance.py
+++ b/weldhead/scheduling/placement/team_allowance.py
@@ -1,4 +1,4 @@
-"""What a pass may still give to one team."""
+"""The resources that a placement pass may still allocate to one team."""
 
 from bisect import bisect_left
 
@@ -10,9 +10,16 @@
 
 
 class TeamAllowance:
-    """What a plan has given to a team so far, and when in the order it was given."""
+    """The amounts that a pass has allocated to a team, and at which positions of the backlog."""
 
-    __slots__ = ("_given", "_marks", "_remaining", "_team", "_used", "allocated")
+    __slots__ = (
+        "_allocated_at",
+        "_positions",
+        "_remaining",
+        "_team",
+        "_used",
+        "allocated",
+    )  # fmt: skip
 
     def __init__(
         self, cluster: Cluster, team: str, unverified: UnverifiedUsage = NO_UNVERIFIED_USAGE
@@ -21,50 +28,54 @@
         cpus, gpus = cluster.usage[team].units
         self._used: Amount = cpus, gpus
         limit = bounds_of(self._team).limit
-        # While machines are unknown, what they may hold of the team counts as used.
+        # What unverified machines may run of the team counts as used.
         self._remaining: Amount = (
             left(limit[0], cpus, required_units(unverified.cpus)),
             left(limit[1], gpus, required_units(unverified.gpus)),
         )
-        #: What was given so far, in units.
+        #: The amount allocated so far in this pass.
         self.allocated: Amount = NOTHING
-        self._marks: list[BacklogEntry] = []
-        self._given: list[Amount] = [NOTHING]
+        self._positions: list[BacklogEntry] = []
+        #: First the amount allocated before any position, then that after each position.
+        self._allocated_at: list[Amount] = [NOTHING]
 
-    def allocate(self, job: Job, count: int) -> None:
-        """Reserve room for tasks."""
+    def allocate(self, job: Job, task_count: int) -> None:
+        """Add the resources of some tasks of a job to the allocated amount."""
         cpus, gpus = required_amounts(job.spec)
-        self.allocated = self.allocated[0] + cpus * count, self.allocated[1] + gpus * count
+        self.allocated = (
+            self.allocated[0] + cpus * task_count,
+            self.allocated[1] + gpus * task_count,
+        )
 
-    def within_limit(self, job: Job) -> int:
-        """How many more tasks of a job the limit allows."""
+    def tasks_within_limit(self, job: Job) -> int:
+        """How many more tasks of a job the team's limit allows."""
         return self._remaining_after(job, self.allocated)
 
-    def within_guarantee(self, job: Job) -> int:
-        """How many more tasks of a job are inside the guarantee."""
+    def tasks_within_guarantee(self, job: Job) -> int:
+        """How many more tasks of a job fit into the team's guarantee."""
         used = self._used[0] + self.allocated[0], self._used[1] + self.allocated[1]
         return within_guarantee(self._team, used, job.spec, job.spec.tasks)
 
     def reserve(self, cpus: float, gpus: float) -> None:
-        """Keep some of the limit out of reach for the rest of the pass."""
+        """Withhold part of the team's limit for the rest of the pass."""
         self._remaining = (
             left(self._remaining[0], required_units(cpus)),
             left(self._remaining[1], required_units(gpus)),
         )
 
-    def _remaining_after(self, job: Job, given: Amount) -> int:
-        rest = left(self._remaining[0], given[0]), left(self._remaining[1], given[1])
-        return times_in(rest, required_amounts(job.spec), job.spec.tasks)
+    def _remaining_after(self, job: Job, allocated: Amount) -> int:
+        remaining = left(self._remaining[0], allocated[0]), left(self._remaining[1], allocated[1])
+        return times_in(remaining, required_amounts(job.spec), job.spec.tasks)
 
     def record_position(self, entry: BacklogEntry | None) -> None:
-        """Note that all so far was given up to that place in the order (None: before it)."""
+        """Record the amount allocated up to and including an entry (None: before the first)."""
         if entry is None:
-            self._given[0] = self.allocated
+            self._allocated_at[0] = self.allocated
             return
-        self._marks.append(entry)
-        self._given.append(self.allocated)
+        self._positions.append(entry)
+        self._allocated_at.append(self.allocated)
 
     def remaining_at(self, entry: BacklogEntry) -> int:
-        """How many tasks of a job the limit allows, by what was given before its place."""
-        number = bisect_left(self._marks, entry)
-        return self._remaining_after(entry.job, self._given[number])
+        """How many tasks of a job the limit allows after the allocations before its position."""
+        index = bisect_left(self._positions, entry)
+        return self._remaining_after(entry.job, self._allocated_at[index])
--- a/weldhead/scheduling/placement/unplaced_tasks.py
+++ b/weldhead/scheduling/placement/unplaced_tasks.py
@@ -11,55 +11,56 @@
 
 
 class UnplacedTasks:
-    """Jobs whose tasks found no room, with how many of them the limits would allow.
+    """Jobs whose tasks found no capacity, in placement order.
 
-    In the order of placement. What a pass has left a whole queue of is not listed but
-    reckoned when it is asked for, so that leaving it costs nothing. It describes the moment
-    of the plan; what has been started or ended since is left out.
+    Each job comes with the number of its tasks that the quotas would allow. If a pass skips the
+    rest of a queue, that tail is stored as a whole, and the counts of its jobs are computed only
+    when they are requested, so that skipping costs nothing. The counts describe the time of the
+    plan, without tasks that have started or ended since.
     """
 
-    def __init__(self, listed: list[tuple[Job, int]] | None = None) -> None:
+    def __init__(self, counts: list[tuple[Job, int]] | None = None) -> None:
         self._entries: list[BacklogEntry] = []
         self._counts: list[int] = []
         self._tails: list[tuple[list[BacklogEntry], TeamAllowance]] = []
-        #: By kind: the tail of its queue.
-        self._kinds: dict[JobKind, int] = {}
-        self._listed: dict[str, int] = {}
-        #: How many tasks of a job that was given room still wait.
+        #: Index of a queue's tail in ``_tails``, by the kind of the queue's jobs.
+        self._tail_indexes: dict[JobKind, int] = {}
+        self._count_by_job: dict[str, int] = {}
+        #: For jobs with placed tasks, the number of tasks that still wait.
         self._waiting: dict[str, int] = {}
-        for number, (job, count) in enumerate(listed or ()):
+        for number, (job, count) in enumerate(counts or ()):
             self.add(BacklogEntry(0, 0, 0, 0, 0, number, job), count)
 
     def add(self, entry: BacklogEntry, count: int) -> None:
-        """List a job; jobs are listed in order."""
+        """Append a job with its count; jobs are added in placement order."""
         self._entries.append(entry)
         self._counts.append(count)
-        self._listed[entry.job.id] = count
+        self._count_by_job[entry.job.id] = count
 
     def add_tail(
-        self, kind: JobKind, queue: list[BacklogEntry], number: int, allowance: TeamAllowance
+        self, kind: JobKind, queue: list[BacklogEntry], start: int, allowance: TeamAllowance
     ) -> None:
-        """Enter what stands in a queue from that place on."""
-        self._kinds[kind] = len(self._tails)
-        self._tails.append((queue[number:], allowance))
-
-    def record_placed(self, job: Job, count: int) -> None:
-        """Note that the plan gives room to so many tasks of a job."""
-        self._waiting[job.id] = job.waiting - count
-
-    def count_of(self, job: Job, place: tuple[JobKind, BacklogEntry] | None) -> int:
-        """Return how many of a job's tasks found no room, by its place at the time."""
-        if job.id in self._listed:
-            return self._listed[job.id]
-        if place is None or place[0] not in self._kinds:
+        """Add all entries of a queue from the index ``start`` on."""
+        self._tail_indexes[kind] = len(self._tails)
+        self._tails.append((queue[start:], allowance))
+
+    def record_placed(self, job: Job, placed: int) -> None:
+        """Record how many tasks of a job the plan starts."""
+        self._waiting[job.id] = job.waiting - placed
+
+    def count_for_job(self, job: Job, position: tuple[JobKind, BacklogEntry] | None) -> int:
+        """Return how many tasks of a job found no capacity, given its current backlog position."""
+        if job.id in self._count_by_job:
+            return self._count_by_job[job.id]
+        if position is None or position[0] not in self._tail_indexes:
             return 0
-        tail, allowance = self._tails[self._kinds[place[0]]]
-        if place[1] < tail[0]:
+        tail, allowance = self._tails[self._tail_indexes[position[0]]]
+        if position[1] < tail[0]:
             return 0
-        return self.count_at(place[1], allowance)
+        return self.count_for_tail_entry(position[1], allowance)
 
-    def count_at(self, entry: BacklogEntry, allowance: TeamAllowance) -> int:
-        """Return how many tasks found no room of a job that a pass did not come to."""
+    def count_for_tail_entry(self, entry: BacklogEntry, allowance: TeamAllowance) -> int:
+        """Return how many tasks of a job in a skipped tail found no capacity."""
         job = entry.job
         if job.finishing:
             return 0
@@ -67,13 +68,13 @@
         return max(0, min(waiting, allowance.remaining_at(entry)))
 
     def scan(self) -> "QueueScan":
-        """Return a walk over them in order."""
+        """Return a scan over the unplaced jobs in placement order."""
         return QueueScan(self, self._entries, self._counts, self._tails)
 
     def __iter__(self) -> Iterator[tuple[Job, int]]:
         scan = self.scan()
-        while (found := scan.next()) is not None:
-            yield found
+        while (job_and_count := scan.next()) is not None:
+            yield job_and_count
 
     def __bool__(self) -> bool:
         return self.scan().next() is not None
@@ -83,7 +84,10 @@
 
 
 class QueueScan:
-    """A walk over what found no room, in which queues can be left."""
+    """A scan over unplaced jobs that can skip the rest of a queue.
+
+    Queue 0 holds the jobs that were added one by one; the other queues are the skipped tails.
+    """
 
     def __init__(
         self,
@@ -94,77 +98,80 @@
     ) -> None:
         self._unplaced = unplaced
         self._counts = counts
-        self._tails = [entries, *(tail for tail, _ in tails)]
-        self._reserves = [allowance for _, allowance in tails]
-        self._heap = [(tail[0], 0, n) for n, tail in enumerate(self._tails) if tail]
+        self._queues = [entries, *(tail for tail, _ in tails)]
+        self._allowances = [allowance for _, allowance in tails]
+        self._heap = [(queue[0], 0, n) for n, queue in enumerate(self._queues) if queue]
         heapify(self._heap)
-        #: The job that was given last: its place, and which queue's.
-        self._at: tuple[BacklogEntry, int] | None = None
+        #: The entry that was returned last, and the number of its queue.
+        self._last: tuple[BacklogEntry, int] | None = None
+        #: For each skipped queue, the index of its first entry that was not returned.
         self._skipped: dict[int, int] = {}
 
     def next(self) -> tuple[Job, int] | None:
-        """Return the next job and how many of its tasks found no room."""
+        """Return the next job and how many of its tasks found no capacity."""
         while self._heap:
-            entry, number, tail = self._heap[0]
-            self._advance(number + 1, tail)
-            if tail == 0:
-                count = self._counts[number]
+            entry, index, queue_number = self._heap[0]
+            self._advance(index + 1, queue_number)
+            if queue_number == 0:
+                count = self._counts[index]
             else:
-                count = self._unplaced.count_at(entry, self._reserves[tail - 1])
+                count = self._unplaced.count_for_tail_entry(
+                    entry, self._allowances[queue_number - 1]
+                )
             if count > 0:
-                self._at = entry, tail
+                self._last = entry, queue_number
                 return entry.job, count
         return None
 
-    def _advance(self, number: int, tail: int) -> None:
-        """Replace the foremost queue's head by another place in it."""
-        queue = self._tails[tail]
-        if number < len(queue):
-            heapreplace(self._heap, (queue[number], number, tail))
+    def _advance(self, index: int, queue_number: int) -> None:
+        """Move the queue at the top of the heap to the given index, or drop it at its end."""
+        queue = self._queues[queue_number]
+        if index < len(queue):
+            heapreplace(self._heap, (queue[index], index, queue_number))
         else:
             heappop(self._heap)
 
     def skip_queue(self) -> None:
-        """Leave out what stands behind the last job in its queue, until it is revived."""
-        assert self._at is not None
-        _, tail = self._at
-        if tail:
-            for place, (_, number, other) in enumerate(self._heap):
-                if other == tail:
-                    self._skipped[tail] = number
-                    self._heap[place] = self._heap[-1]
+        """Skip the rest of the last returned job's queue until ``resume_skipped`` is called."""
+        assert self._last is not None
+        _, queue_number = self._last
+        if queue_number:
+            for heap_index, (_, index, other) in enumerate(self._heap):
+                if other == queue_number:
+                    self._skipped[queue_number] = index
+                    self._heap[heap_index] = self._heap[-1]
                     self._heap.pop()
                     heapify(self._heap)
                     return
 
-    def skip_to_urgency(self, press: Urgency) -> None:
-        """Leave out what stands behind the last job in its queue and presses otherwise.
+    def skip_to_urgency(self, urgency: Urgency) -> None:
+        """Skip the jobs of another urgency in the rest of the last returned job's queue.
 
-        ``press`` comes later in the order than the last job's own.
+        ``urgency`` has to come later in the placement order than the last returned job's urgency.
         """
-        assert self._at is not None
-        _, tail = self._at
-        if not tail:
+        assert self._last is not None
+        _, queue_number = self._last
+        if not queue_number:
             return
-        for place, (_, number, other) in enumerate(self._heap):
-            if other == tail:
-                queue = self._tails[tail]
-                number = bisect_left(queue, (int(press),), number)
-                self._heap[place] = self._heap[-1]
+        for heap_index, (_, index, other) in enumerate(self._heap):
+            if other == queue_number:
+                queue = self._queues[queue_number]
+                index = bisect_left(queue, (int(urgency),), index)
+                self._heap[heap_index] = self._heap[-1]
                 self._heap.pop()
-                if number < len(queue) and queue[number].urgency == press:
-                    self._heap.append((queue[number], number, tail))
+                if index < len(queue) and queue[index].urgency == urgency:
+                    self._heap.append((queue[index], index, queue_number))
                 heapify(self._heap)
                 return
 
     def resume_skipped(self) -> None:
-        """Take up again the queues that were left, behind the last job."""
-        if not self._skipped or self._at is None:
+        """Resume the skipped queues, each at its first entry behind the last returned job."""
+        if not self._skipped or self._last is None:
             return
-        at, _ = self._at
-        for tail, number in self._skipped.items():
-            queue = self._tails[tail]
-            number = bisect_left(queue, at, number)
-            if number < len(queue):
-                heappush(self._heap, (queue[number], number, tail))
+        last_entry, _ = self._last
+        for queue_number, index in self._skipped.items():
+            queue = self._queues[queue_number]
+            index = bisect_left(queue, last_entry, index)
+            if index < len(queue):
+                heappush(self._heap, (queue[index], index, queue_number))
         self._skipped.clear()
--- a/weldhead/scheduling/preemption/preemption_pass.py
+++ b/weldhead/scheduling/preemption/preemption_pass.py
@@ -24,7 +24,7 @@
 from weldhead.quota.teams import QuotaAccount
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
-from weldhead.scheduling.placement.eligibility import usable
+from weldhead.scheduling.placement.eligibility import is_schedulable
 from weldhead.scheduling.placement.gpu_reservation import GpuReservation
 from weldhead.scheduling.preemption.gpu_claims import GpuClaims
 from weldhead.scheduling.preemption.victim_rules import (
@@ -112,7 +112,7 @@
             return self._capacity[name]
         machine = self.cluster.machines.get(name)
         found: list[float] | None = None
-        if machine is not None and usable(machine, self.at_us, self._settings.silence_us):
+        if machine is not None and is_schedulable(machine, self.at_us, self._settings.silence_us):
             found = [machine.cpus, machine.gpus, machine.memory_gb]
             for number, amount in enumerate(self._capacity_delta.get(name, ())):
                 found[number] += amount
--- a/weldhead/scheduling/reservations/__init__.py
+++ b/weldhead/scheduling/reservations/__init__.py
@@ -1,1 +1,1 @@
-"""Machines reserved for tasks that find no capacity between small ones."""
+"""Machines reserved for wide tasks, which need a large part of one machine."""
--- a/weldhead/scheduling/reservations/availability.py
+++ b/weldhead/scheduling/reservations/availability.py
@@ -1,4 +1,4 @@
-"""When a machine will have capacity for a task."""
+"""Estimates of when a machine will have capacity for a task."""
 
 from weldhead.clock import seconds_us
 from weldhead.cluster_state.jobs import Attempt, Job
@@ -7,10 +7,13 @@
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 
 
-def room_us(machine: Machine, job: Job, estimates: RunTimeEstimates, at_us: int) -> int | None:
-    """Estimate when what runs on a machine leaves room for a task of the job; None: never.
+def estimate_available_us(
+    machine: Machine, job: Job, estimates: RunTimeEstimates, at_us: int
+) -> int | None:
+    """Estimate when a machine has capacity for one task of a job; None if never.
 
-    Nothing else starts there. Work of a lower priority gives way at once.
+    The estimate assumes that no other task starts on the machine, and that tasks of a lower
+    priority are preempted at once.
     """
     spec = job.spec
     cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
@@ -19,7 +22,7 @@
     ends = [
         (end_us, number, attempt)
         for number, attempt in enumerate(machine.attempts.values())
-        if (end_us := _end_us(attempt, job, estimates, at_us)) is not None
+        if (end_us := _estimate_end_us(attempt, job, estimates, at_us)) is not None
     ]
     ends.sort(key=lambda end: end[:2])
     for end_us, _, attempt in ends:
@@ -31,8 +34,10 @@
     return None
 
 
-def _end_us(attempt: Attempt, job: Job, estimates: RunTimeEstimates, at_us: int) -> int | None:
-    """Estimate when an attempt leaves its machine to the job; None: it does not by itself."""
+def _estimate_end_us(
+    attempt: Attempt, job: Job, estimates: RunTimeEstimates, at_us: int
+) -> int | None:
+    """Estimate when an attempt ends or is preempted by the job; None if it runs indefinitely."""
     spec = attempt.job.spec
     if (
         attempt.stop_request is not StopRequest.NO
--- a/weldhead/scheduling/reservations/reservations.py
+++ b/weldhead/scheduling/reservations/reservations.py
@@ -1,30 +1,33 @@
-"""What is reserved for whom, and the operators' settings for it."""
+"""The reservations of machines and team quota, and the settings that control them."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True)
 class ReservationSettings:
-    """The operators' choices."""
+    """The operator's settings for reservations."""
 
-    #: How long a job waits before machines are held for it.
-    age_us: int
-    #: Within what time its tasks are to start: machines are emptied for it when it is time to.
-    within_us: int
-    #: A task that takes more than this part of every machine that it may run on is wide.
-    least: float
-    #: At most this part of the fleet's CPUs is on machines that are being emptied; one always is.
-    share: float
+    #: How long a job waits before machines are reserved for it.
+    min_wait_us: int
+    #: Target for the time from when a job can run until its tasks start. A machine is vacated for
+    #: the job only as early as this target requires.
+    start_target_us: int
+    #: A task is wide if it needs more than this fraction of every machine that it may run on.
+    wide_task_fraction: float
+    #: The fraction of the fleet's CPUs that may be on machines that are being vacated. One
+    #: machine may always be vacated.
+    max_vacated_fraction: float
 
 
 @dataclass
 class Reservations:
-    """What is kept free, and for whom."""
+    """Machines and team quota that are reserved for certain jobs."""
 
-    #: By machine: the job.
+    #: ID of the job that a machine is reserved for, by machine.
     machines: dict[str, str] = field(default_factory=dict)
-    #: By machine: what surely ends before then may still run there; and for which moment of
-    #: its job's that was said, as it only comes nearer until another task of it starts.
-    until_us: dict[str, tuple[int, int]] = field(default_factory=dict)
-    #: By team: CPUs and GPUs of its limit that nobody else of the team gets.
-    limits: dict[str, tuple[float, float]] = field(default_factory=dict)
+    #: By machine: the time by which other jobs' tasks that still start there must end, and the
+    #: number of waiting tasks that the reserving job had when that time was estimated. While
+    #: that number is unchanged, the time is only ever moved earlier.
+    fill_deadlines: dict[str, tuple[int, int]] = field(default_factory=dict)
+    #: By team: CPUs and GPUs of its limit that are withheld from the team's other jobs.
+    quota_by_team: dict[str, tuple[float, float]] = field(default_factory=dict)
--- a/weldhead/scheduling/reservations/unstarted_jobs.py
+++ b/weldhead/scheduling/reservations/unstarted_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs none of whose tasks has ever started."""
+"""Jobs that have waited for long and of which no task has ever started."""
 
 from bisect import bisect_left, insort
 
@@ -8,43 +8,44 @@
 
 
 class UnstartedJobs:
-    """Jobs none of whose tasks has ever started, from a stated age on; follows the jobs.
+    """An index of jobs that have waited for ``min_age_us`` and of which no task ever started.
 
-    Where work that presses keeps arriving, what is late already never has its turn: such a
-    job is to begin all the same, with one task. Those of most tasks come first.
+    While urgent jobs keep arriving, jobs that already missed their target get no capacity. This
+    index lists such jobs, so that each of them can start with one task. Jobs with the most tasks
+    come first.
     """
 
-    def __init__(self, cluster: Cluster, age_us: int) -> None:
+    def __init__(self, cluster: Cluster, min_age_us: int) -> None:
         self._jobs = cluster.jobs
-        self._age_us = age_us
+        self._min_age_us = min_age_us
         self._feed = cluster.jobs.feeds.subscribe()
-        self._ages = DeadlineHeap()
-        #: Those that are of age, by their tasks.
+        self._timers = DeadlineHeap()
+        #: Jobs that have reached the minimum age, sorted by descending number of tasks.
         self._aged: list[tuple[int, int, str]] = []
-        self._places: dict[str, tuple[int, int, str]] = {}
+        self._sort_keys: dict[str, tuple[int, int, str]] = {}
         for job in cluster.jobs.values():
-            self._enter(job)
+            self._update_job(job)
 
     def close(self) -> None:
-        """Stop following the jobs."""
+        """Unsubscribe from changes of the jobs."""
         self._feed.close()
 
-    def _enter(self, job: Job) -> None:
-        place = self._places.pop(job.id, None)
-        if place is not None:
-            del self._aged[bisect_left(self._aged, place)]
-        self._ages.drop(job.id)
-        # One that began and was stopped has had its turn.
-        begun = job.active or job.done or job.last_machine
-        if self._jobs.get(job.id) is job and job.waiting > 0 and not begun:
-            self._ages.set(job.id, job.serial, job.runnable_since_us + self._age_us)
-
-    def largest(self, at_us: int, most: int) -> list[Job]:
-        """Return so many of those that are of age."""
+    def _update_job(self, job: Job) -> None:
+        sort_key = self._sort_keys.pop(job.id, None)
+        if sort_key is not None:
+            del self._aged[bisect_left(self._aged, sort_key)]
+        self._timers.drop(job.id)
+        # A job that was started and then stopped doesn't count as unstarted.
+        has_started = job.active or job.done or job.last_machine
+        if self._jobs.get(job.id) is job and job.waiting > 0 and not has_started:
+            self._timers.set(job.id, job.serial, job.runnable_since_us + self._min_age_us)
+
+    def largest(self, at_us: int, max_jobs: int) -> list[Job]:
+        """Return up to ``max_jobs`` jobs that have reached the minimum age, the largest first."""
         for job in self._feed.take():
-            self._enter(job)
-        while (name := self._ages.pop(at_us)) is not None:
-            job = self._jobs[name]
-            self._places[name] = place = (-job.spec.tasks, job.serial, name)
-            insort(self._aged, place)
-        return [self._jobs[name] for _, _, name in self._aged[:most]]
+            self._update_job(job)
+        while (job_id := self._timers.pop(at_us)) is not None:
+            job = self._jobs[job_id]
+            self._sort_keys[job_id] = sort_key = (-job.spec.tasks, job.serial, job_id)
+            insort(self._aged, sort_key)
+        return [self._jobs[job_id] for _, _, job_id in self._aged[:max_jobs]]
--- a/weldhead/scheduling/reservations/wide_tasks.py
+++ b/weldhead/scheduling/reservations/wide_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that take most of a machine: how wide they are, and whether they will find one."""
+"""Tasks that need a large part of one machine, and a forecast of machines for them."""
 
 from collections.abc import Iterable
 
@@ -8,11 +8,14 @@
 from weldhead.scheduling.reservations.reservations import Reservations
 
 
-def portion(spec: JobSpec, machine_type: MachineType) -> float:
-    """Return which part of a machine a task takes, of what it takes most of; 1 or less fits."""
+def machine_fraction(spec: JobSpec, machine_type: MachineType) -> float:
+    """Return the fraction of a machine that a task needs, by the resource that it needs most of.
+
+    A task fits if the fraction is at most 1.
+    """
     return max(
-        required_units / have if have > 0 else (float("inf") if required_units > 0 else 0.0)
-        for required_units, have in (
+        required / available if available > 0 else (float("inf") if required > 0 else 0.0)
+        for required, available in (
             (spec.cpus, machine_type.cpus),
             (spec.gpus, machine_type.gpus),
             (spec.memory_gb, machine_type.memory_gb),
@@ -20,17 +23,17 @@
     )
 
 
-def is_wide(spec: JobSpec, types: Iterable[MachineType], least: float) -> bool:
-    """Whether a task takes a large part of each of these machines that it may run on."""
-    portions = [portion(spec, t) for t in types if t.fits(spec)]
-    return bool(portions) and min(portions) > least + EPSILON
+def is_wide(spec: JobSpec, types: Iterable[MachineType], wide_task_fraction: float) -> bool:
+    """Whether a task needs more than the given fraction of every machine type that it fits on."""
+    fractions = [machine_fraction(spec, t) for t in types if t.fits(spec)]
+    return bool(fractions) and min(fractions) > wide_task_fraction + EPSILON
 
 
 class WideTaskForecast:
-    """Which wide tasks will find a machine by the time at which one rented now would be up.
+    """Forecasts which wide tasks find a machine by the time a machine rented now would be up.
 
-    A forecast that counts CPUs takes a hundred pieces on as many machines for room, and
-    nothing was ever rented for a task that needs them in one place.
+    A forecast that only sums up CPUs counts small fragments on a hundred machines as capacity.
+    With such a forecast, no machine was ever rented for a task that needs them on one machine.
     """
 
     def __init__(
@@ -38,45 +41,55 @@
         machines: Iterable[Machine],
         pending: Iterable[tuple[MachineType, int]],
         reservations: Reservations,
-        least: float,
+        wide_task_fraction: float,
         up_us: int,
     ) -> None:
-        self._least = least
+        self._wide_task_fraction = wide_task_fraction
         self._types: dict[str, MachineType] = {}
-        #: What is left of each: of what is about to be up, and of what is held until then.
-        self._rooms: list[tuple[Machine | None, MachineType, list[float], str | None]] = []
+        #: Machines that are empty by ``up_us``, because they boot, are being rented, or are
+        #: reserved: the machine if it exists, its type, the remaining CPUs, GPUs and memory, and
+        #: the job that it is reserved for.
+        self._empty_machines: list[tuple[Machine | None, MachineType, list[float], str | None]] = []
         for machine in machines:
             if machine.deleting or machine.draining:
                 continue
             self._types[machine.type.name] = machine.type
-            holder = reservations.machines.get(machine.name)
-            until_us, _ = reservations.until_us.get(machine.name, (0, 0))
-            if machine.booting or (holder is not None and until_us <= up_us):
-                self._rooms.append((machine, machine.type, _whole(machine.type), holder))
-        for kind, count in pending:
-            self._types[kind.name] = kind
-            self._rooms += [(None, kind, _whole(kind), None) for _ in range(count)]
+            reserving_job_id = reservations.machines.get(machine.name)
+            available_us, _ = reservations.fill_deadlines.get(machine.name, (0, 0))
+            if machine.booting or (reserving_job_id is not None and available_us <= up_us):
+                self._empty_machines.append(
+                    (machine, machine.type, _resources_of(machine.type), reserving_job_id)
+                )
+        for machine_type, count in pending:
+            self._types[machine_type.name] = machine_type
+            self._empty_machines += [
+                (None, machine_type, _resources_of(machine_type), None) for _ in range(count)
+            ]
 
     def shortfall(self, job: Job, count: int) -> int:
-        """Return how many of a job's waiting tasks none of them takes; 0 if they are not wide."""
+        """Return for how many of a job's waiting tasks no machine is foreseen.
+
+        The result is 0 for tasks that are not wide. Wide tasks take up the capacity of the foreseen
+        machines, so that several calls don't count the same capacity twice.
+        """
         spec = job.spec
-        portions = [portion(spec, t) for t in self._types.values() if t.fits(spec)]
-        if portions and min(portions) <= self._least + EPSILON:
+        fractions = [machine_fraction(spec, t) for t in self._types.values() if t.fits(spec)]
+        if fractions and min(fractions) <= self._wide_task_fraction + EPSILON:
             return 0
-        for machine, kind, left, holder in self._rooms:
+        for machine, machine_type, remaining, reserving_job_id in self._empty_machines:
             if count <= 0:
                 break
-            if holder not in (None, job.id) or not kind.fits(spec):
+            if reserving_job_id not in (None, job.id) or not machine_type.fits(spec):
                 continue
             if machine is not None and not machine.allows(job):
                 continue
-            taken = min(count, tasks_that_fit(spec, *left))
-            left[0] -= spec.cpus * taken
-            left[1] -= spec.gpus * taken
-            left[2] -= spec.memory_gb * taken
-            count -= taken
+            fitting = min(count, tasks_that_fit(spec, *remaining))
+            remaining[0] -= spec.cpus * fitting
+            remaining[1] -= spec.gpus * fitting
+            remaining[2] -= spec.memory_gb * fitting
+            count -= fitting
         return max(0, count)
 
 
-def _whole(kind: MachineType) -> list[float]:
-    return [kind.cpus, kind.gpus, kind.memory_gb]
+def _resources_of(machine_type: MachineType) -> list[float]:
+    return [machine_type.cpus, machine_type.gpus, machine_type.memory_gb]
