--- a/tests/controller/requests/test_cancellations_across_leaders.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -26,10 +26,10 @@
 from weldhead.controller.process import ControllerProcess
 from weldhead.protocol.settings import parse_settings
 from weldhead.reconciliation.answer_window import (
-    answers_until_us,
-    earliest_missed,
-    shortfall,
-    span_us,
+    describe_unmet_guarantee,
+    earliest_missed_cancellation_us,
+    safe_answer_window_us,
+    unloaded_answers_until_us,
 )
 from weldhead.reconciliation.buffered_heartbeats import MessageSource
 from weldhead.transport.http_client import CallError
@@ -81,11 +81,11 @@
             break
         wall_us = at_us + clocks.off_us
         until_us = clocks.true(
-            answers_until_us(
+            unloaded_answers_until_us(
                 clocks.steady(at_us), wall_us, inherited, cancel_us, lease_us, ERROR_US
             )
         )
-        inherited = earliest_missed(wall_us, lease_us, inherited)
+        inherited = earliest_missed_cancellation_us(wall_us, lease_us, inherited)
         # It wins a moment after it stood, and ends or loses the store's view at any time.
         last_us = min(at_us + lasts_us, until_us)
         if last_us > at_us:
@@ -95,14 +95,14 @@
 
 
 def test_a_load_of_seconds_costs_nobody_a_lease_and_short_times_are_told() -> None:
-    alone = answers_until_us(100 * S, 0, None, 44 * S, 14 * S, S)
+    alone = unloaded_answers_until_us(100 * S, 0, None, 44 * S, 14 * S, S)
     assert 115 * S < alone < 116 * S
     # The row before it began ten seconds earlier, by clocks that may both be wrong by one.
-    later = answers_until_us(100 * S, 50 * S, 50 * S - 24 * S, 44 * S, 14 * S, S)
-    assert later == 100 * S - 26 * S + span_us(44 * S, 14 * S)
-    assert shortfall(44 * S, 14 * S) == ""
-    assert "before it has read the jobs" in shortfall(20 * S, 14 * S)
-    assert "may last 14 s" in shortfall(10 * S, 14 * S)
+    later = unloaded_answers_until_us(100 * S, 50 * S, 50 * S - 24 * S, 44 * S, 14 * S, S)
+    assert later == 100 * S - 26 * S + safe_answer_window_us(44 * S, 14 * S)
+    assert describe_unmet_guarantee(44 * S, 14 * S) == ""
+    assert "before it has read the jobs" in describe_unmet_guarantee(20 * S, 14 * S)
+    assert "may last 14 s" in describe_unmet_guarantee(10 * S, 14 * S)
 
 
 # -- a term that is not loaded -------------------------------------------------------------------
--- a/tests/controller/workers/test_attempt_life_cycle.py
+++ b/tests/controller/workers/test_attempt_life_cycle.py
@@ -22,7 +22,7 @@
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, Heartbeat, split_task
 from weldhead.reconciliation.buffered_heartbeats import MessageSource
-from weldhead.reconciliation.command_queue import CommandPriority, _rank_of, queue_position
+from weldhead.reconciliation.command_queue import CommandPriority, _attempt_position, queue_position
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.scheduling.placement.placement_pass import plan_pass
@@ -104,10 +104,10 @@
         for machine in self.cluster.machines.values():
             phases = {attempt.phase for attempt in machine.attempts.values()}
             assert machine.last_listing is None or AttemptPhase.ASSIGNED not in phases
-            ranks = [_rank_of(self.cluster, a) for a in machine.attempts.values()]
-            ranks += [(CommandPriority.RULES, 0)] if machine.orphans else []
+            ranks = [_attempt_position(self.cluster, a) for a in machine.attempts.values()]
+            ranks += [(CommandPriority.REQUIRED_STOP, 0)] if machine.orphans else []
             assert queue_position(self.cluster, machine) == min(
-                ranks, default=(CommandPriority.REST, 1 << 62)
+                ranks, default=(CommandPriority.OTHER, 1 << 62)
             )
 
     @rule()
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -59,7 +59,7 @@
 #: What is found on machines while nothing is wrong with the controllers.
 ORDINARY = {
     AttemptVerdict.ADOPTED,
-    AttemptVerdict.FINISHED,
+    AttemptVerdict.COMPLETED,
     AttemptVerdict.ENDED,
     AttemptVerdict.CANCELLED,
 }
--- a/tests/emulator/test_memory_of_short_jobs.py
+++ b/tests/emulator/test_memory_of_short_jobs.py
@@ -15,8 +15,8 @@
 from weldhead.controller.requests.completions import FINALS_KEPT
 from weldhead.controller.requests.job_status_reader import MAX_REMEMBERED
 from weldhead.controller.workers.heartbeat_forwarding import (
-    CAME_BACK_US,
-    MOST_REMEMBERED,
+    MAX_REMEMBERED_REDIRECTS,
+    REDIRECT_RETURN_WINDOW_US,
     HeartbeatForwarding,
 )
 from weldhead.emulator.experiment import Experiment
@@ -94,8 +94,8 @@
 
 def test_workers_that_do_not_come_back_are_forgotten() -> None:
     relays = HeartbeatForwarding()
-    for number in range(MOST_REMEMBERED):
+    for number in range(MAX_REMEMBERED_REDIRECTS):
         relays.record_redirect(f"vm-{number}", 1)
-    relays.record_redirect("vm-late", 1 + CAME_BACK_US)
-    assert list(relays._sent_us) == ["vm-late"]
-    assert relays.should_forward("vm-late", 2 + CAME_BACK_US)
+    relays.record_redirect("vm-late", 1 + REDIRECT_RETURN_WINDOW_US)
+    assert list(relays._redirected_us) == ["vm-late"]
+    assert relays.should_forward("vm-late", 2 + REDIRECT_RETURN_WINDOW_US)
--- a/tests/reachability/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -20,9 +20,9 @@
     DeliveryEvidence,
     DeliverySignal,
     SentAnswer,
-    delivery_signal,
+    detect_delivery_signal,
 )
-from weldhead.reachability.freshness import MOST_UNSHOWN, RELAYED_MORE
+from weldhead.reachability.freshness import EXTRA_RELAYED_ANSWERS, MAX_STALE_TOKEN_ANSWERS
 from weldhead.reachability.replacement import machines_to_replace
 from weldhead.scheduling.placement.eligibility import usable
 
@@ -42,55 +42,67 @@
 @pytest.mark.parametrize(
     ("last", "report", "after_s", "relayed", "sign"),
     [
-        (answer_of(3), say(1, 4, 9), 5, False, DeliverySignal.NOTHING),
-        (answer_of(3), say(1, 5, 9), 5, False, DeliverySignal.MOVED),
-        (answer_of(3), say(1, 4, 9), 5, True, DeliverySignal.MOVED),
+        (answer_of(3), say(1, 4, 9), 5, False, DeliverySignal.NONE),
+        (answer_of(3), say(1, 5, 9), 5, False, DeliverySignal.CONTROLLER_CHANGED),
+        (answer_of(3), say(1, 4, 9), 5, True, DeliverySignal.CONTROLLER_CHANGED),
         # A process that stood still reads several reports in one go: no answer had its time.
-        (answer_of(3), say(1, 5, 9), 0.1, False, DeliverySignal.NOTHING),
-        (answer_of(3, 7), say(1, 4, 9), 5, False, DeliverySignal.HEARD),
-        (answer_of(3, 7), say(1, 4, 7), 5, False, DeliverySignal.UNSHOWN),
-        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 1)), 5, False, DeliverySignal.HEARD),
-        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 2)), 5, False, DeliverySignal.UNSHOWN),
-        (answer_of(3, forgets=(("t", 1),)), say(1, 4, 9), 5, False, DeliverySignal.HEARD),
+        (answer_of(3), say(1, 5, 9), 0.1, False, DeliverySignal.NONE),
+        (answer_of(3, 7), say(1, 4, 9), 5, False, DeliverySignal.RECEIVED),
+        (answer_of(3, 7), say(1, 4, 7), 5, False, DeliverySignal.COMMANDS_NOT_APPLIED),
+        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 1)), 5, False, DeliverySignal.RECEIVED),
+        (
+            answer_of(3, runs=(("t", 1),)),
+            say(1, 4, 9, ("t", 2)),
+            5,
+            False,
+            DeliverySignal.COMMANDS_NOT_APPLIED,
+        ),
+        (answer_of(3, forgets=(("t", 1),)), say(1, 4, 9), 5, False, DeliverySignal.RECEIVED),
         (
             answer_of(3, forgets=(("t", 1),)),
             say(1, 4, 9, ("t", 1)),
             5,
             False,
-            DeliverySignal.UNSHOWN,
+            DeliverySignal.COMMANDS_NOT_APPLIED,
         ),
-        (answer_of(3), say(2, 5, 9), 5, False, DeliverySignal.NEW_SESSION),
+        (answer_of(3), say(2, 5, 9), 5, False, DeliverySignal.SESSION_RESTARTED),
         # Its lease may have run out between two answers, or its process began anew.
-        (answer_of(3), say(2, 5, 9), 11, False, DeliverySignal.NOTHING),
-        (answer_of(3), say(2, 1, 0), 5, False, DeliverySignal.NOTHING),
+        (answer_of(3), say(2, 5, 9), 11, False, DeliverySignal.NONE),
+        (answer_of(3), say(2, 1, 0), 5, False, DeliverySignal.NONE),
     ],
 )
 def test_signs(
     last: SentAnswer, report: Heartbeat, after_s: float, relayed: bool, sign: DeliverySignal
 ) -> None:
     at_us = START + round(after_s * S)
-    assert delivery_signal(last, report, last.heartbeat[1], at_us, LEASE, relayed=relayed) is sign
+    assert (
+        detect_delivery_signal(last, report, last.heartbeat[1], at_us, LEASE, relayed=relayed)
+        is sign
+    )
 
 
 def test_one_lost_answer_or_a_closed_port_make_no_suspect() -> None:
     evidence = DeliveryEvidence(LEASE, answer_of(3), START)
-    assert not evidence.add(DeliverySignal.UNSHOWN, START)
+    assert not evidence.add(DeliverySignal.COMMANDS_NOT_APPLIED, START)
     # Much later once more: answers are lost now and then.
-    assert not evidence.add(DeliverySignal.UNSHOWN, START + 30 * S)
-    evidence.add(DeliverySignal.HEARD, START + 31 * S)
+    assert not evidence.add(DeliverySignal.COMMANDS_NOT_APPLIED, START + 30 * S)
+    evidence.add(DeliverySignal.RECEIVED, START + 31 * S)
     for number in range(5):
         # Its reports come and are answered; only its port is closed to this controller.
         evidence.observe_heartbeat(
             say(1, 4 + number, 9), 3 + number, START + (31 + number) * S, relayed=False
         )
-        assert not evidence.add(DeliverySignal.UNANSWERED, START + (31 + number) * S)
-    assert evidence.add(DeliverySignal.MOVED, START + 40 * S) and evidence.unreachable_since_us
+        assert not evidence.add(DeliverySignal.REQUEST_UNANSWERED, START + (31 + number) * S)
+    assert (
+        evidence.add(DeliverySignal.CONTROLLER_CHANGED, START + 40 * S)
+        and evidence.unreachable_since_us
+    )
     # Its session has outlived a lease since: some answer must have arrived.
     late = replace(answer_of(9), at_us=START + 50 * S)
     evidence.last_answer = late
     assert (
         evidence.observe_heartbeat(say(1, 10, 9), 9, START + 55 * S, relayed=False)
-        is DeliverySignal.HEARD
+        is DeliverySignal.RECEIVED
     )
 
 
@@ -189,7 +201,7 @@
         )
         # Both of two: that is the network, and none is returned.
         assert doomed == []
-    assert answers == 2 * MOST_UNSHOWN
+    assert answers == 2 * MAX_STALE_TOKEN_ANSWERS
     machine = leader.cluster.machines["vm-000000"]
     assert machine.name in hears_nothing(leader) and not machine.draining
     # In its next session it is answered, and used again once it shows the token.
@@ -357,7 +369,7 @@
                             # No later than its machine surely spoke, long before this.
                             assert lease_from_us <= seen_us < clock()
                         elif lease_from_us != leases[name]:
-                            assert unshown < MOST_UNSHOWN + RELAYED_MORE
+                            assert unshown < MAX_STALE_TOKEN_ANSWERS + EXTRA_RELAYED_ANSWERS
             leader.machine_monitor.expired_or_silent(clock(), leader.term.leadership_verified_us)
             leader._check_known()
             starts = [start for one in real for start in one.worker.starts]
--- a/tests/reachability/test_unreachable_machines.py
+++ b/tests/reachability/test_unreachable_machines.py
@@ -58,12 +58,12 @@
 
 
 @pytest.mark.parametrize(
-    "verdict", [AttemptVerdict.CROWDED, AttemptVerdict.OVER, AttemptVerdict.UNRECORDED]
+    "verdict", [AttemptVerdict.NO_CAPACITY, AttemptVerdict.JOB_OVER, AttemptVerdict.UNKNOWN_JOB]
 )
 def test_what_must_go_counts_until_it_has_gone(clock: Clock, verdict: AttemptVerdict) -> None:
     """Its kill may be lost: its team was given its room, and its task started elsewhere."""
     state = StandInState()
-    put_job(state, job_spec(1, tasks=2, cpus=5.0 if verdict is AttemptVerdict.CROWDED else 4.0))
+    put_job(state, job_spec(1, tasks=2, cpus=5.0 if verdict is AttemptVerdict.NO_CAPACITY else 4.0))
     runner, other = (put_machine(state, f"vm-{n:06}") for n in (1, 2))
     leader = new_leader(state, clock())
     leader.term.ready = True
@@ -78,14 +78,14 @@
     for worker in (runner, other):
         for _ in range(2):
             meet(leader, worker, clock())
-    if verdict is AttemptVerdict.OVER:
+    if verdict is AttemptVerdict.JOB_OVER:
         job.complete_waiting(0)
-    elif verdict is AttemptVerdict.UNRECORDED:
+    elif verdict is AttemptVerdict.UNKNOWN_JOB:
         leader.cluster.jobs.remove(job.id)
     runner.tasks["run-000001/0"] = StandInTask(77, "running")
     meet(leader, runner, clock(), heard=False)
     assert leader.term.reconciliation_counts.attempts == {verdict: 1}
-    if verdict is AttemptVerdict.UNRECORDED:
+    if verdict is AttemptVerdict.UNKNOWN_JOB:
         # Accepted and started under the leader before; the watch tells it late.
         leader.cluster.jobs[job.id] = job
     else:
@@ -97,7 +97,7 @@
     for _ in range(2):
         meet(leader, runner, clock())
     # What turns out to be wanted goes on.
-    assert (runner.live() == set()) == (verdict is not AttemptVerdict.UNRECORDED)
+    assert (runner.live() == set()) == (verdict is not AttemptVerdict.UNKNOWN_JOB)
     assert not leader.cluster.orphans and not leader.cluster.has_orphan("run-000001/0")
     leader.cluster.check_invariants()
 
--- a/tests/reconciliation/test_reconciliation.py
+++ b/tests/reconciliation/test_reconciliation.py
@@ -25,14 +25,14 @@
 from weldhead.protocol.wire import Heartbeat, ReportedTask
 from weldhead.reconciliation.attempt_verdicts import (
     AttemptVerdict,
-    MachineStanding,
+    MachineRecoveryState,
     ReconciliationCounts,
-    judge_attempt,
-    machine_standing,
+    classify_attempt,
+    machine_recovery_state,
 )
 from weldhead.reconciliation.buffered_heartbeats import HeartbeatBuffer, MessageSource
 from weldhead.reconciliation.command_queue import CommandPriority, CommandQueue, queue_position
-from weldhead.reconciliation.partial_view import partial_view_of, unverified_usage
+from weldhead.reconciliation.partial_view import make_partial_view, unverified_usage
 from weldhead.reconciliation.preemption_rate_limit import (
     PreemptionRateLimit,
     PreemptionRateSettings,
@@ -103,18 +103,18 @@
     ("verdict", "task", "prepare", "active", "commands"),
     [
         (AttemptVerdict.ADOPTED, ("run-000001/0", "running", None), "", 1, []),
-        (AttemptVerdict.FINISHED, ("run-000001/0", "ended", "done"), "", 0, ["forget"]),
+        (AttemptVerdict.COMPLETED, ("run-000001/0", "ended", "done"), "", 0, ["forget"]),
         (AttemptVerdict.ENDED, ("run-000001/0", "ended", "halted"), "", 0, ["forget"]),
         (AttemptVerdict.ENDED, ("run-000009/0", "ended", "done"), "", 0, ["forget"]),
         (AttemptVerdict.ENDED, ("run-000001/0", "ended", "done"), "cancelled", 0, ["forget"]),
         (AttemptVerdict.CANCELLED, ("run-000001/0", "saving", None), "cancelled", 1, ["kill"]),
-        (AttemptVerdict.OVER, ("run-000001/0", "running", None), "completed", 0, ["kill"]),
-        (AttemptVerdict.UNRECORDED, ("run-000009/0", "running", None), "", 0, ["kill"]),
-        (AttemptVerdict.UNRECORDED, ("run-000001/4", "running", None), "", 0, ["kill"]),
-        (AttemptVerdict.UNRECORDED, ("nonsense", "pulling", None), "", 0, ["kill"]),
-        (AttemptVerdict.SECOND, ("run-000001/0", "running", None), "elsewhere", 1, ["kill"]),
+        (AttemptVerdict.JOB_OVER, ("run-000001/0", "running", None), "completed", 0, ["kill"]),
+        (AttemptVerdict.UNKNOWN_JOB, ("run-000009/0", "running", None), "", 0, ["kill"]),
+        (AttemptVerdict.UNKNOWN_JOB, ("run-000001/4", "running", None), "", 0, ["kill"]),
+        (AttemptVerdict.UNKNOWN_JOB, ("nonsense", "pulling", None), "", 0, ["kill"]),
+        (AttemptVerdict.DUPLICATE, ("run-000001/0", "running", None), "elsewhere", 1, ["kill"]),
         (AttemptVerdict.OVER_LIMIT, ("run-000001/0", "running", None), "limit", 1, []),
-        (AttemptVerdict.CROWDED, ("run-000001/0", "running", None), "large", 1, ["kill"]),
+        (AttemptVerdict.NO_CAPACITY, ("run-000001/0", "running", None), "large", 1, ["kill"]),
     ],
 )
 def test_each_verdict_has_its_order(
@@ -128,7 +128,7 @@
         job.complete_waiting(0)
     if prepare == "elsewhere":
         into.start(job, 0, add_machine(into, "vm-000002"), 0)
-    assert judge_attempt(into, machine, told) is verdict
+    assert classify_attempt(into, machine, told) is verdict
     outcome = apply_heartbeat(into, machine, report(machine, 2, [told]), 0, MessageSource.HEARTBEAT)
     assert outcome.verdicts == {verdict: 1}
     orders = pending_commands(machine, lambda _: True, may_start=True, sequence=2)
@@ -149,11 +149,11 @@
     silent.reconciled = unused.reconciled = False
     unused.enrolled, leaving.deleting = False, True
     gone.expired_session = gone.session
-    found = [machine_standing(m) for m in (known, silent, unused, leaving, gone, None)]
+    found = [machine_recovery_state(m) for m in (known, silent, unused, leaving, gone, None)]
     assert found == [
-        MachineStanding.KNOWN, MachineStanding.SILENT, MachineStanding.UNUSED,
-        MachineStanding.LEAVING, MachineStanding.GONE,
-        MachineStanding.UNKNOWN,
+        MachineRecoveryState.KNOWN, MachineRecoveryState.SILENT, MachineRecoveryState.UNUSED,
+        MachineRecoveryState.DELETING, MachineRecoveryState.GONE,
+        MachineRecoveryState.UNRECORDED,
     ]  # fmt: skip
 
 
@@ -216,7 +216,7 @@
     asking.add(f"vm-{n}" for n in range(60))
     events: list[tuple[int, str, bool]] = []
     at_us = 0
-    while at_us < 30 * S and not asking.finished:
+    while at_us < 30 * S and not asking.is_finished:
         due = [event for event in events if event[0] <= at_us]
         events = [event for event in events if event[0] > at_us]
         for _, name, answers in due:
@@ -228,13 +228,13 @@
         for name in asking.next_targets(at_us):
             answers = int(name[3:]) not in gone
             events.append((at_us + (answer_ms if answers else 400) * MS, name, answers))
-        assert asking.under_way <= at_once
+        assert asking.in_flight <= at_once
         vain = asking.unanswered(at_us, 0)
         assert vain <= {f"vm-{n}" for n in gone}
         if len(vain) == len(gone) > 0:
             break
         at_us += 20 * MS
-    assert asking.finished == (not gone)
+    assert asking.is_finished == (not gone)
     if gone:
         assert len(vain) == len(gone) and at_us < 20 * S
 
@@ -283,7 +283,7 @@
                 hidden.add((job.id, index))
                 hidden_cpus[job.team] += job.spec.cpus
                 machine.cpus -= job.spec.cpus
-    partial = partial_view_of(into.machines.values(), 10)
+    partial = make_partial_view(into.machines.values(), 10)
     into.unverified_usage = unverified_usage(into, partial)
     scene = PlacementInput(into, RunTimeEstimates(), ServiceLevelObjectives([]), 0)
     plan = plan_pass(scene, 0, 10 * S, 1.0, partial.is_settled)
@@ -304,7 +304,7 @@
     machine.reconciled = False
     job = add_job(into, job_spec(1, tasks=4))
     job.version, job.cancelled = 50, True
-    partial = partial_view_of(into.machines.values(), 10)
+    partial = make_partial_view(into.machines.values(), 10)
     assert not partial.is_settled(job)
     assert unverified_usage(into, partial)["red"].cpus == 4.0
 
@@ -316,7 +316,7 @@
     machine.enrolled = True
     into.machines[machine.name] = machine
     job = add_job(into, job_spec(1, tasks=4))
-    partial = partial_view_of(into.machines.values(), None)
+    partial = make_partial_view(into.machines.values(), None)
     assert not partial.is_settled(job)
     assert unverified_usage(into, partial)["red"].cpus == 8.0
 
@@ -355,10 +355,10 @@
     for machine in (rest, start, stop, cancelled, ghost, rest):
         outbox.put(machine.name, queue_position(into, machine))
     assert [queue_position(into, m)[0] for m in (rest, start, stop)] == [
-        CommandPriority.REST, CommandPriority.GUARANTEED, CommandPriority.ROOM,
+        CommandPriority.OTHER, CommandPriority.GUARANTEED_START, CommandPriority.FREES_CAPACITY,
     ]  # fmt: skip
     # What became more urgent meanwhile moves up, and has one turn.
-    outbox.put(rest.name, (CommandPriority.RULES, -1))
+    outbox.put(rest.name, (CommandPriority.REQUIRED_STOP, -1))
     assert rest.name in outbox and len(outbox) == 5
     order = [outbox.pop() for _ in range(6)]
     assert order == [rest.name, cancelled.name, ghost.name, stop.name, start.name, None]
--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -20,7 +20,7 @@
 from weldhead.cluster_state.records import LEADER_KEY, RENTALS, RentalRecord, divide_machines
 from weldhead.cluster_state.state_writer import StateWriter
 from weldhead.protocol.settings import Team
-from weldhead.reachability.silence import look_lost
+from weldhead.reachability.silence import are_likely_lost
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer, RentalOffers
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
@@ -271,11 +271,11 @@
     spots, ordinary = fleet("a", True, 10), fleet("a", False, 3)
     others = fleet("b", True, 3)
     live = spots + ordinary + others
-    assert look_lost(spots[:5], live)
+    assert are_likely_lost(spots[:5], live)
     # More than a third, but only spot machines, beside ordinary ones that are heard.
-    assert look_lost(spots[:9], live)
-    assert not look_lost(spots[:9] + ordinary[:1], live)
+    assert are_likely_lost(spots[:9], live)
+    assert not are_likely_lost(spots[:9] + ordinary[:1], live)
     # Nothing ordinary is heard in that zone: it may be cut off.
-    assert not look_lost(spots[:5] + others, live)
-    assert not look_lost(live, live)
-    assert look_lost(ordinary[:1], ordinary[:1])
+    assert not are_likely_lost(spots[:5] + others, live)
+    assert not are_likely_lost(live, live)
+    assert are_likely_lost(ordinary[:1], ordinary[:1])
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -92,7 +92,7 @@
             self._dispatcher,
             self._answered,
             self.rental_manager.return_machines,
-            self.machine_monitor.silent_live,
+            self.machine_monitor.silent_live_machines,
         )
         parts = RecoveryParts(
             self.completions,
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -43,7 +43,10 @@
 from weldhead.protocol.peer import LeaderResigned, Pong, PromiseAnswer, PromiseRequest
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.wire import Condition, MachineType, PutKey
-from weldhead.reconciliation.answer_window import answers_until_us, earliest_missed
+from weldhead.reconciliation.answer_window import (
+    earliest_missed_cancellation_us,
+    unloaded_answers_until_us,
+)
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.cloud_client import CloudClient
 from weldhead.transport.http_client import CallError, HttpClient
@@ -310,7 +313,7 @@
         """Write the leader's key; return its token, None if another controller has it."""
         workers = self.settings.facts.workers
         lease_us = seconds_us(workers.lease_s)
-        missed_us = earliest_missed(attempt.wall_us, lease_us, attempt.inherited_us)
+        missed_us = earliest_missed_cancellation_us(attempt.wall_us, lease_us, attempt.inherited_us)
         try:
             return await self._state.transact(
                 [Condition(LEADER_KEY, replaced)],
@@ -353,7 +356,7 @@
             self.catalog,
             previous_leader_expired_us=expired_us,
             on_leadership_lost=self.step_down,
-            answer_unloaded_until_us=answers_until_us(
+            answer_unloaded_until_us=unloaded_answers_until_us(
                 attempt.sent_us,
                 attempt.wall_us,
                 attempt.inherited_us,
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -39,13 +39,13 @@
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.machine_monitor import MachineMonitor
 from weldhead.protocol.wire import Heartbeat, KeyValue, split_task
-from weldhead.reachability.silence import look_lost
+from weldhead.reachability.silence import are_likely_lost
 from weldhead.reconciliation.buffered_heartbeats import (
     BufferedHeartbeat,
     HeartbeatBuffer,
     MessageSource,
 )
-from weldhead.reconciliation.partial_view import PartialView, partial_view_of, unverified_usage
+from weldhead.reconciliation.partial_view import PartialView, make_partial_view, unverified_usage
 from weldhead.reconciliation.status_probes import StatusProbes
 from weldhead.scheduling.autoscaling.arrival_rates import ArrivalRates
 from weldhead.transport.http_client import CallError
@@ -320,7 +320,7 @@
                 machine.probes_failed = True
         live = self._machine_monitor.live()
         unknown = [machine for machine in live if not machine.reconciled]
-        if unknown and all(m.probes_failed for m in unknown) and look_lost(unknown, live):
+        if unknown and all(m.probes_failed for m in unknown) and are_likely_lost(unknown, live):
             self._rental_manager.return_machines({machine.name: machine for machine in unknown})
 
     def check_known(self) -> None:
@@ -376,6 +376,6 @@
     def partial_view(self) -> PartialView:
         """Return what is known so far, and draw its bounds on the teams."""
         cluster = self._term.cluster
-        partial = partial_view_of(cluster.machines.values(), self._safe_revision)
+        partial = make_partial_view(cluster.machines.values(), self._safe_revision)
         cluster.unverified_usage = unverified_usage(cluster, partial)
         return partial
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -31,7 +31,7 @@
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.versions import FORMAT
 from weldhead.protocol.wire import Heartbeat, LeaderRedirect, MachineType
-from weldhead.reconciliation.answer_window import shortfall
+from weldhead.reconciliation.answer_window import describe_unmet_guarantee
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.cloud_client import CloudClient
 from weldhead.transport.http_client import CallError, HttpClient
@@ -90,7 +90,9 @@
     def _warn_of_shortfall(self) -> None:
         """Tell the operator once what the site's times do not allow to guarantee."""
         workers = self.settings.facts.workers
-        missing = shortfall(seconds_us(workers.cancel_s), seconds_us(workers.lease_s))
+        missing = describe_unmet_guarantee(
+            seconds_us(workers.cancel_s), seconds_us(workers.lease_s)
+        )
         if missing:
             log.warning("%s", missing)
 
@@ -200,7 +202,7 @@
                 if message.token:
                     self.election.observe_leader(name, message.token)
                     self.memory.observe_leader(at_us, full=message.full)
-                    self._forwarding.record_missed(message.silent, at_us)
+                    self._forwarding.record_silent_machines(message.silent, at_us)
                 leads, known = self.leader is not None, self.election.highest_token
                 return Pong(message.id, self._state.available, FORMAT, leads, known)
             case ForwardedRequest():
--- a/weldhead/controller/workers/__init__.py
+++ b/weldhead/controller/workers/__init__.py
@@ -1,1 +1,1 @@
-"""What workers report and are told, and which of them can be reached."""
+"""Communication with workers: heartbeats, direct commands, reachability and lost machines."""
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -1,4 +1,4 @@
-"""Direct commands to workers: what must not wait for a report, and recovery's questions."""
+"""Sends direct commands to workers, and the status probes that a recovering term needs."""
 
 import asyncio
 import logging
@@ -16,70 +16,76 @@
 
 log = logging.getLogger(__name__)
 
-#: For how long a worker that is asked what it runs may be silent before others get its turn.
-ASK_US = 400 * MILLISECOND_US
+#: How long a status probe waits for its answer before the next worker is probed.
+PROBE_TIMEOUT_US = 400 * MILLISECOND_US
 
-#: For how long a machine that is sent commands counts against the turns of others.
-TURN_US = 300 * MILLISECOND_US
+#: How long a machine that is being sent commands occupies one of the limited slots.
+SLOT_TIMEOUT_US = 300 * MILLISECOND_US
 
 
 class CommandDispatcher:
-    """Sends direct commands; ``apply`` takes what the workers answer."""
+    """Sends direct commands; ``apply`` is called with each worker's answer."""
 
     def __init__(
         self,
         term: Term,
         apply: Callable[[Machine, Heartbeat], None],
-        unanswered: Callable[[Machine], None],
+        on_unanswered: Callable[[Machine], None],
     ) -> None:
         self._term = term
         self._apply = apply
-        self._on_unanswered = unanswered
+        self._on_unanswered = on_unanswered
         self._queue = CommandQueue()
-        #: Turns that have begun and count.
+        #: The numbers of the occupied slots.
         self._slots: set[int] = set()
-        self._count = 0
+        self._last_slot = 0
         sockets = term.settings.facts.limits.sockets
         self._max_in_flight = max(4, min(term.tunables.direct_at_once, sockets // 8))
 
-    def _crowded(self) -> bool:
-        """Whether every worker's connection to us and ours to it would be too many."""
+    def _should_close_connections(self) -> bool:
+        """Whether keeping connections to and from every worker would exceed the socket limit."""
         return 3 * len(self._term.cluster.machines) > self._term.settings.facts.limits.sockets
 
     async def _send(
         self, machine: Machine, session: int, commands: list[Command], timeout_us: int
     ) -> Heartbeat:
         term = self._term
-        _, report = await workers.command(
+        _, heartbeat = await workers.command(
             term.worker_http, machine.address, term.token, session, commands, timeout_us,
-            close=self._crowded(),
+            close=self._should_close_connections(),
         )  # fmt: skip
-        return report
+        return heartbeat
 
-    def _shows_newer_token(self, name: str, report: Heartbeat) -> bool:
-        if report.token <= self._term.token:
+    def _shows_newer_token(self, name: str, heartbeat: Heartbeat) -> bool:
+        if heartbeat.token <= self._term.token:
             return False
-        self._term.on_leadership_lost(f"{name} has seen token {report.token}")
+        self._term.on_leadership_lost(f"{name} sent newer token {heartbeat.token}")
         return True
 
     async def probe(self, name: str, address: str, session: int) -> Heartbeat | None:
-        """Show a worker our token and hear what it runs; None if it does not answer.
+        """Show a worker this term's token and return the tasks it lists; None without an answer.
 
-        Once its own message carries our token, it obeys no earlier leader any more.
+        Once the worker's own message carries this token, it obeys no earlier leader any more.
         """
         term = self._term
         try:
-            _, report = await workers.command(
-                term.worker_http, address, term.token, session, [], ASK_US, close=self._crowded()
+            _, heartbeat = await workers.command(
+                term.worker_http,
+                address,
+                term.token,
+                session,
+                [],
+                PROBE_TIMEOUT_US,
+                close=self._should_close_connections(),
             )
         except CallError:
             return None
-        return None if self._shows_newer_token(name, report) else report
+        return None if self._shows_newer_token(name, heartbeat) else heartbeat
 
     # -- commands ------------------------------------------------------------------------
 
     def schedule(self, machine: Machine) -> None:
-        """Send what a machine has to do in its turn, unless that is under way already."""
+        """Queue a machine for its pending commands unless a request to it is already in flight."""
         if not machine.reconciled or not machine.address or machine.relayed:
             return
         if machine.command_in_flight and machine.name not in self._queue:
@@ -89,29 +95,29 @@
         self._start_next()
 
     def _start_next(self) -> None:
-        """Begin as many turns as there may be at once, the most urgent machines first."""
+        """Fill the free slots, beginning with the machines that need commands most urgently."""
         while len(self._slots) < self._max_in_flight and (name := self._queue.pop()) is not None:
             machine = self._term.cluster.machines.get(name)
             if machine is None:
                 continue
-            self._count += 1
-            self._slots.add(self._count)
-            # Who does not answer at once keeps nobody else waiting.
+            self._last_slot += 1
+            self._slots.add(self._last_slot)
+            # A worker that does not answer at once must not delay the commands to others.
             loop = asyncio.get_running_loop()
-            loop.call_later(to_seconds(TURN_US), self._release_slot, self._count)
+            loop.call_later(to_seconds(SLOT_TIMEOUT_US), self._release_slot, self._last_slot)
             self._term.background_tasks.spawn(
-                "direct commands", self._send_commands(machine, self._count)
+                "direct commands", self._send_commands(machine, self._last_slot)
             )
 
-    def _release_slot(self, turn: int) -> None:
-        if turn in self._slots:
-            self._slots.discard(turn)
+    def _release_slot(self, slot: int) -> None:
+        if slot in self._slots:
+            self._slots.discard(slot)
             self._start_next()
 
     async def _send_commands(self, machine: Machine, slot: int) -> None:
-        """Send what the machine has to do without waiting for its heartbeat."""
+        """Send a machine its pending commands without waiting for its heartbeat."""
         try:
-            while self._may_send(machine):
+            while self._can_send(machine):
                 commands = pending_commands(
                     machine,
                     lambda task: False,
@@ -127,18 +133,18 @@
             machine.command_in_flight = False
             self._release_slot(slot)
 
-    def _may_send(self, machine: Machine) -> bool:
-        """Whether the machine is still ours and has been heard of late."""
+    def _can_send(self, machine: Machine) -> bool:
+        """Whether the machine is on record, not being deleted, and was recently heard from."""
         term = self._term
         if machine.name not in term.cluster.machines or machine.deleting or not term.valid:
             return False
-        heard_us = max(machine.last_heartbeat_us, machine.first_probe_us)
-        return now_us() - heard_us <= term.silence_us
+        last_heard_us = max(machine.last_heartbeat_us, machine.first_probe_us)
+        return now_us() - last_heard_us <= term.silence_us
 
     async def _send_batch(self, machine: Machine, commands: list[Command]) -> bool:
-        """Send commands and apply the answer; whether there may be more to send."""
+        """Send commands and apply the answer; return whether there may be more to send."""
         term = self._term
-        started = [machine.attempts[c.task] for c in commands if c.op == "run"]
+        started = [machine.attempts[command.task] for command in commands if command.op == "run"]
         try:
             heartbeat = await self._send(machine, machine.session, commands, term.lease_us)
         except NotConnectedError:
@@ -148,10 +154,10 @@
             return False
         except CallError as error:
             self._mark_unconfirmed(started)
-            log.info("direct commands unanswered: machine %s: %s", machine.name, error)
+            log.info("direct commands to machine %s not answered: %s", machine.name, error)
             self._on_unanswered(machine)
             return False
-        # Answered: executed, or (409) surely not.
+        # The request was answered: its commands were executed or, with status 409, rejected.
         for attempt in started:
             attempt.sent_directly = False
         if self._shows_newer_token(machine.name, heartbeat):
@@ -160,7 +166,7 @@
         return bool(started)
 
     def _mark_unconfirmed(self, attempts: list[Attempt]) -> None:
-        """A request that carried their ``run`` may be lost, or executed late."""
+        """Mark attempts whose ``run`` was sent in a request that may be lost or executed late."""
         at_us = now_us()
         for attempt in attempts:
             if attempt.sent_directly:
--- a/weldhead/controller/workers/heartbeat_handler.py
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Answers workers' heartbeats, and applies what workers say to the term's state."""
+"""Answers workers' heartbeats and applies workers' messages to the term's state."""
 
 import logging
 
@@ -17,14 +17,14 @@
 from weldhead.controller.workers.pending_commands import kill_all, pending_commands, pending_kills
 from weldhead.controller.workers.reachability_monitor import ReachabilityMonitor
 from weldhead.protocol.wire import Heartbeat, HeartbeatAnswer
-from weldhead.reachability.freshness import Freshness, answerable
+from weldhead.reachability.freshness import Freshness, can_answer
 from weldhead.reconciliation.buffered_heartbeats import BufferedHeartbeat, MessageSource
 
 log = logging.getLogger(__name__)
 
 
 class HeartbeatHandler:
-    """One term's side of the heartbeat protocol."""
+    """The leader's side of the heartbeat protocol for one term."""
 
     def __init__(
         self,
@@ -43,32 +43,32 @@
         self._recovery = recovery
 
     def handle(self, heartbeat: Heartbeat, at_us: int, *, relayed: bool) -> HeartbeatAnswer | None:
-        """Handle a worker's heartbeat; None: it must not be answered 200."""
+        """Handle a worker's heartbeat; None means that it must not be answered with status 200."""
         if not self._term.valid:
             return None
         if heartbeat.token > self._term.token:
-            self._term.on_leadership_lost(f"{heartbeat.machine} has seen token {heartbeat.token}")
+            self._term.on_leadership_lost(f"{heartbeat.machine} sent newer token {heartbeat.token}")
             return None
         if not self._term.loaded:
-            kept = self._recovery.buffer_heartbeat(heartbeat, at_us, relayed=relayed)
-            return HeartbeatAnswer(self._term.token, []) if kept else None
+            buffered = self._recovery.buffer_heartbeat(heartbeat, at_us, relayed=relayed)
+            return HeartbeatAnswer(self._term.token, []) if buffered else None
         machine = self._term.cluster.machines.get(heartbeat.machine)
         if machine is None:
             self._handle_unrecorded_machine(heartbeat)
-            # The answer renews a lease, and what runs there counts for nobody: it has to go.
+            # The answer renews the lease, so it also kills all tasks there: no job counts them.
             return HeartbeatAnswer(self._term.token, kill_all(heartbeat))
         freshness = self._reachability.freshness(machine, heartbeat)
-        if machine.deleting or freshness is Freshness.COPY:
+        if machine.deleting or freshness is Freshness.OUTDATED:
             return None
-        if freshness is Freshness.OVERTAKEN:
-            return self._answer_overtaken(machine)
+        if freshness is Freshness.SUPERSEDED:
+            return self._answer_superseded(machine)
         self._reachability.observe_heartbeat(machine, heartbeat, at_us, relayed=relayed)
         machine.relayed = relayed
         self.apply(machine, heartbeat, MessageSource.HEARTBEAT)
         if machine.not_receiving:
-            # The heartbeat may have shown that what it was sent last was dropped.
-            self._reachability.withdraw_unstarted(machine)
-        if not self._count_answer(machine, freshness, at_us):
+            # The heartbeat may have shown that the last answer to this machine was dropped.
+            self._reachability.release_undelivered_attempts(machine)
+        if not self._record_lease_renewal(machine, freshness, at_us):
             return None
         if machine.reconciled and not machine.enrolled and not machine.enrollment_pending:
             machine.enrollment_pending = True
@@ -82,38 +82,38 @@
         self._reachability.record_answer(machine, heartbeat, commands, at_us, relayed=relayed)
         return HeartbeatAnswer(self._term.token, commands)
 
-    def _answer_overtaken(self, machine: Machine) -> HeartbeatAnswer | None:
-        """Answer a heartbeat that a newer message has overtaken; nothing of it is applied."""
-        if not answerable(machine):
+    def _answer_superseded(self, machine: Machine) -> HeartbeatAnswer | None:
+        """Answer a heartbeat that a newer message has superseded, without applying it."""
+        if not can_answer(machine):
             return None
         machine.lease_from_us = max(machine.lease_from_us, machine.last_message_us)
-        # No answer renews a lease without the kills: a run may not be repeated, they may.
+        # Every answer that renews a lease carries the kills. Unlike a run, a kill may be repeated.
         return HeartbeatAnswer(self._term.token, pending_kills(machine))
 
-    def _count_answer(self, machine: Machine, freshness: Freshness, at_us: int) -> bool:
-        """Enter that a heartbeat is about to be answered; false: it must not be."""
+    def _record_lease_renewal(self, machine: Machine, freshness: Freshness, at_us: int) -> bool:
+        """Record that an answer may renew the lease; return false if no answer must be sent."""
         if freshness is Freshness.FRESH:
             self._machine_monitor.record_heartbeat(machine, at_us)
             return True
-        if not answerable(machine):
+        if not can_answer(machine):
             return False
-        # The answer may renew a lease; that its machine lives is not shown by it.
+        # The answer may renew the lease, although the heartbeat does not prove its machine alive.
         machine.stale_token_answers += 1
         machine.lease_from_us = max(machine.lease_from_us, at_us)
         return True
 
     def _handle_unrecorded_machine(self, heartbeat: Heartbeat) -> None:
-        """A heartbeat of a machine that no record names."""
+        """Handle a heartbeat from a machine that is not on record."""
         if self._rental_manager.is_unexpected(heartbeat):
             self._reachability.probe_unrecorded(heartbeat, self._rental_manager.adopt_unexpected)
 
     def handle_command_answer(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """Take a worker's answer to direct commands."""
+        """Apply a worker's answer to direct commands."""
         self.apply(machine, heartbeat, MessageSource.COMMAND_ANSWER)
         self._reachability.observe_answer(machine)
 
     def apply_buffered(self, buffered: BufferedHeartbeat) -> None:
-        """Take what a machine said before its records were loaded."""
+        """Apply a message that arrived before the machine records were loaded."""
         machine = self._term.cluster.machines.get(buffered.heartbeat.machine)
         if machine is None:
             self._handle_unrecorded_machine(buffered.heartbeat)
@@ -121,12 +121,12 @@
         freshness = self._reachability.freshness(machine, buffered.heartbeat)
         self.apply(machine, buffered.heartbeat, buffered.source)
         if buffered.answered_us:
-            from_us = machine.lease_from_us
-            self._count_answer(machine, freshness, buffered.answered_us)
+            previous_lease_from_us = machine.lease_from_us
+            self._record_lease_renewal(machine, freshness, buffered.answered_us)
             if buffered.source is MessageSource.COMMAND_ANSWER:
-                # It showed the token after that answer, which may have been lost: the leader
-                # before may have renewed its lease in between.
-                machine.lease_from_us = max(machine.lease_from_us, from_us)
+                # The worker showed the token after the answer to its heartbeat, which may have been
+                # lost. The previous leader may have renewed its lease in between.
+                machine.lease_from_us = max(machine.lease_from_us, previous_lease_from_us)
             machine.relayed = buffered.relayed
             if buffered.answered:
                 self._reachability.record_answer(
@@ -134,18 +134,18 @@
                 )
 
     def apply(self, machine: Machine, heartbeat: Heartbeat, source: MessageSource) -> None:
-        """Apply a message unless something newer was seen."""
+        """Apply a message unless a newer message of its machine has been seen."""
         if not is_newer(machine, heartbeat):
             return
         at_us = now_us()
         if machine.booting and not machine.enrolled and machine.rented_us > self._term.loaded_us:
-            # Those of earlier terms may have come up long ago.
+            # Machines that an earlier term rented are left out: they may have booted long ago.
             self._term.boot_history.record_boot(machine, at_us)
         had_notice = machine.interruption_us
         effect = apply_heartbeat(self._term.cluster, machine, heartbeat, at_us, source)
         self._apply_effect(machine, effect, at_us)
         if machine.interruption_us and not had_notice:
-            log.info("machine %s: spot interruption notice", machine.name)
+            log.info("machine %s: received a spot interruption notice", machine.name)
             self._machine_monitor.interrupted[machine.name] = machine
             self._machine_monitor.evacuate(machine, at_us)
 
@@ -163,8 +163,9 @@
             self._machine_monitor.record_failure(attempt, at_us)
         for attempt, reason in effect.lost:
             log.debug(
-                "%s attempt %d left %s: %s", attempt.task, attempt.number, machine.name, reason
-            )
+                "attempt %d of %s lost on machine %s: %s",
+                attempt.number, attempt.task, machine.name, reason,
+            )  # fmt: skip
             if attempt.job.cancelled:
                 self._term.commit_wanted.set()
         if not machine.attempts and (effect.lost or effect.completed):
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -1,4 +1,4 @@
-"""What a worker's heartbeat means for the leader's view of its machine. No I/O."""
+"""Updates the leader's view of a machine from its worker's heartbeat. No I/O."""
 
 import logging
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
 from weldhead.protocol.wire import Heartbeat, ReportedTask
-from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, judge_attempt, locate
+from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, classify_attempt, find_job
 from weldhead.reconciliation.buffered_heartbeats import MessageSource
 
 log = logging.getLogger(__name__)
@@ -20,45 +20,47 @@
     "saving": AttemptPhase.SAVING,
 }
 
-#: Verdicts on what runs now, and where: only a heartbeat that shows this term's token tells that.
-#: One from before may be a copy of any age; applied, it would replace the attempt that runs.
-_NEED_CURRENT_TOKEN = {
+#: Verdicts about what runs now and on which machine. They apply only if the heartbeat carries this
+#: term's token: a heartbeat with an older token may be a copy of any age, and applying it would
+#: replace the attempt that really runs.
+_VERDICTS_NEEDING_CURRENT_TOKEN = {
     AttemptVerdict.ADOPTED,
     AttemptVerdict.OVER_LIMIT,
-    AttemptVerdict.SECOND,
-    AttemptVerdict.CROWDED,
+    AttemptVerdict.DUPLICATE,
+    AttemptVerdict.NO_CAPACITY,
 }
 
-#: Why a worker refuses a task that the leader's view allows.
-_REFUSALS = ("no_room", "busy", "unknown")
-#: A refused task is not started again at once: the worker's and the leader's view disagree.
+#: Causes with which a worker refuses a task that fits by the leader's view of the machine.
+_REFUSAL_CAUSES = ("no_room", "busy", "unknown")
+#: Delay before a refused task may start again: the worker's and the leader's view disagree, so an
+#: immediate retry would be refused as well.
 REFUSED_TASK_BACKOFF_US = SECOND_US
-#: Causes of an end that say that the task failed by itself.
-_OWN_FAILURES = ("error", None)
+#: End causes that mean that the task failed by itself.
+_TASK_FAILURE_CAUSES = ("error", None)
 
 
 @dataclass(slots=True)
 class HeartbeatEffect:
-    """What a report changed."""
+    """What a heartbeat changed in the leader's view of the cluster."""
 
-    #: Tasks completed, to be committed before they are forgotten.
+    #: Jobs of which a task completed; each completion is committed before its worker forgets it.
     completed: list[Job] = field(default_factory=list)
-    #: Attempts that ended without completing, with the reason.
+    #: Attempts that ended without completing, each with the reason.
     lost: list[tuple[Attempt, str]] = field(default_factory=list)
-    #: Run times of completed tasks: (job, microseconds).
+    #: Run times of completed tasks, as (job, microseconds).
     run_times: list[tuple[Job, int]] = field(default_factory=list)
-    #: When the last of the tasks that completed was seen to begin; 0: not known.
+    #: The latest observed start time among the completed tasks; 0 if no start was observed.
     verified_start_us: int = 0
     #: Attempts that failed by themselves.
     failed: list[Attempt] = field(default_factory=list)
-    #: What attempts were judged that this term has not started.
+    #: How often each verdict was given on attempts that this term has not started.
     verdicts: dict[AttemptVerdict, int] = field(default_factory=dict)
-    #: Capacity has become free, or something else that placement should look at.
+    #: Whether capacity became free or a machine became usable, so that a placement pass is needed.
     capacity_freed: bool = False
 
 
 def is_newer(machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether the heartbeat is newer than everything seen, and of a live session."""
+    """Whether a heartbeat is newer than all messages seen, and its session has not expired."""
     return (
         heartbeat.session,
         heartbeat.sequence,
@@ -70,15 +72,15 @@
 ) -> HeartbeatEffect:
     """Bring the leader's view of a machine up to date with a newer heartbeat.
 
-    The steps run in this order; each is a rule of the protocol. A task missing from a command's
-    answer (``source``) does not show that a ``run`` sent in a heartbeat's answer was lost: that
-    answer may still be on its way to the worker, who drops it only before its next heartbeat.
+    The order of the steps is part of the protocol. If a task is missing from the answer to a direct
+    command (``source``), a ``run`` sent in the answer to a heartbeat is not necessarily lost: that
+    answer may still be in flight, and the worker drops it only before its next heartbeat.
     """
     effect = HeartbeatEffect()
     if heartbeat.session > machine.session and machine.session:
         _release_ended_session(cluster, machine, at_us, effect)
     _record_contact(cluster, machine, heartbeat, at_us)
-    if _shows_nothing_new(machine, heartbeat):
+    if _has_same_listing(machine, heartbeat):
         if source is MessageSource.HEARTBEAT:
             machine.heartbeat_sequence = heartbeat.sequence
         return effect
@@ -89,18 +91,18 @@
 def _release_ended_session(
     cluster: Cluster, machine: Machine, at_us: int, effect: HeartbeatEffect
 ) -> None:
-    """Record that the attempts of a worker's former session are gone."""
+    """Release all attempts of a worker's previous session, which has ended."""
     machine.last_listing = None
     machine.heartbeat_sequence = 0
-    # The lease begins anew with the session, which began before this was sent. Counted from the
-    # former session it would look expired while what was started since still runs.
+    # The new session began before this message was sent, and its lease starts with it. Counted
+    # from the previous session, the lease would look expired while tasks started since then run.
     machine.lease_from_us = max(machine.lease_from_us, at_us)
     for attempt in cluster.release_all(machine):
-        effect.lost.append((attempt, "new session"))
+        effect.lost.append((attempt, "its worker started a new session"))
 
 
 def _record_contact(cluster: Cluster, machine: Machine, heartbeat: Heartbeat, at_us: int) -> None:
-    """Record what every message of a machine says, whatever it lists."""
+    """Record the fields that every message carries, whatever tasks it lists."""
     if machine.booting:
         machine.notify_changed()
     machine.newest_message = (heartbeat.session, heartbeat.sequence)
@@ -114,8 +116,8 @@
         machine.interruption_us = at_us + seconds_us(heartbeat.notice_s)
 
 
-def _shows_nothing_new(machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether the list is the last one again, as in most heartbeats."""
+def _has_same_listing(machine: Machine, heartbeat: Heartbeat) -> bool:
+    """Whether a heartbeat lists the same tasks as the last one, as most heartbeats do."""
     return (
         machine.reconciled
         and machine.last_listing is not None
@@ -124,17 +126,17 @@
 
 
 class _HeartbeatReconciler:
-    """Applies one heartbeat that lists something new."""
+    """Applies one heartbeat whose task list differs from the last one."""
 
     __slots__ = (
         "_at_us",
         "_cluster",
         "_effect",
+        "_has_current_token",
         "_heartbeat",
         "_listed",
+        "_listed_tasks",
         "_machine",
-        "_seen",
-        "_shows_token",
         "_source",
         "_was_reconciled",
     )
@@ -154,27 +156,27 @@
         self._at_us = at_us
         self._source = source
         self._effect = effect
-        self._shows_token = heartbeat.token == cluster.token
+        self._has_current_token = heartbeat.token == cluster.token
         self._was_reconciled = machine.reconciled
-        #: Tasks of which the attempt on the machine is listed.
-        self._seen: set[str] = set()
-        #: All that is listed, by task and attempt, where something is compared with it.
+        #: Tasks whose listed attempt is the one that the leader counts on this machine.
+        self._listed_tasks: set[str] = set()
+        #: The listed (task, attempt) pairs; filled only if a step compares with them.
         self._listed: set[tuple[str, int]] = set()
 
     def reconcile(self) -> None:
-        """Run the steps."""
+        """Run the protocol's steps in order."""
         machine = self._machine
-        free_cpus, had_orphans = machine.cpus, bool(machine.orphans)
-        first_token = self._shows_token and not self._was_reconciled
-        compares = first_token or bool(machine.unacknowledged) or had_orphans
-        if compares:
+        free_cpus_before, had_orphans = machine.cpus, bool(machine.orphans)
+        first_token = self._has_current_token and not self._was_reconciled
+        needs_listing = first_token or bool(machine.unacknowledged) or had_orphans
+        if needs_listing:
             self._listed = {(task.task, task.attempt) for task in self._heartbeat.tasks}
         if first_token:
             self._release_attempts_of_earlier_terms()
         for task in self._heartbeat.tasks:
             self._reconcile_listed(task)
-        if compares:
-            # Attempts that the worker no longer lists need no more commands.
+        if needs_listing:
+            # The worker no longer lists these attempts, so they need no more commands.
             machine.unacknowledged &= self._listed
             self._cluster.remove_orphans(machine, machine.orphans - self._listed)
         if first_token:
@@ -183,14 +185,18 @@
         if self._source is MessageSource.HEARTBEAT:
             machine.heartbeat_sequence = self._heartbeat.sequence
         self._effect.capacity_freed = (
-            # Placement may use a machine without orphans again, and nothing else tells it.
+            # Nothing else tells placement that a machine without orphans may be used again.
             (had_orphans and not machine.orphans)
-            or machine.cpus > free_cpus
+            or machine.cpus > free_cpus_before
             or (machine.reconciled and not self._was_reconciled)
         )
         if self._effect.capacity_freed:
             machine.notify_changed()
-        if self._shows_token and not machine.orphans and machine.attempts.keys() <= self._seen:
+        if (
+            self._has_current_token
+            and not machine.orphans
+            and machine.attempts.keys() <= self._listed_tasks
+        ):
             machine.last_listing = self._heartbeat.tasks
 
     def _release(self, attempt: Attempt, reason: str) -> None:
@@ -198,47 +204,47 @@
         self._effect.lost.append((attempt, reason))
 
     def _release_attempts_of_earlier_terms(self) -> None:
-        """Release what was listed before the worker knew this term and is not any more.
+        """Release attempts that were listed before the worker knew this term and no longer are.
 
-        It must not hold the capacity of what is listed now.
+        Otherwise they would occupy the capacity of the attempts that are listed now.
         """
         for attempt in list(self._machine.attempts.values()):
             if (attempt.task, attempt.number) not in self._listed:
-                self._release(attempt, "gone from its worker")
+                self._release(attempt, "no longer listed by its worker")
 
     def _mark_reconciled(self) -> None:
-        """The worker knows this term: what runs on its machine is known from now on."""
+        """Record that the worker knows this term, so that its task list is current from now on."""
         machine = self._machine
         machine.reconciled = True
         machine.lease_from_us = max(machine.lease_from_us, self._at_us)
         if self._source is MessageSource.COMMAND_ANSWER:
             machine.first_probe_us = self._at_us
 
-    # -- what is listed ----------------------------------------------------------------------
+    # -- listed attempts -----------------------------------------------------------------------
 
     def _reconcile_listed(self, task: ReportedTask) -> None:
-        known = self._machine.attempts.get(task.task)
-        if known is None or known.number != task.attempt:
-            if self._judge_unknown(task) is not None:
-                self._seen.add(task.task)
+        attempt = self._machine.attempts.get(task.task)
+        if attempt is None or attempt.number != task.attempt:
+            if self._reconcile_unknown(task) is not None:
+                self._listed_tasks.add(task.task)
             return
-        self._seen.add(task.task)
-        # Listed, so its ``run`` was executed, answered or not. Each ``run`` is sent in one direct
-        # request at most, so it cannot be executed a second time.
-        known.sent_directly = False
-        known.unconfirmed_since_us = 0
-        if known.phase is not _PHASES.get(task.state):
-            self._advance(known, task)
+        self._listed_tasks.add(task.task)
+        # The attempt is listed, so its ``run`` was executed, whether answered or not. A ``run`` is
+        # sent in at most one direct request, so it cannot be executed a second time.
+        attempt.sent_directly = False
+        attempt.unconfirmed_since_us = 0
+        if attempt.phase is not _PHASES.get(task.state):
+            self._advance(attempt, task)
 
     def _advance(self, attempt: Attempt, task: ReportedTask) -> None:
-        """Record that an attempt is in another phase than before, or has ended."""
+        """Record that an attempt has entered another phase or has ended."""
         if task.state == "ended":
             self._machine.unacknowledged.add((task.task, task.attempt))
             self._end(attempt, task)
             return
         phase = _PHASES[task.state]
-        before_running = (AttemptPhase.ASSIGNED, AttemptPhase.PULLING)
-        if phase is AttemptPhase.RUNNING and attempt.phase in before_running:
+        phases_before_running = (AttemptPhase.ASSIGNED, AttemptPhase.PULLING)
+        if phase is AttemptPhase.RUNNING and attempt.phase in phases_before_running:
             attempt.running_since_us = self._at_us
             self._machine.record_image(attempt.job.spec.image, attempt.job.spec.image_gb)
         attempt.phase = phase
@@ -250,24 +256,25 @@
         job = attempt.job
         if attempt.running_since_us and job.spec.checkpoint_s > 0:
             ran_us = attempt.elapsed_us(self._at_us)
-            step_us = seconds_us(job.spec.checkpoint_s)
-            saved_us = ran_us if task.saved else ran_us // step_us * step_us
+            checkpoint_us = seconds_us(job.spec.checkpoint_s)
+            saved_us = ran_us if task.saved else ran_us // checkpoint_us * checkpoint_us
             job.checkpoints_us[attempt.index] = saved_us
-        self._release(attempt, task.why or "no cause")
-        if task.why in _OWN_FAILURES:
+        self._release(attempt, task.why or "no cause reported")
+        if task.why in _TASK_FAILURE_CAUSES:
             self._effect.failed.append(attempt)
-        elif task.why in _REFUSALS:
+        elif task.why in _REFUSAL_CAUSES:
             retry_us = self._at_us + REFUSED_TASK_BACKOFF_US
             job.not_before_us = max(job.not_before_us, retry_us)
             log.info(
-                "task refused by its worker: %s on machine %s: %s",
+                "task %s refused by the worker of machine %s: %s",
                 attempt.task, self._machine.name, task.why,
             )  # fmt: skip
 
     def _complete(self, attempt: Attempt) -> None:
         job, effect = attempt.job, self._effect
-        # An attempt of an earlier leader has run for longer than this one has watched it: taken
-        # for its run time, that made every estimate far too short after a failover.
+        # This leader has not observed an earlier leader's attempt from its start. The observed part
+        # is not the run time: recorded as such, it made every estimate far too short after a
+        # failover.
         watched_whole_run = not attempt.checkpointed_us and not attempt.adopted
         if attempt.running_since_us and watched_whole_run:
             effect.run_times.append((job, self._at_us - attempt.running_since_us))
@@ -277,60 +284,64 @@
         job.checkpoints_us.pop(attempt.index, None)
         effect.completed.append(job)
 
-    def _judge_unknown(self, task: ReportedTask) -> Attempt | None:
-        """Carry out the verdict on an attempt that this leader has not started here.
+    def _reconcile_unknown(self, task: ReportedTask) -> Attempt | None:
+        """Carry out the verdict on an attempt that this leader has not started on this machine.
 
-        Return the attempt if it counts from now on.
+        Return the attempt if the leader counts it from now on.
         """
         key = (task.task, task.attempt)
         machine, cluster = self._machine, self._cluster
         if key in machine.unacknowledged:
             return None
-        verdict = judge_attempt(cluster, machine, task)
-        job, index = locate(cluster, task)
-        has_to_go = job is not None and job.unwanted
-        if verdict in _NEED_CURRENT_TOKEN and not self._shows_token and not has_to_go:
-            # What is cancelled is stopped wherever it is: no answer renews its lease without a
-            # kill.
+        verdict = classify_attempt(cluster, machine, task)
+        job, index = find_job(cluster, task)
+        must_stop = job is not None and job.unwanted
+        if (
+            verdict in _VERDICTS_NEEDING_CURRENT_TOKEN
+            and not self._has_current_token
+            and not must_stop
+        ):
+            # A cancelled attempt is stopped on any machine: no answer renews its lease without
+            # also carrying its kill.
             return None
         if key not in machine.orphans:
             self._effect.verdicts[verdict] = self._effect.verdicts.get(verdict, 0) + 1
         match verdict:
-            case AttemptVerdict.FINISHED | AttemptVerdict.ENDED:
+            case AttemptVerdict.COMPLETED | AttemptVerdict.ENDED:
                 self._acknowledge_ended(verdict, job, index, task)
                 return None
             case (
                 AttemptVerdict.ADOPTED
                 | AttemptVerdict.CANCELLED
                 | AttemptVerdict.OVER_LIMIT
-                | AttemptVerdict.CROWDED
+                | AttemptVerdict.NO_CAPACITY
             ) if job is not None:
-                # It may have been a second attempt until the first was gone.
+                # The attempt may have been a duplicate until the other attempt was gone.
                 cluster.remove_orphans(machine, {key} & machine.orphans)
                 attempt = self._adopt(job, index, task)
-                if verdict is AttemptVerdict.CROWDED:
+                if verdict is AttemptVerdict.NO_CAPACITY:
                     cluster.stop(attempt, StopRequest.HARD, self._at_us, "no room by the books")
                 return attempt
-        if verdict is AttemptVerdict.UNRECORDED and key not in machine.orphans:
-            log.info("attempt of no recorded job: %s on machine %s", task.task, machine.name)
-        # It is killed, and nothing new is placed on this machine until it is gone.
+        if verdict is AttemptVerdict.UNKNOWN_JOB and key not in machine.orphans:
+            log.info("attempt %s on machine %s belongs to no known job", task.task, machine.name)
+        # The attempt is killed, and nothing is placed on this machine until it has ended.
         cluster.add_orphan(machine, key, job, self._at_us)
         return None
 
     def _acknowledge_ended(
         self, verdict: AttemptVerdict, job: Job | None, index: int, task: ReportedTask
     ) -> None:
-        """Take the end of an attempt that this leader has not started."""
+        """Record the end of an attempt that this leader has not started."""
         key = (task.task, task.attempt)
         self._machine.unacknowledged.add(key)
         self._cluster.remove_orphans(self._machine, {key} & self._machine.orphans)
         if job is None:
             return
-        if verdict is AttemptVerdict.FINISHED:
+        if verdict is AttemptVerdict.COMPLETED:
             job.complete_waiting(index)
             self._effect.completed.append(job)
         elif task.why == "halted":
-            # Preempted by an earlier leader that may have had no time to record it.
+            # An earlier leader preempted the attempt and may not have recorded that.
             job.restart_first(index, self._machine.name)
 
     def _adopt(self, job: Job, index: int, task: ReportedTask) -> Attempt:
@@ -345,40 +356,40 @@
         if job.unwanted:
             self._cluster.stop(attempt, StopRequest.HARD, self._at_us, "cancelled")
         elif attempt.phase is AttemptPhase.SAVING:
-            # An earlier leader has stopped it, so what it holds is being freed: counted as
-            # running, its team could lose as much once more in the first preemption pass.
+            # An earlier leader has stopped the attempt, so its capacity is being freed. Counted as
+            # running, its team could lose the same amount again in the first preemption pass.
             reason = "stopped by an earlier leader"
             self._cluster.stop(attempt, StopRequest.SOFT, self._at_us, reason)
         return attempt
 
-    # -- what is not listed ------------------------------------------------------------------
+    # -- unlisted attempts ---------------------------------------------------------------------
 
     def _release_unlisted(self) -> None:
-        """Release attempts that the worker does not list and surely will not start."""
+        """Release attempts that the worker does not list and will certainly not start."""
         attempts = self._machine.attempts
-        if attempts.keys() <= self._seen:
+        if attempts.keys() <= self._listed_tasks:
             return
         for attempt in list(attempts.values()):
-            may_be_on_its_way = attempt.sent_directly or attempt.unconfirmed_since_us
-            if attempt.task in self._seen or may_be_on_its_way:
+            may_be_in_flight = attempt.sent_directly or attempt.unconfirmed_since_us
+            if attempt.task in self._listed_tasks or may_be_in_flight:
                 continue
             if attempt.phase is AttemptPhase.ASSIGNED:
                 self._release_unstarted(attempt)
             elif self._was_reconciled:
-                self._release(attempt, "gone from its worker")
+                self._release(attempt, "no longer listed by its worker")
 
     def _release_unstarted(self, attempt: Attempt) -> None:
         stopped = attempt.stop_request is not StopRequest.NO
         if attempt.sent_sequence is None:
             if stopped:
-                # Asked to stop while a direct request could not be connected: neither ``run``
+                # The stop was requested while a direct request failed to connect: neither ``run``
                 # nor ``kill`` would ever be sent.
-                self._release(attempt, "withdrawn before it was sent")
+                self._release(attempt, "stopped before its run command was sent")
             return
-        is_next = self._heartbeat.sequence > attempt.sent_sequence
-        if is_next and self._source is MessageSource.HEARTBEAT:
-            # A worker has one heartbeat in flight: its next one shows that the answer to the last
-            # one was either executed or dropped for good.
+        is_later_heartbeat = self._heartbeat.sequence > attempt.sent_sequence
+        if is_later_heartbeat and self._source is MessageSource.HEARTBEAT:
+            # A worker has one heartbeat in flight. A later heartbeat shows that the answer to the
+            # previous one was either executed or dropped for good.
             attempt.sent_sequence = None
             if stopped:
-                self._release(attempt, "withdrawn before it was started")
+                self._release(attempt, "stopped, and its run command was dropped")
--- a/weldhead/controller/workers/pending_commands.py
+++ b/weldhead/controller/workers/pending_commands.py
@@ -1,7 +1,7 @@
-"""Which commands a machine still has to carry out. No I/O.
+"""Builds the list of commands that a machine still has to carry out. No I/O.
 
-Commands are level-triggered: every answer to a heartbeat carries all that the machine still has to
-do, so a lost answer costs one heartbeat interval and nothing else.
+Commands are level-triggered: every answer to a heartbeat carries all pending commands, so a lost
+answer costs one heartbeat interval and nothing else.
 """
 
 from collections.abc import Callable
@@ -11,17 +11,17 @@
 from weldhead.protocol.wire import Command, Heartbeat
 
 
-def kill_all(report: Heartbeat) -> list[Command]:
-    """Return what ends everything that a worker says is on its machine."""
+def kill_all(heartbeat: Heartbeat) -> list[Command]:
+    """Return the kills of all attempts that a worker lists as not ended."""
     return [
         Command("kill", task.task, task.attempt, 0.0)
-        for task in report.tasks
+        for task in heartbeat.tasks
         if task.state != "ended"
     ]
 
 
 def pending_kills(machine: Machine) -> list[Command]:
-    """Return the kills that the machine still has to carry out; repeated, they do no harm."""
+    """Return the kills that a machine still has to carry out; a kill may be repeated safely."""
     kills = [Command("kill", task, number, 0.0) for task, number in machine.orphans]
     for attempt in machine.attempts.values():
         if attempt.stop_request is StopRequest.NO:
@@ -42,29 +42,29 @@
 
 def pending_commands(
     machine: Machine,
-    committed: Callable[[str], bool],
+    is_committed: Callable[[str], bool],
     *,
     may_start: bool,
     sequence: int | None,
 ) -> list[Command]:
-    """Return everything the machine still has to do.
+    """Return all commands that a machine still has to carry out.
 
-    ``committed`` says whether a task needs no more saving to the store, so that its
-    attempt may be forgotten. ``sequence`` is that of the report being answered, or None
-    for a direct request, in which ``run`` commands are marked as posted.
+    ``is_committed`` says whether a task's completion needs no more writing to the store, so that
+    its attempt may be forgotten. ``sequence`` is that of the heartbeat being answered; None means
+    a direct request, and the attempts of its ``run`` commands are marked as sent directly.
     """
     runs: list[Command] = []
     forgets: list[Command] = []
-    # Where its worker lists all that is on it, nothing is left to be begun.
-    unbegun = machine.attempts.values() if may_start and machine.last_listing is None else ()
-    for attempt in unbegun:
+    # A remembered listing covers all attempts on the machine, so none of them waits to start.
+    startable = machine.attempts.values() if may_start and machine.last_listing is None else ()
+    for attempt in startable:
         if attempt.stop_request is StopRequest.NO and attempt.phase is AttemptPhase.ASSIGNED:
             if attempt.sent_directly or attempt.unconfirmed_since_us:
                 continue
             if sequence is None:
                 if attempt.sent_sequence is not None:
-                    # Already on its way in a report's answer; sent twice, the second one
-                    # could be executed after the first was run and forgotten.
+                    # The ``run`` is already in flight in the answer to a heartbeat. Sent twice, it
+                    # could be executed again after the first execution has ended and was forgotten.
                     continue
                 attempt.sent_directly = True
             else:
@@ -74,6 +74,6 @@
         current = machine.attempts.get(task)
         if current is not None and current.number == number:
             continue
-        if committed(task):
+        if is_committed(task):
             forgets.append(Command("forget", task, number))
     return pending_kills(machine) + forgets + runs
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -1,4 +1,4 @@
-"""Machines that speak and do not hear: evidence, questions, and what follows from it."""
+"""Detects, probes and replaces machines that send heartbeats but receive no commands."""
 
 import asyncio
 import logging
@@ -8,26 +8,27 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.term import Term
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
-from weldhead.controller.workers.stop_requests import withdraw_unbegun
+from weldhead.controller.workers.stop_requests import release_undelivered
 from weldhead.protocol.wire import Command, Heartbeat
-from weldhead.reachability.evidence import DeliveryEvidence, DeliverySignal, sent_answer
-from weldhead.reachability.freshness import Freshness, freshness_of
+from weldhead.reachability.evidence import DeliveryEvidence, DeliverySignal, make_sent_answer
+from weldhead.reachability.freshness import Freshness, classify_freshness
 from weldhead.reachability.replacement import machines_to_replace
 
 log = logging.getLogger(__name__)
 
-#: How often the doubted machines are looked at.
-LOOK_US = 250 * MILLISECOND_US
-#: Between two questions to one of them.
-ASK_PAUSE_US = 2 * SECOND_US
-#: Questions at once at most.
-ASKED_AT_ONCE = 50
+#: How often machines suspected of being unreachable are checked.
+SUSPECT_CHECK_INTERVAL_US = 250 * MILLISECOND_US
+#: The minimum time between two probes of the same machine.
+PROBE_INTERVAL_US = 2 * SECOND_US
+#: The maximum number of probes in flight, counted separately for unrecorded machines.
+MAX_CONCURRENT_PROBES = 50
 
 
 class ReachabilityMonitor:
-    """Weighs what machines say against what they were told; one for each term.
+    """Collects evidence on whether machines receive answers and commands, for one term.
 
-    ``apply`` takes what they answer to direct questions, ``silent`` names those that are silent.
+    ``apply`` is called with each answer to a probe; ``list_silent`` returns the live machines from
+    which no heartbeats arrive.
     """
 
     def __init__(
@@ -35,84 +36,87 @@
         term: Term,
         dispatcher: CommandDispatcher,
         apply: Callable[[Machine, Heartbeat], None],
-        give_back: Callable[[dict[str, Machine]], None],
-        silent: Callable[[int], Iterable[Machine]],
+        return_machines: Callable[[dict[str, Machine]], None],
+        list_silent: Callable[[int], Iterable[Machine]],
     ) -> None:
         self._term = term
         self._dispatcher = dispatcher
         self._apply = apply
-        self._return_machines = give_back
-        self._silent = silent
+        self._return_machines = return_machines
+        self._list_silent = list_silent
         self._evidence: dict[str, DeliveryEvidence] = {}
-        #: Those of which there is evidence.
+        #: Machines against which there is evidence, by name.
         self._suspects: dict[str, Machine] = {}
         self._probes_in_flight = 0
-        #: Machines on no record that are being asked whether they exist.
+        #: Names of machines that are not on record and are being probed for their existence.
         self._unrecorded_probes: set[str] = set()
 
-    # -- reports -----------------------------------------------------------------------------
+    # -- heartbeats and answers ------------------------------------------------------------------
 
-    def freshness(self, machine: Machine, report: Heartbeat) -> Freshness:
-        """Say what a report is worth, before it is applied."""
-        return freshness_of(machine, report, self._term.token)
+    def freshness(self, machine: Machine, heartbeat: Heartbeat) -> Freshness:
+        """Classify a heartbeat by its session, sequence and token, before it is applied."""
+        return classify_freshness(machine, heartbeat, self._term.token)
 
     def observe_heartbeat(
-        self, machine: Machine, report: Heartbeat, at_us: int, *, relayed: bool
+        self, machine: Machine, heartbeat: Heartbeat, at_us: int, *, relayed: bool
     ) -> None:
-        """Hold a report that is newer than all seen against what its machine was told."""
+        """Compare a heartbeat that is newer than all seen with the last answer to its machine."""
         evidence = self._evidence.get(machine.name)
         if evidence is None:
             return
-        sign = evidence.observe_heartbeat(report, machine.newest_message[1], at_us, relayed=relayed)
-        if sign is not DeliverySignal.NOTHING:
-            self._add_evidence(machine, evidence, sign, at_us)
+        signal = evidence.observe_heartbeat(
+            heartbeat, machine.newest_message[1], at_us, relayed=relayed
+        )
+        if signal is not DeliverySignal.NONE:
+            self._add_evidence(machine, evidence, signal, at_us)
 
     def record_answer(
         self,
         machine: Machine,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         commands: Iterable[Command],
         at_us: int,
         *,
         relayed: bool,
     ) -> None:
-        """Its report is answered so."""
-        said = sent_answer(report, self._term.token, commands, at_us, relayed=relayed)
+        """Record the commands and the token with which a heartbeat is answered."""
+        answer = make_sent_answer(heartbeat, self._term.token, commands, at_us, relayed=relayed)
         evidence = self._evidence.get(machine.name)
         if evidence is None:
-            self._evidence[machine.name] = DeliveryEvidence(self._term.lease_us, said, at_us)
+            self._evidence[machine.name] = DeliveryEvidence(self._term.lease_us, answer, at_us)
         else:
-            evidence.last_answer = said
+            evidence.last_answer = answer
 
     def observe_answer(self, machine: Machine) -> None:
-        """It answered a direct request: it hears."""
+        """Record that a machine answered a direct request, which proves that it receives."""
         evidence = self._evidence.get(machine.name)
-        if evidence is not None and evidence.suspected:
-            self._add_evidence(machine, evidence, DeliverySignal.HEARD, now_us())
+        if evidence is not None and evidence.is_suspected:
+            self._add_evidence(machine, evidence, DeliverySignal.RECEIVED, now_us())
 
     def observe_no_answer(self, machine: Machine) -> None:
-        """It did not answer a direct request.
+        """Record that a machine did not answer a direct request.
 
-        One whose reports come over another controller may only be out of our reach.
+        A machine whose heartbeats another controller relays is left out: it may only be
+        unreachable from this controller.
         """
         evidence = self._evidence.get(machine.name)
         if evidence is None or machine.relayed or machine.name not in self._term.cluster.machines:
             return
         at_us = now_us()
         if at_us - machine.last_message_us <= self._term.silence_us:
-            self._add_evidence(machine, evidence, DeliverySignal.UNANSWERED, at_us)
+            self._add_evidence(machine, evidence, DeliverySignal.REQUEST_UNANSWERED, at_us)
 
     def remove(self, machine: Machine) -> None:
-        """A machine is gone for good."""
+        """Forget a machine that has been removed from the cluster."""
         self._evidence.pop(machine.name, None)
         self._suspects.pop(machine.name, None)
 
     def _add_evidence(
-        self, machine: Machine, evidence: DeliveryEvidence, sign: DeliverySignal, at_us: int
+        self, machine: Machine, evidence: DeliveryEvidence, signal: DeliverySignal, at_us: int
     ) -> None:
         since_us = evidence.unreachable_since_us
-        changed = evidence.add(sign, at_us)
-        if evidence.suspected:
+        changed = evidence.add(signal, at_us)
+        if evidence.is_suspected:
             self._suspects[machine.name] = machine
         else:
             self._suspects.pop(machine.name, None)
@@ -123,7 +127,7 @@
         if machine.not_receiving:
             log.info("machine %s does not receive commands: %s", machine.name, evidence.describe())
             evidence.next_probe_us = 0
-            self.withdraw_unstarted(machine)
+            self.release_undelivered_attempts(machine)
         else:
             log.info(
                 "machine %s receives commands again after %.1f s",
@@ -132,21 +136,21 @@
             )
         self._term.placement_wanted.set()
 
-    def withdraw_unstarted(self, machine: Machine) -> None:
-        """Take back what has not begun on a machine that hears nothing."""
-        count = withdraw_unbegun(self._term.cluster, machine)
+    def release_undelivered_attempts(self, machine: Machine) -> None:
+        """Release the attempts that an unreachable machine has certainly not received."""
+        count = release_undelivered(self._term.cluster, machine)
         if count:
-            log.info("machine %s: %d unstarted tasks withdrawn", machine.name, count)
+            log.info("machine %s: %d undelivered tasks released", machine.name, count)
             if not machine.attempts:
                 machine.idle_since_us = now_us()
             self._term.placement_wanted.set()
 
-    # -- questions ---------------------------------------------------------------------------
+    # -- probes ----------------------------------------------------------------------------------
 
     async def watch_suspects(self) -> None:
-        """Ask the doubted machines, and give back those that hear nothing; a background task."""
+        """Probe suspected machines and replace unreachable ones; runs as a background task."""
         while True:
-            await asyncio.sleep(to_seconds(LOOK_US))
+            await asyncio.sleep(to_seconds(SUSPECT_CHECK_INTERVAL_US))
             if self._suspects and self._term.valid:
                 at_us = now_us()
                 self._probe_suspects(at_us)
@@ -159,84 +163,84 @@
                 not evidence.unreachable_since_us
                 and at_us - evidence.evidence_us > 2 * self._term.lease_us
             ):
-                evidence.add(DeliverySignal.HEARD, at_us)
+                evidence.add(DeliverySignal.RECEIVED, at_us)
                 del self._suspects[name]
                 continue
             if machine.not_receiving:
-                self.withdraw_unstarted(machine)
-            speaks = at_us - machine.last_message_us <= self._term.silence_us
+                self.release_undelivered_attempts(machine)
+            sends_heartbeats = at_us - machine.last_message_us <= self._term.silence_us
             if (
-                speaks
+                sends_heartbeats
                 and at_us >= evidence.next_probe_us
-                and self._probes_in_flight < ASKED_AT_ONCE
+                and self._probes_in_flight < MAX_CONCURRENT_PROBES
                 and machine.address
             ):
-                evidence.next_probe_us = at_us + ASK_PAUSE_US
+                evidence.next_probe_us = at_us + PROBE_INTERVAL_US
                 self._probes_in_flight += 1
                 self._term.background_tasks.spawn("reachability", self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
         try:
-            report = await self._dispatcher.probe(
+            heartbeat = await self._dispatcher.probe(
                 machine.name, machine.address, max(1, machine.session)
             )
         finally:
             self._probes_in_flight -= 1
         if self._term.cluster.machines.get(machine.name) is not machine:
             return
-        if report is None or report.machine != machine.name:
+        if heartbeat is None or heartbeat.machine != machine.name:
             self.observe_no_answer(machine)
         else:
-            self._apply(machine, report)
+            self._apply(machine, heartbeat)
 
     def _replace_unreachable(self, at_us: int) -> None:
-        deaf = {
+        unreachable_since_us = {
             name: self._evidence[name].unreachable_since_us
             for name, machine in self._suspects.items()
             if machine.not_receiving and not machine.deleting
         }
-        if not deaf:
+        if not unreachable_since_us:
             return
-        # Whatever is recorded and not being returned: also those that never got as far as ``up``.
+        # All machines on record that are not being deleted, including those not yet enrolled.
         live = [m for m in self._term.cluster.machines.values() if m.session and not m.deleting]
-        found = machines_to_replace(
-            deaf, live, list(self._silent(at_us)), at_us, self._term.lease_us,
+        replaced = machines_to_replace(
+            unreachable_since_us, live, list(self._list_silent(at_us)), at_us, self._term.lease_us,
             self._term.tunables.fleet.minimum_charge_us,
         )  # fmt: skip
-        for machine in found:
+        for machine in replaced:
             log.info(
-                "machine %s has received no command for %.0f s: replacing it costs no more",
-                machine.name, to_seconds(at_us - deaf[machine.name]),
+                "machine %s has received no command for %.0f s: a replacement costs no more",
+                machine.name, to_seconds(at_us - unreachable_since_us[machine.name]),
             )  # fmt: skip
-        self._return_machines({machine.name: machine for machine in found})
+        self._return_machines({machine.name: machine for machine in replaced})
 
-    # -- machines on no record ---------------------------------------------------------------
+    # -- unrecorded machines ---------------------------------------------------------------------
 
-    def probe_unrecorded(self, report: Heartbeat, enter: Callable[[Heartbeat], None]) -> None:
-        """Ask a machine that no record names whether it is there; only then is it entered.
+    def probe_unrecorded(self, heartbeat: Heartbeat, adopt: Callable[[Heartbeat], None]) -> None:
+        """Probe a machine that is not on record, and add it to the records only if it answers.
 
-        Its report may be a copy from before it was deleted, in an earlier term even: entered by
-        that, it would be waited for as if it booted. One that does not answer and exists is
-        entered by the cloud's list.
+        Its heartbeat may be a copy from before its deletion, even from an earlier term. Added on
+        that evidence, the machine would be waited for as if it were booting. A machine that exists
+        and does not answer is added when the cloud lists it.
         """
-        name = report.machine
+        name = heartbeat.machine
         if (
             name in self._unrecorded_probes
-            or len(self._unrecorded_probes) >= ASKED_AT_ONCE
-            or not report.address
+            or len(self._unrecorded_probes) >= MAX_CONCURRENT_PROBES
+            or not heartbeat.address
         ):
             return
         self._unrecorded_probes.add(name)
-        self._term.background_tasks.spawn("stranger", self._probe_unrecorded(report, enter))
+        self._term.background_tasks.spawn("stranger", self._probe_unrecorded(heartbeat, adopt))
 
     async def _probe_unrecorded(
-        self, report: Heartbeat, enter: Callable[[Heartbeat], None]
+        self, heartbeat: Heartbeat, adopt: Callable[[Heartbeat], None]
     ) -> None:
         try:
-            shown = await self._dispatcher.probe(
-                report.machine, report.address, max(1, report.session)
+            current = await self._dispatcher.probe(
+                heartbeat.machine, heartbeat.address, max(1, heartbeat.session)
             )
         finally:
-            self._unrecorded_probes.discard(report.machine)
-        if shown is not None and shown.machine == report.machine:
-            enter(shown)
+            self._unrecorded_probes.discard(heartbeat.machine)
+        if current is not None and current.machine == heartbeat.machine:
+            adopt(current)
--- a/weldhead/controller/workers/stop_requests.py
+++ b/weldhead/controller/workers/stop_requests.py
@@ -1,4 +1,4 @@
-"""Stopping attempts that may not have been sent to their worker yet. No I/O."""
+"""Stops or releases attempts that may not have been sent to their worker yet. No I/O."""
 
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Attempt
@@ -9,7 +9,7 @@
 def request_stop(
     cluster: Cluster, attempt: Attempt, stop: StopRequest, at_us: int, reason: str
 ) -> bool:
-    """Ask an attempt to stop; true if it is gone at once because it was never sent."""
+    """Ask an attempt to stop; return true if it was never sent and is released at once."""
     if (
         attempt.phase is AttemptPhase.ASSIGNED
         and attempt.sent_sequence is None
@@ -22,13 +22,13 @@
     return False
 
 
-def withdraw_unbegun(cluster: Cluster, machine: Machine) -> int:
-    """Take back what was assigned to a machine and surely never begins there; return how many.
+def release_undelivered(cluster: Cluster, machine: Machine) -> int:
+    """Release the attempts assigned to a machine that certainly never start there; count them.
 
-    Nothing of it is on its way: it was not sent, or the answer that carried it was dropped, which
-    a later report has shown. What was sent directly and not answered stays.
+    Nothing of them is in flight: either their ``run`` was not sent, or a later heartbeat has shown
+    that the answer carrying it was dropped. Attempts sent directly and not answered are kept.
     """
-    gone = [
+    undelivered = [
         attempt
         for attempt in machine.attempts.values()
         if attempt.phase is AttemptPhase.ASSIGNED
@@ -36,6 +36,6 @@
         and not attempt.sent_directly
         and not attempt.unconfirmed_since_us
     ]
-    for attempt in gone:
+    for attempt in undelivered:
         cluster.release(attempt)
-    return len(gone)
+    return len(undelivered)
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -221,7 +221,7 @@
 def _late_report_applied() -> Iterator[Any]:
     """What a report lists is taken for what runs, however old it is."""
     yield patch.object(heartbeat_handler, "is_newer", lambda *_: True)
-    yield patch.object(reachability_monitor, "freshness_of", lambda *_: Freshness.FRESH)
+    yield patch.object(reachability_monitor, "classify_freshness", lambda *_: Freshness.FRESH)
 
 
 def _forgotten_too_early() -> Iterator[Any]:
@@ -319,7 +319,7 @@
 
     yield patch.object(HeartbeatHandler, "apply_buffered", take)
     # Of several the first that came stays.
-    yield patch.object(early_reports, "_order", lambda _: (0, 0))
+    yield patch.object(early_reports, "_message_order", lambda _: (0, 0))
 
 
 def _promise_to_the_replaced() -> Iterator[Any]:
--- a/weldhead/reachability/__init__.py
+++ b/weldhead/reachability/__init__.py
@@ -1,1 +1,1 @@
-"""Who is heard, and who hears: decisions on what machines say and on what they are told."""
+"""Decisions on which machines are lost, and which send heartbeats but receive no answers."""
--- a/weldhead/reachability/evidence.py
+++ b/weldhead/reachability/evidence.py
@@ -1,7 +1,7 @@
-"""Whether a machine whose reports arrive hears what it is told. No I/O.
+"""Evidence on whether a machine whose heartbeats arrive also receives answers and commands. No I/O.
 
-Each report is held against what its predecessor's answer said. Pieces of evidence are added up;
-one lost answer is never enough, and whatever shows that something arrived clears them all.
+Each heartbeat is compared with the answer to the previous one. The evidence adds up: one lost
+answer is never enough, and any proof that a message arrived clears all evidence.
 Times are microseconds of the steady clock.
 """
 
@@ -12,43 +12,46 @@
 from weldhead.clock import MILLISECOND_US, SECOND_US, surely_over_us
 from weldhead.protocol.wire import Command, Heartbeat
 
-#: Evidence that makes a suspect.
-ENOUGH = 2
-#: Reports that come sooner after an answer were read in one go by a process that stood still.
-SOON_US = 400 * MILLISECOND_US
-#: How much later than it was sent a report may ordinarily come.
-TRANSIT_US = 2 * SECOND_US
+#: The total weight of evidence from which a machine counts as unreachable.
+UNREACHABLE_SCORE = 2
+#: A heartbeat that arrives sooner than this after an answer shows nothing: a process that was
+#: suspended reads several heartbeats in one go, before the answer can have had an effect.
+MIN_ANSWER_LATENCY_US = 400 * MILLISECOND_US
+#: The usual maximum delay between the sending and the arrival of a heartbeat.
+MAX_HEARTBEAT_DELAY_US = 2 * SECOND_US
 
 
 class DeliverySignal(enum.Enum):
-    """What a report, or a direct request, shows of a machine's hearing."""
-
-    NOTHING = "nothing"
-    #: It carried out an order, or shows a token, that only arrived if it hears.
-    HEARD = "it hears"
-    UNSHOWN = "orders that its next report does not show"
-    MOVED = "it went on to another controller after an answer"
-    NEW_SESSION = "a new session, although its reports were answered"
-    UNANSWERED = "direct requests unanswered while its reports come"
-
-
-_WEIGHT = {
-    DeliverySignal.UNSHOWN: 1,
-    DeliverySignal.MOVED: 1,
-    DeliverySignal.UNANSWERED: 1,
-    DeliverySignal.NEW_SESSION: 2,
+    """What a heartbeat or a direct request shows about whether its machine receives messages."""
+
+    NONE = "nothing"
+    #: The machine executed a command or shows a token that it can only have received.
+    RECEIVED = "messages received"
+    COMMANDS_NOT_APPLIED = "commands not applied by the next heartbeat"
+    CONTROLLER_CHANGED = "another controller contacted after an answer"
+    SESSION_RESTARTED = "new session although heartbeats were answered"
+    REQUEST_UNANSWERED = "direct requests unanswered while heartbeats arrive"
+
+
+_SIGNAL_WEIGHTS = {
+    DeliverySignal.COMMANDS_NOT_APPLIED: 1,
+    DeliverySignal.CONTROLLER_CHANGED: 1,
+    DeliverySignal.REQUEST_UNANSWERED: 1,
+    DeliverySignal.SESSION_RESTARTED: 2,
 }
 
 
 @dataclass(slots=True)
 class SentAnswer:
-    """What a report's answer said, and which report that was; never changed.
+    """What the answer to one heartbeat contained; an instance is never changed.
 
-    One is made for each report: a frozen one takes three times as long to make.
+    The class is not frozen because creating a frozen instance, one for each heartbeat, takes three
+    times as long.
     """
 
+    #: The session and the sequence number of the answered heartbeat.
     heartbeat: tuple[int, int]
-    #: The token that the report showed, and the one that the answer told.
+    #: The token in the heartbeat, and the token in the answer.
     shown_token: int
     sent_token: int
     relayed: bool
@@ -57,10 +60,10 @@
     forgets: tuple[tuple[str, int], ...] = ()
 
 
-def sent_answer(
-    report: Heartbeat, token: int, commands: Iterable[Command], at_us: int, *, relayed: bool
+def make_sent_answer(
+    heartbeat: Heartbeat, token: int, commands: Iterable[Command], at_us: int, *, relayed: bool
 ) -> SentAnswer:
-    """Note what a report is answered."""
+    """Summarize the answer that is sent to a heartbeat."""
     runs, forgets = [], []
     for command in commands:
         if command.op == "run":
@@ -68,117 +71,136 @@
         elif command.op == "forget":
             forgets.append((command.task, command.attempt))
     return SentAnswer(
-        (report.session, report.sequence), report.token, token, relayed, at_us,
+        (heartbeat.session, heartbeat.sequence), heartbeat.token, token, relayed, at_us,
         tuple(runs), tuple(forgets),
     )  # fmt: skip
 
 
-def delivery_signal(
-    last: SentAnswer, report: Heartbeat, seen: int, at_us: int, lease_us: int, *, relayed: bool
+def detect_delivery_signal(
+    last: SentAnswer,
+    heartbeat: Heartbeat,
+    newest_sequence: int,
+    at_us: int,
+    lease_us: int,
+    *,
+    relayed: bool,
 ) -> DeliverySignal:
-    """Hold a newer report against what the last one was told.
+    """Compare a newer heartbeat with the answer to the previous one.
 
-    ``seen`` is the newest stamp seen before it: a worker that took the answer stays where it is,
-    so the next stamp comes next. A kill shows nothing: what is stopped may run on for a while.
+    ``newest_sequence`` is the highest sequence number seen before this heartbeat. A worker that
+    receives the answer stays with its controller, so its next message has the next number. A kill
+    is no evidence, because a stopped task may keep running for a while.
     """
-    if last.shown_token < last.sent_token <= report.token:
-        return DeliverySignal.HEARD
-    if report.session != last.heartbeat[0]:
-        if report.token < last.shown_token or at_us > last.at_us + lease_us * 3 // 4:
-            # A process that began anew without its memory; or its lease could run out.
-            return DeliverySignal.NOTHING
-        return DeliverySignal.NEW_SESSION
+    if last.shown_token < last.sent_token <= heartbeat.token:
+        return DeliverySignal.RECEIVED
+    if heartbeat.session != last.heartbeat[0]:
+        if heartbeat.token < last.shown_token or at_us > last.at_us + lease_us * 3 // 4:
+            # The worker's process lost its memory in a restart, or its lease may have expired.
+            return DeliverySignal.NONE
+        return DeliverySignal.SESSION_RESTARTED
     if last.runs or last.forgets:
-        listed = {(task.task, task.attempt) for task in report.tasks}
-        if any(run in listed for run in last.runs) or any(f not in listed for f in last.forgets):
-            return DeliverySignal.HEARD
-    if at_us - last.at_us < SOON_US:
-        return DeliverySignal.NOTHING
-    if last.runs or last.forgets or report.token < last.sent_token:
-        return DeliverySignal.UNSHOWN
-    if relayed != last.relayed or report.sequence > seen + 1:
-        return DeliverySignal.MOVED
-    return DeliverySignal.NOTHING
+        listed = {(task.task, task.attempt) for task in heartbeat.tasks}
+        if any(run in listed for run in last.runs) or any(
+            forget not in listed for forget in last.forgets
+        ):
+            return DeliverySignal.RECEIVED
+    if at_us - last.at_us < MIN_ANSWER_LATENCY_US:
+        return DeliverySignal.NONE
+    if last.runs or last.forgets or heartbeat.token < last.sent_token:
+        return DeliverySignal.COMMANDS_NOT_APPLIED
+    if relayed != last.relayed or heartbeat.sequence > newest_sequence + 1:
+        return DeliverySignal.CONTROLLER_CHANGED
+    return DeliverySignal.NONE
 
 
 @dataclass(slots=True)
 class DeliveryEvidence:
-    """The evidence on one machine."""
+    """The accumulated evidence on one machine."""
 
     lease_us: int
     last_answer: SentAnswer
-    #: When its present session was first seen.
-    session_us: int
+    #: When the machine's current session was first seen.
+    session_first_seen_us: int
     score: int = 0
-    moves: int = 0
-    #: Direct requests unanswered: they count once. Where a filter keeps us from its port, what
-    #: its reports are answered arrives all the same.
-    unanswered: int = 0
-    #: Since when it is taken to hear nothing; 0: it is not.
+    controller_changes: int = 0
+    #: 1 if a direct request was not answered, else 0. Repeated failures count once: if a packet
+    #: filter blocks only the machine's port, answers to its heartbeats still arrive.
+    unanswered_requests: int = 0
+    #: When the machine was classified as unreachable; 0 if it counts as reachable.
     unreachable_since_us: int = 0
-    #: When the last evidence came, and what there was.
+    #: When the last evidence was added, and which kinds of evidence there are.
     evidence_us: int = 0
     evidence: set[DeliverySignal] = field(default_factory=set)
-    #: A report came since a direct request was last unanswered.
+    #: Whether a heartbeat has arrived since the last unanswered direct request.
     heard_since_probe: bool = True
-    #: It is asked again from then on.
+    #: The earliest time of the next probe.
     next_probe_us: int = 0
 
     def observe_heartbeat(
-        self, report: Heartbeat, seen: int, at_us: int, *, relayed: bool
+        self, heartbeat: Heartbeat, newest_sequence: int, at_us: int, *, relayed: bool
     ) -> DeliverySignal:
-        """Take a report that is newer than all seen; return what it shows."""
-        sign = delivery_signal(
-            self.last_answer, report, seen, at_us, self.lease_us, relayed=relayed
+        """Evaluate a heartbeat that is newer than all seen, and return what it shows."""
+        signal = detect_delivery_signal(
+            self.last_answer, heartbeat, newest_sequence, at_us, self.lease_us, relayed=relayed
         )
         self.heard_since_probe = True
-        if report.session != self.last_answer.heartbeat[0]:
-            self.session_us = at_us
-        elif self.unreachable_since_us and sign is not DeliverySignal.HEARD:
-            since_us = max(self.unreachable_since_us, self.session_us)
-            if at_us > surely_over_us(since_us, self.lease_us) + TRANSIT_US:
-                # Its session would be over if no answer had arrived.
-                sign = DeliverySignal.HEARD
-        if sign is DeliverySignal.NOTHING:
-            self.moves = 0
-        return sign
-
-    def add(self, sign: DeliverySignal, at_us: int) -> bool:
-        """Take a sign; whether that changes what the machine is taken for."""
-        if sign is DeliverySignal.HEARD:
+        if heartbeat.session != self.last_answer.heartbeat[0]:
+            self.session_first_seen_us = at_us
+        elif self.unreachable_since_us and signal is not DeliverySignal.RECEIVED:
+            since_us = max(self.unreachable_since_us, self.session_first_seen_us)
+            if at_us > surely_over_us(since_us, self.lease_us) + MAX_HEARTBEAT_DELAY_US:
+                # Without any received answer the lease would have expired and ended the session.
+                signal = DeliverySignal.RECEIVED
+        if signal is DeliverySignal.NONE:
+            self.controller_changes = 0
+        return signal
+
+    def add(self, signal: DeliverySignal, at_us: int) -> bool:
+        """Add a signal, and return whether the machine's classification has changed."""
+        if signal is DeliverySignal.RECEIVED:
             changed = self.unreachable_since_us > 0
-            self.score = self.moves = self.unanswered = self.unreachable_since_us = 0
+            self.score = self.controller_changes = self.unanswered_requests = (
+                self.unreachable_since_us
+            ) = 0
             self.evidence.clear()
             return changed
-        weight = _WEIGHT.get(sign, 0)
-        if sign is DeliverySignal.UNANSWERED:
+        weight = _SIGNAL_WEIGHTS.get(signal, 0)
+        if signal is DeliverySignal.REQUEST_UNANSWERED:
             if not self.heard_since_probe:
                 return False
             self.heard_since_probe = False
         if not weight:
             return False
         if not self.unreachable_since_us and at_us - self.evidence_us > 2 * self.lease_us:
-            # An answer is lost now and then.
-            self.score = self.moves = self.unanswered = 0
+            # Single answers are lost now and then, so old evidence expires.
+            self.score = self.controller_changes = self.unanswered_requests = 0
             self.evidence.clear()
         self.evidence_us = at_us
-        self.evidence.add(sign)
-        if sign is DeliverySignal.MOVED:
-            self.moves += weight
-        elif sign is DeliverySignal.UNANSWERED:
-            self.unanswered = weight
+        self.evidence.add(signal)
+        if signal is DeliverySignal.CONTROLLER_CHANGED:
+            self.controller_changes += weight
+        elif signal is DeliverySignal.REQUEST_UNANSWERED:
+            self.unanswered_requests = weight
         else:
             self.score += weight
-        if self.unreachable_since_us or self.score + self.moves + self.unanswered < ENOUGH:
+        if (
+            self.unreachable_since_us
+            or self.score + self.controller_changes + self.unanswered_requests < UNREACHABLE_SCORE
+        ):
             return False
         self.unreachable_since_us = at_us
         return True
 
     @property
-    def suspected(self) -> bool:
-        """Whether there is anything to be asked."""
-        return bool(self.unreachable_since_us or self.score or self.moves or self.unanswered)
+    def is_suspected(self) -> bool:
+        """Whether there is any evidence, so that the machine is to be probed."""
+        return bool(
+            self.unreachable_since_us
+            or self.score
+            or self.controller_changes
+            or self.unanswered_requests
+        )
 
     def describe(self) -> str:
-        """Say the evidence in words."""
-        return "; ".join(sorted(sign.value for sign in self.evidence))
+        """Return the kinds of evidence as text for a log line."""
+        return "; ".join(sorted(signal.value for signal in self.evidence))
--- a/weldhead/reachability/replacement.py
+++ b/weldhead/reachability/replacement.py
@@ -1,48 +1,53 @@
-"""Which machines that hear nothing are returned. No I/O.
+"""Decides which unreachable machines are returned to the cloud. No I/O.
 
-Keeping one costs its price for nothing, for nobody knows how long; replacing it costs a boot of
-the same type, and what is paid for it anyhow. So it is kept until it has cost for nothing what
-a replacement costs: whatever the trouble's length, no more than twice the least is spent.
-Times are microseconds of the steady clock.
+Keeping an unreachable machine costs its price without any use, for an unknown time. Replacing it
+costs the boot time of a machine of the same type and any minimum charge that is still to be paid.
+A machine is therefore kept until its idle cost equals its replacement cost: however long the fault
+lasts, at most twice the minimum is spent. Times are microseconds of the steady clock.
 """
 
 from collections.abc import Collection, Mapping
 
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.machines import Machine
-from weldhead.reachability.silence import look_lost
+from weldhead.reachability.silence import are_likely_lost
 
 
 def replacement_cost_us(machine: Machine) -> int:
-    """Return what replacing a machine costs, in time of its price: a boot, a fetch."""
-    rate = machine.type.fetch_gb_per_s or 1.0
+    """Return the cost of a replacement as paid machine time: one boot and one image pull."""
+    fetch_gb_per_s = machine.type.fetch_gb_per_s or 1.0
     largest_gb = max(machine.images.values(), default=0.0)
-    return seconds_us(machine.type.boot_s) + round(largest_gb / rate * SECOND_US)
+    return seconds_us(machine.type.boot_s) + round(largest_gb / fetch_gb_per_s * SECOND_US)
 
 
 def machines_to_replace(
-    deaf: Mapping[str, int],
+    unreachable_since_us: Mapping[str, int],
     live: Collection[Machine],
     silent: Collection[Machine],
     at_us: int,
     lease_us: int,
     minimum_charge_us: int,
 ) -> list[Machine]:
-    """Return the machines to give back, of those that hear nothing since some moment.
+    """Return the unreachable machines that are now cheaper to replace than to keep.
 
-    None while many of the live machines are deaf or silent at once: that is the network, and
-    what replaced them would not be reached either. None on which anything is.
+    ``unreachable_since_us`` maps each unreachable machine's name to the time since when it counts
+    as unreachable. The result is empty while many live machines are unreachable or silent at the
+    same time: that points to a network fault, and replacements would not be reachable either.
+    A machine with attempts on it is never returned.
     """
-    away = {machine.name: machine for machine in silent}
-    away.update((machine.name, machine) for machine in live if machine.name in deaf)
-    if not look_lost(away.values(), live):
+    unavailable = {machine.name: machine for machine in silent}
+    unavailable.update(
+        (machine.name, machine) for machine in live if machine.name in unreachable_since_us
+    )
+    if not are_likely_lost(unavailable.values(), live):
         return []
     return [
         machine
         for machine in live
-        if machine.name in deaf
+        if machine.name in unreachable_since_us
         and not machine.attempts
         and not machine.command_in_flight
-        and at_us - deaf[machine.name] >= max(lease_us, replacement_cost_us(machine))
+        and at_us - unreachable_since_us[machine.name]
+        >= max(lease_us, replacement_cost_us(machine))
         and at_us - machine.rented_us >= minimum_charge_us
     ]
--- a/weldhead/reconciliation/__init__.py
+++ b/weldhead/reconciliation/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a term's start: functions of what is known and a time, nothing else."""
+"""Decisions at the start of a term, as functions of known state and time, without I/O."""
--- a/weldhead/reconciliation/answer_window.py
+++ b/weldhead/reconciliation/answer_window.py
@@ -1,37 +1,39 @@
-"""Until when a term that has not read the records keeps workers' leases. No I/O.
+"""Until when a term that has not loaded the records may renew workers' leases. No I/O.
 
-Whoever answers a worker renews its lease, and with it whatever runs there. A loaded term sends the
-kill of each cancelled task in every answer; one that is not loaded does not know them. So it
-answers workers with tasks only so long that the leases it renews are over within ``cancel_s`` of
-the earliest confirmation that it can have missed. ``docs/design/cancellation.md`` has the argument.
-Times are microseconds; those of the time of day are called ``wall``.
+Every answer to a worker renews its lease and thus lets its tasks continue. A loaded term includes
+the kill of each cancelled task in every answer, but an unloaded term does not know these tasks. It
+therefore answers workers with tasks only while the renewed leases expire within ``cancel_s`` of the
+earliest confirmed cancellation that the term may not know. ``docs/design/cancellation.md`` gives
+the argument. Times are microseconds; times of day have ``wall`` in their names.
 """
 
 from weldhead.clock import surely_over_us, to_seconds
 
 
-def span_us(cancel_us: int, lease_us: int) -> int:
-    """Return how long after a confirmation answers may go on that do not end the job's tasks.
+def safe_answer_window_us(cancel_us: int, lease_us: int) -> int:
+    """Return how long after a confirmed cancellation answers without its kills are safe.
 
-    What such an answer renews is over in time by any clock. Below 0: not even a lease renewed
-    just before the confirmation surely is.
+    The leases that such answers renew expire in time by any clock. A negative result means that
+    even a lease renewed just before the confirmation may expire too late.
     """
     drift_us = surely_over_us(0, cancel_us) - cancel_us
     return cancel_us - drift_us - surely_over_us(0, lease_us)
 
 
-def earliest_missed(wall_us: int, lease_us: int, inherited_wall_us: int | None) -> int:
-    """Return the earliest cancellation of which a task may still be there, by the time of day.
+def earliest_missed_cancellation_us(
+    wall_us: int, lease_us: int, inherited_wall_us: int | None
+) -> int:
+    """Return the time of day of the earliest cancellation whose tasks may still be running.
 
-    A leader that knows a cancellation renews no lease of its tasks: what is left of them when it
-    is replaced was cancelled within a lease. What an unsettled row of terms may have missed, their
-    successor may miss as well.
+    A leader that knows a cancellation renews no lease of its tasks. When the leader is replaced,
+    only tasks cancelled within the last lease duration can remain. Cancellations that a sequence
+    of unsettled terms may not know may be unknown to their successor as well.
     """
     own_us = wall_us - surely_over_us(0, lease_us)
     return own_us if inherited_wall_us is None else min(own_us, inherited_wall_us)
 
 
-def answers_until_us(
+def unloaded_answers_until_us(
     sent_us: int,
     wall_us: int,
     inherited_wall_us: int | None,
@@ -39,28 +41,29 @@
     lease_us: int,
     clock_error_us: int,
 ) -> int:
-    """Return until when a term answers workers with tasks before it is loaded (steady clock).
+    """Return until when (steady clock) an unloaded term may answer workers with tasks.
 
-    It stood for the leader's key at ``sent_us``, which was ``wall_us`` by the time of day.
-    ``inherited_wall_us``: what the terms before it may have missed, None if they were settled.
+    The term's leader ran for the leader key at ``sent_us``, when the time of day was ``wall_us``.
+    ``inherited_wall_us`` is the time of the earliest cancellation that the terms before may not
+    know; None means that those terms were settled.
     """
-    missed_us = sent_us - surely_over_us(0, lease_us)
+    earliest_us = sent_us - surely_over_us(0, lease_us)
     if inherited_wall_us is not None:
-        # Written by another controller's time of day: both may be wrong.
-        ago_us = wall_us - inherited_wall_us + 2 * clock_error_us
-        missed_us = min(missed_us, sent_us - ago_us)
-    return missed_us + span_us(cancel_us, lease_us)
+        # Another controller recorded this time of day, and both clocks may be wrong.
+        elapsed_us = wall_us - inherited_wall_us + 2 * clock_error_us
+        earliest_us = min(earliest_us, sent_us - elapsed_us)
+    return earliest_us + safe_answer_window_us(cancel_us, lease_us)
 
 
-def shortfall(cancel_us: int, lease_us: int) -> str:
-    """Say what is not guaranteed because ``cancel_s`` is short; "" if nothing is missing."""
-    span, lease_s = span_us(cancel_us, lease_us), to_seconds(lease_us)
-    if span < 0:
+def describe_unmet_guarantee(cancel_us: int, lease_us: int) -> str:
+    """Describe the guarantee that a short ``cancel_s`` does not allow; "" if there is none."""
+    window_us, lease_s = safe_answer_window_us(cancel_us, lease_us), to_seconds(lease_us)
+    if window_us < 0:
         return (
             f"cancel_s {to_seconds(cancel_us):g} s is shorter than a lease takes to run out: on a "
             f"machine out of reach a cancelled task may last {lease_s:g} s after its last answer"
         )
-    if span <= surely_over_us(0, lease_us):
+    if window_us <= surely_over_us(0, lease_us):
         return (
             f"cancel_s {to_seconds(cancel_us):g} s is less than two leases of {lease_s:g} s: a new "
             "leader answers no worker with tasks before it has read the jobs"
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -1,7 +1,8 @@
-"""What a worker reports against what is recorded: one verdict for each pair.
+"""Compares each attempt that a worker reports with the records, and gives one verdict on it.
 
-A verdict says what is ordered; ``reports`` carries the order out on the models. The list is
-closed: whatever a report may hold falls under exactly one of these.
+A verdict determines the commands for the attempt; the ``heartbeat_reconciler`` module of
+``weldhead.controller.workers`` applies it to the cluster state. The verdicts are exhaustive and
+mutually exclusive.
 """
 
 import enum
@@ -15,52 +16,54 @@
 from weldhead.cluster_state.states import TaskState
 from weldhead.protocol.wire import ReportedTask, split_task
 
-K = TypeVar("K", bound=enum.Enum)
+Kind = TypeVar("Kind", bound=enum.Enum)
 
 
 class AttemptVerdict(enum.Enum):
-    """What a reported attempt is, and so what is ordered."""
+    """How a reported attempt relates to the records, which determines how it is handled."""
 
-    #: Runs, and is wanted: it goes on and counts.
+    #: The attempt runs and is wanted: it continues and is counted.
     ADOPTED = "adopted"
-    #: Completed and not known to be: committed, then forgotten.
-    FINISHED = "finished"
-    #: Ended without completing, or known to be completed: forgotten.
+    #: The task completed, which is not on record yet: its completion is committed, then forgotten.
+    COMPLETED = "finished"
+    #: The attempt ended without completing, or its completion is on record: it is forgotten.
     ENDED = "ended"
-    #: Its job is cancelled, or is being: counted, and stopped hard.
+    #: The attempt's job is cancelled or being cancelled: the attempt is counted and killed.
     CANCELLED = "cancelled"
-    #: Its job is over, or the task is completed: stopped, its machine takes nothing meanwhile.
-    OVER = "of a job that is over"
-    #: Nothing on record names its job, or the job has no such task: stopped likewise.
-    UNRECORDED = "of no job on record"
-    #: Another attempt of the task counts already: this one is stopped.
-    SECOND = "a second attempt"
-    #: Its team is over the limit with it: counted, and nothing is started for the team until
-    #: enough has ended. It is not stopped: a limit that was lowered kills nothing.
+    #: The job is over or the task has completed: the attempt is killed, and nothing is placed on
+    #: its machine until it has ended.
+    JOB_OVER = "of a job that is over"
+    #: The job is not on record or has no such task: the attempt is handled like ``JOB_OVER``.
+    UNKNOWN_JOB = "of no job on record"
+    #: Another attempt of the task is already counted: this one is killed.
+    DUPLICATE = "a second attempt"
+    #: The attempt takes its team over the limit: it is counted, and no task of the team starts
+    #: until enough attempts have ended. It is not stopped, because lowering a limit kills no tasks.
     OVER_LIMIT = "over its team's limit"
-    #: The machine has no room for it by the books: counted, and stopped hard.
-    CROWDED = "without room"
+    #: The machine has too little free capacity by the records: the attempt is counted and killed.
+    NO_CAPACITY = "without room"
 
 
-class MachineStanding(enum.Enum):
-    """What a machine on record, or a machine that reports, is."""
+class MachineRecoveryState(enum.Enum):
+    """What a new leader knows about a machine that is on record or sends heartbeats."""
 
-    #: It has shown the new token: what runs there is known.
+    #: The machine has sent the new token, so its attempts are known.
     KNOWN = "known"
-    #: Nothing was ever started on it by the records: nobody waits for it.
+    #: By the records nothing was ever started on the machine, so recovery does not wait for it.
     UNUSED = "unused"
-    #: Recorded and silent; its lease may be running.
+    #: The machine is on record and silent, and its lease may not have expired.
     SILENT = "silent"
-    #: Its worker's lease is surely over, or its deletion was answered.
+    #: The lease of the machine's worker has certainly expired, or its deletion was confirmed.
     GONE = "gone"
-    #: It is being returned: not answered, so that its lease ends if its deletion hangs.
-    LEAVING = "leaving"
-    #: It reports, and no record names it: answered, entered, then used or returned.
-    UNKNOWN = "unknown"
+    #: The machine is being deleted. It is not answered, so that its lease ends if deletion hangs.
+    DELETING = "leaving"
+    #: The machine sends heartbeats and is not on record. It is answered, added to the records, and
+    #: then used or returned.
+    UNRECORDED = "unknown"
 
 
-def locate(cluster: Cluster, task: ReportedTask) -> tuple[Job | None, int]:
-    """Return the job on record that an attempt belongs to, and the task's index."""
+def find_job(cluster: Cluster, task: ReportedTask) -> tuple[Job | None, int]:
+    """Return the recorded job of a reported attempt and the task's index; None if there is none."""
     try:
         job_id, index = split_task(task.task)
     except ValueError:
@@ -69,24 +72,24 @@
     return (job, index) if job is not None and index < job.spec.tasks else (None, 0)
 
 
-def judge_attempt(cluster: Cluster, machine: Machine, task: ReportedTask) -> AttemptVerdict:
-    """Judge an attempt that this term has not started on the machine."""
-    job, index = locate(cluster, task)
+def classify_attempt(cluster: Cluster, machine: Machine, task: ReportedTask) -> AttemptVerdict:
+    """Give the verdict on a reported attempt that this term has not started on the machine."""
+    job, index = find_job(cluster, task)
     if task.state == "ended":
-        unknown = job is not None and job.states[index] == TaskState.WAITING
-        if task.why == "done" and job is not None and unknown and not job.cancelled:
-            return AttemptVerdict.FINISHED
+        is_waiting = job is not None and job.states[index] == TaskState.WAITING
+        if task.why == "done" and job is not None and is_waiting and not job.cancelled:
+            return AttemptVerdict.COMPLETED
         return AttemptVerdict.ENDED
     if job is None:
-        return AttemptVerdict.UNRECORDED
+        return AttemptVerdict.UNKNOWN_JOB
     state = job.states[index]
     if state in (TaskState.COMPLETED, TaskState.COMMITTED):
-        return AttemptVerdict.OVER
+        return AttemptVerdict.JOB_OVER
     if state == TaskState.ACTIVE or task.task in machine.attempts:
-        return AttemptVerdict.SECOND
-    # A type that left the catalog has no amounts: what runs there has its room.
+        return AttemptVerdict.DUPLICATE
+    # A machine type that left the catalog has no amounts. Its running attempts fit by definition.
     if machine.capacity_for(job) < 1 and not machine.has_unknown_capacity:
-        return AttemptVerdict.CROWDED
+        return AttemptVerdict.NO_CAPACITY
     if job.unwanted:
         return AttemptVerdict.CANCELLED
     if cluster.tasks_within_limit(job) < 1 or job.team not in cluster.teams:
@@ -94,33 +97,40 @@
     return AttemptVerdict.ADOPTED
 
 
-def machine_standing(machine: Machine | None) -> MachineStanding:
-    """Say what a machine is to the books; None: it reports and is on no record."""
+def machine_recovery_state(machine: Machine | None) -> MachineRecoveryState:
+    """Return what is known of a machine; None stands for one that is not on record."""
     if machine is None:
-        return MachineStanding.UNKNOWN
+        return MachineRecoveryState.UNRECORDED
     if machine.deleting:
-        return MachineStanding.LEAVING
+        return MachineRecoveryState.DELETING
     if machine.reconciled:
         gone = machine.expired_session and machine.expired_session >= machine.session
-        return MachineStanding.GONE if gone else MachineStanding.KNOWN
-    return MachineStanding.SILENT if machine.enrolled else MachineStanding.UNUSED
+        return MachineRecoveryState.GONE if gone else MachineRecoveryState.KNOWN
+    return MachineRecoveryState.SILENT if machine.enrolled else MachineRecoveryState.UNUSED
 
 
 class ReconciliationCounts:
-    """How often each verdict was given since the term began."""
+    """Counts how often each verdict was given since the term began."""
 
     def __init__(self) -> None:
         self.attempts: Counter[AttemptVerdict] = Counter()
 
     def summary(self, cluster: Cluster) -> str:
-        """Say in one line how the start went."""
-        machines = Counter(machine_standing(machine) for machine in cluster.machines.values())
-        said = [f"{count} {kind.value}" for kind, count in _in_order(machines, MachineStanding)]
-        found = [
-            f"{count} {kind.value}" for kind, count in _in_order(self.attempts, AttemptVerdict)
+        """Return one line on the machines and attempts found by recovery, for the log."""
+        machines = Counter(machine_recovery_state(machine) for machine in cluster.machines.values())
+        machines_text = [
+            f"{count} {kind.value}"
+            for kind, count in _nonzero_counts(machines, MachineRecoveryState)
         ]
-        return f"machines: {', '.join(said) or 'none'}; attempts: {', '.join(found) or 'none'}"
+        attempts_text = [
+            f"{count} {kind.value}"
+            for kind, count in _nonzero_counts(self.attempts, AttemptVerdict)
+        ]
+        return (
+            f"machines: {', '.join(machines_text) or 'none'}; "
+            f"attempts: {', '.join(attempts_text) or 'none'}"
+        )
 
 
-def _in_order(counts: Counter[K], kinds: Iterable[K]) -> list[tuple[K, int]]:
+def _nonzero_counts(counts: Counter[Kind], kinds: Iterable[Kind]) -> list[tuple[Kind, int]]:
     return [(kind, counts[kind]) for kind in kinds if counts[kind]]
--- a/weldhead/reconciliation/buffered_heartbeats.py
+++ b/weldhead/reconciliation/buffered_heartbeats.py
@@ -1,8 +1,8 @@
-"""Reports that come before the term is loaded: answered at once, kept, and applied later.
+"""Keeps messages that arrive before the term is loaded, until they can be applied. No I/O.
 
-An answer renews a worker's lease and needs the token only. So from the moment the token is
-won reports are answered (for how long: ``answering.py``); what they say waits here for the
-records, the newest message of each machine. Times are microseconds of the steady clock.
+An answer renews a worker's lease and needs only the token, so heartbeats are answered as soon as
+the token is won; the ``answer_window`` module limits for how long. The newest message of each
+machine is kept until the records are loaded. Times are microseconds of the steady clock.
 """
 
 import enum
@@ -12,85 +12,87 @@
 
 
 class MessageSource(enum.Enum):
-    """In which kind of message a worker told its state."""
+    """The kind of message in which a worker listed its tasks."""
 
     HEARTBEAT = "heartbeat"
-    #: The body of a direct command's answer, or of a probe's.
+    #: The body of the answer to a direct command or a status probe.
     COMMAND_ANSWER = "command answer"
 
 
 @dataclass
 class BufferedHeartbeat:
-    """The newest message of a machine, and when its last report was answered (0: never)."""
+    """The newest message of a machine, and when its last heartbeat was answered (0: never)."""
 
     heartbeat: Heartbeat
     source: MessageSource
     answered_us: int
     relayed: bool
-    #: This very message was a report and was answered.
+    #: Whether the newest message is a heartbeat that was answered.
     answered: bool = False
 
 
 class HeartbeatBuffer:
-    """What machines said before their records were known."""
+    """Holds the newest message of each machine until the machine records are loaded."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, BufferedHeartbeat] = {}
+        self._newest: dict[str, BufferedHeartbeat] = {}
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._newest)
 
     def has_shown(self, machine: str, token: int) -> bool:
-        """Whether a machine has shown that token in a message of its own."""
-        kept = self._kept.get(machine)
-        return kept is not None and kept.heartbeat.token >= token
+        """Whether a machine's newest message carries the given token or a newer one."""
+        buffered = self._newest.get(machine)
+        return buffered is not None and buffered.heartbeat.token >= token
 
-    def add_answered(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
-        """Keep a report; whether to answer it.
+    def add_answered(self, heartbeat: Heartbeat, at_us: int, *, relayed: bool) -> bool:
+        """Keep a heartbeat, and return whether to answer it.
 
-        One that is older than what was seen was held back on the way: its sender has given
-        up, and to count it as an answer would be wrong for whoever is silent now.
+        A heartbeat older than the newest message was delayed, and its worker no longer waits for
+        the answer. Recorded as answered, it would make a machine that is silent now seem alive.
         """
-        kept = self._kept.get(report.machine)
-        if kept is None:
-            self._kept[report.machine] = BufferedHeartbeat(
-                report, MessageSource.HEARTBEAT, at_us, relayed, True
+        buffered = self._newest.get(heartbeat.machine)
+        if buffered is None:
+            self._newest[heartbeat.machine] = BufferedHeartbeat(
+                heartbeat, MessageSource.HEARTBEAT, at_us, relayed, True
             )
             return True
-        if _order(report) < _order(kept.heartbeat):
+        if _message_order(heartbeat) < _message_order(buffered.heartbeat):
             return False
-        if _order(report) == _order(kept.heartbeat):
-            # The same once more: its sender had sent it when it was first counted.
+        if _message_order(heartbeat) == _message_order(buffered.heartbeat):
+            # This is the same heartbeat again: its worker had sent it when it was first recorded.
             return True
-        kept.heartbeat = report
-        kept.source = MessageSource.HEARTBEAT
-        kept.answered = True
-        kept.answered_us, kept.relayed = at_us, relayed
+        buffered.heartbeat = heartbeat
+        buffered.source = MessageSource.HEARTBEAT
+        buffered.answered = True
+        buffered.answered_us, buffered.relayed = at_us, relayed
         return True
 
-    def add_probe_answer(self, report: Heartbeat) -> None:
-        """Keep what a machine answered to a direct request, unless something newer is here."""
-        self._keep_unanswered(report, MessageSource.COMMAND_ANSWER, relayed=False)
-
-    def add_unanswered(self, report: Heartbeat, *, relayed: bool) -> None:
-        """Keep a report that is not answered, unless something newer is here."""
-        self._keep_unanswered(report, MessageSource.HEARTBEAT, relayed=relayed)
-
-    def _keep_unanswered(self, report: Heartbeat, source: MessageSource, *, relayed: bool) -> None:
-        kept = self._kept.get(report.machine)
-        if kept is None:
-            self._kept[report.machine] = BufferedHeartbeat(report, source, 0, relayed)
-        elif _order(report) > _order(kept.heartbeat):
-            kept.heartbeat = report
-            kept.source = source
-            kept.answered = False
+    def add_probe_answer(self, heartbeat: Heartbeat) -> None:
+        """Keep a machine's answer to a direct request unless a newer message is already kept."""
+        self._buffer_unanswered(heartbeat, MessageSource.COMMAND_ANSWER, relayed=False)
+
+    def add_unanswered(self, heartbeat: Heartbeat, *, relayed: bool) -> None:
+        """Keep a heartbeat that is not answered unless a newer message is already kept."""
+        self._buffer_unanswered(heartbeat, MessageSource.HEARTBEAT, relayed=relayed)
+
+    def _buffer_unanswered(
+        self, heartbeat: Heartbeat, source: MessageSource, *, relayed: bool
+    ) -> None:
+        buffered = self._newest.get(heartbeat.machine)
+        if buffered is None:
+            self._newest[heartbeat.machine] = BufferedHeartbeat(heartbeat, source, 0, relayed)
+        elif _message_order(heartbeat) > _message_order(buffered.heartbeat):
+            buffered.heartbeat = heartbeat
+            buffered.source = source
+            buffered.answered = False
 
     def take(self) -> list[BufferedHeartbeat]:
-        """Return everything, and keep nothing."""
-        kept = list(self._kept.values())
-        self._kept.clear()
-        return kept
+        """Return all kept messages and clear the buffer."""
+        buffered = list(self._newest.values())
+        self._newest.clear()
+        return buffered
 
 
-def _order(report: Heartbeat) -> tuple[int, int]:
-    return report.session, report.sequence
+def _message_order(heartbeat: Heartbeat) -> tuple[int, int]:
+    return heartbeat.session, heartbeat.sequence
--- a/weldhead/reconciliation/command_queue.py
+++ b/weldhead/reconciliation/command_queue.py
@@ -1,8 +1,8 @@
-"""The order in which machines are sent direct commands, where many have to be. No I/O.
+"""Orders machines by the urgency of their direct commands. No I/O.
 
-After a start hundreds of machines have something to do at once. First goes what rules need,
-then what frees room for others, then starts that a team is guaranteed, by deadline, then the
-rest. Times are microseconds of the steady clock.
+After a term's start hundreds of machines need commands at the same time. Required stops come first,
+then stops that free capacity for other tasks, then starts within a team's guarantee, by deadline,
+then all others. Times are microseconds of the steady clock.
 """
 
 import enum
@@ -13,77 +13,79 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
 
-_NO_DUE_US = 1 << 62
+_NO_DEADLINE_US = 1 << 62
 
 
 class CommandPriority(enum.IntEnum):
-    """What a machine has to be told, the most urgent first."""
+    """The most urgent kind of command that a machine needs; lower values come first."""
 
-    #: Cancelled work, and attempts that nothing on record wants, must go in time.
-    RULES = 0
-    #: A stop whose room somebody waits for.
-    ROOM = 1
-    #: A start inside its team's guarantee.
-    GUARANTEED = 2
-    REST = 3
+    #: Attempts of cancelled or unknown jobs must be stopped within a time limit.
+    REQUIRED_STOP = 0
+    #: Another task waits for the capacity of an attempt that is to stop.
+    FREES_CAPACITY = 1
+    #: A task starts within its team's guaranteed share.
+    GUARANTEED_START = 2
+    OTHER = 3
 
 
-#: What comes first: the errand, then by when the most urgent job in it has to be done.
+#: The priority and then the earliest deadline (microseconds) among a machine's commands.
 QueuePosition = tuple[CommandPriority, int]
 
 
-def _rank_of(cluster: Cluster, attempt: Attempt) -> QueuePosition:
+def _attempt_position(cluster: Cluster, attempt: Attempt) -> QueuePosition:
     job = attempt.job
     if attempt.stop_request is not StopRequest.NO:
-        return (CommandPriority.RULES if job.unwanted else CommandPriority.ROOM), 0
+        return (
+            CommandPriority.REQUIRED_STOP if job.unwanted else CommandPriority.FREES_CAPACITY
+        ), 0
     if attempt.phase is not AttemptPhase.ASSIGNED:
-        return CommandPriority.REST, _NO_DUE_US
-    due_us = job.inherited_due_us[0] if job.inherited_due_us else _NO_DUE_US
+        return CommandPriority.OTHER, _NO_DEADLINE_US
+    due_us = job.inherited_due_us[0] if job.inherited_due_us else _NO_DEADLINE_US
     team, usage = cluster.teams.get(job.team), cluster.usage[job.team]
-    inside = team is not None and usage.cpus <= team.cpus and usage.gpus <= team.gpus
-    return (CommandPriority.GUARANTEED if inside else CommandPriority.REST), due_us
+    is_guaranteed = team is not None and usage.cpus <= team.cpus and usage.gpus <= team.gpus
+    return (CommandPriority.GUARANTEED_START if is_guaranteed else CommandPriority.OTHER), due_us
 
 
 def queue_position(cluster: Cluster, machine: Machine) -> QueuePosition:
-    """Return how urgent it is to tell a machine what it has to do."""
+    """Return the position of the most urgent command for a machine."""
     if machine.orphans:
-        return CommandPriority.RULES, 0
-    best: QueuePosition = (CommandPriority.REST, _NO_DUE_US)
+        return CommandPriority.REQUIRED_STOP, 0
+    best: QueuePosition = (CommandPriority.OTHER, _NO_DEADLINE_US)
     for attempt in machine.attempts.values():
-        # Of what runs on and is not to stop there is nothing to tell: it has the last rank.
+        # An attempt that keeps running needs no command, so it has the lowest priority.
         if attempt.phase is AttemptPhase.ASSIGNED or attempt.stop_request is not StopRequest.NO:
-            best = min(best, _rank_of(cluster, attempt))
+            best = min(best, _attempt_position(cluster, attempt))
     return best
 
 
 class CommandQueue:
-    """Machines that wait for their turn; one that is put in again keeps its best rank."""
+    """Priority queue of machines; a machine that is queued again keeps its best position."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[QueuePosition, int, str]] = []
-        self._best: dict[str, QueuePosition] = {}
-        self._count = 0
+        self._positions: dict[str, QueuePosition] = {}
+        self._entry_number = 0
 
     def __len__(self) -> int:
-        return len(self._best)
+        return len(self._positions)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._best
+        return name in self._positions
 
-    def put(self, name: str, queue_position: QueuePosition) -> None:
-        """Let a machine wait for its turn."""
-        best = self._best.get(name)
-        if best is not None and best <= queue_position:
+    def put(self, name: str, position: QueuePosition) -> None:
+        """Queue a machine, or move it forward if it is queued with a lower priority."""
+        best = self._positions.get(name)
+        if best is not None and best <= position:
             return
-        self._best[name] = queue_position
-        self._count += 1
-        heappush(self._heap, (queue_position, self._count, name))
+        self._positions[name] = position
+        self._entry_number += 1
+        heappush(self._heap, (position, self._entry_number, name))
 
     def pop(self) -> str | None:
-        """Return whose turn it is; None: nobody waits."""
+        """Remove and return the name of the most urgent machine; None if the queue is empty."""
         while self._heap:
-            queue_position, _, name = heappop(self._heap)
-            if self._best.get(name) == queue_position:
-                del self._best[name]
+            position, _, name = heappop(self._heap)
+            if self._positions.get(name) == position:
+                del self._positions[name]
                 return name
         return None
--- a/weldhead/reconciliation/preemption_rate_limit.py
+++ b/weldhead/reconciliation/preemption_rate_limit.py
@@ -1,51 +1,52 @@
-"""How fast a new leader stops work for others. No I/O.
+"""Limits how fast a new leader preempts attempts. No I/O.
 
-Whatever arrived and whatever was lost while nobody decided asks for room in one moment, on a
-picture that still moves: machines come back, and are replaced. Natjam's rules say who stops;
-for a while after a term's start this says how many: a share of what runs a second, about the
-rate at which freed room is used in ordinary times. Times are microseconds.
+While there was no leader, jobs arrived and machines were lost. All of them compete for capacity at
+the same moment, while the set of known machines still changes. The Natjam policy selects the
+attempts to stop. For a while after a term's start this module limits their number to a share of the
+running attempts per second, about the rate at which freed capacity is reused in normal operation.
+Times are microseconds.
 """
 
 from dataclasses import dataclass
 
 from weldhead.clock import SECOND_US
 
-#: How much of a second's stops may come at once.
+#: The limit allows bursts as large as the stops that accumulate in this time.
 BURST_S = 0.4
 
 
 @dataclass(frozen=True)
 class PreemptionRateSettings:
-    """For how long a start is paced, and the share of the running tasks a second."""
+    """How long preemption is limited after a term's start, and the share of attempts per second."""
 
     settle_us: int = 10 * SECOND_US
     stop_share: float = 0.001
 
 
 class PreemptionRateLimit:
-    """The stops that a new leader may still make."""
+    """Token bucket for the preemptions that a new leader may still make."""
 
     def __init__(self, settings: PreemptionRateSettings) -> None:
         self._settings = settings
-        self._level = 0.0
-        self._filled_us = 0
-        #: How many stops were put off, over all runs.
+        self._allowance = 0.0
+        self._refilled_us = 0
+        #: How many stops were postponed, in all placement passes together.
         self.deferred = 0
 
-    def allowed(self, ready_us: int, running: int, at_us: int) -> int | None:
-        """Return how many attempts may be stopped now; None: as many as the rules say.
+    def allowed(self, ready_us: int, running_attempts: int, at_us: int) -> int | None:
+        """Return how many attempts may be stopped now; None means no limit.
 
-        ``ready_us`` is when the term was ready, ``running`` how many attempts there are.
+        ``ready_us`` is when the term became ready, ``running_attempts`` the number of attempts.
         """
         if at_us - ready_us >= self._settings.settle_us:
             return None
-        rate = max(0.5, self._settings.stop_share * running)
-        since_us = max(self._filled_us, ready_us)
+        rate = max(0.5, self._settings.stop_share * running_attempts)
+        since_us = max(self._refilled_us, ready_us)
         burst = max(1.0, rate * BURST_S)
-        self._level = min(burst, self._level + rate * (at_us - since_us) / SECOND_US)
-        self._filled_us = at_us
-        return int(self._level)
+        self._allowance = min(burst, self._allowance + rate * (at_us - since_us) / SECOND_US)
+        self._refilled_us = at_us
+        return int(self._allowance)
 
     def record(self, count: int) -> None:
-        """So many were stopped: victims for one place stop together, also if over the pace."""
-        self._level -= count
+        """Record stops. Victims for one placement stop together, even if they exceed the limit."""
+        self._allowance -= count
--- a/weldhead/tunables/defaults.py
+++ b/weldhead/tunables/defaults.py
@@ -118,7 +118,7 @@
     def asking(self, sockets: int) -> ProbeSettings:
         """Return how workers are asked by a process with that many sockets."""
         at_once = max(4, min(self.questions, sockets // 8))
-        return ProbeSettings(at_once, self.ask_again_us, quiet_us=self.quiet_us)
+        return ProbeSettings(at_once, self.ask_again_us, no_answer_period_us=self.quiet_us)
 
 
 @dataclass
