--- a/tests/controller/leadership/test_term_recovery.py
+++ b/tests/controller/leadership/test_term_recovery.py
@@ -273,12 +273,12 @@
     watch, term, machine = leader.machine_monitor, leader.term, leader.cluster.machines["vm-000001"]
     clock.us += term.lease_us + S
     assert watch.has_unverified_expiry(clock())
-    watch.expired_or_silent(clock(), term.leadership_verified_us)
+    watch.expire_leases_and_find_lost(clock(), term.leadership_verified_us)
     assert machine.attempts
     if replaced:
         state.put(LEADER_KEY, {"name": "n-1", "nonce": "y", "ttl_us": 3 * S})
     asyncio.run(watch._verify_leadership())
-    watch.expired_or_silent(clock(), term.leadership_verified_us)
+    watch.expire_leases_and_find_lost(clock(), term.leadership_verified_us)
     assert bool(deposed) == bool(machine.attempts) == replaced
 
 
--- a/tests/controller/workers/test_attempt_life_cycle.py
+++ b/tests/controller/workers/test_attempt_life_cycle.py
@@ -1,7 +1,7 @@
-"""A state machine of attempts: leader's picture against workers, with lost and late messages.
+"""Stateful test of attempts: the leader's view against workers, with lost and late messages.
 
-What must hold, whatever is lost or held back: a task is never on two machines, a team's
-tasks never take more than its limit, and the sums in the books are right.
+Whichever messages are lost or delayed, a task never runs on two machines, a team's tasks never
+exceed its limit, and the cluster's sums of used capacity are correct.
 """
 
 from typing import Any
@@ -33,10 +33,10 @@
 
 
 class LifeCycle(RuleBasedStateMachine):
-    """Three workers, two jobs of one team, one leader."""
+    """Three workers, and one leader with two jobs of one team."""
 
     @initialize()
-    def begin(self) -> None:
+    def set_up_cluster(self) -> None:
         self.now = 1_000_000
         self.cluster = Cluster([Team("red", 4, LIMIT)], TOKEN)
         self.workers = {name: StandInWorker(name, 4.0) for name in NAMES}
@@ -46,12 +46,12 @@
             self.cluster.machines[name] = machine
         add_job(self.cluster, job_spec(1, tasks=6))
         add_job(self.cluster, job_spec(2, tasks=3, cpus=1.0, checkpoint_s=10.0))
-        self.scene = PlacementInput(
+        self.placement_input = PlacementInput(
             self.cluster, RunTimeEstimates(), ServiceLevelObjectives([]), 45_000_000
         )
-        #: Reports and direct requests that the network holds back.
-        self.held_reports: list[Heartbeat] = []
-        self.held_direct: list[tuple[str, int, list[Command]]] = []
+        #: Heartbeats and direct requests that the network delays.
+        self.delayed_heartbeats: list[Heartbeat] = []
+        self.delayed_requests: list[tuple[str, int, list[Command]]] = []
         self.finished: set[str] = set()
 
     def _handle(self, report: Heartbeat, source: MessageSource) -> None:
@@ -74,22 +74,22 @@
             machine.record_heartbeat(self.now, 10_000_000)
             machine.lease_from_us = self.now
 
-    def _committed(self, task: str) -> bool:
+    def _is_committed(self, task: str) -> bool:
         job_id, index = split_task(task)
         return self.cluster.jobs[job_id].states[index] != TaskState.COMPLETED
 
     def _commands(self, machine: Machine, sequence: int | None) -> list[Command]:
         return pending_commands(
-            machine, self._committed, may_start=machine.reconciled, sequence=sequence
+            machine, self._is_committed, may_start=machine.reconciled, sequence=sequence
         )
 
-    @rule(name=st.sampled_from(NAMES), lose_report=st.booleans(), lose_answer=st.booleans())
-    def worker_reports(self, name: str, lose_report: bool, lose_answer: bool) -> None:
+    @rule(name=st.sampled_from(NAMES), lose_heartbeat=st.booleans(), lose_answer=st.booleans())
+    def worker_sends_heartbeat(self, name: str, lose_heartbeat: bool, lose_answer: bool) -> None:
         self.now += 500_000
         worker = self.workers[name]
         report = worker.report()
-        if lose_report:
-            self.held_reports.append(report)
+        if lose_heartbeat:
+            self.delayed_heartbeats.append(report)
             return
         machine = self.cluster.machines[name]
         self._handle(report, MessageSource.HEARTBEAT)
@@ -99,8 +99,8 @@
             worker.execute(commands)
 
     @invariant()
-    def what_is_passed_over_has_nothing_to_say(self) -> None:
-        """Commands and ranks look at fewer attempts than there are: the rest changes nothing."""
+    def skipped_attempts_need_no_commands(self) -> None:
+        """Commands and queue positions skip some attempts; including them would change nothing."""
         for machine in self.cluster.machines.values():
             phases = {attempt.phase for attempt in machine.attempts.values()}
             assert machine.last_listing is None or AttemptPhase.ASSIGNED not in phases
@@ -111,18 +111,18 @@
             )
 
     @rule()
-    def late_report_arrives(self) -> None:
-        if self.held_reports:
-            # Its sender has given up waiting, so the answer is dropped.
-            self._handle(self.held_reports.pop(0), MessageSource.HEARTBEAT)
+    def delayed_heartbeat_arrives(self) -> None:
+        if self.delayed_heartbeats:
+            # The worker no longer waits for this heartbeat's answer, so the answer is dropped.
+            self._handle(self.delayed_heartbeats.pop(0), MessageSource.HEARTBEAT)
 
     @rule()
-    def leader_places(self) -> None:
+    def leader_places_tasks(self) -> None:
         for machine in self.cluster.machines.values():
             machine.record_heartbeat(self.now, 10_000_000)
-        # Kept over all steps: what it is not told of, it would not place.
-        plan = plan_pass(self.scene, self.now, 10_000_000)
-        plain = plain_starts(
+        # The same input serves all steps: a change that it does not learn of would not be placed.
+        plan = plan_pass(self.placement_input, self.now, 10_000_000)
+        reference = plain_starts(
             self.cluster,
             RunTimeEstimates(),
             ServiceLevelObjectives([]),
@@ -130,24 +130,24 @@
             10_000_000,
             45_000_000,
         )
-        assert plan.starts == plain.starts
+        assert plan.starts == reference.starts
         for start in plan.starts:
             self.cluster.start(start.job, start.index, start.machine, self.now)
 
-    @rule(name=st.sampled_from(NAMES), fate=st.sampled_from(["answered", "unanswered", "held"]))
-    def leader_commands_directly(self, name: str, fate: str) -> None:
+    @rule(name=st.sampled_from(NAMES), outcome=st.sampled_from(["answered", "unanswered", "held"]))
+    def leader_sends_direct_commands(self, name: str, outcome: str) -> None:
         machine = self.cluster.machines[name]
-        if not machine.reconciled or any(n == name for n, _, _ in self.held_direct):
+        if not machine.reconciled or any(n == name for n, _, _ in self.delayed_requests):
             return
         commands = self._commands(machine, None)
         if not commands:
             return
         started = [machine.attempts[c.task] for c in commands if c.op == "run"]
-        if fate == "held":
-            self.held_direct.append((name, machine.session, commands))
+        if outcome == "held":
+            self.delayed_requests.append((name, machine.session, commands))
         else:
             _, report = self.workers[name].direct(TOKEN, machine.session, commands)
-            if fate == "answered":
+            if outcome == "answered":
                 for attempt in started:
                     attempt.sent_directly = False
                 self._handle(report, MessageSource.COMMAND_ANSWER)
@@ -158,18 +158,18 @@
                 self.cluster.mark_unconfirmed(attempt, self.now)
 
     @rule()
-    def held_direct_arrives(self) -> None:
-        if self.held_direct:
-            name, session, commands = self.held_direct.pop(0)
+    def delayed_request_arrives(self) -> None:
+        if self.delayed_requests:
+            name, session, commands = self.delayed_requests.pop(0)
             self.workers[name].direct(TOKEN, session, commands)
 
     @rule(name=st.sampled_from(NAMES))
-    def lease_runs_out(self, name: str) -> None:
-        """The worker starts a new session; the leader learns it by report or by time."""
+    def lease_expires(self, name: str) -> None:
+        """The worker starts a new session; the leader learns of it by heartbeat or by expiry."""
         self.workers[name].expire()
 
     @rule(name=st.sampled_from(NAMES), data=st.data())
-    def task_moves_on(self, name: str, data: st.DataObject) -> None:
+    def task_changes_state(self, name: str, data: st.DataObject) -> None:
         live = sorted(self.workers[name].live())
         if not live:
             return
@@ -180,7 +180,7 @@
             task.state, task.why = "ended", data.draw(st.sampled_from(["done", "error"]))
 
     @rule(name=st.sampled_from(NAMES), data=st.data(), hard=st.booleans())
-    def leader_stops(self, name: str, data: st.DataObject, hard: bool) -> None:
+    def leader_stops_attempt(self, name: str, data: st.DataObject, hard: bool) -> None:
         attempts: list[Any] = list(self.cluster.machines[name].attempts.values())
         if attempts:
             attempt = data.draw(st.sampled_from(attempts))
@@ -193,7 +193,7 @@
         assert len(live) == len(set(live)), live
 
     @invariant()
-    def the_limit_holds(self) -> None:
+    def team_limit_is_respected(self) -> None:
         used = sum(
             self.cluster.jobs[split_task(task)[0]].spec.cpus
             for worker in self.workers.values()
@@ -202,17 +202,17 @@
         assert used <= LIMIT
 
     @invariant()
-    def the_books_are_right(self) -> None:
+    def capacity_sums_are_correct(self) -> None:
         self.cluster.check_invariants()
 
     @invariant()
-    def whatever_runs_is_counted(self) -> None:
+    def running_attempts_are_counted(self) -> None:
         for name, worker in self.workers.items():
             machine = self.cluster.machines[name]
             for task in worker.live():
-                known = task in machine.attempts
-                ghost = any(ghost == task for ghost, _ in machine.orphans)
-                assert known or ghost, (name, task)
+                is_counted = task in machine.attempts
+                orphan = any(orphan == task for orphan, _ in machine.orphans)
+                assert is_counted or orphan, (name, task)
 
 
 LifeCycle.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
--- a/tests/controller/workers/test_delayed_commands.py
+++ b/tests/controller/workers/test_delayed_commands.py
@@ -1,4 +1,4 @@
-"""Commands and answers that are held up on the way, and the machine then goes on."""
+"""Commands and answers that are delayed in the network while their machine continues."""
 
 import asyncio
 from typing import Any, cast
@@ -20,22 +20,26 @@
 S = 1_000_000
 
 
-def test_what_was_to_stop_and_could_not_be_sent_is_gone(clock: Clock) -> None:
-    """Neither sent nor stopped nor released, it kept its room until its machine was deleted."""
+def test_stopped_attempt_whose_run_was_not_sent_is_released(clock: Clock) -> None:
+    """A stopped attempt whose ``run`` could not be sent is released.
+
+    The attempt was neither sent nor stopped nor released, and kept its capacity until its machine
+    was deleted.
+    """
     state, wire = StandInState(), Wire()
     put_job(state, job_spec(1))
     worker = put_machine(state, "vm-000001")
     leader = new_leader(state, clock())
     leader.term.worker_http = cast(HttpClient, wire)
 
-    def meet() -> None:
+    def exchange_heartbeat() -> None:
         answer = leader.handle_heartbeat(worker.report(), clock(), relayed=False)
         assert answer is not None
         worker.answered(answer)
 
     async def scenario() -> None:
-        meet()
-        meet()
+        exchange_heartbeat()
+        exchange_heartbeat()
         machine = leader.cluster.machines[worker.name]
         attempt = leader.cluster.start(leader.cluster.jobs["run-000001"], 0, machine, clock())
         leader._dispatcher.schedule(machine)
@@ -46,7 +50,7 @@
         await settle()
         for _ in range(2):
             clock.us += S
-            meet()
+            exchange_heartbeat()
         await leader.close()
 
     asyncio.run(scenario())
@@ -54,39 +58,42 @@
     assert worker.starts == []
 
 
-def test_what_waited_in_vain_for_a_free_connection_was_not_sent() -> None:
-    """It counted as sent: its task started nowhere until its machine listed or lost it."""
-    asked: list[bytes] = []
-    waiting = asyncio.Event()
+def test_request_without_a_free_connection_counts_as_not_sent() -> None:
+    """A request that got no free connection in time counts as not sent.
+
+    It counted as sent, so its task started nowhere until its machine listed it or was lost.
+    """
+    received: list[bytes] = []
+    release = asyncio.Event()
 
     async def handle(_: Any, body: bytes) -> Reply:
-        asked.append(body)
-        await waiting.wait()
+        received.append(body)
+        await release.wait()
         return Reply(503, b"")
 
     async def scenario() -> None:
         http = HttpClient(1)
         async with served(handle) as address:
-            one = asyncio.create_task(workers.command(http, address, 1, 1, [], 60 * S))
-            await eventually(lambda: len(asked) == 1)
+            first_request = asyncio.create_task(workers.command(http, address, 1, 1, [], 60 * S))
+            await eventually(lambda: len(received) == 1)
             with pytest.raises(NotConnectedError):
                 await workers.command(http, address, 2, 1, [], S // 10)
-            waiting.set()
+            release.set()
             with pytest.raises(CallError, match="503"):
-                await one
-            waiting.clear()
-            # One that was sent and is not answered in time is no such thing.
+                await first_request
+            release.clear()
+            # A request that was sent and is not answered in time may have been executed.
             with pytest.raises(CallError) as sent:
                 await workers.command(http, address, 3, 1, [], S // 10)
             assert not isinstance(sent.value, NotConnectedError)
-            waiting.set()
+            release.set()
             await http.close()
-        assert [b'"token":2' in body for body in asked] == [False] * 2
+        assert [b'"token":2' in body for body in received] == [False] * 2
 
     asyncio.run(scenario())
 
 
-#: What may happen next; what ordinarily happens comes more often.
+#: The possible events; a more common event is listed more often.
 EVENTS = (
     *("round",) * 8, *("place",) * 6, *("direct",) * 5, *("exit",) * 5, *("direct arrives",) * 2,
     *("speak",) * 2, *("arrive",) * 2, *("copy",) * 2, *("save",) * 2, *("take over",) * 2,
@@ -95,7 +102,7 @@
 )  # fmt: skip
 
 
-async def play(network: Network, events: list[tuple[str, int, int]]) -> None:
+async def play_events(network: Network, events: list[tuple[str, int, int]]) -> None:
     await network.take_over()
     for _ in range(2):
         network.round(heard=True)
@@ -152,26 +159,30 @@
         max_size=90,
     )
 )
-def test_whatever_is_held_up_nothing_runs_twice_and_all_is_counted(
+def test_delayed_messages_start_nothing_twice_and_all_is_counted(
     events: list[tuple[str, int, int]],
 ) -> None:
-    """Leaders in a row, each unaware for a while; messages held, copied, lost and reordered."""
+    """Nothing runs twice and every attempt is counted, whichever messages are delayed.
+
+    Several leaders follow each other, each unaware of its successor for a while. Messages are
+    delayed, copied, lost and reordered.
+    """
 
-    async def history(clock: Clock) -> None:
+    async def run_events(clock: Clock) -> None:
         network = Network(clock)
         try:
-            await play(network, events)
+            await play_events(network, events)
             await network.calm()
             network.check()
-            # In the end the books hold just what runs.
+            # In the end the leader counts exactly the attempts that run.
             live = {(name, task, number) for name, task, number in network.live()}
             for machine in network.leader.cluster.machines.values():
                 if not machine.deleting and not machine.not_receiving:
-                    held = {(machine.name, a.task, a.number) for a in machine.attempts.values()
+                    counted = {(machine.name, a.task, a.number) for a in machine.attempts.values()
                             if not a.unconfirmed_since_us}  # fmt: skip
-                    assert held <= live, "counted for ever"
+                    assert counted <= live, "an attempt that does not run is counted"
         finally:
             await network.close()
 
     with fixed_clock() as clock:
-        asyncio.run(history(clock))
+        asyncio.run(run_events(clock))
--- a/tests/controller/workers/test_late_heartbeats.py
+++ b/tests/controller/workers/test_late_heartbeats.py
@@ -1,6 +1,6 @@
-"""Reports that come late, or more than once, at a term that knows no better yet.
+"""Heartbeats that arrive late or more than once at a leader that cannot recognize them yet.
 
-What a machine said before it heard of this term may be a copy from any time before.
+A heartbeat sent before its machine received this term's token may be a copy of any age.
 """
 
 import asyncio
@@ -17,53 +17,62 @@
 S = 1_000_000
 
 
-def runs(worker: StandInWorker, task: str, attempt: int) -> Heartbeat:
-    """Let a worker run something, and return what it reports then."""
+def heartbeat_with_running(worker: StandInWorker, task: str, attempt: int) -> Heartbeat:
+    """Let a worker run an attempt, and return its next heartbeat."""
     worker.tasks[task] = StandInTask(attempt, "running")
     return worker.report()
 
 
-@pytest.mark.parametrize("early", [False, True])
-def test_a_copy_that_comes_first_takes_no_place_from_what_runs(clock: Clock, early: bool) -> None:
-    """It counted as the task's attempt; the one that ran was to be killed, and counted nowhere."""
+@pytest.mark.parametrize("before_load", [False, True])
+def test_copied_heartbeat_does_not_replace_the_running_attempt(
+    clock: Clock, before_load: bool
+) -> None:
+    """A copied heartbeat that arrives first does not replace the attempt that runs elsewhere.
+
+    The copied attempt counted as the task's attempt. The running one was about to be killed and was
+    not counted.
+    """
     state = StandInState()
     put_job(state, job_spec(1))
-    stopped, runner = (put_machine(state, f"vm-{n:06}") for n in (1, 2))
+    previous_worker, current_worker = (put_machine(state, f"vm-{n:06}") for n in (1, 2))
     task = "run-000001/0"
-    copy = runs(stopped, task, 5)
-    # Since then it was stopped there, and started elsewhere.
-    stopped.tasks.clear()
-    runs(runner, task, 9)
+    copy = heartbeat_with_running(previous_worker, task, 5)
+    # Since then the attempt was stopped there, and another one started elsewhere.
+    previous_worker.tasks.clear()
+    heartbeat_with_running(current_worker, task, 9)
     leader = leader_of(state, clock())
-    if early:
+    if before_load:
         deliver(leader, copy, clock())
     asyncio.run(leader.recovery.load())
-    if not early:
+    if not before_load:
         deliver(leader, copy, clock())
-    # Asked directly, the one that runs it shows the token; what its report is told is lost.
-    _, shown = runner.direct(leader.token, 1, [])
-    leader._answered(leader.cluster.machines[runner.name], shown)
-    meet(leader, runner, clock(), heard=False)
+    # The running attempt's worker shows the token when probed; its heartbeat's answer is lost.
+    _, answer = current_worker.direct(leader.token, 1, [])
+    leader._answered(leader.cluster.machines[current_worker.name], answer)
+    meet(leader, current_worker, clock(), heard=False)
     for _ in range(3):
         clock.us += S
-        meet(leader, stopped, clock())
+        meet(leader, previous_worker, clock())
     assert leader.recovery.all_known.is_set()
-    # Free to be started elsewhere, it would run twice.
+    # A task counted as free could be started elsewhere, and would run twice.
     job = leader.cluster.jobs["run-000001"]
     assert {index: attempt.number for index, attempt in job.active.items()} == {0: 9}
-    meet(leader, runner, clock())
-    assert runner.live() == {task}
+    meet(leader, current_worker, clock())
+    assert current_worker.live() == {task}
     leader.cluster.check_invariants()
 
 
-def test_a_copy_that_comes_first_takes_no_room_from_what_runs(clock: Clock) -> None:
-    """What had run there filled the machine in the books; what ran there now was killed."""
+def test_copied_heartbeat_occupies_no_capacity(clock: Clock) -> None:
+    """A copied heartbeat that arrives first occupies no capacity on its machine.
+
+    In the leader's view an ended attempt filled the machine, so the running one was killed.
+    """
     state = StandInState()
     put_job(state, job_spec(1, cpus=4.0))
     worker = put_machine(state, "vm-000001")
-    copy = runs(worker, "run-000001/0", 5)
+    copy = heartbeat_with_running(worker, "run-000001/0", 5)
     worker.tasks.clear()
-    runs(worker, "run-000001/1", 6)
+    heartbeat_with_running(worker, "run-000001/1", 6)
     leader = new_leader(state, clock())
     deliver(leader, copy, clock())
     for _ in range(3):
@@ -73,16 +82,19 @@
     assert list(leader.cluster.jobs["run-000001"].active) == [1]
 
 
-def test_before_it_heard_of_a_term_a_machine_says_what_must_end_and_what_was_completed(
+def test_kills_and_completions_do_not_wait_for_the_token(
     clock: Clock,
 ) -> None:
-    """Neither waits for the token: one that hears nothing may never show it."""
+    """Kills and completions do not wait for the token.
+
+    A machine that receives no answers may never show the token.
+    """
     state = StandInState()
     put_job(state, job_spec(1))
     put_job(state, job_spec(2), cancelled=True)
     worker = put_machine(state, "vm-000001")
-    runs(worker, "run-000002/0", 3)
-    runs(worker, "run-000009/0", 4)
+    heartbeat_with_running(worker, "run-000002/0", 3)
+    heartbeat_with_running(worker, "run-000009/0", 4)
     worker.tasks["run-000001/0"] = StandInTask(5, "ended", "done")
     leader = new_leader(state, clock())
     meet(leader, worker, clock())
--- a/tests/reachability/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -1,4 +1,4 @@
-"""Machines that speak and do not hear, and copies of what they said."""
+"""Machines that send heartbeats but receive no answers, and copies of their heartbeats."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -30,98 +30,110 @@
 LEASE = 12 * S
 
 
-def say(session: int, stamp: int, token: int, *tasks: tuple[str, int]) -> Heartbeat:
+def make_heartbeat(session: int, sequence: int, token: int, *tasks: tuple[str, int]) -> Heartbeat:
     listed = [ReportedTask(name, attempt, "running") for name, attempt in tasks]
-    return Heartbeat("vm-1", "a:1", "m4", "a", False, session, stamp, token, listed)
+    return Heartbeat("vm-1", "a:1", "m4", "a", False, session, sequence, token, listed)
 
 
-def answer_of(stamp: int, shown: int = 9, **of: Any) -> SentAnswer:
-    return SentAnswer((1, stamp), shown, 9, relayed=False, at_us=START, **of)
+def answer_of(sequence: int, shown_token: int = 9, **of: Any) -> SentAnswer:
+    return SentAnswer((1, sequence), shown_token, 9, relayed=False, sent_us=START, **of)
 
 
 @pytest.mark.parametrize(
-    ("last", "report", "after_s", "relayed", "sign"),
+    ("last", "report", "after_s", "relayed", "signal"),
     [
-        (answer_of(3), say(1, 4, 9), 5, False, DeliverySignal.NONE),
-        (answer_of(3), say(1, 5, 9), 5, False, DeliverySignal.CONTROLLER_CHANGED),
-        (answer_of(3), say(1, 4, 9), 5, True, DeliverySignal.CONTROLLER_CHANGED),
-        # A process that stood still reads several reports in one go: no answer had its time.
-        (answer_of(3), say(1, 5, 9), 0.1, False, DeliverySignal.NONE),
-        (answer_of(3, 7), say(1, 4, 9), 5, False, DeliverySignal.RECEIVED),
-        (answer_of(3, 7), say(1, 4, 7), 5, False, DeliverySignal.COMMANDS_NOT_APPLIED),
-        (answer_of(3, runs=(("t", 1),)), say(1, 4, 9, ("t", 1)), 5, False, DeliverySignal.RECEIVED),
+        (answer_of(3), make_heartbeat(1, 4, 9), 5, False, DeliverySignal.NONE),
+        (answer_of(3), make_heartbeat(1, 5, 9), 5, False, DeliverySignal.CONTROLLER_CHANGED),
+        (answer_of(3), make_heartbeat(1, 4, 9), 5, True, DeliverySignal.CONTROLLER_CHANGED),
+        # A suspended process reads several heartbeats in one go, before an answer can arrive.
+        (answer_of(3), make_heartbeat(1, 5, 9), 0.1, False, DeliverySignal.NONE),
+        (answer_of(3, 7), make_heartbeat(1, 4, 9), 5, False, DeliverySignal.RECEIVED),
+        (answer_of(3, 7), make_heartbeat(1, 4, 7), 5, False, DeliverySignal.COMMANDS_NOT_APPLIED),
         (
             answer_of(3, runs=(("t", 1),)),
-            say(1, 4, 9, ("t", 2)),
+            make_heartbeat(1, 4, 9, ("t", 1)),
+            5,
+            False,
+            DeliverySignal.RECEIVED,
+        ),
+        (
+            answer_of(3, runs=(("t", 1),)),
+            make_heartbeat(1, 4, 9, ("t", 2)),
             5,
             False,
             DeliverySignal.COMMANDS_NOT_APPLIED,
         ),
-        (answer_of(3, forgets=(("t", 1),)), say(1, 4, 9), 5, False, DeliverySignal.RECEIVED),
         (
             answer_of(3, forgets=(("t", 1),)),
-            say(1, 4, 9, ("t", 1)),
+            make_heartbeat(1, 4, 9),
+            5,
+            False,
+            DeliverySignal.RECEIVED,
+        ),
+        (
+            answer_of(3, forgets=(("t", 1),)),
+            make_heartbeat(1, 4, 9, ("t", 1)),
             5,
             False,
             DeliverySignal.COMMANDS_NOT_APPLIED,
         ),
-        (answer_of(3), say(2, 5, 9), 5, False, DeliverySignal.SESSION_RESTARTED),
-        # Its lease may have run out between two answers, or its process began anew.
-        (answer_of(3), say(2, 5, 9), 11, False, DeliverySignal.NONE),
-        (answer_of(3), say(2, 1, 0), 5, False, DeliverySignal.NONE),
+        (answer_of(3), make_heartbeat(2, 5, 9), 5, False, DeliverySignal.SESSION_RESTARTED),
+        # The lease may have expired between two answers, or the worker's process was restarted.
+        (answer_of(3), make_heartbeat(2, 5, 9), 11, False, DeliverySignal.NONE),
+        (answer_of(3), make_heartbeat(2, 1, 0), 5, False, DeliverySignal.NONE),
     ],
 )
-def test_signs(
-    last: SentAnswer, report: Heartbeat, after_s: float, relayed: bool, sign: DeliverySignal
+def test_heartbeat_gives_the_expected_delivery_signal(
+    last: SentAnswer, report: Heartbeat, after_s: float, relayed: bool, signal: DeliverySignal
 ) -> None:
     at_us = START + round(after_s * S)
     assert (
         detect_delivery_signal(last, report, last.heartbeat[1], at_us, LEASE, relayed=relayed)
-        is sign
+        is signal
     )
 
 
-def test_one_lost_answer_or_a_closed_port_make_no_suspect() -> None:
+def test_lost_answer_or_closed_port_is_not_enough_evidence() -> None:
     evidence = DeliveryEvidence(LEASE, answer_of(3), START)
     assert not evidence.add(DeliverySignal.COMMANDS_NOT_APPLIED, START)
-    # Much later once more: answers are lost now and then.
+    # Much later one more answer is lost, as happens now and then.
     assert not evidence.add(DeliverySignal.COMMANDS_NOT_APPLIED, START + 30 * S)
     evidence.add(DeliverySignal.RECEIVED, START + 31 * S)
     for number in range(5):
-        # Its reports come and are answered; only its port is closed to this controller.
+        # Heartbeats arrive and are answered; only this controller cannot reach the machine's port.
         evidence.observe_heartbeat(
-            say(1, 4 + number, 9), 3 + number, START + (31 + number) * S, relayed=False
+            make_heartbeat(1, 4 + number, 9), 3 + number, START + (31 + number) * S, relayed=False
         )
         assert not evidence.add(DeliverySignal.REQUEST_UNANSWERED, START + (31 + number) * S)
     assert (
         evidence.add(DeliverySignal.CONTROLLER_CHANGED, START + 40 * S)
         and evidence.unreachable_since_us
     )
-    # Its session has outlived a lease since: some answer must have arrived.
-    late = replace(answer_of(9), at_us=START + 50 * S)
-    evidence.last_answer = late
+    # The session has outlived its lease, so some answer must have arrived.
+    late_answer = replace(answer_of(9), sent_us=START + 50 * S)
+    evidence.last_answer = late_answer
     assert (
-        evidence.observe_heartbeat(say(1, 10, 9), 9, START + 55 * S, relayed=False)
+        evidence.observe_heartbeat(make_heartbeat(1, 10, 9), 9, START + 55 * S, relayed=False)
         is DeliverySignal.RECEIVED
     )
 
 
-def test_many_that_hear_nothing_are_the_network_and_few_are_replaced_at_their_price() -> None:
-    into = new_leader_with(StandInState(), 12)
-    machines = list(into.cluster.machines.values())
+def test_only_few_unreachable_machines_are_replaced() -> None:
+    leader = new_leader_with(StandInState(), 12)
+    machines = list(leader.cluster.machines.values())
     for machine in machines:
         machine.newest_message = (1, 1)
-    few = {m.name: START for m in machines[:4]}
+    third = {m.name: START for m in machines[:4]}
     half = {m.name: START for m in machines[:6]}
     boot_us = round(machines[0].type.boot_s * S)
 
-    def found(deaf: dict[str, int], at_us: int) -> list[Machine]:
-        return machines_to_replace(deaf, machines, [], at_us, LEASE, 60 * S)
+    def replaced(unreachable_since_us: dict[str, int], at_us: int) -> list[Machine]:
+        return machines_to_replace(unreachable_since_us, machines, [], at_us, LEASE, 60 * S)
 
     later = START + max(boot_us, LEASE, 120 * S)
-    assert found(few, START + boot_us // 2) == []
-    assert found(few, later) == machines[:4]
-    assert found(half, later) == []
+    assert replaced(third, START + boot_us // 2) == []
+    assert replaced(third, later) == machines[:4]
+    assert replaced(half, later) == []
 
 
 def new_leader_with(state: StandInState, count: int) -> Leader:
@@ -131,7 +143,7 @@
         return new_leader(state, clock())
 
 
-# -- a deaf machine ------------------------------------------------------------------------
+# -- an unreachable machine ----------------------------------------------------------------
 
 
 def deliver(
@@ -143,11 +155,11 @@
     return asyncio.run(scenario())
 
 
-def hears_nothing(leader: Leader) -> list[str]:
+def unreachable_machines(leader: Leader) -> list[str]:
     return [machine.name for machine in leader.cluster.machines.values() if machine.not_receiving]
 
 
-def test_what_a_deaf_machine_has_not_begun_goes_elsewhere(clock: Clock) -> None:
+def test_undelivered_attempt_of_unreachable_machine_is_released(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1, tasks=4, cpus=1.0))
     worker = put_machine(state, "vm-000001")
@@ -159,83 +171,86 @@
     machine, job = leader.cluster.machines[worker.name], leader.cluster.jobs["run-000001"]
     leader.cluster.start(job, 0, machine, clock())
     for _ in range(2):
-        # Its reports come; the answer with the ``run`` does not arrive, nor the next one.
+        # Its heartbeats arrive, but neither the answer with the ``run`` nor the next one does.
         clock.us += 5 * S
         answer = deliver(leader, worker.report(), clock())
         assert answer is not None and [c.op for c in answer.commands] == ["run"]
-        assert machine.name not in hears_nothing(leader)
+        assert machine.name not in unreachable_machines(leader)
     clock.us += 5 * S
     answer = deliver(leader, worker.report(), clock())
     assert answer is not None and answer.commands == []
-    assert hears_nothing(leader) == [machine.name]
+    assert unreachable_machines(leader) == [machine.name]
     assert not usable(machine, clock(), leader.term.silence_us)
-    # The report showed that both answers were dropped: nothing of it can begin there any more.
+    # The heartbeat showed that both answers were dropped, so the attempt can no longer start.
     assert machine.attempts == {} and job.waiting == 4
-    # It hears again when its session outlives its lease.
+    # The machine counts as reachable again when its session outlives its lease.
     for _ in range(5):
         clock.us += 4 * S
         answer = deliver(leader, worker.report(), clock())
-    assert hears_nothing(leader) == []
+    assert unreachable_machines(leader) == []
     assert usable(machine, clock(), leader.term.silence_us)
 
 
-def test_a_new_leaders_barrier_ends_though_a_machine_never_hears_of_it(clock: Clock) -> None:
+def test_recovery_ends_although_a_machine_is_unreachable(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1))
     workers = [put_machine(state, f"vm-{n:06}") for n in range(2)]
     leader = new_leader(state, clock(), predecessor_over_us=clock())
     leader.term.state_writer.leadership_verified_us = 1 << 60
-    begun_us, answers = clock(), 0
+    started_us, answers = clock(), 0
     while not leader.recovery.all_known.is_set():
         clock.us += 5 * S
-        assert clock() < begun_us + 60 * S
+        assert clock() < started_us + 60 * S
         for worker in workers:
             if deliver(leader, worker.report(), clock()) is not None:
                 answers += 1
-                # It may have arrived all the same.
+                # The answer may have arrived although nothing shows it.
                 lease_us = leader.term.lease_us
                 machine = leader.cluster.machines[worker.name]
                 assert machine.lease_expired_us(lease_us, 0) >= clock() + lease_us
-        doomed = leader.machine_monitor.expired_or_silent(
+        expired = leader.machine_monitor.expire_leases_and_find_lost(
             clock(), leader.term.leadership_verified_us
         )
-        # Both of two: that is the network, and none is returned.
-        assert doomed == []
+        # Both of two machines are silent: that is a network fault, and none is returned.
+        assert expired == []
     assert answers == 2 * MAX_STALE_TOKEN_ANSWERS
     machine = leader.cluster.machines["vm-000000"]
-    assert machine.name in hears_nothing(leader) and not machine.draining
-    # In its next session it is answered, and used again once it shows the token.
+    assert machine.name in unreachable_machines(leader) and not machine.draining
+    # In its next session the machine is answered, and used again once it shows the token.
     workers[0].expire()
     answer = deliver(leader, workers[0].report(), clock())
     assert answer is not None
     workers[0].answered(answer)
     clock.us += 5 * S
     assert deliver(leader, workers[0].report(), clock()) is not None
-    assert machine.name not in hears_nothing(leader)
+    assert machine.name not in unreachable_machines(leader)
     assert usable(machine, clock(), leader.term.silence_us)
 
 
-def test_a_machine_on_no_record_is_asked_before_it_is_entered(
+def test_unrecorded_machine_is_probed_before_it_is_added(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A copy of a report of one that an earlier term returned was entered as if it booted."""
+    """A machine that is not on record is added only if it answers a probe.
+
+    A copied heartbeat of a machine that an earlier term had returned was added as if it booted.
+    """
     leader = new_leader(StandInState(), clock())
     entered: list[str] = []
     monkeypatch.setattr(
         leader.rental_manager, "adopt_unexpected", lambda report: entered.append(report.machine)
     )
-    there: dict[str, Heartbeat] = {}
+    existing: dict[str, Heartbeat] = {}
 
-    async def question(name: str, address: str, session: int) -> Heartbeat | None:
-        return there.get(name)
+    async def probe(name: str, address: str, session: int) -> Heartbeat | None:
+        return existing.get(name)
 
-    monkeypatch.setattr(leader._dispatcher, "probe", question)
+    monkeypatch.setattr(leader._dispatcher, "probe", probe)
 
     async def scenario() -> None:
         for name in ("vm-000007", "vm-000008"):
             report = StandInWorker(name, 4.0).report()
             if name == "vm-000008":
-                there[name] = report
+                existing[name] = report
             assert leader.handle_heartbeat(report, clock(), relayed=False) is not None
         for _ in range(5):
             await asyncio.sleep(0)
@@ -244,7 +259,7 @@
     assert entered == ["vm-000008"] and not leader.cluster.machines
 
 
-def test_a_copy_does_not_bring_up_a_machine_that_an_earlier_term_recorded(clock: Clock) -> None:
+def test_copied_heartbeat_does_not_enroll_a_recorded_machine(clock: Clock) -> None:
     state = StandInState()
     worker = put_machine(state, "vm-000001", up=False)
     worker.token = 1
@@ -256,34 +271,34 @@
         False,
         False,
     )
-    assert leader.machine_monitor.never_confirmed(clock()) == []
+    assert leader.machine_monitor.machines_never_confirmed(clock()) == []
     clock.us += 2 * leader.term.lease_us + S
-    assert leader.machine_monitor.never_confirmed(clock()) == [machine]
+    assert leader.machine_monitor.machines_never_confirmed(clock()) == [machine]
 
 
-# -- copies --------------------------------------------------------------------------------
+# -- copied heartbeats ---------------------------------------------------------------------
 
 
 @dataclass
-class Real:
-    """A worker with its lease, and everything it has ever said."""
+class WorkerHistory:
+    """A worker, the start of its lease, and all heartbeats it has ever sent."""
 
     worker: StandInWorker
-    from_us: int
+    lease_start_us: int
     alive: bool = True
-    said: list[Heartbeat] = field(default_factory=list)
+    sent: list[Heartbeat] = field(default_factory=list)
 
     def report(self) -> Heartbeat:
-        self.said.append(self.worker.report())
-        return self.said[-1]
+        self.sent.append(self.worker.report())
+        return self.sent[-1]
 
     def answered(self, answer: HeartbeatAnswer, sent_us: int) -> None:
         if answer.token >= self.worker.token:
-            self.from_us = max(self.from_us, sent_us)
+            self.lease_start_us = max(self.lease_start_us, sent_us)
         self.worker.answered(answer)
 
 
-def picture(leader: Leader) -> dict[str, Any]:
+def machine_states(leader: Leader) -> dict[str, Any]:
     return {
         m.name: (
             m.last_heartbeat_us,
@@ -309,33 +324,39 @@
         max_size=45,
     )
 )
-def test_copies_prove_no_life_and_start_nothing_twice(
+def test_copies_prove_no_machine_alive_and_start_nothing_twice(
     events: list[tuple[str, int, int, int]],
 ) -> None:
-    """Several terms; copies of whatever was ever said come at any time, over any controller."""
+    """Copied heartbeats prove no machine alive and start no task twice.
+
+    Over several terms, copies of earlier heartbeats arrive at any time, through any controller.
+    """
     with fixed_clock() as clock:
         state = StandInState()
         put_job(state, job_spec(1, tasks=60, cpus=1.0))
-        real = [Real(put_machine(state, f"vm-{n:06}"), clock()) for n in range(2)]
+        histories = [WorkerHistory(put_machine(state, f"vm-{n:06}"), clock()) for n in range(2)]
         leader = new_leader(state, clock())
-        over_us = 0
-        for event, who, number, tenths in events:
+        predecessor_expired_us = 0
+        for event, worker_number, number, tenths in events:
             clock.us += tenths * S // 10
             lease_us = leader.term.lease_us
-            for one in real:
-                if clock() > one.from_us + lease_us:
-                    one.worker.expire()
-                    one.from_us = clock()
-            one, machine = real[who], leader.cluster.machines.get(f"vm-{who:06}")
+            for history in histories:
+                if clock() > history.lease_start_us + lease_us:
+                    history.worker.expire()
+                    history.lease_start_us = clock()
+            history, machine = (
+                histories[worker_number],
+                leader.cluster.machines.get(f"vm-{worker_number:06}"),
+            )
             match event:
-                case "report" | "deaf" if one.alive:
-                    answer = deliver(leader, one.report(), clock())
+                case "report" | "deaf" if history.alive:
+                    answer = deliver(leader, history.report(), clock())
                     if answer is not None and event == "report":
-                        one.answered(answer, clock())
-                case "direct" if one.alive and machine is not None:
-                    _, shown = one.worker.direct(leader.token, machine.session or 1, [])
-                    one.said.append(shown)
-                    leader._answered(machine, shown)
+                        history.answered(answer, clock())
+                case "direct" if history.alive and machine is not None:
+                    _, probe_answer = history.worker.direct(leader.token, machine.session or 1, [])
+                    history.sent.append(probe_answer)
+                    leader._answered(machine, probe_answer)
                 case "start" if leader.recovery.all_known.is_set() and machine is not None:
                     job = leader.cluster.jobs["run-000001"]
                     indexes = job.waiting_indexes(1)
@@ -343,49 +364,60 @@
                         if machine.capacity_for(job):
                             leader.cluster.start(job, indexes[0], machine, clock())
                 case "term":
-                    over_us = clock()
-                    leader = new_leader(state, clock(), predecessor_over_us=over_us)
+                    predecessor_expired_us = clock()
+                    leader = new_leader(state, clock(), predecessor_over_us=predecessor_expired_us)
                     leader.term.state_writer.leadership_verified_us = 1 << 60
                 case "rest":
                     clock.us += 3 * S
                 case "die":
-                    one.alive, one.worker.tasks = False, {}
-                case "copy" if one.said:
-                    copy = one.said[number % len(one.said)]
-                    before = picture(leader)
+                    history.alive, history.worker.tasks = False, {}
+                case "copy" if history.sent:
+                    copy = history.sent[number % len(history.sent)]
+                    before = machine_states(leader)
                     leases = {m.name: m.lease_from_us for m in leader.cluster.machines.values()}
                     newest = machine.newest_message if machine is not None else (0, 0)
-                    unshown = machine.stale_token_answers if machine is not None else 0
-                    seen_us = machine.last_message_us if machine is not None else 0
+                    stale_token_answers = machine.stale_token_answers if machine is not None else 0
+                    last_message_us = machine.last_message_us if machine is not None else 0
                     deliver(leader, copy, clock(), relayed=number % 2 == 0)
-                    now = picture(leader)
+                    after = machine_states(leader)
                     if (copy.session, copy.sequence) <= newest:
-                        assert now == before
-                    for name, (heard_us, synced, *_) in now.items():
-                        # Only what an earlier term was told first may come as new.
-                        assert heard_us == before[name][0] and synced == before[name][1]
+                        assert after == before
+                    for name, (last_heartbeat_us, reconciled, *_) in after.items():
+                        # A copy that is newer than all seen carries an older token.
+                        assert (
+                            last_heartbeat_us == before[name][0] and reconciled == before[name][1]
+                        )
                         lease_from_us = leader.cluster.machines[name].lease_from_us
                         if lease_from_us != leases[name] and copy.token == leader.token:
-                            # No later than its machine surely spoke, long before this.
-                            assert lease_from_us <= seen_us < clock()
+                            # The lease starts no later than the machine's last own message,
+                            # which came before this copy.
+                            assert lease_from_us <= last_message_us < clock()
                         elif lease_from_us != leases[name]:
-                            assert unshown < MAX_STALE_TOKEN_ANSWERS + EXTRA_RELAYED_ANSWERS
-            leader.machine_monitor.expired_or_silent(clock(), leader.term.leadership_verified_us)
+                            assert (
+                                stale_token_answers
+                                < MAX_STALE_TOKEN_ANSWERS + EXTRA_RELAYED_ANSWERS
+                            )
+            leader.machine_monitor.expire_leases_and_find_lost(
+                clock(), leader.term.leadership_verified_us
+            )
             leader._check_known()
-            starts = [start for one in real for start in one.worker.starts]
+            starts = [start for history in histories for start in history.worker.starts]
             assert len(starts) == len(set(starts))
-            live = [task for one in real for task in one.worker.live()]
+            live = [task for history in histories for task in history.worker.live()]
             assert len(live) == len(set(live))
-            for one in real:
-                known = leader.cluster.machines.get(one.worker.name)
-                if known is None or not one.worker.live():
+            for history in histories:
+                known = leader.cluster.machines.get(history.worker.name)
+                if known is None or not history.worker.live():
                     continue
-                # The books never have a lease end before it does.
-                end_us = surely_valid_us(one.from_us, leader.term.lease_us)
-                if one.worker.session > known.expired_session:
-                    assert known.lease_expired_us(leader.term.lease_us, over_us) >= end_us
+                # The leader never counts a lease as expired before it really is.
+                end_us = surely_valid_us(history.lease_start_us, leader.term.lease_us)
+                if history.worker.session > known.expired_session:
+                    assert (
+                        known.lease_expired_us(leader.term.lease_us, predecessor_expired_us)
+                        >= end_us
+                    )
                 else:
-                    raise AssertionError("a session that runs was given up")
+                    raise AssertionError("the session of a running worker was expired")
             leader.cluster.check_invariants()
             assert all(
                 a.phase is not AttemptPhase.ASSIGNED
--- a/tests/reachability/test_unreachable_machines.py
+++ b/tests/reachability/test_unreachable_machines.py
@@ -1,4 +1,4 @@
-"""Machines that can't be reached, or don't hear, while leaders change: until when they count."""
+"""How long attempts on unreachable or silent machines count while leaders change."""
 
 import asyncio
 from typing import cast
@@ -17,8 +17,12 @@
 S = 1_000_000
 
 
-def test_an_answer_from_before_the_load_does_not_shorten_a_lease(clock: Clock) -> None:
-    """Its answer was lost, and the leader before answered later; only then it showed the token."""
+def test_answer_before_the_load_does_not_shorten_a_lease(clock: Clock) -> None:
+    """An answer sent before the term is loaded does not shorten a lease.
+
+    The answer was lost, the previous leader renewed the lease later, and only then the worker
+    showed the new token.
+    """
     state = StandInState()
     put_job(state, job_spec(1))
     worker = put_machine(state, "vm-000001")
@@ -27,21 +31,25 @@
     leader = leader_of(state, clock(), predecessor_over_us=clock() + 3 * S)
     assert leader.handle_heartbeat(worker.report(), clock(), relayed=False) is not None
     clock.us += 2 * S
-    renewed_us = clock()  # By the leader before, which has not noticed yet.
+    renewed_us = clock()  # The previous leader renews the lease; it does not know its successor.
     worker.sequence += 1
     clock.us += S // 2
-    _, shown = worker.direct(leader.token, 1, [])
-    leader.recovery.heartbeat_buffer.add_probe_answer(shown)
+    _, probe_answer = worker.direct(leader.token, 1, [])
+    leader.recovery.heartbeat_buffer.add_probe_answer(probe_answer)
     asyncio.run(leader.recovery.load())
     machine = leader.cluster.machines[worker.name]
     assert machine.reconciled and machine.attempts
     lease_us = leader.term.lease_us
-    over_us = machine.lease_expired_us(lease_us, leader.term.previous_leader_until_us())
-    assert over_us > surely_valid_us(renewed_us, lease_us)
+    expired_us = machine.lease_expired_us(lease_us, leader.term.previous_leader_until_us())
+    assert expired_us > surely_valid_us(renewed_us, lease_us)
+
 
+def test_attempt_on_type_missing_from_catalog_continues(clock: Clock) -> None:
+    """Attempts on a machine whose type left the catalog are adopted and continue.
 
-def test_what_runs_on_a_type_that_left_the_catalog_goes_on(clock: Clock) -> None:
-    """No room by the books: it was killed, and free to start elsewhere before it had ended."""
+    Such a type has no known capacity. The attempt was killed for lack of capacity, and its task
+    could start elsewhere before it had ended.
+    """
     state = StandInState()
     put_job(state, job_spec(1))
     worker = put_machine(state, "vm-000001")
@@ -60,8 +68,14 @@
 @pytest.mark.parametrize(
     "verdict", [AttemptVerdict.NO_CAPACITY, AttemptVerdict.JOB_OVER, AttemptVerdict.UNKNOWN_JOB]
 )
-def test_what_must_go_counts_until_it_has_gone(clock: Clock, verdict: AttemptVerdict) -> None:
-    """Its kill may be lost: its team was given its room, and its task started elsewhere."""
+def test_attempt_to_be_killed_counts_until_it_has_ended(
+    clock: Clock, verdict: AttemptVerdict
+) -> None:
+    """An attempt that must be killed counts until it has ended.
+
+    The kill may be lost. The attempt's capacity was given to its team, and its task was started
+    elsewhere.
+    """
     state = StandInState()
     put_job(state, job_spec(1, tasks=2, cpus=5.0 if verdict is AttemptVerdict.NO_CAPACITY else 4.0))
     runner, other = (put_machine(state, f"vm-{n:06}") for n in (1, 2))
@@ -86,24 +100,27 @@
     meet(leader, runner, clock(), heard=False)
     assert leader.term.reconciliation_counts.attempts == {verdict: 1}
     if verdict is AttemptVerdict.UNKNOWN_JOB:
-        # Accepted and started under the leader before; the watch tells it late.
+        # The previous leader accepted and started the job; this leader learns of it late.
         leader.cluster.jobs[job.id] = job
     else:
         assert leader.cluster.usage["red"].cpus == job.spec.cpus
     asyncio.run(place())
-    # The other task may have been started.
+    # The job's other task may have been started.
     assert all(a.number == 77 for index, a in job.active.items() if index == 0)
     leader.cluster.check_invariants()
     for _ in range(2):
         meet(leader, runner, clock())
-    # What turns out to be wanted goes on.
+    # An attempt whose job becomes known continues.
     assert (runner.live() == set()) == (verdict is not AttemptVerdict.UNKNOWN_JOB)
     assert not leader.cluster.orphans and not leader.cluster.has_orphan("run-000001/0")
     leader.cluster.check_invariants()
 
 
-def test_a_lease_ends_also_while_the_deletion_is_not_answered(clock: Clock) -> None:
-    """The cloud was down: what a machine held that was being returned waited for it to be back."""
+def test_lease_expires_while_deletion_is_unanswered(clock: Clock) -> None:
+    """The lease of a machine that is being deleted expires even if the cloud does not answer.
+
+    While the cloud was down, the attempts on such a machine counted until it was back.
+    """
     state = StandInState()
     put_job(state, job_spec(1))
     worker, silent = (put_machine(state, f"vm-{n:06}") for n in (1, 2))
@@ -111,20 +128,20 @@
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     for _ in range(2):
         meet(leader, worker, clock())
-    watch, term = leader.machine_monitor, leader.term
+    monitor, term = leader.machine_monitor, leader.term
     leader.rental_manager.return_machines(dict(leader.cluster.machines))
     assert leader.handle_heartbeat(worker.report(), clock(), relayed=False) is None
-    begun_us = clock()
+    started_us = clock()
     while not leader.recovery.all_known.is_set() or leader.cluster.machines[worker.name].attempts:
         clock.us += S // 2
-        assert clock() < begun_us + 3 * S + 2 * term.lease_us
-        if watch.has_unverified_expiry(clock()):
-            asyncio.run(watch._verify_leadership())
-        assert watch.expired_or_silent(clock(), term.leadership_verified_us) == []
-        if clock() < begun_us + term.lease_us:
-            # Not before its lease is over: the deletion may never be carried out.
+        assert clock() < started_us + 3 * S + 2 * term.lease_us
+        if monitor.has_unverified_expiry(clock()):
+            asyncio.run(monitor._verify_leadership())
+        assert monitor.expire_leases_and_find_lost(clock(), term.leadership_verified_us) == []
+        if clock() < started_us + term.lease_us:
+            # The attempts count until the lease has expired: the deletion may never be executed.
             assert leader.cluster.machines[worker.name].attempts
-        if clock() < begun_us + 3 * S + term.lease_us:
+        if clock() < started_us + 3 * S + term.lease_us:
             assert not leader.cluster.machines[silent.name].reconciled
     assert set(leader.cluster.machines) == {worker.name, silent.name}
     leader.cluster.check_invariants()
--- a/tests/scheduling/test_cost_of_changes.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -292,12 +292,12 @@
 
     leader.machine_monitor.by_last_heartbeat = Counting(leader.machine_monitor.by_last_heartbeat)
     clock.us += S
-    assert leader.machine_monitor.expired_or_silent(clock()) == []
+    assert leader.machine_monitor.expire_leases_and_find_lost(clock()) == []
     assert next(looked) == 1
     clock.us += leader.term.silence_us
     for worker in workers[7:]:
         report(leader, worker, clock())
-    found = leader.machine_monitor.silent(clock(), leader.term.silence_us, 0)
+    found = leader.machine_monitor.find_silent(clock(), leader.term.silence_us, 0)
     assert {machine.name for machine in found} == {worker.name for worker in workers[:7]}
     assert next(looked) <= 1 + 8 + 1
 
@@ -334,7 +334,7 @@
                     worker.expire()
         for worker in heard:
             report(leader, worker, clock())
-        doomed = leader.machine_monitor.expired_or_silent(clock())
+        doomed = leader.machine_monitor.expire_leases_and_find_lost(clock())
         # Half of the fleet at once looks like the network: nothing is given up on.
         assert doomed == [] or clock() > sent_us + term.lease_us
         leader.scheduling_loop.place()
--- a/tests/support/held_network.py
+++ b/tests/support/held_network.py
@@ -144,8 +144,10 @@
         self.leader.term.state_writer.leadership_verified_us = self.clock()
         for leader in filter(None, (self.before, self.leader)):
             watch = leader.machine_monitor
-            doomed = watch.expired_or_silent(self.clock(), leader.term.leadership_verified_us)
-            doomed += watch.with_overdue_stops(self.clock())
+            doomed = watch.expire_leases_and_find_lost(
+                self.clock(), leader.term.leadership_verified_us
+            )
+            doomed += watch.machines_with_overdue_stops(self.clock())
             leader.rental_manager.return_machines({m.name: m for m in doomed if not m.deleting})
             leader._check_known()
         await settle()
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -231,9 +231,9 @@
 
 
 def _watch_once(leader: Leader, at_us: int) -> list[Machine]:
-    doomed = leader.machine_monitor.expired_or_silent(
+    doomed = leader.machine_monitor.expire_leases_and_find_lost(
         at_us
-    ) + leader.machine_monitor.with_overdue_stops(at_us)
+    ) + leader.machine_monitor.machines_with_overdue_stops(at_us)
     return doomed + [
         m
         for m in leader.machine_monitor.interrupted.values()
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -77,7 +77,7 @@
         """
         if at_us - self._term.loaded_us < HIRE_AHEAD_US or self._rental_manager.busy:
             return
-        unknown = [m for m in self._machine_monitor.live() if not m.reconciled]
+        unknown = [m for m in self._machine_monitor.live_machines() if not m.reconciled]
         if not unknown or not all(m.probes_failed for m in unknown):
             return
         placement_input = self._scheduling_loop.placement_input()
@@ -128,7 +128,7 @@
         """Decide once what to rent, what to return, and what to drain."""
         term = self._term
         settings = term.tunables.fleet.settings()
-        silent = self._machine_monitor.at_risk(at_us)
+        silent = self._machine_monitor.machines_at_risk(at_us)
         until_us = at_us + settings.foresight_us
         expected = self._expected_demand(until_us)
         if self._gate_keeper is not None:
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -318,7 +318,7 @@
             machine = self._term.cluster.machines.get(name)
             if machine is not None:
                 machine.probes_failed = True
-        live = self._machine_monitor.live()
+        live = self._machine_monitor.live_machines()
         unknown = [machine for machine in live if not machine.reconciled]
         if unknown and all(m.probes_failed for m in unknown) and are_likely_lost(unknown, live):
             self._rental_manager.return_machines({machine.name: machine for machine in unknown})
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -11,7 +11,7 @@
 from weldhead.controller.workers.pending_commands import pending_commands
 from weldhead.protocol.wire import Command, Heartbeat
 from weldhead.reconciliation.command_queue import CommandQueue, queue_position
-from weldhead.transport import worker_commands as workers
+from weldhead.transport import worker_commands
 from weldhead.transport.http_client import CallError, NotConnectedError
 
 log = logging.getLogger(__name__)
@@ -50,7 +50,7 @@
         self, machine: Machine, session: int, commands: list[Command], timeout_us: int
     ) -> Heartbeat:
         term = self._term
-        _, heartbeat = await workers.command(
+        _, heartbeat = await worker_commands.command(
             term.worker_http, machine.address, term.token, session, commands, timeout_us,
             close=self._should_close_connections(),
         )  # fmt: skip
@@ -69,7 +69,7 @@
         """
         term = self._term
         try:
-            _, heartbeat = await workers.command(
+            _, heartbeat = await worker_commands.command(
                 term.worker_http,
                 address,
                 term.token,
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -33,7 +33,7 @@
 #: Causes with which a worker refuses a task that fits by the leader's view of the machine.
 _REFUSAL_CAUSES = ("no_room", "busy", "unknown")
 #: Delay before a refused task may start again: the worker's and the leader's view disagree, so an
-#: immediate retry would be refused as well.
+#: immediate retry would probably be refused as well.
 REFUSED_TASK_BACKOFF_US = SECOND_US
 #: End causes that mean that the task failed by itself.
 _TASK_FAILURE_CAUSES = ("error", None)
@@ -320,7 +320,9 @@
                 cluster.remove_orphans(machine, {key} & machine.orphans)
                 attempt = self._adopt(job, index, task)
                 if verdict is AttemptVerdict.NO_CAPACITY:
-                    cluster.stop(attempt, StopRequest.HARD, self._at_us, "no room by the books")
+                    cluster.stop(
+                        attempt, StopRequest.HARD, self._at_us, "no free capacity on its machine"
+                    )
                 return attempt
         if verdict is AttemptVerdict.UNKNOWN_JOB and key not in machine.orphans:
             log.info("attempt %s on machine %s belongs to no known job", task.task, machine.name)
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -34,7 +34,7 @@
 class MachineMonitor:
     """Watches one term's machines and decides which of them to return.
 
-    ``on_machine_resolved`` is called when it becomes known that nothing unknown runs on a machine.
+    ``on_machine_resolved`` is called after a machine's lease has expired or it was removed.
     """
 
     #: Machines added or removed since the last check; set when the machines are loaded.
@@ -77,11 +77,11 @@
             return ()
         limit_us = self._term.heartbeat_interval_us * 5 // 4 + SECOND_US
         return tuple(
-            machine.name for machine in self.silent(at_us, limit_us, self._term.loaded_us)
+            machine.name for machine in self.find_silent(at_us, limit_us, self._term.loaded_us)
             if machine.session
         )[:MAX_SILENT_MACHINES_NAMED]  # fmt: skip
 
-    def silent(self, at_us: int, limit_us: int, floor_us: int) -> list[Machine]:
+    def find_silent(self, at_us: int, limit_us: int, floor_us: int) -> list[Machine]:
         """Return machines without a heartbeat for more than ``limit_us``, including booting ones.
 
         Silence is counted from ``floor_us`` at the earliest.
@@ -112,19 +112,19 @@
             at_us = now_us()
             if self.failures:
                 self.review_failures(at_us)
-            doomed = self.expired_or_silent(at_us, self._term.leadership_verified_us)
-            doomed += self.with_overdue_stops(at_us)
-            doomed += [
+            to_return = self.expire_leases_and_find_lost(at_us, self._term.leadership_verified_us)
+            to_return += self.machines_with_overdue_stops(at_us)
+            to_return += [
                 machine
                 for machine in self.interrupted.values()
                 if self.was_interrupted(machine, at_us)
             ]
-            doomed += self.never_confirmed(at_us)
+            to_return += self.machines_never_confirmed(at_us)
             self._return_machines(
-                {machine.name: machine for machine in doomed if not machine.deleting}
+                {machine.name: machine for machine in to_return if not machine.deleting}
             )
 
-    def live(self) -> list[Machine]:
+    def live_machines(self) -> list[Machine]:
         """Return the enrolled machines that are not being deleted."""
         return [
             machine
@@ -137,7 +137,9 @@
         return [machine for machine in self._silent_enrolled(at_us) if not machine.deleting]
 
     def _silent_enrolled(self, at_us: int) -> list[Machine]:
-        silent = self.silent(at_us, self._term.silence_us, self._term.previous_leader_until_us())
+        silent = self.find_silent(
+            at_us, self._term.silence_us, self._term.previous_leader_until_us()
+        )
         return [machine for machine in silent if machine.enrolled]
 
     def has_unverified_expiry(self, at_us: int) -> bool:
@@ -170,20 +172,20 @@
         except LeadershipLostError:
             self._term.on_leadership_lost("the leader key no longer belongs to this node")
 
-    def expired_or_silent(
+    def expire_leases_and_find_lost(
         self, at_us: int, leadership_verified_us: int = FOR_EVER_US
     ) -> list[Machine]:
-        """Return machines whose leases have expired, or that are silent and likely lost.
+        """Expire leases that are certainly over; return their machines and those likely lost.
 
         ``leadership_verified_us`` is the latest time at which certainly no other node led.
         """
         floor_us = self._term.previous_leader_until_us()
-        certain_us = min(at_us, leadership_verified_us)
-        silent = self._silent_not_deleting(at_us, certain_us, floor_us)
+        verified_until_us = min(at_us, leadership_verified_us)
+        silent = self._expire_deleting_and_find_silent(at_us, verified_until_us, floor_us)
         if not silent:
             return []
         limit_us = at_us - self._term.lease_us * 2 // 3
-        lost = are_likely_lost(silent, self.live())
+        lost = are_likely_lost(silent, self.live_machines())
         found = []
         for machine in silent:
             # Such a machine sends heartbeats without this term's token. It may become reachable
@@ -191,7 +193,7 @@
             sends_heartbeats = (
                 machine.not_receiving and at_us - machine.last_message_us <= self._term.silence_us
             )
-            if certain_us > machine.lease_expired_us(self._term.lease_us, floor_us):
+            if verified_until_us > machine.lease_expired_us(self._term.lease_us, floor_us):
                 self.expire(machine, may_return=sends_heartbeats)
                 if not sends_heartbeats:
                     found.append(machine)
@@ -203,8 +205,10 @@
                 found.append(machine)
         return found
 
-    def _silent_not_deleting(self, at_us: int, certain_us: int, floor_us: int) -> list[Machine]:
-        """Return silent machines that are not being deleted; expire the leases of the others.
+    def _expire_deleting_and_find_silent(
+        self, at_us: int, verified_until_us: int, floor_us: int
+    ) -> list[Machine]:
+        """Expire the leases of machines being deleted; return the other silent machines.
 
         Heartbeats of a machine that is being deleted are not answered, so its lease expires even if
         the cloud does not answer. Its attempts count until then.
@@ -214,11 +218,11 @@
             if not machine.deleting:
                 silent.append(machine)
             elif _may_run_attempts(machine):
-                if certain_us > machine.lease_expired_us(self._term.lease_us, floor_us):
+                if verified_until_us > machine.lease_expired_us(self._term.lease_us, floor_us):
                     self.expire(machine)
         return silent
 
-    def at_risk(self, at_us: int) -> list[Machine]:
+    def machines_at_risk(self, at_us: int) -> list[Machine]:
         """Return unreachable machines, and silent ones whose leases have not expired."""
         unreachable = [
             machine
@@ -228,43 +232,43 @@
         silent = [
             machine for machine in self.silent_live_machines(at_us) if not machine.not_receiving
         ]
-        if not silent or are_likely_lost(silent, self.live()):
+        if not silent or are_likely_lost(silent, self.live_machines()):
             return unreachable
         return silent + unreachable
 
     def was_interrupted(self, machine: Machine, at_us: int) -> bool:
-        """Whether a machine's interruption notice has run out and it is silent since then."""
+        """Whether a machine's interruption notice has run out and it has been silent since."""
         return (
             0 < machine.interruption_us < at_us - SECOND_US
             and at_us - machine.last_heartbeat_us > self._term.heartbeat_interval_us * 2
         )
 
-    def with_overdue_stops(self, at_us: int) -> list[Machine]:
+    def machines_with_overdue_stops(self, at_us: int) -> list[Machine]:
         """Return machines to delete because a stop or an unconfirmed start on them is overdue."""
         cluster = self._term.cluster
         # A machine that is being deleted is not answered: its lease has to end within ``cancel_s``
         # even if the cloud does not delete it.
-        left_us = max(0, safe_answer_window_us(self._term.cancel_us, self._term.lease_us))
-        unconfirmed_us = min(self._term.cancel_us // 4, left_us)
-        stop_us = min(self._term.cancel_us // 2, left_us)
+        time_left_us = max(0, safe_answer_window_us(self._term.cancel_us, self._term.lease_us))
+        unconfirmed_limit_us = min(self._term.cancel_us // 4, time_left_us)
+        stop_limit_us = min(self._term.cancel_us // 2, time_left_us)
         found = [
             attempt
             for attempt in cluster.unconfirmed.values()
             if attempt.unconfirmed_since_us
-            and at_us - attempt.unconfirmed_since_us > unconfirmed_us
+            and at_us - attempt.unconfirmed_since_us > unconfirmed_limit_us
         ]
         found += [
             attempt
             for attempt in cluster.stopping.values()
             if attempt.stop_request is StopRequest.HARD
-            and at_us - attempt.stop_requested_us > stop_us
+            and at_us - attempt.stop_requested_us > stop_limit_us
         ]
         machines = {attempt.machine: cluster.machines[attempt.machine] for attempt in found}
         return [
             machine for machine in machines.values() if machine.enrolled and not machine.deleting
         ]
 
-    def never_confirmed(self, at_us: int) -> list[Machine]:
+    def machines_never_confirmed(self, at_us: int) -> list[Machine]:
         """Return machines that sent only heartbeats with old tokens, and none for a long time.
 
         Nothing was ever started on them. A copied heartbeat of a deleted machine looks the same:
@@ -273,7 +277,7 @@
         limit_us = 2 * self._term.lease_us
         return [
             machine
-            for machine in self.silent(at_us, limit_us, self._term.previous_leader_until_us())
+            for machine in self.find_silent(at_us, limit_us, self._term.previous_leader_until_us())
             if machine.session
             and not (
                 machine.enrolled
@@ -291,13 +295,13 @@
         """
         if may_return and machine.reconciled and not machine.attempts:
             return
-        gone = self._term.cluster.release_all(machine)
+        lost_attempts = self._term.cluster.release_all(machine)
         machine.expired_session = max(machine.expired_session, machine.session)
         machine.reconciled = True
         machine.draining = machine.draining or not may_return
-        log.info("lease of machine %s expired: %d tasks lost", machine.name, len(gone))
+        log.info("lease of machine %s expired: %d tasks lost", machine.name, len(lost_attempts))
         self.on_machine_resolved()
-        for attempt in gone:
+        for attempt in lost_attempts:
             if attempt.job.cancelled:
                 self._term.commit_wanted.set()
         self._term.placement_wanted.set()
@@ -311,7 +315,7 @@
         self._term.placement_wanted.set()
 
     def record_failure(self, attempt: Attempt, at_us: int) -> None:
-        """Record that a task failed by itself, through a fault of the machine or of the job."""
+        """Record that a task failed by itself: usually a machine fault, sometimes a job fault."""
         self.failures.record_failure(attempt, at_us)
         log.info("task %s failed on machine %s", attempt.task, attempt.machine)
 
@@ -342,17 +346,17 @@
 
         Attempts with checkpoints are stopped softly, so that they can save their state.
         """
-        left_us = machine.interruption_us - at_us
+        time_left_us = machine.interruption_us - at_us
         for attempt in list(machine.attempts.values()):
-            saves = attempt.job.spec.checkpoint_s > 0
-            if not saves and self._term.estimates.remaining_us(attempt, at_us) < left_us:
+            can_save = attempt.job.spec.checkpoint_s > 0
+            if not can_save and self._term.estimates.remaining_us(attempt, at_us) < time_left_us:
                 if attempt.phase is AttemptPhase.RUNNING:
                     continue
             request_stop(
                 self._term.cluster,
                 attempt,
-                StopRequest.SOFT if saves else StopRequest.HARD,
+                StopRequest.SOFT if can_save else StopRequest.HARD,
                 at_us,
-                "notice",
+                "interruption notice",
             )
         self._dispatcher.schedule(machine)
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -161,7 +161,7 @@
             evidence = self._evidence[name]
             if (
                 not evidence.unreachable_since_us
-                and at_us - evidence.evidence_us > 2 * self._term.lease_us
+                and at_us - evidence.last_evidence_us > 2 * self._term.lease_us
             ):
                 evidence.add(DeliverySignal.RECEIVED, at_us)
                 del self._suspects[name]
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -338,7 +338,7 @@
 
 def _room_given_away_at_a_hung_machine() -> Iterator[Any]:
     """What was told to go, on a machine that has been silent since, is taken for gone."""
-    in_trouble = MachineMonitor.with_overdue_stops
+    in_trouble = MachineMonitor.machines_with_overdue_stops
 
     def given(self: MachineMonitor, at_us: int) -> list[Machine]:
         cluster, silence_us = self._term.cluster, self._term.silence_us
@@ -348,7 +348,7 @@
                 cluster.release(attempt)
         return in_trouble(self, at_us)
 
-    yield patch.object(MachineMonitor, "with_overdue_stops", given)
+    yield patch.object(MachineMonitor, "machines_with_overdue_stops", given)
 
 
 def _answer_from_an_old_read() -> Iterator[Any]:
--- a/weldhead/reachability/evidence.py
+++ b/weldhead/reachability/evidence.py
@@ -55,7 +55,7 @@
     shown_token: int
     sent_token: int
     relayed: bool
-    at_us: int
+    sent_us: int
     runs: tuple[tuple[str, int], ...] = ()
     forgets: tuple[tuple[str, int], ...] = ()
 
@@ -77,7 +77,7 @@
 
 
 def detect_delivery_signal(
-    last: SentAnswer,
+    last_answer: SentAnswer,
     heartbeat: Heartbeat,
     newest_sequence: int,
     at_us: int,
@@ -91,24 +91,27 @@
     receives the answer stays with its controller, so its next message has the next number. A kill
     is no evidence, because a stopped task may keep running for a while.
     """
-    if last.shown_token < last.sent_token <= heartbeat.token:
+    if last_answer.shown_token < last_answer.sent_token <= heartbeat.token:
         return DeliverySignal.RECEIVED
-    if heartbeat.session != last.heartbeat[0]:
-        if heartbeat.token < last.shown_token or at_us > last.at_us + lease_us * 3 // 4:
+    if heartbeat.session != last_answer.heartbeat[0]:
+        if (
+            heartbeat.token < last_answer.shown_token
+            or at_us > last_answer.sent_us + lease_us * 3 // 4
+        ):
             # The worker's process lost its memory in a restart, or its lease may have expired.
             return DeliverySignal.NONE
         return DeliverySignal.SESSION_RESTARTED
-    if last.runs or last.forgets:
+    if last_answer.runs or last_answer.forgets:
         listed = {(task.task, task.attempt) for task in heartbeat.tasks}
-        if any(run in listed for run in last.runs) or any(
-            forget not in listed for forget in last.forgets
+        if any(run in listed for run in last_answer.runs) or any(
+            forget not in listed for forget in last_answer.forgets
         ):
             return DeliverySignal.RECEIVED
-    if at_us - last.at_us < MIN_ANSWER_LATENCY_US:
+    if at_us - last_answer.sent_us < MIN_ANSWER_LATENCY_US:
         return DeliverySignal.NONE
-    if last.runs or last.forgets or heartbeat.token < last.sent_token:
+    if last_answer.runs or last_answer.forgets or heartbeat.token < last_answer.sent_token:
         return DeliverySignal.COMMANDS_NOT_APPLIED
-    if relayed != last.relayed or heartbeat.sequence > newest_sequence + 1:
+    if relayed != last_answer.relayed or heartbeat.sequence > newest_sequence + 1:
         return DeliverySignal.CONTROLLER_CHANGED
     return DeliverySignal.NONE
 
@@ -129,10 +132,10 @@
     #: When the machine was classified as unreachable; 0 if it counts as reachable.
     unreachable_since_us: int = 0
     #: When the last evidence was added, and which kinds of evidence there are.
-    evidence_us: int = 0
+    last_evidence_us: int = 0
     evidence: set[DeliverySignal] = field(default_factory=set)
     #: Whether a heartbeat has arrived since the last unanswered direct request.
-    heard_since_probe: bool = True
+    heartbeat_since_probe: bool = True
     #: The earliest time of the next probe.
     next_probe_us: int = 0
 
@@ -143,7 +146,7 @@
         signal = detect_delivery_signal(
             self.last_answer, heartbeat, newest_sequence, at_us, self.lease_us, relayed=relayed
         )
-        self.heard_since_probe = True
+        self.heartbeat_since_probe = True
         if heartbeat.session != self.last_answer.heartbeat[0]:
             self.session_first_seen_us = at_us
         elif self.unreachable_since_us and signal is not DeliverySignal.RECEIVED:
@@ -166,16 +169,16 @@
             return changed
         weight = _SIGNAL_WEIGHTS.get(signal, 0)
         if signal is DeliverySignal.REQUEST_UNANSWERED:
-            if not self.heard_since_probe:
+            if not self.heartbeat_since_probe:
                 return False
-            self.heard_since_probe = False
+            self.heartbeat_since_probe = False
         if not weight:
             return False
-        if not self.unreachable_since_us and at_us - self.evidence_us > 2 * self.lease_us:
+        if not self.unreachable_since_us and at_us - self.last_evidence_us > 2 * self.lease_us:
             # Single answers are lost now and then, so old evidence expires.
             self.score = self.controller_changes = self.unanswered_requests = 0
             self.evidence.clear()
-        self.evidence_us = at_us
+        self.last_evidence_us = at_us
         self.evidence.add(signal)
         if signal is DeliverySignal.CONTROLLER_CHANGED:
             self.controller_changes += weight
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -24,9 +24,10 @@
 
     #: The attempt runs and is wanted: it continues and is counted.
     ADOPTED = "adopted"
-    #: The task completed, which is not on record yet: its completion is committed, then forgotten.
+    #: The task completed, which is not on record yet: the completion is committed before the worker
+    #: is told to forget the attempt.
     COMPLETED = "finished"
-    #: The attempt ended without completing, or its completion is on record: it is forgotten.
+    #: The attempt ended without completing, or its completion is on record: the worker forgets it.
     ENDED = "ended"
     #: The attempt's job is cancelled or being cancelled: the attempt is counted and killed.
     CANCELLED = "cancelled"
@@ -38,7 +39,7 @@
     #: Another attempt of the task is already counted: this one is killed.
     DUPLICATE = "a second attempt"
     #: The attempt takes its team over the limit: it is counted, and no task of the team starts
-    #: until enough attempts have ended. It is not stopped, because lowering a limit kills no tasks.
+    #: until enough attempts have ended. It continues, because lowering a limit kills no tasks.
     OVER_LIMIT = "over its team's limit"
     #: The machine has too little free capacity by the records: the attempt is counted and killed.
     NO_CAPACITY = "without room"
@@ -133,4 +134,5 @@
 
 
 def _nonzero_counts(counts: Counter[Kind], kinds: Iterable[Kind]) -> list[tuple[Kind, int]]:
+    """Return the non-zero counts in the order in which the kinds are declared."""
     return [(kind, counts[kind]) for kind in kinds if counts[kind]]
--- a/weldhead/reconciliation/buffered_heartbeats.py
+++ b/weldhead/reconciliation/buffered_heartbeats.py
@@ -95,4 +95,5 @@
 
 
 def _message_order(heartbeat: Heartbeat) -> tuple[int, int]:
+    """Return a sort key that grows with every message of a worker."""
     return heartbeat.session, heartbeat.sequence
--- a/weldhead/reconciliation/command_queue.py
+++ b/weldhead/reconciliation/command_queue.py
@@ -13,6 +13,7 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
 
+#: Sorts after every deadline.
 _NO_DEADLINE_US = 1 << 62
 
 
@@ -33,6 +34,7 @@
 
 
 def _attempt_position(cluster: Cluster, attempt: Attempt) -> QueuePosition:
+    """Return the priority and the deadline of the command that an attempt needs next."""
     job = attempt.job
     if attempt.stop_request is not StopRequest.NO:
         return (
--- a/weldhead/reconciliation/partial_view.py
+++ b/weldhead/reconciliation/partial_view.py
@@ -43,6 +43,7 @@
         return not self._may_run_on_unknown(job)
 
     def _may_run_on_unknown(self, job: Job) -> bool:
+        """Whether an earlier leader may have started a task of the job on an unknown machine."""
         spec = job.spec
         shape = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
         may_run = self._placement_cache.get(shape)
@@ -58,6 +59,7 @@
 
     @cached_property
     def _placement_cache(self) -> dict[tuple[object, ...], bool]:
+        """Results of ``_may_run_on_unknown`` by the job properties that they depend on."""
         return {}
 
 
--- a/weldhead/reconciliation/status_probes.py
+++ b/weldhead/reconciliation/status_probes.py
@@ -30,10 +30,12 @@
 
 @dataclass
 class _Probe:
+    """The probes of one machine."""
+
     first_sent_us: int
     last_sent_us: int
-    sent: int = 1
-    unanswered: int = 1
+    sent_count: int = 1
+    in_flight_count: int = 1
 
 
 class StatusProbes:
@@ -72,7 +74,9 @@
         if len(targets) < free_slots:
             # Machines with the fewest probes come first. Without this order, machines that are gone
             # took all free slots, and the last machines were never probed a second time.
-            due = [(probe.sent, probe.last_sent_us, name) for name, probe in self._probes.items()]
+            due = [
+                (probe.sent_count, probe.last_sent_us, name) for name, probe in self._probes.items()
+            ]
             for _, _, name in sorted(
                 entry for entry in due if self._is_due(self._probes[entry[2]], at_us)
             ):
@@ -80,18 +84,20 @@
                     break
                 probe = self._probes[name]
                 probe.last_sent_us = at_us
-                probe.sent += 1
-                probe.unanswered += 1
+                probe.sent_count += 1
+                probe.in_flight_count += 1
                 targets.append(name)
         self.in_flight += len(targets)
         self.sent += len(targets)
         return targets
 
     def _is_due(self, probe: _Probe, at_us: int) -> bool:
-        if probe.sent == 1:
+        """Whether a machine is to be probed again."""
+        if probe.sent_count == 1:
             return at_us - probe.last_sent_us >= self._settings.retry_after_us
         return (
-            probe.unanswered == 0 and at_us - probe.last_sent_us >= self._settings.retry_interval_us
+            probe.in_flight_count == 0
+            and at_us - probe.last_sent_us >= self._settings.retry_interval_us
         )
 
     def record_answer(self, name: str, at_us: int) -> None:
@@ -104,10 +110,11 @@
         self._close_probe(name)
 
     def _close_probe(self, name: str) -> None:
+        """Count a probe as no longer in flight."""
         self.in_flight -= 1
         probe = self._probes.get(name)
         if probe is not None:
-            probe.unanswered -= 1
+            probe.in_flight_count -= 1
 
     def unanswered(self, at_us: int, loop_lag_us: int) -> set[str]:
         """Return the unanswered machines; ``loop_lag_us`` is how late the event loop runs."""
@@ -119,7 +126,7 @@
         return {
             name
             for name, probe in self._probes.items()
-            if probe.sent > 1
+            if probe.sent_count > 1
             and at_us - probe.first_sent_us >= self._settings.retry_after_us + quiet_us
         }
 
