--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -19,7 +19,7 @@
 #: How long a status probe waits for its answer before the next worker is probed.
 PROBE_TIMEOUT_US = 400 * MILLISECOND_US
 
-#: How long a machine that is being sent commands occupies one of the limited slots.
+#: How long a machine may occupy one of the limited slots while commands are sent to it.
 SLOT_TIMEOUT_US = 300 * MILLISECOND_US
 
 
