--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -20,7 +20,7 @@
 from weldhead.cluster_state.records import LEADER_KEY, RENTALS, RentalRecord, divide_machines
 from weldhead.cluster_state.state_writer import StateWriter
 from weldhead.protocol.settings import Team
-from weldhead.reachability.silence import look_lost
+from weldhead.reachability.silence import are_likely_lost
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental, RentalOffer, RentalOffers
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
@@ -281,11 +281,11 @@
     )
     other_zone = create_machines("b", True, 3)
     known_machines = spot_machines + full_price_machines + other_zone
-    assert look_lost(spot_machines[:5], known_machines)
+    assert are_likely_lost(spot_machines[:5], known_machines)
     # More than a third is silent, but only spot machines; full-price ones in the zone respond.
-    assert look_lost(spot_machines[:9], known_machines)
-    assert not look_lost(spot_machines[:9] + full_price_machines[:1], known_machines)
+    assert are_likely_lost(spot_machines[:9], known_machines)
+    assert not are_likely_lost(spot_machines[:9] + full_price_machines[:1], known_machines)
     # No machine of the zone at the full price responds: the zone may be cut off.
-    assert not look_lost(spot_machines[:5] + other_zone, known_machines)
-    assert not look_lost(known_machines, known_machines)
-    assert look_lost(full_price_machines[:1], full_price_machines[:1])
+    assert not are_likely_lost(spot_machines[:5] + other_zone, known_machines)
+    assert not are_likely_lost(known_machines, known_machines)
+    assert are_likely_lost(full_price_machines[:1], full_price_machines[:1])
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -44,7 +44,10 @@
 from weldhead.protocol.peer import LeaderResigned, Pong, PromiseAnswer, PromiseRequest
 from weldhead.protocol.settings import Settings
 from weldhead.protocol.wire import Condition, MachineType, PutKey
-from weldhead.reconciliation.answer_window import answers_until_us, earliest_missed
+from weldhead.reconciliation.answer_window import (
+    earliest_missed_cancellation_us,
+    unloaded_answers_until_us,
+)
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.cloud_client import CloudClient
 from weldhead.transport.http_client import CallError, HttpClient
@@ -336,7 +339,7 @@
         """Write the leader's key; return its token, or None if this node does not hold the key."""
         workers = self.settings.facts.workers
         worker_lease_us = seconds_us(workers.lease_s)
-        missed_us = earliest_missed(
+        missed_us = earliest_missed_cancellation_us(
             attempt.sent_wall_us, worker_lease_us, attempt.unsettled_from_us
         )
         try:
@@ -383,7 +386,7 @@
             self.catalog,
             previous_leader_expired_us=expired_us,
             on_leadership_lost=self.step_down,
-            answer_unloaded_until_us=answers_until_us(
+            answer_unloaded_until_us=unloaded_answers_until_us(
                 attempt.sent_us,
                 attempt.sent_wall_us,
                 attempt.unsettled_from_us,
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -221,7 +221,7 @@
 def _late_report_applied() -> Iterator[Any]:
     """What a report lists is taken for what runs, however old it is."""
     yield patch.object(heartbeat_handler, "is_newer", lambda *_: True)
-    yield patch.object(reachability_monitor, "freshness_of", lambda *_: Freshness.FRESH)
+    yield patch.object(reachability_monitor, "classify_freshness", lambda *_: Freshness.FRESH)
 
 
 def _forgotten_too_early() -> Iterator[Any]:
@@ -319,7 +319,7 @@
 
     yield patch.object(HeartbeatHandler, "apply_buffered", take)
     # Of several the first that came stays.
-    yield patch.object(early_reports, "_order", lambda _: (0, 0))
+    yield patch.object(early_reports, "_message_order", lambda _: (0, 0))
 
 
 def _promise_to_the_replaced() -> Iterator[Any]:
@@ -338,7 +338,7 @@
 
 def _room_given_away_at_a_hung_machine() -> Iterator[Any]:
     """What was told to go, on a machine that has been silent since, is taken for gone."""
-    in_trouble = MachineMonitor.with_overdue_stops
+    in_trouble = MachineMonitor.machines_with_overdue_stops
 
     def given(self: MachineMonitor, at_us: int) -> list[Machine]:
         cluster, silence_us = self._term.cluster, self._term.silence_us
@@ -348,7 +348,7 @@
                 cluster.release(attempt)
         return in_trouble(self, at_us)
 
-    yield patch.object(MachineMonitor, "with_overdue_stops", given)
+    yield patch.object(MachineMonitor, "machines_with_overdue_stops", given)
 
 
 def _answer_from_an_old_read() -> Iterator[Any]:
