--- a/tests/calendars/test_calendars.py
+++ b/tests/calendars/test_calendars.py
@@ -42,8 +42,8 @@
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.editions import steps
 from weldhead.documents.records import HEAD_KEY, DocumentSet, state_key
-from weldhead.scheduling.forecast.deadline_lateness import DeadlineStanding, standing
-from weldhead.scheduling.forecast.job_forecasts import FAR_US, JobForecasts
+from weldhead.scheduling.forecast.deadline_lateness import DeadlineStatus, assess_deadline
+from weldhead.scheduling.forecast.job_forecasts import MAX_REFRESH_INTERVAL_US, JobForecasts
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 from weldhead.transport.http_client import CallError
@@ -456,7 +456,7 @@
     assert status is not None and status.late
     assert (
         successor.forecaster.deadline_standing(successor.cluster.jobs[fine], 0)
-        is DeadlineStanding.UNKNOWN
+        is DeadlineStatus.UNKNOWN
     )
     for _ in range(2):
         leader = terms.lead()
@@ -605,7 +605,7 @@
 
 def test_a_late_jobs_reason_is_the_true_one(terms: Terms) -> None:
     from weldhead.scheduling.forecast.completion_times import BootForecast
-    from weldhead.scheduling.forecast.deadline_lateness import reason
+    from weldhead.scheduling.forecast.deadline_lateness import explain_lateness
 
     into = cluster()
     job = add_job(into, job_spec(1, job_class="balance"))
@@ -614,33 +614,40 @@
     def why(job: Job) -> str:
         return "gate book: it is rebuilt"
 
-    assert reason(into, job, quiet, 0, why).startswith("no machine has room")
-    assert reason(into, job, boots, 0, why).startswith("a machine boots, up in 20 s")
+    assert explain_lateness(into, job, quiet, 0, why).startswith("no machine has room")
+    assert explain_lateness(into, job, boots, 0, why).startswith("a machine boots, up in 20 s")
     into.usage["red"].cpus = 100.0
-    assert reason(into, job, boots, 0, why).startswith("no room within the limit of team red")
+    assert explain_lateness(into, job, boots, 0, why).startswith(
+        "no room within the limit of team red"
+    )
     chains = DependencyGraph(into.jobs)
     follower = add_job(into, job_spec(2, needs=(job.id,)))
     chains.add(follower, (job.id,))
-    assert reason(into, follower, quiet, 0, why).startswith(
+    assert explain_lateness(into, follower, quiet, 0, why).startswith(
         "it waits for run-000001 (balance), no room"
     )
     job.blocking_gate = GateStatus()
-    assert reason(into, job, quiet, 0, why) == "held by gate book: it is rebuilt"
+    assert explain_lateness(into, job, quiet, 0, why) == "held by gate book: it is rebuilt"
     # It cannot be told when the gate opens: late when even an opening now is too late.
     job.calendar_due_us = 100 * S
-    assert standing(job, 0, has_history=True, least_us=90 * S) is DeadlineStanding.UNKNOWN
-    assert standing(job, 11 * S, has_history=True, least_us=90 * S) is DeadlineStanding.LATE
+    assert (
+        assess_deadline(job, 0, has_history=True, min_duration_us=90 * S) is DeadlineStatus.UNKNOWN
+    )
+    assert (
+        assess_deadline(job, 11 * S, has_history=True, min_duration_us=90 * S)
+        is DeadlineStatus.LATE
+    )
     job.blocking_gate, job.broken = None, True
-    assert "fail everywhere" in reason(into, job, quiet, 0, why)
+    assert "fail everywhere" in explain_lateness(into, job, quiet, 0, why)
 
 
 def test_unknown_is_not_guessed_but_past_is_past() -> None:
     into = cluster()
     job = add_job(into, job_spec(1))
     job.calendar_due_us, job.expected_finish_us = 10 * S, 5 * S
-    assert standing(job, 0, has_history=False) is DeadlineStanding.UNKNOWN
-    assert standing(job, 11 * S, has_history=False) is DeadlineStanding.LATE
-    assert standing(job, 0, has_history=True) is DeadlineStanding.ON_TRACK
+    assert assess_deadline(job, 0, has_history=False) is DeadlineStatus.UNKNOWN
+    assert assess_deadline(job, 11 * S, has_history=False) is DeadlineStatus.LATE
+    assert assess_deadline(job, 0, has_history=True) is DeadlineStatus.ON_TRACK
 
 
 def test_thousands_of_bound_jobs_cost_what_changes() -> None:
@@ -653,7 +660,7 @@
     )
     assert len(outlook.refresh(1)) == 5_000
     looks = sum(len(outlook.refresh(1 + second * S)) for second in range(1, 61))
-    assert looks <= 5_000 * 60 * S // FAR_US
+    assert looks <= 5_000 * 60 * S // MAX_REFRESH_INTERVAL_US
     into.jobs["run-000007"].notify_changed()
     assert [job.id for job in outlook.refresh(60 * S + 2)][:1] == ["run-000007"]
 
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -40,7 +40,7 @@
 from weldhead.scheduling.autoscaling.rental_offers import RentalOffers
 from weldhead.scheduling.autoscaling.scale_in import choose_scale_in_candidates
 from weldhead.scheduling.autoscaling.scale_out import plan_scale_out
-from weldhead.scheduling.forecast.completion_times import forecast_chains
+from weldhead.scheduling.forecast.completion_times import forecast_dependent_jobs
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
 from weldhead.scheduling.placement.backlog_entry import entry_of
@@ -471,9 +471,9 @@
 
 def inherit(chains: DependencyGraph, into: Cluster, jobs: list[Job], at_us: int = 0) -> None:
     def path_us(job: Job) -> int:
-        return urgency.stage_us(into, job, RunTimeEstimates(), 1.0, 0.25)
+        return urgency.estimate_stage_us(into, job, RunTimeEstimates(), 1.0, 0.25)
 
-    urgency.refresh(chains, jobs, ServiceLevelObjectives([]), path_us, at_us)
+    urgency.update_inheritance(chains, jobs, ServiceLevelObjectives([]), path_us, at_us)
 
 
 def test_a_change_costs_each_edge_once_however_many_paths_there_are() -> None:
@@ -489,7 +489,7 @@
     assert counting.looked <= edges
     assert jobs[0].effective_level == 2 and jobs[0].inherited_due_us
     counting.looked = 0
-    forecast_chains(chains, into, lambda job: S, 0)
+    forecast_dependent_jobs(chains, into, lambda job: S, 0)
     assert counting.looked == 0
     assert len(chains.mark_withdrawn(jobs[0].id)) == 199
     # Once to find them; each of the two paths into a step is looked at, no more.
@@ -537,12 +537,12 @@
     # It presses while it can still be saved; by itself it has a minute and more to spare.
     goals = ServiceLevelObjectives([])
     task_us = RunTimeEstimates().task_us(first)
-    assert goals.urgency_of(first, task_us, 10 * S, 45 * S) is Urgency.PRESSING
+    assert goals.urgency_of(first, task_us, 10 * S, 45 * S) is Urgency.URGENT
     last.cancelled = True
     chains.remove(last)
     inherit(chains, into, [middle], at_us=10 * S)
     assert (first.effective_level, first.inherited_due_us, middle.effective_level) == (1, (), 1)
-    assert goals.urgency_of(first, task_us, 10 * S, 45 * S) is Urgency.PATIENT
+    assert goals.urgency_of(first, task_us, 10 * S, 45 * S) is Urgency.DEFERRABLE
 
 
 def test_placement_and_preemptor_use_the_inherited_priority_alike() -> None:
@@ -577,7 +577,7 @@
     job = add_job(into, job_spec(1, job_class="prompt", deadline_s=500.0, estimate_s=10.0))
     goals = ServiceLevelObjectives([Objective("wait", "prompt", 0.9, 40.0)])
     job.runnable_since_us = 300 * S
-    assert goals.target_us(job, 10 * S, 300 * S) == 350 * S
+    assert goals.target_finish_us(job, 10 * S, 300 * S) == 350 * S
     assert goals.deadlines_us(job) == [500 * S]
 
 
@@ -614,10 +614,10 @@
         into, job_spec(1), job_spec(2), job_spec(3, needs=(name(1), name(2)))
     )
     first.expected_finish_us, second.expected_finish_us = 50 * S, 80 * S
-    forecast_chains(chains, into, lambda job: 7 * S, 10 * S)
+    forecast_dependent_jobs(chains, into, lambda job: 7 * S, 10 * S)
     assert (last.expected_start_us, last.expected_finish_us) == (80 * S, 87 * S)
     second.expected_finish_us = None
-    forecast_chains(chains, into, lambda job: 7 * S, 10 * S)
+    forecast_dependent_jobs(chains, into, lambda job: 7 * S, 10 * S)
     assert (last.expected_start_us, last.expected_finish_us) == (None, None)
 
 
--- a/tests/quota/test_quota_and_gpu_claims.py
+++ b/tests/quota/test_quota_and_gpu_claims.py
@@ -45,7 +45,7 @@
 from weldhead.scheduling.placement.placement_pass import plan_starts
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 from weldhead.scheduling.placement.scoring import fetch_delay_us
-from weldhead.scheduling.preemption.gpu_claims import fetch_us
+from weldhead.scheduling.preemption.gpu_claims import estimate_image_fetch_us
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.tunables.defaults import Tunables
 
@@ -459,7 +459,11 @@
     machine = next(iter(into.machines.values()))
     large = add(into, replicas(1, 1, image_gb=80.0))
     machine.record_image("weights", 80.0)
-    assert fetch_delay_us(large, FreeCapacity(machine)) == fetch_us(large.spec, machine) == 80 * S
+    assert (
+        fetch_delay_us(large, FreeCapacity(machine))
+        == estimate_image_fetch_us(large.spec, machine)
+        == 80 * S
+    )
 
 
 def test_weights_that_are_placed_side_by_side_go_to_machines_of_their_own() -> None:
--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -70,18 +70,18 @@
     into = full_fleet(100, 50)
     plan = plan_starts(into, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, preemption_pass, "victim_key", counts)
-    count_calls(monkeypatch, preemption_pass, "over_guarantee", counts)
+    count_calls(monkeypatch, preemption_pass, "victim_sort_key", counts)
+    count_calls(monkeypatch, preemption_pass, "is_over_guarantee", counts)
     found = plan_preemptions(
         into, ReclaimLists(), plan, RunTimeEstimates(), 2 * S,
-        TUNABLES.preemptor.settings(10 * S), ServiceLevelObjectives([]), most=64,
+        TUNABLES.preemptor.settings(10 * S), ServiceLevelObjectives([]), max_reclaims=64,
     )  # fmt: skip
     assert len(found) == 64
     victims = [victim for reclaim in found for victim in reclaim.victims]
     assert len({id(victim) for victim in victims}) == len(victims)
     # 400 tasks sorted once; the rest are neighbours on a victim's machine.
-    assert counts["victim_key"] <= 400 + 4 * 64
-    assert counts["over_guarantee"] <= 64 * 5 + 2 * 51
+    assert counts["victim_sort_key"] <= 400 + 4 * 64
+    assert counts["is_over_guarantee"] <= 64 * 5 + 2 * 51
 
 
 def test_what_is_being_rented_counts_when_more_is_planned() -> None:
--- a/tests/scheduling/test_cost_of_changes.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -131,18 +131,18 @@
     )
     assert len(watch.refresh(S)) == jobs + 2
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, job_forecasts, "forecast_us", counts)
-    count_calls(monkeypatch, job_forecasts.BootTracker, "_enter", counts)
+    count_calls(monkeypatch, job_forecasts, "forecast_finish_us", counts)
+    count_calls(monkeypatch, job_forecasts.BootTracker, "_update", counts)
     assert watch.refresh(2 * S) == []
     assert counts == {}
     into.jobs["run-000003"].notify_changed()
     due.notify_changed()
     assert len(watch.refresh(3 * S)) == 2
     # Only the second has a deadline; the other is forecast when somebody asks, once a second.
-    assert counts == {"forecast_us": 1}
+    assert counts == {"forecast_finish_us": 1}
     for _ in range(3):
         watch.refresh_job(into.jobs["run-000003"], 3 * S)
-    assert counts == {"forecast_us": 2}
+    assert counts == {"forecast_finish_us": 2}
     # What others take and what boots changes it as well: looked at again after a while.
     assert watch.refresh(7 * S + 1) == [due]
 
@@ -156,7 +156,7 @@
     seen: list[Job] = []
     for at_s in range(1, 5):
         seen += watch.refresh(at_s * S)
-    assert watch.cut_short == 3
+    assert watch.truncated_refreshes == 3
     assert {job.id for job in seen} >= {job.id for job in jobs}
 
 
--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -206,7 +206,7 @@
     for expected in (0, 1):
         reclaims = plan_preemptions(
             field.cluster, ReclaimLists(), plan, field.estimates, field.now, PREEMPTOR, GOALS,
-            held=held,
+            reserved_machines=held,
         )  # fmt: skip
         mine = [reclaim for reclaim in reclaims if reclaim.job_id == wide.id]
         assert len(mine) == expected
--- a/tests/support/reference_decisions.py
+++ b/tests/support/reference_decisions.py
@@ -2,7 +2,8 @@
 
 Each looks at everything there is, as the service itself did before it followed changes. They
 are kept as they were, but for the estimate by which waiting jobs are put in order
-(``RunTimeEstimates.order_us``) and a place in the order for jobs that are alike in all else.
+(``RunTimeEstimates.published_task_us``) and a place in the order for jobs that are alike in all
+else.
 """
 
 import heapq
@@ -63,11 +64,11 @@
     patience_us: int,
 ) -> tuple[int, ...]:
     """Sort waiting jobs: by need, then priority; those with time to spare by laxity alone."""
-    task_us = estimates.order_us(job)
+    task_us = estimates.published_task_us(job)
     press = goals.urgency_of(job, task_us, at_us, patience_us)
     return (
         press,
-        -job.effective_level if press is not Urgency.PATIENT else 0,
+        -job.effective_level if press is not Urgency.DEFERRABLE else 0,
         1 if job.spec.is_service else 0,
         goals.laxity_us(job, task_us, at_us),
         job.first_seen_us,
@@ -148,7 +149,7 @@
             room = [machine.cpus, machine.gpus, machine.memory_gb]
             for attempt in machine.attempts.values():
                 if attempt.stop_request is not StopRequest.NO:
-                    self._add(room, attempt.job, 1)
+                    self._add_task_resources(room, attempt.job, 1)
                     self.freed[attempt.job.team] += attempt.job.spec.cpus
             self._capacity[machine.name] = (
                 room if usable(machine, at_us, settings.silence_us) else None
@@ -159,9 +160,9 @@
                 continue
             held = self._capacity.get(entry.machine)
             if held is not None:
-                self._add(held, job, -1)
+                self._add_task_resources(held, job, -1)
             self.claimed[job.team] += job.spec.cpus
-        self._order = sorted(
+        self._victim_jobs = sorted(
             (job for job in cluster.jobs.values() if job.active),
             key=lambda job: (
                 job.effective_level,
@@ -170,9 +171,9 @@
                 -job.first_seen_us,
             ),
         )
-        self._rank = {job.id: number for number, job in enumerate(self._order)}
+        self._job_ranks = {job.id: number for number, job in enumerate(self._victim_jobs)}
 
-    def borrows(self, team: str, resource: Resource) -> bool:
+    def is_borrowing(self, team: str, resource: Resource) -> bool:
         """Whether a team runs more than it is guaranteed."""
         known, usage = self.cluster.teams.get(team), self.cluster.usage[team]
         if known is None:
@@ -182,7 +183,7 @@
             or usage.gpus > known.gpus + EPSILON
         )
 
-    def within_guarantee(self, claimant: Job) -> bool:
+    def is_within_guarantee(self, claimant: Job) -> bool:
         """Whether one more task of the job is inside its team's guarantee."""
         team, usage = self.cluster.teams.get(claimant.team), self.cluster.usage[claimant.team]
         if team is None:
@@ -192,15 +193,15 @@
             and usage.gpus + claimant.spec.gpus <= team.gpus + EPSILON
         )
 
-    def _take(
-        self, claimant: Job, machine: str, room: list[float], victims: list[Attempt]
+    def _record_reclaim(
+        self, claimant: Job, machine_name: str, capacity: list[float], victims: list[Attempt]
     ) -> Reclaim:
         for victim in victims:
             self.freed[victim.job.team] += victim.job.spec.cpus
         self.claimed[claimant.team] += claimant.spec.cpus
-        return super()._take(claimant, machine, room, victims)
+        return super()._record_reclaim(claimant, machine_name, capacity, victims)
 
-    def _machines_for(self, claimant: Job) -> list[str]:
+    def _machines_with_capacity(self, claimant: Job) -> list[str]:
         return [
             name
             for name, room in reversed(self._capacity.items())
@@ -222,13 +223,13 @@
     run = PlainPass(cluster, lists, estimates, at_us, settings)
     reclaims: list[Reclaim] = []
     for job, unplaced in plan.listed:
-        if run.urgency_of(job, goals) is Urgency.PATIENT:
-            if not run.within_guarantee(job):
+        if run.urgency_of(job, goals) is Urgency.DEFERRABLE:
+            if not run.is_within_guarantee(job):
                 continue
         for _ in range(max(0, unplaced - lists.count(job.id))):
             if len(reclaims) >= most:
                 return reclaims
-            reclaim = run.choose(job)
+            reclaim = run.plan_reclaim(job)
             if reclaim is None:
                 break
             reclaims.append(reclaim)
--- a/tests/support/towns.py
+++ b/tests/support/towns.py
@@ -17,7 +17,7 @@
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental
 from weldhead.scheduling.autoscaling.scale_out import usual_boots
 from weldhead.scheduling.autoscaling.unmet_demand import DemandForecastInput, forecast_unmet_demand
-from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us
+from weldhead.scheduling.forecast.completion_times import forecast_boots, forecast_finish_us
 from weldhead.scheduling.forecast.job_forecasts import BootTracker
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
@@ -252,11 +252,11 @@
 
     def compare_forecasts(self) -> None:
         boots = self.boots.forecast()
-        plain = boot_forecast_of(self.cluster.machines.values())
+        plain = forecast_boots(self.cluster.machines.values())
         assert boots == plain
         for job in self.cluster.jobs.values():
             left = [self.estimates.remaining_us(a, self.now) for a in job.active.values()]
             ends_us = job.expected_ends_us(self.estimates.task_us(job), self.now)
             assert ends_us == [self.now + left_us for left_us in left]
-            told = forecast_us(self.cluster, job, self.estimates, self.now, boots)
-            assert told == forecast_us(self.cluster, job, self.estimates, self.now, plain)
+            told = forecast_finish_us(self.cluster, job, self.estimates, self.now, boots)
+            assert told == forecast_finish_us(self.cluster, job, self.estimates, self.now, plain)
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -39,7 +39,7 @@
     UnmetDemand,
     forecast_unmet_demand,
 )
-from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us  # noqa: E402
+from weldhead.scheduling.forecast.completion_times import forecast_boots, forecast_finish_us  # noqa: E402
 from weldhead.scheduling.forecast.job_forecasts import JobForecasts  # noqa: E402
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates  # noqa: E402
 from weldhead.scheduling.objectives import ServiceLevelObjectives  # noqa: E402
@@ -108,8 +108,8 @@
 def plain_forecasts(into: Cluster, estimates: RunTimeEstimates, at_us: int, most: int) -> None:
     """Forecast as before: each job without a running task looks at every machine."""
     for job in list(into.jobs.values())[-most:]:
-        boots = boot_forecast_of(into.machines.values())
-        forecast_us(into, job, estimates, at_us, boots)
+        boots = forecast_boots(into.machines.values())
+        forecast_finish_us(into, job, estimates, at_us, boots)
 
 
 def touch_some(into: Cluster, share: float) -> Iterator[None]:
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -9,7 +9,7 @@
 from weldhead.controller.term import Term
 from weldhead.gates.gate_tracker import GateTracker, lent, opens_us, urgency
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
-from weldhead.scheduling.inherited_priority import MOST_BOUNDS
+from weldhead.scheduling.inherited_priority import MAX_INHERITED_DEADLINES
 
 #: Between two looks at what is expected of the acts under way.
 EXPECT_US = SECOND_US
@@ -85,7 +85,7 @@
                 ends = (*objectives.deadlines_us(job), *job.inherited_due_us)
                 path_us = self._linking.stage_us(job) if ends else 0
                 bounds.append((job.effective_level, [end_us - path_us for end_us in ends]))
-            now = lent(bounds, MOST_BOUNDS, at_us)
+            now = lent(bounds, MAX_INHERITED_DEADLINES, at_us)
             if now != before:
                 dependency_graph.gate_inheritance[act.id] = now
                 self._linking.refresh_inherited([act])
--- a/weldhead/controller/requests/job_dependencies.py
+++ b/weldhead/controller/requests/job_dependencies.py
@@ -12,7 +12,11 @@
 from weldhead.controller.term import Term
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.stop_requests import request_stop
-from weldhead.scheduling.inherited_priority import fetch_rate, refresh, stage_us
+from weldhead.scheduling.inherited_priority import (
+    estimate_stage_us,
+    max_fetch_gb_per_s,
+    update_inheritance,
+)
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import decode
 
@@ -129,7 +133,9 @@
 
     def refresh_inherited(self, jobs: Iterable[Job]) -> None:
         """Bring up to date what these jobs and those that they need inherit."""
-        refresh(self._term.dependency_graph, jobs, self._term.objectives, self.stage_us, now_us())
+        update_inheritance(
+            self._term.dependency_graph, jobs, self._term.objectives, self.stage_us, now_us()
+        )
 
     async def resolve_dependencies(self) -> None:
         """Read what became of needed jobs that were over before this term began."""
@@ -172,7 +178,7 @@
 
     def stage_us(self, job: Job) -> int:
         """Estimate a job's own part of its chain."""
-        rate = fetch_rate(self._term.rental_offers.types)
-        return stage_us(
+        rate = max_fetch_gb_per_s(self._term.rental_offers.types)
+        return estimate_stage_us(
             self._term.cluster, job, self._term.estimates, rate, self._term.tunables.chain_margin
         )
--- a/weldhead/controller/requests/job_status.py
+++ b/weldhead/controller/requests/job_status.py
@@ -9,8 +9,8 @@
 from weldhead.controller.scheduling_loop.completion_forecaster import CompletionForecaster
 from weldhead.controller.term import Term
 from weldhead.protocol.wire import JobStatus
-from weldhead.scheduling.forecast.completion_times import due_us
-from weldhead.scheduling.forecast.deadline_lateness import DeadlineStanding
+from weldhead.scheduling.forecast.completion_times import effective_due_us
+from weldhead.scheduling.forecast.deadline_lateness import DeadlineStatus
 
 if TYPE_CHECKING:
     from weldhead.controller.configuration.gate_keeper import GateKeeper
@@ -64,17 +64,17 @@
         if job.cancelled or job.expected_finish_us is None:
             return answer
         answer.forecast_s = round(to_seconds(job.expected_finish_us - job.first_seen_us), 1)
-        due = due_us(job)
+        due = effective_due_us(job)
         stands = (
             self._forecaster.deadline_standing(job, now_us())
             if job.calendar_deadline is not None
             else None
         )
-        if stands is DeadlineStanding.UNKNOWN:
+        if stands is DeadlineStatus.UNKNOWN:
             # Nothing is guessed of a job of no history.
             return answer
         if due is not None:
-            answer.late = job.expected_finish_us > due or stands is DeadlineStanding.LATE
+            answer.late = job.expected_finish_us > due or stands is DeadlineStatus.LATE
             if job.expected_finish_us > due:
                 answer.late_by_s = round(to_seconds(job.expected_finish_us - due), 1)
         return answer
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -12,8 +12,12 @@
 from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
 from weldhead.controller.term import Term
 from weldhead.scheduling.forecast import deadline_lateness as lateness
-from weldhead.scheduling.forecast.completion_times import due_us, holding_up, looks_unable
-from weldhead.scheduling.forecast.deadline_lateness import DeadlineStanding
+from weldhead.scheduling.forecast.completion_times import (
+    effective_due_us,
+    find_blocking_job,
+    is_failing_everywhere,
+)
+from weldhead.scheduling.forecast.deadline_lateness import DeadlineStatus
 from weldhead.scheduling.forecast.job_forecasts import JobForecasts
 
 log = logging.getLogger(__name__)
@@ -91,7 +95,7 @@
         """Log a job that turns late; of a chain, that whose users set the deadline."""
         if job.cancelled:
             return
-        due = due_us(job)
+        due = effective_due_us(job)
         if job.calendar_deadline is not None:
             self._report_calendar_lateness(job, at_us)
             if job.spec.deadline_s is None:
@@ -101,7 +105,9 @@
         late = due is not None and (
             at_us > due or (job.expected_finish_us is not None and job.expected_finish_us > due)
         )
-        stuck = looks_unable(job) and not job.spec.is_service and not job.unmet_dependencies
+        stuck = (
+            is_failing_everywhere(job) and not job.spec.is_service and not job.unmet_dependencies
+        )
         turned = (late or stuck) and not job.reported_late
         # Forecasts of a whole chain waver: said once.
         job.reported_late = late or stuck or (job.reported_late and bool(job.spec.needs))
@@ -110,7 +116,7 @@
         if stuck:
             log.warning("%s looks unable to finish: it fails everywhere", job.id)
         elif job.spec.deadline_s is not None:
-            stage = holding_up(self._term.cluster, job)
+            stage = find_blocking_job(self._term.cluster, job)
             finish_us = job.expected_finish_us or at_us
             log.warning(
                 "%s will be late: due in %.0f s, forecast in %.0f s; %s%s (%s) has %d of %d "
@@ -122,7 +128,7 @@
 
     # -- bound jobs ------------------------------------------------------------------------
 
-    def deadline_standing(self, job: Job, at_us: int) -> DeadlineStanding:
+    def deadline_standing(self, job: Job, at_us: int) -> DeadlineStatus:
         """Say how a bound job stands, by its latest forecast, or as it was told last.
 
         A successor of no history called those unknown that its predecessor had told late.
@@ -130,19 +136,19 @@
         # Who does not know yet what runs where would take all that runs for waiting.
         known = self._term.ready and self._term.estimates.has_observations(job)
         least_us = self._stage_us(job) if job.blocking_gate is not None else 0
-        stands = lateness.standing(job, at_us, has_history=known, least_us=least_us)
+        stands = lateness.assess_deadline(job, at_us, has_history=known, min_duration_us=least_us)
         if (
-            stands is DeadlineStanding.UNKNOWN
+            stands is DeadlineStatus.UNKNOWN
             and self.late_notices is not None
             and self.late_notices.was_notified(job)
         ):
-            return DeadlineStanding.LATE
+            return DeadlineStatus.LATE
         return stands
 
     def _report_calendar_lateness(self, job: Job, at_us: int) -> None:
         """Have it said once, by whichever term, that a bound job will be late."""
         notes, due_us = self.late_notices, job.calendar_due_us
-        if due_us is None or self.deadline_standing(job, at_us) is not DeadlineStanding.LATE:
+        if due_us is None or self.deadline_standing(job, at_us) is not DeadlineStatus.LATE:
             return
         if not self._term.ready or not self._term.valid:
             return
@@ -154,7 +160,7 @@
         if forecast_us is not None and not job.broken:
             expected = f"expected {span(max(0, forecast_us - due_us))} after that"
         boots = self._current_forecasts().boot_forecast()
-        why = lateness.reason(self._term.cluster, job, boots, at_us, self.hold_reason)
+        why = lateness.explain_lateness(self._term.cluster, job, boots, at_us, self.hold_reason)
         state = "is late" if at_us > due_us else "will be late"
         assert job.calendar_deadline is not None
         words = f"{job.id} {state}: {due_words(job.calendar_deadline)}, {expected}: {why}"
@@ -173,5 +179,7 @@
         for job in jobs:
             if job.calendar_due_us is not None and job.calendar_due_us - at_us <= SOON_US:
                 self.refresh(job)
-        found = lateness.account(((job, self.deadline_standing(job, at_us)) for job in jobs), at_us)
-        log.info("term %d: %s", self._term.token, found.line())
+        found = lateness.summarize_lateness(
+            ((job, self.deadline_standing(job, at_us)) for job in jobs), at_us
+        )
+        log.info("term %d: %s", self._term.token, found.format_line())
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -21,7 +21,11 @@
 from weldhead.scheduling.placement.placement_pass import plan_pass
 from weldhead.scheduling.placement.placement_plan import PlacementInput, PlacementPlan
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
-from weldhead.scheduling.preemption.victim_rules import PreemptorSettings, overdue, stop_for
+from weldhead.scheduling.preemption.victim_rules import (
+    PreemptorSettings,
+    choose_stop_request,
+    find_overdue_reclaims,
+)
 from weldhead.scheduling.reservations.capacity_reserver import CapacityReserver
 from weldhead.scheduling.reservations.reservations import Reservations
 from weldhead.scheduling.reservations.wide_tasks import WideTaskForecast
@@ -183,8 +187,8 @@
             at_us,
             settings,
             self._term.objectives,
-            free=current.capacity_index if current is not None else None,
-            held=current.reservations.machines if current is not None else None,
+            capacity_index=current.capacity_index if current is not None else None,
+            reserved_machines=current.reservations.machines if current is not None else None,
         )
         running = sum(len(job.active) for job in self._term.cluster.active_jobs.values())
         allowed = self._rate_limit.allowed(self._term.ready_us, running, at_us)
@@ -200,7 +204,7 @@
 
     def _escalate_overdue(self, settings: PreemptorSettings, at_us: int) -> None:
         """Kill victims that take too long, and give up requests that bring nothing."""
-        hard, expired = overdue(self.reclaims, at_us, settings)
+        hard, expired = find_overdue_reclaims(self.reclaims, at_us, settings)
         for entry in expired:
             self.reclaims.remove(entry)
         for entry in hard:
@@ -224,7 +228,7 @@
             )
             if victim.job.spec.gpus > 0:
                 self.preemption_recorder.record(victim, at_us)
-            stop = stop_for(claimant, victim.job, self._term.objectives)
+            stop = choose_stop_request(claimant, victim.job, self._term.objectives)
             self.stop(victim, stop, at_us, "room")
 
     def _trim_reclaims(self) -> None:
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -17,7 +17,7 @@
 from weldhead.failure_attribution.judgement import JobHealth
 from weldhead.reachability.silence import look_lost
 from weldhead.reconciliation.answer_window import span_us
-from weldhead.scheduling.objectives import FOR_EVER_US
+from weldhead.scheduling.objectives import FAR_FUTURE_US
 from weldhead.transport.http_client import CallError
 
 log = logging.getLogger(__name__)
@@ -149,7 +149,7 @@
             self._term.on_leadership_lost("the leader's key is not ours any more")
 
     def expired_or_silent(
-        self, at_us: int, leadership_verified_us: int = FOR_EVER_US
+        self, at_us: int, leadership_verified_us: int = FAR_FUTURE_US
     ) -> list[Machine]:
         """Return machines whose leases are over, or that are silent and look lost.
 
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -141,7 +141,7 @@
 
 def _below_a_guarantee() -> Iterator[Any]:
     """Whatever a team runs counts as borrowed."""
-    yield patch.object(preemption_pass, "over_guarantee", lambda *_: True)
+    yield patch.object(preemption_pass, "is_over_guarantee", lambda *_: True)
     yield patch.object(QuotaAccount, "may_lose_gpus", lambda *_: True)
 
 
--- a/weldhead/scheduling/__init__.py
+++ b/weldhead/scheduling/__init__.py
@@ -1,1 +1,4 @@
-"""Placing, claiming and sizing: functions of a snapshot and a time; nothing waits or sends."""
+"""Placement, preemption, reservations, forecasts and autoscaling.
+
+The modules compute decisions from the in-memory cluster state and a given time. They do no I/O.
+"""
--- a/weldhead/scheduling/autoscaling/consolidation.py
+++ b/weldhead/scheduling/autoscaling/consolidation.py
@@ -10,7 +10,7 @@
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
 from weldhead.scheduling.autoscaling.rental_offers import fill_room
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
-from weldhead.scheduling.objectives import ServiceLevelObjectives, slack_us
+from weldhead.scheduling.objectives import ServiceLevelObjectives, lateness_tolerance_us
 from weldhead.scheduling.placement.eligibility import usable
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 
@@ -99,9 +99,9 @@
         return False
     job, task_us = attempt.job, estimates.task_us(attempt.job)
     remaining_us = estimates.remaining_us(attempt, at_us)
-    bound_us = objectives.target_us(job, remaining_us, at_us)
+    bound_us = objectives.target_finish_us(job, remaining_us, at_us)
     # As late as estimates are rough, or later still.
-    return at_us + task_us + slack_us(task_us) + ANEW_US <= bound_us
+    return at_us + task_us + lateness_tolerance_us(task_us) + ANEW_US <= bound_us
 
 
 def _unloading(
--- a/weldhead/scheduling/autoscaling/unmet_demand.py
+++ b/weldhead/scheduling/autoscaling/unmet_demand.py
@@ -134,7 +134,7 @@
         given = self._given
         # Nothing can be too late for a job before it is released.
         up_us = max(given.at_us + given.boot_us, ready_us)
-        target_us = given.objectives.target_us(job, task_us, up_us)
+        target_us = given.objectives.target_finish_us(job, task_us, up_us)
         # No money brings in time what is late already; it only must not wait for ever.
         missed = up_us + task_us > target_us
         # The forecast is hopeful: it knows neither preemption nor fragmentation.
--- a/weldhead/scheduling/forecast/__init__.py
+++ b/weldhead/scheduling/forecast/__init__.py
@@ -1,1 +1,1 @@
-"""How long tasks run and when jobs finish."""
+"""Estimates of task run times and of job completion times."""
--- a/weldhead/scheduling/forecast/completion_times.py
+++ b/weldhead/scheduling/forecast/completion_times.py
@@ -1,4 +1,4 @@
-"""Forecasts: when each job will be finished, and whether that is too late."""
+"""Forecasts of when jobs finish, and when they are due."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -14,86 +14,101 @@
 
 @dataclass(frozen=True)
 class BootForecast:
-    """When the next machine comes up (None: none boots), and the longest usual boot."""
+    """When the next machine finishes booting, and how long boots take."""
 
-    next_us: int | None
-    usual_us: int
+    #: When the next booting machine is expected to be up; None if no machine is booting.
+    next_ready_us: int | None
+    #: The longest boot time of the machine types in the cluster.
+    longest_boot_us: int
 
 
-def boot_forecast_of(machines: Iterable[Machine]) -> BootForecast:
-    """Return what a forecast has to know of the machines."""
+def forecast_boots(machines: Iterable[Machine]) -> BootForecast:
+    """Compute the boot forecast from all machines of a cluster."""
     machines = list(machines)
-    boots = [m.rented_us + seconds_us(m.type.boot_s) for m in machines if m.booting]
-    usual_us = max((seconds_us(m.type.boot_s) for m in machines), default=0)
-    return BootForecast(min(boots, default=None), usual_us)
+    ready_us = [m.rented_us + seconds_us(m.type.boot_s) for m in machines if m.booting]
+    longest_boot_us = max((seconds_us(m.type.boot_s) for m in machines), default=0)
+    return BootForecast(min(ready_us, default=None), longest_boot_us)
 
 
-def looks_unable(job: Job) -> bool:
-    """Whether a job's tasks fail wherever they run, so that its end cannot be told."""
+def is_failing_everywhere(job: Job) -> bool:
+    """Return whether a job's tasks fail on every machine, so that its finish is unknown."""
     return job.broken
 
 
-def forecast_us(
+def forecast_finish_us(
     cluster: Cluster, job: Job, estimates: RunTimeEstimates, at_us: int, boots: BootForecast
 ) -> int | None:
     """Return when the job is expected to finish, on the steady clock.
 
-    None: it cannot be told (replicas never finish; a job whose tasks all fail has no end).
+    None if the finish is unknown: services never finish, a cancelled job does not complete, and
+    the tasks of a broken job fail on every machine.
     """
-    if job.spec.is_service or job.cancelled or looks_unable(job):
+    if job.spec.is_service or job.cancelled or is_failing_everywhere(job):
         return None
     task_us = estimates.task_us(job)
     waiting = job.waiting
     if not job.active:
         if waiting == 0:
             return at_us
-        # Nothing runs yet: the next machine to come up, or else one that is still to be
-        # rented, will take as many tasks as the team's limit allows at once.
-        next_us = at_us + boots.usual_us if boots.next_us is None else boots.next_us
+        # No task runs yet. The next machine to finish booting, or a machine that is still to be
+        # rented, is assumed to run as many tasks at once as the team's limit allows.
+        ready_us = (
+            at_us + boots.longest_boot_us if boots.next_ready_us is None else boots.next_ready_us
+        )
         slots = max(1, min(waiting, cluster.tasks_within_limit(job)))
-        return max(at_us, next_us) + -(-waiting // slots) * task_us
-    ends = sorted(job.expected_ends_us(task_us, at_us))
+        return max(at_us, ready_us) + -(-waiting // slots) * task_us
+    ends_us = sorted(job.expected_ends_us(task_us, at_us))
     if waiting == 0:
-        return ends[-1]
-    # The places that the job holds now take the waiting tasks one after the other.
-    waves, rest = divmod(waiting, len(ends))
-    finish_us = ends[-1] + waves * task_us
+        return ends_us[-1]
+    # The waiting tasks are assumed to run in waves, each in the place of a task that has ended.
+    waves, rest = divmod(waiting, len(ends_us))
+    finish_us = ends_us[-1] + waves * task_us
     if rest:
-        finish_us = max(finish_us, ends[rest - 1] + (waves + 1) * task_us)
+        finish_us = max(finish_us, ends_us[rest - 1] + (waves + 1) * task_us)
     return finish_us
 
 
-def forecast_chains(
+def forecast_dependent_jobs(
     dependency_graph: DependencyGraph, cluster: Cluster, stage_us: Callable[[Job], int], at_us: int
 ) -> None:
-    """Forecast the jobs that wait for others, from the forecasts of those; in place.
+    """Update the forecasts of all jobs with unmet dependencies, from those dependencies' forecasts.
 
-    Those that are needed come first, so each edge is looked at once.
+    ``stage_us`` estimates how long a job takes from its release to its end. Dependencies come
+    before their dependents, so each edge is visited once.
     """
     for job in dependency_graph.topological_order():
-        ends = [
-            cluster.jobs[n].expected_finish_us if n in cluster.jobs else None
-            for n in job.unmet_dependencies
+        ends_us = [
+            cluster.jobs[name].expected_finish_us if name in cluster.jobs else None
+            for name in job.unmet_dependencies
         ]
-        known = [end_us for end_us in ends if end_us is not None]
-        job.expected_start_us = max(at_us, *known) if len(known) == len(ends) else None
+        known_us = [end_us for end_us in ends_us if end_us is not None]
+        job.expected_start_us = max(at_us, *known_us) if len(known_us) == len(ends_us) else None
         if job.expected_start_us is None or job.spec.is_service:
             job.expected_finish_us = None
         else:
             job.expected_finish_us = job.expected_start_us + stage_us(job)
 
 
-def holding_up(cluster: Cluster, job: Job) -> Job:
-    """Return the job that makes a chain's job wait longest: one that waits for none itself."""
+def find_blocking_job(cluster: Cluster, job: Job) -> Job:
+    """Return the job without unmet dependencies that delays the given job the most.
+
+    The search follows, from dependency to dependency, the one that is expected to finish last. A
+    job without unmet dependencies is returned itself.
+    """
     while True:
-        needs = [cluster.jobs[name] for name in job.unmet_dependencies if name in cluster.jobs]
-        if not needs:
+        dependencies = [
+            cluster.jobs[name] for name in job.unmet_dependencies if name in cluster.jobs
+        ]
+        if not dependencies:
             return job
-        job = max(needs, key=lambda need: (need.expected_finish_us or math.inf, need.id))
+        job = max(
+            dependencies,
+            key=lambda dependency: (dependency.expected_finish_us or math.inf, dependency.id),
+        )
 
 
-def due_us(job: Job) -> int | None:
-    """Return when the job is due on the steady clock, for itself or for those that need it."""
+def effective_due_us(job: Job) -> int | None:
+    """Return the job's own due time, or else its first inherited one, on the steady clock."""
     own_us = job.due_us
     if own_us is not None:
         return own_us
--- a/weldhead/scheduling/inherited_priority.py
+++ b/weldhead/scheduling/inherited_priority.py
@@ -1,9 +1,9 @@
-"""What a job inherits from those that need it: their priority, and their deadline.
+"""Priority and deadlines that a job inherits from its dependents, the jobs that need its result.
 
-Users set both on the last job of a chain only. A job that others need counts with the
-highest priority among its own and theirs, and has to be done so early that the rest of the
-path can still be in time. The paper's order by priority and laxity is then applied as it
-is, by placement and preemptor alike; inherited values go with the follower that gave them.
+Users set a priority and a deadline only on the last job of a chain. A job that others depend on
+runs with the highest priority among its own and theirs, and its inherited deadlines leave enough
+time for the rest of the chain. Placement and the preemptor then apply the order by priority and
+laxity from the Natjam paper unchanged. A dependent that goes away takes its inherited values along.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -17,58 +17,63 @@
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 
-#: How many inherited bounds a job keeps.
-MOST_BOUNDS = 4
+#: A job keeps at most this many inherited deadlines.
+MAX_INHERITED_DEADLINES = 4
 
-#: What committing an end and starting what waited for it takes, generously.
-HANDOVER_US = SECOND_US
+#: Generous estimate of the time to commit a job's end and start the jobs that waited for it.
+STAGE_HANDOVER_US = SECOND_US
 
 
-def stage_us(
+def estimate_stage_us(
     cluster: Cluster, job: Job, estimates: RunTimeEstimates, fetch_gb_per_s: float, margin: float
 ) -> int:
     """Estimate how long a waiting job takes from its release to its end.
 
-    Of many tasks the last one takes longer than the mean: that is the margin.
+    ``margin`` is added as a share of the run time, because the last of many tasks takes longer
+    than the mean.
     """
     spec = job.spec
     team = cluster.teams.get(job.team)
-    at_once = tasks_that_fit(spec, team.cpus_max, team.gpus_max) if team is not None else spec.tasks
-    waves = -(-spec.tasks // max(1, at_once))
+    parallel_tasks = (
+        tasks_that_fit(spec, team.cpus_max, team.gpus_max) if team is not None else spec.tasks
+    )
+    waves = -(-spec.tasks // max(1, parallel_tasks))
     run_us = round(waves * estimates.task_us(job) * (1 + margin))
-    return HANDOVER_US + seconds_us(spec.image_gb / fetch_gb_per_s) + run_us
+    return STAGE_HANDOVER_US + seconds_us(spec.image_gb / fetch_gb_per_s) + run_us
 
 
-def fetch_rate(types: Sequence[MachineType]) -> float:
-    """Return how many GB a second most images arrive at."""
+def max_fetch_gb_per_s(types: Sequence[MachineType]) -> float:
+    """Return the highest image fetch rate of the machine types; 1 GB/s if none states a rate."""
     return max((t.fetch_gb_per_s for t in types if t.fetch_gb_per_s > 0), default=1.0)
 
 
-def refresh(
+def update_inheritance(
     dependency_graph: DependencyGraph,
     jobs: Iterable[Job],
     objectives: ServiceLevelObjectives,
     path_us: Callable[[Job], int],
     at_us: int,
 ) -> None:
-    """Bring up to date what these jobs and those that they need inherit.
+    """Update the inherited values of the given jobs and of all jobs that they depend on.
 
-    ``path_us`` estimates how long a job takes from its release to its end. Followers come
-    first, so each edge upstream of the change is looked at once.
+    ``path_us`` estimates how long a job takes from its release to its end. Dependents are updated
+    before the jobs that they depend on, so each edge upstream of the change is visited once.
     """
     paths_us: dict[str, int] = {}
     for job in dependency_graph.upstream(jobs):
-        lent_level, lent_us = dependency_graph.gate_inheritance.get(job.id, (0, ()))
-        level = max(job.spec.level, lent_level)
-        bounds = set(lent_us)
-        for follower in dependency_graph.dependents(job.id):
-            level = max(level, follower.effective_level)
-            ends = (*objectives.deadlines_us(follower), *follower.inherited_due_us)
-            if ends:
-                if follower.id not in paths_us:
-                    paths_us[follower.id] = path_us(follower)
-                bounds.update(end_us - paths_us[follower.id] for end_us in ends)
+        gate_level, gate_due_us = dependency_graph.gate_inheritance.get(job.id, (0, ()))
+        level = max(job.spec.level, gate_level)
+        deadlines_us = set(gate_due_us)
+        for dependent in dependency_graph.dependents(job.id):
+            level = max(level, dependent.effective_level)
+            ends_us = (*objectives.deadlines_us(dependent), *dependent.inherited_due_us)
+            if ends_us:
+                if dependent.id not in paths_us:
+                    paths_us[dependent.id] = path_us(dependent)
+                deadlines_us.update(end_us - paths_us[dependent.id] for end_us in ends_us)
         job.effective_level = level
-        # Those that can still be kept; of bounds that are all missed the last one.
-        kept = sorted(bound for bound in bounds if bound > at_us) or sorted(bounds)[-1:]
-        job.inherited_due_us = tuple(kept[:MOST_BOUNDS])
+        # Deadlines that can still be met are kept. If all have passed, the latest one is kept.
+        kept_us = (
+            sorted(due_us for due_us in deadlines_us if due_us > at_us) or sorted(deadlines_us)[-1:]
+        )
+        job.inherited_due_us = tuple(kept_us[:MAX_INHERITED_DEADLINES])
--- a/weldhead/scheduling/placement/backlog.py
+++ b/weldhead/scheduling/placement/backlog.py
@@ -14,7 +14,7 @@
 from weldhead.cluster_state.deadline_heap import DeadlineHeap
 from weldhead.cluster_state.jobs import Job
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
-from weldhead.scheduling.objectives import FOR_EVER_US, ServiceLevelObjectives
+from weldhead.scheduling.objectives import FAR_FUTURE_US, ServiceLevelObjectives
 from weldhead.scheduling.placement.backlog_entry import BacklogEntry, JobKind, entry_of
 
 #: How many jobs of a class whose estimate has changed are put in place anew in one look.
@@ -111,7 +111,7 @@
         insort(self.queues.setdefault(kind, []), entry)
         self._positions[job.id] = kind, entry
         self._classes.setdefault(job.spec.job_class, {})[job.id] = job
-        if until_us < FOR_EVER_US:
+        if until_us < FAR_FUTURE_US:
             self._timers.set(job.id, job.serial, until_us)
 
     def inconsistent_jobs(self) -> list[str]:
--- a/weldhead/scheduling/placement/backlog_entry.py
+++ b/weldhead/scheduling/placement/backlog_entry.py
@@ -69,11 +69,11 @@
     patience_us: int,
 ) -> tuple[BacklogEntry, int]:
     """Return a job's place in the order, and until when it is that."""
-    task_us = estimates.order_us(job)
+    task_us = estimates.published_task_us(job)
     press, start_us, until_us = objectives.urgency_window(job, task_us, at_us, patience_us)
     return BacklogEntry(
         int(press),
-        -job.effective_level if press is not Urgency.PATIENT else 0,
+        -job.effective_level if press is not Urgency.DEFERRABLE else 0,
         1 if job.spec.is_service else 0,
         start_us,
         job.first_seen_us,
--- a/weldhead/scheduling/preemption/__init__.py
+++ b/weldhead/scheduling/preemption/__init__.py
@@ -1,1 +1,1 @@
-"""Whose tasks give way to whose."""
+"""Decides which running tasks are preempted to make room for waiting tasks."""
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -1,15 +1,16 @@
-"""Victims for a task that takes GPUs.
-
-Natjam's Most Resources, in the resource that is short: within the lowest level that has
-something to give, first the job that holds the most GPUs. Then the task: nearest its end
-where it checkpoints, else the one that has run least. Before both, among several choices:
-machines whose cache holds the claimant's weights. A GPU that waits for weights is as idle as a
-free one, and they take longer to fetch than most victims to save; images that take less than a
-step of FETCH_STEP_US make no difference.
-
-Victims are chosen as sets on one machine: a task of several GPUs fits nowhere else. A team never
-loses GPUs that it is guaranteed, and a task that was preempted of late is protected for a while
-(``cluster_state/preemption_history.py``).
+"""Victim selection for tasks that need GPUs.
+
+The selection follows Natjam's Most Resources rule, applied to GPUs. Victims come from the lowest
+priority level that has tasks to preempt, and within that level first from the job that holds the
+most GPUs. Within a job that checkpoints, the task nearest its end is preempted first; within other
+jobs, the task that has run least. Between the priority level and the GPU count, the selection
+prefers machines whose cache holds the claimant's image: a GPU that waits for model weights is as
+idle as a free GPU, and most victims save their state faster than the weights are fetched.
+Differences in fetch time below one step of ``FETCH_STEP_US`` are ignored.
+
+Victims are chosen as sets on one machine, because a task that needs several GPUs needs them on the
+same machine. A team never loses GPUs that its quota guarantees, and a recently preempted task is
+protected for a while (``cluster_state/preemption_history.py``).
 """
 
 from collections.abc import Iterable
@@ -24,36 +25,38 @@
 from weldhead.quota.amounts import required_units
 from weldhead.quota.teams import QuotaAccount
 
-#: Machines on which the claimant's image takes about as long to fetch are equals.
+#: Fetch times of an image are compared in whole steps of this length.
 FETCH_STEP_US = 5 * SECOND_US
 
 
-#: By what sets are compared, the least stops first: the first fields of ``VictimSet``.
-Order = tuple[int, bool, int, int, int, int]
+#: The sort key of a victim set: the fields of ``VictimSet`` before ``machine``.
+VictimSetKey = tuple[int, bool, int, int, int, int]
 
 
 class VictimSet(NamedTuple):
-    """A set of victims on one machine; compared by the first fields, the least stops first."""
+    """A set of victims on one machine; the set with the smallest sort key is preempted first."""
 
+    #: Highest priority level among the victims.
     level: int
-    service: bool
-    #: How many steps the claimant's image takes to fetch.
-    fetch: int
-    #: Place of the job that holds the fewest cards of those in the set.
-    rank: int
+    #: Whether any victim belongs to a service.
+    has_service: bool
+    #: Time to fetch the claimant's image on this machine, in steps of ``FETCH_STEP_US``.
+    fetch_steps: int
+    #: Highest rank among the victims' jobs; within a level, the job with most GPUs ranks lowest.
+    job_rank: int
     cost_us: int
-    serial: int
+    machine_serial: int
     machine: Machine
     attempts: list[Attempt]
 
     @property
-    def order(self) -> Order:
-        """By what sets are compared."""
+    def sort_key(self) -> VictimSetKey:
+        """Return the fields by which victim sets are compared."""
         return self[:6]
 
 
-def fetch_us(spec: JobSpec, machine: Machine) -> int:
-    """How long an image takes to arrive on a machine that fetches nothing else."""
+def estimate_image_fetch_us(spec: JobSpec, machine: Machine) -> int:
+    """Estimate how long a machine that fetches nothing else takes to fetch a job's image."""
     if spec.image_gb <= 0:
         return 0
     if spec.image in machine.images and spec.image_gb <= machine.type.cache_gb:
@@ -61,116 +64,122 @@
     return seconds_us(spec.image_gb / (machine.type.fetch_gb_per_s or 1.0))
 
 
-class PassRules(Protocol):
-    """What GPU claims ask of the preemption pass that they belong to."""
+class PreemptionRules(Protocol):
+    """The state and rules of a preemption pass that the GPU victim selection uses."""
 
     cluster: Cluster
     quota_account: QuotaAccount
 
-    def capacity(self, name: str) -> list[float] | None:
-        """Return what is free or being freed on a machine; None: nothing may be put there."""
+    def available_capacity(self, machine_name: str) -> list[float] | None:
+        """Return the capacity that is free or being freed; None if no task may be placed."""
 
-    def may_be_on(self, claimant: Job, machine: Machine) -> bool:
-        """Whether a task of the claimant may be on a machine."""
+    def can_run_on(self, claimant: Job, machine: Machine) -> bool:
+        """Return whether a task of the claimant may run on a machine."""
 
-    def may_stop(self, claimant: Job, victim: Attempt, guaranteed: bool) -> bool:
-        """Whether the rules let the claimant stop this task."""
+    def can_preempt(self, claimant: Job, victim: Attempt, within_guarantee: bool) -> bool:
+        """Return whether the rules let the claimant preempt this task."""
 
-    def key_of(self, attempt: Attempt) -> tuple[int, ...]:
-        """Sort the tasks of a job, the first one stops first."""
+    def victim_sort_key(self, attempt: Attempt) -> tuple[int, ...]:
+        """Return the sort key that orders the tasks of a job, first victim first."""
 
 
-class GpuClaims:
-    """Claims on cards within one pass.
+class GpuVictimSelector:
+    """Selects victims for GPU tasks within one preemption pass.
 
-    Each kind of claimant keeps the machines in order of what it would stop there: at first of
-    the least that it could be, so that only those are looked at closely whose turn comes. As
-    in a pass less and less may be stopped, an order that still holds then is the right one;
-    otherwise the machine is put in its place anew.
+    For each kind of claimant, the machines are kept in a heap that is keyed by a lower bound of
+    the cheapest victim set on the machine. The exact set is computed only for the machine at the
+    top of the heap. The number of tasks that may be preempted only shrinks during a pass, so a key
+    never has to move up: a set that still matches its key is the best one, and a machine whose set
+    has become more expensive gets a new position in the heap.
     """
 
-    def __init__(self, run: PassRules) -> None:
-        self._run = run
-        holders = sorted(run.cluster.active_jobs.values(), key=gpu_holder_key)
-        self._rank = {job.id: number for number, job in enumerate(holders)}
-        #: The lowest level and the first place of a job on each machine that has cards.
-        self._least: dict[str, tuple[int, int]] = {}
-        for machine in run.cluster.machines.values():
+    def __init__(self, rules: PreemptionRules) -> None:
+        self._rules = rules
+        holders = sorted(rules.cluster.active_jobs.values(), key=gpu_job_sort_key)
+        self._job_ranks = {job.id: rank for rank, job in enumerate(holders)}
+        #: Lowest priority level and lowest job rank on each machine that has GPUs.
+        self._lower_bounds: dict[str, tuple[int, int]] = {}
+        for machine in rules.cluster.machines.values():
             if machine.type.gpus > 0 and machine.attempts:
                 jobs = [attempt.job for attempt in machine.attempts.values()]
-                least = (
+                lower_bound = (
                     min(job.effective_level for job in jobs),
-                    min(self._rank[job.id] for job in jobs),
+                    min(self._job_ranks[job.id] for job in jobs),
                 )
-                self._least[machine.name] = least
-        self._kinds: dict[tuple[object, ...], list[tuple[Order, Machine]]] = {}
+                self._lower_bounds[machine.name] = lower_bound
+        self._heaps_by_kind: dict[tuple[object, ...], list[tuple[VictimSetKey, Machine]]] = {}
 
-    def choose(self, claimant: Job, kind: tuple[object, ...], guaranteed: bool) -> VictimSet | None:
-        """Return whom to stop for one task of the claimant; None: nobody may be stopped."""
+    def select_victims(
+        self, claimant: Job, kind: tuple[object, ...], within_guarantee: bool
+    ) -> VictimSet | None:
+        """Return the victims for one task of the claimant; None if no set may be preempted."""
         kind = (*kind, claimant.spec.image)
-        heap = self._kinds.get(kind)
+        heap = self._heaps_by_kind.get(kind)
         if heap is None:
-            heap = self._kinds[kind] = []
-            for name, (level, rank) in self._least.items():
-                machine = self._run.cluster.machines[name]
-                step = fetch_us(claimant.spec, machine) // FETCH_STEP_US
-                heap.append(((level, False, step, rank, 0, machine.serial), machine))
+            heap = self._heaps_by_kind[kind] = []
+            for name, (level, job_rank) in self._lower_bounds.items():
+                machine = self._rules.cluster.machines[name]
+                fetch_steps = estimate_image_fetch_us(claimant.spec, machine) // FETCH_STEP_US
+                heap.append(((level, False, fetch_steps, job_rank, 0, machine.serial), machine))
             heapify(heap)
         while heap:
-            order, machine = heap[0]
-            now = self._on(claimant, machine, guaranteed)
-            if now is None:
+            bound, machine = heap[0]
+            victim_set = self._find_victim_set(claimant, machine, within_guarantee)
+            if victim_set is None:
                 heappop(heap)
-            elif now.order <= order:
-                # Looked at again when it is asked next: what is left there is another set.
-                return now
+            elif victim_set.sort_key <= bound:
+                # The next call computes this machine's set again: these victims are gone by then.
+                return victim_set
             else:
-                heapreplace(heap, (now.order, machine))
+                heapreplace(heap, (victim_set.sort_key, machine))
         return None
 
-    def _on(self, claimant: Job, machine: Machine, guaranteed: bool) -> VictimSet | None:
-        """Return the least set on a machine that makes room for one task, if there is any."""
-        run, spec = self._run, claimant.spec
-        if not machine.type.fits(spec) or not run.may_be_on(claimant, machine):
+    def _find_victim_set(
+        self, claimant: Job, machine: Machine, within_guarantee: bool
+    ) -> VictimSet | None:
+        """Return a minimal set of victims that makes room for one task on a machine."""
+        rules, spec = self._rules, claimant.spec
+        if not machine.type.fits(spec) or not rules.can_run_on(claimant, machine):
             return None
-        room = run.capacity(machine.name)
-        if room is None:
+        capacity = rules.available_capacity(machine.name)
+        if capacity is None:
             return None
-        short = [spec.cpus - room[0], spec.gpus - room[1], spec.memory_gb - room[2]]
-        may: list[tuple[tuple[int, ...], Attempt]] = []
+        shortage = [spec.cpus - capacity[0], spec.gpus - capacity[1], spec.memory_gb - capacity[2]]
+        candidates: list[tuple[tuple[int, ...], Attempt]] = []
         for attempt in machine.attempts.values():
-            if run.may_stop(claimant, attempt, guaranteed):
+            if rules.can_preempt(claimant, attempt, within_guarantee):
                 job = attempt.job
                 key = (
                     job.effective_level,
                     job.spec.is_service,
-                    self._rank[job.id],
-                    *run.key_of(attempt),
+                    self._job_ranks[job.id],
+                    *rules.victim_sort_key(attempt),
                 )
-                may.append((key, attempt))
-        may.sort(key=lambda item: item[0])
+                candidates.append((key, attempt))
+        candidates.sort(key=lambda item: item[0])
         chosen: list[tuple[tuple[int, ...], Attempt]] = []
-        lost: dict[str, int] = {}
-        # Cards first; only then what is missing besides, of those who hold no cards if it can be.
-        for gpus, only_cards in ((True, True), (False, False), (True, False)):
-            for key, attempt in may:
-                if not _missing(short, only_cards=only_cards):
+        lost_units_by_team: dict[str, int] = {}
+        # The missing GPUs are taken first. Missing CPUs and memory are then taken from tasks
+        # without GPUs, and from further GPU tasks only if that is not enough.
+        for takes_gpus, gpus_only in ((True, True), (False, False), (True, False)):
+            for key, attempt in candidates:
+                if not _is_short(shortage, gpus_only=gpus_only):
                     break
-                if (attempt.job.spec.gpus > 0) is not gpus:
+                if (attempt.job.spec.gpus > 0) is not takes_gpus:
                     continue
                 if any(attempt is other for _, other in chosen):
                     continue
-                if gpus and not self._may_lose(claimant, attempt, lost):
+                if takes_gpus and not self._can_lose_gpus(claimant, attempt, lost_units_by_team):
                     continue
                 chosen.append((key, attempt))
-                _add(short, attempt.job, -1)
-        if _missing(short) or not chosen:
+                _adjust_shortage(shortage, attempt.job, -1)
+        if _is_short(shortage) or not chosen:
             return None
-        # Whoever turns out not to be needed stays, the most protected first.
+        # Victims that later choices made unnecessary are removed, the most protected ones first.
         for item in sorted(chosen, key=lambda item: item[0], reverse=True):
-            _add(short, item[1].job, 1)
-            if _missing(short):
-                _add(short, item[1].job, -1)
+            _adjust_shortage(shortage, item[1].job, 1)
+            if _is_short(shortage):
+                _adjust_shortage(shortage, item[1].job, -1)
             else:
                 chosen.remove(item)
         if not chosen:
@@ -178,22 +187,29 @@
         cost_us = sum(key[-1] for key, _ in chosen)
         return VictimSet(
             max(key[0] for key, _ in chosen), any(key[1] for key, _ in chosen),
-            fetch_us(spec, machine) // FETCH_STEP_US, max(key[2] for key, _ in chosen), cost_us,
+            estimate_image_fetch_us(spec, machine) // FETCH_STEP_US,
+            max(key[2] for key, _ in chosen), cost_us,
             machine.serial, machine, [attempt for _, attempt in chosen],
         )  # fmt: skip
 
-    def _may_lose(self, claimant: Job, attempt: Attempt, lost: dict[str, int]) -> bool:
-        """Whether the victim's team keeps what it is guaranteed, with what the set takes of it."""
+    def _can_lose_gpus(
+        self, claimant: Job, attempt: Attempt, lost_units_by_team: dict[str, int]
+    ) -> bool:
+        """Return whether the victim's team keeps its GPU guarantee without this task's GPUs.
+
+        ``lost_units_by_team`` holds what the victim set takes from each team; if the task may be
+        preempted, its GPUs are added there.
+        """
         team = attempt.job.team
-        units = lost.get(team, 0) + required_units(attempt.job.spec.gpus)
-        if team != claimant.team and not self._run.quota_account.may_lose_gpus(team, units):
+        units = lost_units_by_team.get(team, 0) + required_units(attempt.job.spec.gpus)
+        if team != claimant.team and not self._rules.quota_account.may_lose_gpus(team, units):
             return False
-        lost[team] = units
+        lost_units_by_team[team] = units
         return True
 
 
-def gpu_holder_key(job: Job) -> tuple[float, ...]:
-    """Sort the jobs that hold room: in each level first the one that holds the most cards."""
+def gpu_job_sort_key(job: Job) -> tuple[float, ...]:
+    """Return the sort key that orders jobs by level, then the most GPUs held first."""
     return (
         job.effective_level,
         job.spec.is_service,
@@ -203,14 +219,16 @@
     )
 
 
-def _missing(short: Iterable[float], *, only_cards: bool = False) -> bool:
-    cpus, gpus, memory_gb = short
-    if only_cards:
+def _is_short(shortage: Iterable[float], *, gpus_only: bool = False) -> bool:
+    """Return whether any resource is still missing, or any GPU if only GPUs count."""
+    cpus, gpus, memory_gb = shortage
+    if gpus_only:
         return gpus > EPSILON
     return cpus > EPSILON or gpus > EPSILON or memory_gb > EPSILON
 
 
-def _add(short: list[float], job: Job, sign: int) -> None:
-    short[0] += sign * job.spec.cpus
-    short[1] += sign * job.spec.gpus
-    short[2] += sign * job.spec.memory_gb
+def _adjust_shortage(shortage: list[float], job: Job, sign: int) -> None:
+    """Add the resources of one task to the shortage, or subtract them if ``sign`` is -1."""
+    shortage[0] += sign * job.spec.cpus
+    shortage[1] += sign * job.spec.gpus
+    shortage[2] += sign * job.spec.memory_gb
--- a/weldhead/scheduling/preemption/preemption_pass.py
+++ b/weldhead/scheduling/preemption/preemption_pass.py
@@ -1,15 +1,16 @@
-"""One preemption pass: Natjam's victim rules.
-
-While no machine has room for a waiting task, one pass asks for room on behalf of jobs whose
-waiting tasks outnumber their reclaim entries. The victim is a task of the job that holds
-the most room (Most Resources) within the lowest priority level that still holds room;
-of a job that checkpoints the task nearest its end (Shortest Remaining Time), of others the
-one that has run least. Services come last within their level.
-
-Beyond the paper: work that a team borrowed, whatever its priority, yields to work inside
-another team's guarantee, and nobody's guaranteed work yields to another team's borrowing.
-Both are judged in the resource that is claimed (``quota/``); whoever claims GPUs has
-victims of its own (``gpu_claims.py``), and no team loses GPUs that it is guaranteed.
+"""One preemption pass, by Natjam's victim rules.
+
+When a waiting task fits on no machine, a pass requests capacity on behalf of its job, as long as
+the job has more unplaced tasks than open reclaim requests. The victim is a task of the job that
+holds the most resources (Most Resources) within the lowest priority level that holds any. Of a job
+that checkpoints, the task nearest its end is preempted (Shortest Remaining Time); of other jobs,
+the task that has run least. Services are preempted last within their level.
+
+Two rules go beyond the paper. Work that a team runs on borrowed capacity yields to work inside
+another team's guarantee, whatever the priorities. Work inside a team's guarantee never yields to
+another team's borrowing. Both rules consider the resource that the claimant needs (``quota/``).
+Victims for GPU tasks are selected separately (``scheduling/preemption/gpu_claims.py``), and no
+team loses GPUs that its quota guarantees.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,31 +27,32 @@
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
 from weldhead.scheduling.placement.eligibility import usable
 from weldhead.scheduling.placement.gpu_reservation import GpuReservation
-from weldhead.scheduling.preemption.gpu_claims import GpuClaims
+from weldhead.scheduling.preemption.gpu_claims import GpuVictimSelector
 from weldhead.scheduling.preemption.victim_rules import (
     PreemptorSettings,
-    just_begun,
-    over_guarantee,
-    victim_key,
+    is_over_guarantee,
+    is_protected_first_task,
+    victim_sort_key,
 )
 
 
-class _ClaimProgress:
-    """How far the claimants of one kind have looked in this pass.
+class _SearchProgress:
+    """The position that the claimants of one kind have reached in their search for capacity.
 
-    Within a pass room for a claimant only shrinks (but where victims leave more than was
-    asked for), and whoever may not be stopped now may not be stopped later either. So
-    nothing is looked at twice: without this, a full fleet was searched anew for each task.
+    Within a pass the capacity for a kind of claimant only shrinks, except where victims free more
+    than was claimed, and a task that may not be preempted now may not be preempted later either.
+    So each machine and each task is considered once per kind. Without this, each unplaced task
+    searched the whole cluster again.
     """
 
-    __slots__ = ("attempt", "job", "machines")
+    __slots__ = ("job_position", "machine_names", "task_position")
 
-    def __init__(self, rooms: list[str]) -> None:
-        #: Machines that may have room, the next one last.
-        self.machines = rooms
-        #: Position in the order of victims: job, and attempt within it.
-        self.job = 0
-        self.attempt = 0
+    def __init__(self, machine_names: list[str]) -> None:
+        #: Machines that may have enough capacity; the next one to try is at the end.
+        self.machine_names = machine_names
+        #: Position in the victim order: the job, and the task within the job.
+        self.job_position = 0
+        self.task_position = 0
 
 
 class PreemptionPass:
@@ -63,167 +65,175 @@
         estimates: RunTimeEstimates,
         at_us: int,
         settings: PreemptorSettings,
-        free: CapacityIndex,
+        capacity_index: CapacityIndex,
         *,
-        kept: GpuReservation | None = None,
-        held: Mapping[str, str] | None = None,
+        gpu_reservation: GpuReservation | None = None,
+        reserved_machines: Mapping[str, str] | None = None,
     ) -> None:
-        #: Machines that are held, and the job that each is held for.
-        self.reserved = held or {}
+        #: The job that each reserved machine is reserved for, by machine name.
+        self.reserved_machines = reserved_machines or {}
         self.cluster = cluster
-        #: Work with cards waits, and some other work gets no room beside cards.
-        self._gpu_reservation = kept
+        #: Set while GPU tasks wait: excludes some other tasks from machines that have GPUs.
+        self._gpu_reservation = gpu_reservation
         self.estimates = estimates
         self.at_us = at_us
         self._settings = settings
-        self._index = free
-        self.victims: set[int] = set()
-        #: Capacity that is free or being freed on a machine, less what is promised already; as
-        #: far as it has been looked at. None: the machine takes no new work.
+        self._capacity_index = capacity_index
+        #: Python object ids of the attempts that this pass preempts.
+        self.victim_ids: set[int] = set()
+        #: Cached capacity of the machines considered so far: free or being freed, less what is
+        #: claimed for other tasks. None: the machine takes no new tasks.
         self._capacity: dict[str, list[float] | None] = {}
-        #: How that differs from what is free, where it does.
+        #: What stopping tasks and open requests add to a machine's free capacity.
         self._capacity_delta: dict[str, list[float]] = {}
         self.quota_account = QuotaAccount(cluster.teams, cluster.usage)
         self._preemption_history = lists.preemption_history
         for attempt in cluster.stopping.values():
-            self._move(attempt.machine, attempt.job, 1)
+            self._add_capacity_delta(attempt.machine, attempt.job, 1)
             self.quota_account.record_freed(attempt.job.team, attempt.job.spec)
         for entry in lists.entries():
             job = cluster.jobs.get(entry.job_id)
             if job is None:
                 continue
-            self._move(entry.machine, job, -1)
+            self._add_capacity_delta(entry.machine, job, -1)
             self.quota_account.record_claim(job.team, job.spec)
-        self._gpu_claims: GpuClaims | None = None
-        self._order: list[Job] | None = None
-        self._rank: dict[str, int] = {}
+        self._gpu_victim_selector: GpuVictimSelector | None = None
+        self._victim_jobs: list[Job] | None = None
+        self._job_ranks: dict[str, int] = {}
         self._levels_and_teams: set[tuple[int, str]] | None = None
-        self._attempts: dict[str, list[Attempt]] = {}
-        self._progress: dict[tuple[object, ...], _ClaimProgress] = {}
-        #: Capacity beyond what was asked for has appeared: claimants that found none look again.
-        self.capacity_reopened = False
-
-    def _move(self, machine: str, job: Job, sign: int) -> None:
-        self._add(self._capacity_delta.setdefault(machine, [0.0, 0.0, 0.0]), job, sign)
-
-    def capacity(self, name: str) -> list[float] | None:
-        """Return what is free or being freed on a machine; None: nothing may be put there."""
-        if name in self._capacity:
-            return self._capacity[name]
-        machine = self.cluster.machines.get(name)
-        found: list[float] | None = None
+        self._victim_tasks: dict[str, list[Attempt]] = {}
+        self._progress_by_kind: dict[tuple[object, ...], _SearchProgress] = {}
+        #: Set when victims free more than was claimed, so claimants that found no capacity in
+        #: this pass may find some now. The caller resets it.
+        self.has_freed_surplus = False
+
+    def _add_capacity_delta(self, machine_name: str, job: Job, sign: int) -> None:
+        self._add_task_resources(
+            self._capacity_delta.setdefault(machine_name, [0.0, 0.0, 0.0]), job, sign
+        )
+
+    def available_capacity(self, machine_name: str) -> list[float] | None:
+        """Return the capacity that is free or being freed; None if no task may be placed."""
+        if machine_name in self._capacity:
+            return self._capacity[machine_name]
+        machine = self.cluster.machines.get(machine_name)
+        capacity: list[float] | None = None
         if machine is not None and usable(machine, self.at_us, self._settings.silence_us):
-            found = [machine.cpus, machine.gpus, machine.memory_gb]
-            for number, amount in enumerate(self._capacity_delta.get(name, ())):
-                found[number] += amount
-        self._capacity[name] = found
-        return found
+            capacity = [machine.cpus, machine.gpus, machine.memory_gb]
+            for number, amount in enumerate(self._capacity_delta.get(machine_name, ())):
+                capacity[number] += amount
+        self._capacity[machine_name] = capacity
+        return capacity
 
     @property
-    def order(self) -> list[Job]:
-        """Jobs that hold room: the lowest level first, in it the one that holds most."""
-        if self._order is None:
-            self._order = sorted(
+    def victim_jobs(self) -> list[Job]:
+        """Jobs with active tasks by preemption order: lowest level first, then most CPUs held."""
+        if self._victim_jobs is None:
+            self._victim_jobs = sorted(
                 self.cluster.active_jobs.values(),
                 key=lambda job: (
                     job.effective_level,
                     job.spec.is_service,
-                    # Its cards would lie idle for want of the CPUs.
+                    # Preempting a GPU task for its CPUs would leave its GPUs idle.
                     job.spec.gpus > 0,
                     -len(job.active) * job.spec.cpus,
                     -job.first_seen_us,
                     job.serial,
                 ),
             )
-            self._rank = {job.id: number for number, job in enumerate(self._order)}
-        return self._order
+            self._job_ranks = {job.id: rank for rank, job in enumerate(self._victim_jobs)}
+        return self._victim_jobs
 
-    def has_no_victims(self, claimant: Job, guaranteed: bool) -> bool:
-        """Whether no job that holds room is one that the claimant may stop tasks of."""
+    def has_no_victims(self, claimant: Job, within_guarantee: bool) -> bool:
+        """Return whether the claimant may preempt tasks of no job at all."""
         if self._levels_and_teams is None:
             self._levels_and_teams = {
                 (job.effective_level, job.team) for job in self.cluster.active_jobs.values()
             }
         return not any(
-            self.may_stop_work(claimant, level, team, guaranteed)
+            self.can_preempt_work(claimant, level, team, within_guarantee)
             for level, team in self._levels_and_teams
         )
 
     @staticmethod
-    def _add(room: list[float], job: Job, sign: int) -> None:
-        room[0] += sign * job.spec.cpus
-        room[1] += sign * job.spec.gpus
-        room[2] += sign * job.spec.memory_gb
+    def _add_task_resources(capacity: list[float], job: Job, sign: int) -> None:
+        """Add the resources of one task to a capacity, or subtract them if ``sign`` is -1."""
+        capacity[0] += sign * job.spec.cpus
+        capacity[1] += sign * job.spec.gpus
+        capacity[2] += sign * job.spec.memory_gb
 
     @staticmethod
-    def _fits(room: list[float], job: Job) -> bool:
+    def _fits(capacity: list[float], job: Job) -> bool:
+        """Return whether one task of a job fits into a capacity."""
         return (
-            room[0] + EPSILON >= job.spec.cpus
-            and room[1] + EPSILON >= job.spec.gpus
-            and room[2] + EPSILON >= job.spec.memory_gb
+            capacity[0] + EPSILON >= job.spec.cpus
+            and capacity[1] + EPSILON >= job.spec.gpus
+            and capacity[2] + EPSILON >= job.spec.memory_gb
         )
 
-    def victims_of(self, job: Job) -> list[Attempt]:
-        """Return a job's tasks, the first one stops first."""
-        attempts = self._attempts.get(job.id)
+    def victim_tasks_of(self, job: Job) -> list[Attempt]:
+        """Return the active tasks of a job, first victim first."""
+        attempts = self._victim_tasks.get(job.id)
         if attempts is None:
             attempts = sorted(
-                job.active.values(), key=lambda a: victim_key(a, self.estimates, self.at_us)
+                job.active.values(), key=lambda a: victim_sort_key(a, self.estimates, self.at_us)
             )
-            self._attempts[job.id] = attempts
+            self._victim_tasks[job.id] = attempts
         return attempts
 
-    def may_stop_of(self, claimant: Job, job: Job, guaranteed: bool) -> bool:
-        """Whether the rules let the claimant stop tasks of this job."""
-        return job is not claimant and self.may_stop_work(
-            claimant, job.effective_level, job.team, guaranteed
+    def can_preempt_job(self, claimant: Job, job: Job, within_guarantee: bool) -> bool:
+        """Return whether the rules let the claimant preempt tasks of this job."""
+        return job is not claimant and self.can_preempt_work(
+            claimant, job.effective_level, job.team, within_guarantee
         )
 
-    def within_guarantee(self, claimant: Job) -> bool:
-        """Whether one more task of the job is inside its team's guarantee."""
+    def is_within_guarantee(self, claimant: Job) -> bool:
+        """Return whether one more task of the claimant stays inside its team's guarantee."""
         return self.quota_account.within_guarantee(claimant.team, claimant.spec)
 
-    def borrows(self, team: str, resource: Resource) -> bool:
-        """Whether a team uses more of a resource than it is guaranteed."""
-        return over_guarantee(self.quota_account, team, resource)
+    def is_borrowing(self, team: str, resource: Resource) -> bool:
+        """Return whether a team uses more of a resource than its quota guarantees."""
+        return is_over_guarantee(self.quota_account, team, resource)
 
-    def may_stop_work(
+    def can_preempt_work(
         self,
         claimant: Job,
         level: int,
         team: str,
-        guaranteed: bool,
+        within_guarantee: bool,
         resource: Resource = Resource.CPUS,
     ) -> bool:
-        """Whether the rules let the claimant stop a team's work of a level."""
-        borrowed = self.borrows(team, resource)
+        """Return whether the rules let the claimant preempt work of this team and level."""
+        borrowed = self.is_borrowing(team, resource)
         if level < claimant.effective_level:
-            return team == claimant.team or borrowed or guaranteed
-        return guaranteed and borrowed and team != claimant.team
+            return team == claimant.team or borrowed or within_guarantee
+        return within_guarantee and borrowed and team != claimant.team
 
-    def may_stop(self, claimant: Job, victim: Attempt, guaranteed: bool) -> bool:
-        """Whether the rules let the claimant stop this task."""
+    def can_preempt(self, claimant: Job, victim: Attempt, within_guarantee: bool) -> bool:
+        """Return whether the rules let the claimant preempt this task."""
         if (
             victim.stop_request is not StopRequest.NO
-            or id(victim) in self.victims
+            or id(victim) in self.victim_ids
             or victim.job is claimant
         ):
             return False
-        if not guaranteed and just_begun(victim, self.at_us):
+        if not within_guarantee and is_protected_first_task(victim, self.at_us):
             return False
         job = victim.job
-        # Cards are judged as cards where it is cards that are claimed.
+        # Borrowing is judged in GPUs only if both the claimant and the victim take GPUs.
         resource = min(claimed_resource(claimant.spec), claimed_resource(job.spec))
-        return self.may_stop_work(
-            claimant, job.effective_level, job.team, guaranteed, Resource(resource)
-        ) and self._may_lose_gpus(claimant, victim)
+        return self.can_preempt_work(
+            claimant, job.effective_level, job.team, within_guarantee, Resource(resource)
+        ) and self._can_lose_gpus(claimant, victim)
 
-    def _may_lose_gpus(
-        self, claimant: Job, victim: Attempt, others: Iterable[Attempt] = ()
+    def _can_lose_gpus(
+        self, claimant: Job, victim: Attempt, other_victims: Iterable[Attempt] = ()
     ) -> bool:
-        """Whether a victim's cards may go: none that its team is guaranteed, none too soon.
+        """Return whether a victim's GPUs may be taken.
 
-        ``others`` are to go with it, and count as far as they are of the same team.
+        They may not if the task was preempted too recently, or if the GPUs are inside another
+        team's guarantee. ``other_victims`` are preempted together with the victim; the GPUs of
+        those in the same team count as lost too.
         """
         spec = victim.job.spec
         if spec.gpus <= 0:
@@ -234,22 +244,22 @@
         if team == claimant.team:
             return True
         units = required_units(spec.gpus)
-        units += sum(required_units(a.job.spec.gpus) for a in others if a.job.team == team)
+        units += sum(required_units(a.job.spec.gpus) for a in other_victims if a.job.team == team)
         return self.quota_account.may_lose_gpus(team, units)
 
-    def key_of(self, attempt: Attempt) -> tuple[int, ...]:
-        """Sort the tasks of a job, the first one stops first."""
-        return victim_key(attempt, self.estimates, self.at_us)
+    def victim_sort_key(self, attempt: Attempt) -> tuple[int, ...]:
+        """Return the sort key that orders the tasks of a job, first victim first."""
+        return victim_sort_key(attempt, self.estimates, self.at_us)
 
     def urgency_of(self, claimant: Job, objectives: ServiceLevelObjectives) -> Urgency:
-        """Say how urgently a claimant needs room: the patient claim none by themselves."""
-        task_us = self.estimates.order_us(claimant)
+        """Return how urgently a claimant needs capacity, by the preemptor's patience."""
+        task_us = self.estimates.published_task_us(claimant)
         return objectives.urgency_of(
             claimant, task_us, self.at_us, self._settings.claim_patience_us
         )
 
-    def _kind(self, claimant: Job) -> tuple[object, ...]:
-        """Return what claimants have in common that look for room alike."""
+    def _claimant_kind(self, claimant: Job) -> tuple[object, ...]:
+        """Return the attributes that claimants share whose search gives the same result."""
         spec = claimant.spec
         return (
             claimant.team,
@@ -260,35 +270,38 @@
             spec.types,
             spec.zone,
             spec.spot,
-            # Its own tasks limit where it may go.
+            # The zones of the job's own tasks limit where its other tasks may run.
             claimant.id if spec.one_zone or spec.spread else None,
         )
 
-    def _claim(self, claimant: Job, kind: tuple[object, ...]) -> _ClaimProgress:
-        """Return what claimants of the same kind share."""
-        claim = self._progress.get(kind)
-        if claim is None:
-            rooms = self._machines_for(claimant)
-            claim = self._progress[kind] = _ClaimProgress(rooms)
-        return claim
+    def _progress_of(self, claimant: Job, kind: tuple[object, ...]) -> _SearchProgress:
+        """Return the search progress that all claimants of this kind share."""
+        progress = self._progress_by_kind.get(kind)
+        if progress is None:
+            machine_names = self._machines_with_capacity(claimant)
+            progress = self._progress_by_kind[kind] = _SearchProgress(machine_names)
+        return progress
 
-    def _machines_for(self, claimant: Job) -> list[str]:
-        """Return the machines where room for the claimant is free or being freed, last first."""
+    def _machines_with_capacity(self, claimant: Job) -> list[str]:
+        """Return the machines with enough capacity for one task, the newest machine first."""
         spec = claimant.spec
-        names = {machine.name for machine in self._index.machines_with(spec.cpus, spec.memory_gb)}
+        names = {
+            machine.name
+            for machine in self._capacity_index.machines_with(spec.cpus, spec.memory_gb)
+        }
         names.update(self._capacity_delta)
         names.update(self._capacity)
-        found = []
+        machines = []
         for name in names:
-            room = self.capacity(name)
-            if room is not None and self._fits(room, claimant):
-                found.append(self.cluster.machines[name])
-        found.sort(key=lambda machine: machine.serial, reverse=True)
-        return [machine.name for machine in found]
-
-    def may_be_on(self, claimant: Job, machine: Machine) -> bool:
-        """Whether a task of the claimant may be on a machine, by its kind and its zone."""
-        if self.reserved.get(machine.name, claimant.id) != claimant.id:
+            capacity = self.available_capacity(name)
+            if capacity is not None and self._fits(capacity, claimant):
+                machines.append(self.cluster.machines[name])
+        machines.sort(key=lambda machine: machine.serial, reverse=True)
+        return [machine.name for machine in machines]
+
+    def can_run_on(self, claimant: Job, machine: Machine) -> bool:
+        """Return whether reservations, machine type and zone let the claimant run on a machine."""
+        if self.reserved_machines.get(machine.name, claimant.id) != claimant.id:
             return False
         if (
             machine.type.gpus > 0
@@ -298,129 +311,150 @@
             return False
         return machine.allows(claimant) and claimant.capacity_in_zone(machine.zone) > 0
 
-    def choose(self, claimant: Job) -> Reclaim | None:
-        """Choose victims for one task of the claimant; None if nobody may be stopped."""
-        kind = self._kind(claimant)
-        claim = self._claim(claimant, kind)
-        # A victim larger than its claimant leaves room for others: without this, a
-        # job of six small tasks stopped six large ones.
-        while claim.machines:
-            name = claim.machines[-1]
-            room = self.capacity(name)
-            if room is not None and self._fits(room, claimant):
-                if self.may_be_on(claimant, self.cluster.machines[name]):
-                    return self._take(claimant, name, room, [])
-            claim.machines.pop()
-        guaranteed = self.within_guarantee(claimant)
+    def plan_reclaim(self, claimant: Job) -> Reclaim | None:
+        """Return a request for one task of the claimant; None if no task may be preempted.
+
+        The request has no victims if a machine has enough capacity that is free or being freed.
+        """
+        kind = self._claimant_kind(claimant)
+        progress = self._progress_of(claimant, kind)
+        # A large victim frees capacity for further claimants. Before machines were checked for
+        # such capacity first, a job of six small tasks preempted six large ones.
+        while progress.machine_names:
+            name = progress.machine_names[-1]
+            capacity = self.available_capacity(name)
+            if capacity is not None and self._fits(capacity, claimant):
+                if self.can_run_on(claimant, self.cluster.machines[name]):
+                    return self._record_reclaim(claimant, name, capacity, [])
+            progress.machine_names.pop()
+        within_guarantee = self.is_within_guarantee(claimant)
         if claimant.spec.gpus > 0:
-            return self._choose_gpus(claimant, kind, guaranteed)
-        if self._order is None and self.has_no_victims(claimant, guaranteed):
+            return self._plan_gpu_reclaim(claimant, kind, within_guarantee)
+        if self._victim_jobs is None and self.has_no_victims(claimant, within_guarantee):
             return None
-        while claim.job < len(self.order):
-            job = self.order[claim.job]
-            if self.may_stop_of(claimant, job, guaranteed):
-                attempts = self.victims_of(job)
-                while claim.attempt < len(attempts):
-                    attempt = attempts[claim.attempt]
-                    claim.attempt += 1
-                    if attempt.stop_request is not StopRequest.NO or id(attempt) in self.victims:
+        while progress.job_position < len(self.victim_jobs):
+            job = self.victim_jobs[progress.job_position]
+            if self.can_preempt_job(claimant, job, within_guarantee):
+                attempts = self.victim_tasks_of(job)
+                while progress.task_position < len(attempts):
+                    attempt = attempts[progress.task_position]
+                    progress.task_position += 1
+                    if attempt.stop_request is not StopRequest.NO or id(attempt) in self.victim_ids:
                         continue
-                    if not guaranteed and just_begun(attempt, self.at_us):
+                    if not within_guarantee and is_protected_first_task(attempt, self.at_us):
                         continue
-                    if not self._may_lose_gpus(claimant, attempt):
+                    if not self._can_lose_gpus(claimant, attempt):
                         continue
                     machine = self.cluster.machines[attempt.machine]
-                    room = self.capacity(attempt.machine)
-                    if room is None or not self.may_be_on(claimant, machine):
+                    capacity = self.available_capacity(attempt.machine)
+                    if capacity is None or not self.can_run_on(claimant, machine):
                         continue
-                    victims = self._complete(claimant, attempt, machine, room, guaranteed)
+                    victims = self._complete_victims(
+                        claimant, attempt, machine, capacity, within_guarantee
+                    )
                     if victims:
-                        return self._take(claimant, attempt.machine, room, victims)
-            claim.job += 1
-            claim.attempt = 0
+                        return self._record_reclaim(claimant, attempt.machine, capacity, victims)
+            progress.job_position += 1
+            progress.task_position = 0
         return None
 
-    def preempt_reserved(self, claimant: Job, name: str) -> Reclaim | None:
-        """Choose what must go on a machine that is held for the claimant.
+    def plan_reserved_reclaim(self, claimant: Job, machine_name: str) -> Reclaim | None:
+        """Return a request for one task on a machine that is reserved for the claimant.
 
-        None: not yet, as what may not be stopped leaves too little; or nothing need be.
+        None if the task fits already, or if the tasks that may be preempted free too little.
         """
-        machine, room = self.cluster.machines.get(name), self.capacity(name)
-        if machine is None or room is None or not self.may_be_on(claimant, machine):
+        machine, capacity = (
+            self.cluster.machines.get(machine_name),
+            self.available_capacity(machine_name),
+        )
+        if machine is None or capacity is None or not self.can_run_on(claimant, machine):
             return None
-        if self._fits(room, claimant):
+        if self._fits(capacity, claimant):
             return None
-        guaranteed = self.within_guarantee(claimant)
-        if not self.order or self.has_no_victims(claimant, guaranteed):
+        within_guarantee = self.is_within_guarantee(claimant)
+        if not self.victim_jobs or self.has_no_victims(claimant, within_guarantee):
             return None
-        victims = self._add_victims(claimant, [], machine, list(room), guaranteed)
-        return self._take(claimant, name, room, victims) if victims else None
+        victims = self._add_victims(claimant, [], machine, list(capacity), within_guarantee)
+        return self._record_reclaim(claimant, machine_name, capacity, victims) if victims else None
 
-    def _choose_gpus(
-        self, claimant: Job, kind: tuple[object, ...], guaranteed: bool
+    def _plan_gpu_reclaim(
+        self, claimant: Job, kind: tuple[object, ...], within_guarantee: bool
     ) -> Reclaim | None:
-        """Choose victims for one task that takes cards."""
-        if self._gpu_claims is None:
-            self._gpu_claims = GpuClaims(self)
-        victims = self._gpu_claims.choose(claimant, kind, guaranteed)
-        if victims is None:
+        """Return a request for one GPU task; None if no set of tasks may be preempted."""
+        if self._gpu_victim_selector is None:
+            self._gpu_victim_selector = GpuVictimSelector(self)
+        victim_set = self._gpu_victim_selector.select_victims(claimant, kind, within_guarantee)
+        if victim_set is None:
             return None
-        name = victims.machine.name
-        room = self.capacity(name)
-        assert room is not None
-        return self._take(claimant, name, room, victims.attempts)
+        name = victim_set.machine.name
+        capacity = self.available_capacity(name)
+        assert capacity is not None
+        return self._record_reclaim(claimant, name, capacity, victim_set.attempts)
 
-    def _complete(
+    def _complete_victims(
         self,
         claimant: Job,
-        first: Attempt,
+        first_victim: Attempt,
         machine: Machine,
-        free: list[float],
-        guaranteed: bool,
+        available: list[float],
+        within_guarantee: bool,
     ) -> list[Attempt]:
-        """Return the victim and what else must go on its machine, or nothing."""
-        room = list(free)
-        victims = [first]
-        self._add(room, first.job, 1)
-        if self._fits(room, claimant):
+        """Return the first victim and the further victims needed on its machine.
+
+        The list is empty if the tasks that may be preempted free too little.
+        """
+        capacity = list(available)
+        victims = [first_victim]
+        self._add_task_resources(capacity, first_victim.job, 1)
+        if self._fits(capacity, claimant):
             return victims
-        return self._add_victims(claimant, victims, machine, room, guaranteed)
+        return self._add_victims(claimant, victims, machine, capacity, within_guarantee)
 
     def _add_victims(
         self,
         claimant: Job,
         victims: list[Attempt],
         machine: Machine,
-        room: list[float],
-        guaranteed: bool,
+        capacity: list[float],
+        within_guarantee: bool,
     ) -> list[Attempt]:
-        """Add tasks of a machine until what they leave is enough; nothing if it never is."""
-        others = [
+        """Add tasks of a machine to the victims until one task of the claimant fits.
+
+        ``capacity`` includes what the given victims free. The result is empty if the tasks that
+        may be preempted free too little.
+        """
+        candidates = [
             attempt
             for attempt in machine.attempts.values()
-            if attempt not in victims and self.may_stop(claimant, attempt, guaranteed)
+            if attempt not in victims and self.can_preempt(claimant, attempt, within_guarantee)
         ]
-        others.sort(key=lambda a: (self._rank[a.job.id], victim_key(a, self.estimates, self.at_us)))
-        for attempt in others:
-            if not self._may_lose_gpus(claimant, attempt, victims):
+        candidates.sort(
+            key=lambda a: (
+                self._job_ranks[a.job.id],
+                victim_sort_key(a, self.estimates, self.at_us),
+            )
+        )
+        for attempt in candidates:
+            if not self._can_lose_gpus(claimant, attempt, victims):
                 continue
             victims.append(attempt)
-            self._add(room, attempt.job, 1)
-            if self._fits(room, claimant):
+            self._add_task_resources(capacity, attempt.job, 1)
+            if self._fits(capacity, claimant):
                 return victims
         return []
 
-    def _take(
-        self, claimant: Job, machine: str, room: list[float], victims: list[Attempt]
+    def _record_reclaim(
+        self, claimant: Job, machine_name: str, capacity: list[float], victims: list[Attempt]
     ) -> Reclaim:
+        """Apply a choice of victims to the state of this pass and return the request for it."""
         for victim in victims:
-            self.victims.add(id(victim))
-            self._add(room, victim.job, 1)
+            self.victim_ids.add(id(victim))
+            self._add_task_resources(capacity, victim.job, 1)
             self.quota_account.record_freed(victim.job.team, victim.job.spec)
-        self._add(room, claimant, -1)
+        self._add_task_resources(capacity, claimant, -1)
         self.quota_account.record_claim(claimant.team, claimant.spec)
-        if victims and room[0] > EPSILON:
-            for claim in self._progress.values():
-                claim.machines.append(machine)
-            self.capacity_reopened = True
-        return Reclaim(claimant.id, machine, victims, self.at_us)
+        if victims and capacity[0] > EPSILON:
+            for progress in self._progress_by_kind.values():
+                progress.machine_names.append(machine_name)
+            self.has_freed_surplus = True
+        return Reclaim(claimant.id, machine_name, victims, self.at_us)
--- a/weldhead/scheduling/preemption/preemption_plan.py
+++ b/weldhead/scheduling/preemption/preemption_plan.py
@@ -1,4 +1,4 @@
-"""Which reclaim requests one run of the preemptor makes."""
+"""Plans the reclaim requests of one run of the preemptor."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -22,77 +22,92 @@
     at_us: int,
     settings: PreemptorSettings,
     objectives: ServiceLevelObjectives,
-    most: int = 64,
-    free: CapacityIndex | None = None,
-    held: Mapping[str, str] | None = None,
+    max_reclaims: int = 64,
+    capacity_index: CapacityIndex | None = None,
+    reserved_machines: Mapping[str, str] | None = None,
 ) -> list[Reclaim]:
-    """Return the new requests of one run; ``plan`` says who found no room."""
+    """Return the new reclaim requests for the tasks that ``plan`` lists as unplaced.
+
+    ``reserved_machines`` maps the name of each reserved machine to the job that it is reserved
+    for. Without a ``capacity_index``, a temporary one is built.
+    """
     scan = plan.unplaced.scan()
-    following = free if free is not None else CapacityIndex(cluster.machines)
+    index = capacity_index if capacity_index is not None else CapacityIndex(cluster.machines)
     try:
-        following.refresh()
-        return _reclaims(
+        index.refresh()
+        return _plan_reclaims(
             PreemptionPass(
-                cluster, lists, estimates, at_us, settings, following,
-                kept=plan.gpu_reservation, held=held,
+                cluster, lists, estimates, at_us, settings, index,
+                gpu_reservation=plan.gpu_reservation, reserved_machines=reserved_machines,
             ),
-            scan, lists, objectives, most,
+            scan, lists, objectives, max_reclaims,
         )  # fmt: skip
     finally:
-        if free is None:
-            following.close()
+        if capacity_index is None:
+            index.close()
 
 
-def _reclaims(
-    run: PreemptionPass,
+def _plan_reclaims(
+    preemption_pass: PreemptionPass,
     scan: QueueScan,
     lists: ReclaimLists,
     objectives: ServiceLevelObjectives,
-    most: int,
+    max_reclaims: int,
 ) -> list[Reclaim]:
-    """Choose victims for those who found no room, in order.
+    """Choose victims for the unplaced tasks, in placement order.
 
-    A queue of claimants of one kind is left where the next of them could not claim, or
-    found nobody to stop, as then none behind it can or does.
+    The claimants in a queue are of one kind. When one of them may not claim capacity, or finds no
+    victims, the claimants behind it in the queue would fail as well, so they are skipped.
     """
     reclaims: list[Reclaim] = []
-    held = _empty_held(run, lists, reclaims, most) if run.reserved else {}
+    reserved_counts = (
+        _plan_reserved_reclaims(preemption_pass, lists, reclaims, max_reclaims)
+        if preemption_pass.reserved_machines
+        else {}
+    )
     while (found := scan.next()) is not None:
         job, unplaced = found
-        press = run.urgency_of(job, objectives)
-        if press is Urgency.PATIENT and not run.within_guarantee(job):
-            # They stand in the order of their laxity: those behind have more of it. What is
-            # late already claims, and comes after what can be in time.
+        urgency = preemption_pass.urgency_of(job, objectives)
+        if urgency is Urgency.DEFERRABLE and not preemption_pass.is_within_guarantee(job):
+            # A queue is ordered by laxity, so the deferrable jobs behind this one have even more
+            # time. Late jobs come after them in the queue and may claim capacity.
             scan.skip_to_urgency(Urgency.LATE)
             continue
-        for _ in range(max(0, unplaced - lists.count(job.id) - held.get(job.id, 0))):
-            if len(reclaims) >= most:
+        for _ in range(max(0, unplaced - lists.count(job.id) - reserved_counts.get(job.id, 0))):
+            if len(reclaims) >= max_reclaims:
                 return reclaims
-            reclaim = run.choose(job)
+            reclaim = preemption_pass.plan_reclaim(job)
             if reclaim is None:
                 scan.skip_queue()
                 break
             reclaims.append(reclaim)
-            if run.capacity_reopened:
-                run.capacity_reopened = False
+            if preemption_pass.has_freed_surplus:
+                preemption_pass.has_freed_surplus = False
                 scan.resume_skipped()
     return reclaims
 
 
-def _empty_held(
-    run: PreemptionPass, lists: ReclaimLists, reclaims: list[Reclaim], most: int
+def _plan_reserved_reclaims(
+    preemption_pass: PreemptionPass,
+    lists: ReclaimLists,
+    reclaims: list[Reclaim],
+    max_reclaims: int,
 ) -> dict[str, int]:
-    """Empty held machines as far as the rules let; return by job how many are not asked for yet.
+    """Preempt tasks on reserved machines, as far as the rules allow, and append the requests.
 
-    Their jobs wait for them, and ask for so much less elsewhere.
+    Returns the number of machines per job that are reserved for it and had no open request
+    before. The job waits for these machines, so it claims that many tasks less elsewhere.
     """
-    asked = {(entry.machine, entry.job_id) for entry in lists.entries()}
-    held: dict[str, int] = defaultdict(int)
-    for name, job_id in run.reserved.items():
-        job = run.cluster.jobs.get(job_id)
-        if job is None or job.waiting <= 0 or (name, job_id) in asked:
+    requested = {(entry.machine, entry.job_id) for entry in lists.entries()}
+    reserved_counts: dict[str, int] = defaultdict(int)
+    for machine_name, job_id in preemption_pass.reserved_machines.items():
+        job = preemption_pass.cluster.jobs.get(job_id)
+        if job is None or job.waiting <= 0 or (machine_name, job_id) in requested:
             continue
-        held[job_id] += 1
-        if len(reclaims) < most and (reclaim := run.preempt_reserved(job, name)) is not None:
+        reserved_counts[job_id] += 1
+        if (
+            len(reclaims) < max_reclaims
+            and (reclaim := preemption_pass.plan_reserved_reclaim(job, machine_name)) is not None
+        ):
             reclaims.append(reclaim)
-    return held
+    return reserved_counts
--- a/weldhead/scheduling/preemption/victim_rules.py
+++ b/weldhead/scheduling/preemption/victim_rules.py
@@ -11,31 +11,36 @@
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives
 
-#: The first task of a job that waited for so long is not stopped for higher priorities' sake
-#: (a guarantee's apart) before it has run for so long.
-WAITED_US = 120 * SECOND_US
+#: A job that waited this long for its first task has that task protected from preemption by
+#: higher priority levels. Claims within a team's guarantee ignore the protection.
+MIN_PROTECTED_WAIT_US = 120 * SECOND_US
 
 
-BEGUN_US = 32 * SECOND_US
+#: The protection of such a first task ends when the task has run this long.
+PROTECTED_RUN_TIME_US = 32 * SECOND_US
 
 
 @dataclass(frozen=True)
 class PreemptorSettings:
-    """Times of the preemptor."""
+    """Time limits of the preemptor."""
 
+    #: A victim that has not stopped by then is killed.
     kill_timeout_us: int
+    #: A job whose laxity is at least this long claims no capacity outside its team's guarantee.
     claim_patience_us: int
+    #: A reclaim request is dropped this long after its victims were to be killed.
     expiry_us: int
+    #: A machine that sent no heartbeat for this long gets no tasks.
     silence_us: int
 
 
-def over_guarantee(account: QuotaAccount, team: str, resource: Resource) -> bool:
-    """Whether a team runs more of a resource than it is guaranteed."""
+def is_over_guarantee(account: QuotaAccount, team: str, resource: Resource) -> bool:
+    """Return whether a team uses more of a resource than its quota guarantees."""
     return account.borrows(team, resource)
 
 
-def victim_key(attempt: Attempt, estimates: RunTimeEstimates, at_us: int) -> tuple[int, ...]:
-    """Sort a job's tasks, the first one stops first."""
+def victim_sort_key(attempt: Attempt, estimates: RunTimeEstimates, at_us: int) -> tuple[int, ...]:
+    """Return the sort key that orders the tasks of a job, first victim first."""
     if attempt.phase in (AttemptPhase.ASSIGNED, AttemptPhase.PULLING):
         return (0, 0)
     if attempt.job.spec.checkpoint_s > 0:
@@ -43,22 +48,32 @@
     return (1, attempt.elapsed_us(at_us))
 
 
-def just_begun(attempt: Attempt, at_us: int) -> bool:
-    """Whether it is the first task of a job that waited for long, and has run for a moment.
+def is_protected_first_task(attempt: Attempt, at_us: int) -> bool:
+    """Return whether a task is the recently started first task of a job that waited long.
 
-    Where work that presses keeps arriving, such a job begins by its age (``holding.py``). Were
-    its task stopped at once, that would have been for nothing.
+    While urgent work keeps arriving, such a job only gets its first task because of its age
+    (``scheduling/reservations/unstarted_jobs.py``). Preempting that task right away would make
+    the reservation useless.
     """
     job = attempt.job
     if job.spec.tasks < 2 or job.done or len(job.active) > 1 or attempt.adopted:
         return False
-    begun_us = attempt.running_since_us or at_us
-    return at_us - begun_us < BEGUN_US and begun_us - job.runnable_since_us >= WAITED_US
+    started_us = attempt.running_since_us or at_us
+    return (
+        at_us - started_us < PROTECTED_RUN_TIME_US
+        and started_us - job.runnable_since_us >= MIN_PROTECTED_WAIT_US
+    )
 
 
-def stop_for(claimant: Job, victim: Job, objectives: ServiceLevelObjectives) -> StopRequest:
-    """Whether a victim may save first: not if the claimant's start cannot wait for that."""
-    wait_us = objectives.wait_us(claimant)
+def choose_stop_request(
+    claimant: Job, victim: Job, objectives: ServiceLevelObjectives
+) -> StopRequest:
+    """Return whether a victim may save its state before it stops (``SOFT``) or not (``HARD``).
+
+    A victim that takes no checkpoints has nothing to save. A victim whose saving takes at least
+    as long as the claimant's tasks are expected to wait at most is killed.
+    """
+    wait_us = objectives.max_wait_us(claimant)
     if victim.spec.checkpoint_s <= 0 or (
         wait_us is not None and seconds_us(victim.spec.save_s) >= wait_us
     ):
@@ -66,11 +81,11 @@
     return StopRequest.SOFT
 
 
-def overdue(
+def find_overdue_reclaims(
     lists: ReclaimLists, at_us: int, settings: PreemptorSettings
 ) -> tuple[list[Reclaim], list[Reclaim]]:
-    """Return entries whose victims are to be killed hard, and entries to be given up."""
-    hard = [
+    """Return the requests whose victims are now to be killed, and the requests to be dropped."""
+    to_kill = [
         entry
         for entry in lists.entries()
         if not entry.hard_kill_us and at_us - entry.requested_us >= settings.kill_timeout_us
@@ -80,4 +95,4 @@
         for entry in lists.entries()
         if entry.hard_kill_us and at_us - entry.hard_kill_us >= settings.expiry_us
     ]
-    return hard, expired
+    return to_kill, expired
