--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -44,6 +44,8 @@
     fetch_steps: int
     #: Highest rank among the victims' jobs; within a level, the job with most GPUs ranks lowest.
     job_rank: int
+    #: Sum of the run times by which each job's tasks are ordered: remaining run time of tasks that
+    #: checkpoint, elapsed run time of others, 0 for tasks that have not started.
     cost_us: int
     machine_serial: int
     machine: Machine
@@ -88,9 +90,9 @@
 
     For each kind of claimant, the machines are kept in a heap that is keyed by a lower bound of
     the cheapest victim set on the machine. The exact set is computed only for the machine at the
-    top of the heap. The number of tasks that may be preempted only shrinks during a pass, so a key
-    never has to move up: a set that still matches its key is the best one, and a machine whose set
-    has become more expensive gets a new position in the heap.
+    top of the heap. During a pass the tasks that may be preempted only become fewer, so a
+    machine's key only grows: a set that still matches the key at the top is the best one, and a
+    machine whose set has become more expensive gets a new position in the heap.
     """
 
     def __init__(self, rules: PreemptionRules) -> None:
