--- a/tests/quota/test_quota_and_gpu_claims.py
+++ b/tests/quota/test_quota_and_gpu_claims.py
@@ -45,7 +45,7 @@
 from weldhead.scheduling.placement.placement_pass import plan_starts
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 from weldhead.scheduling.placement.scoring import estimate_fetch_delay_us
-from weldhead.scheduling.preemption.gpu_claims import fetch_us
+from weldhead.scheduling.preemption.gpu_claims import estimate_image_fetch_us
 from weldhead.scheduling.preemption.preemption_plan import plan_preemptions
 from weldhead.tunables.defaults import Tunables
 
@@ -461,7 +461,7 @@
     machine.record_image("weights", 80.0)
     assert (
         estimate_fetch_delay_us(large, FreeCapacity(machine))
-        == fetch_us(large.spec, machine)
+        == estimate_image_fetch_us(large.spec, machine)
         == 80 * S
     )
 
--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -70,18 +70,18 @@
     fleet = full_fleet(100, 50)
     plan = plan_starts(fleet, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     counts: dict[str, int] = {}
-    count_calls(monkeypatch, preemption_pass, "victim_key", counts)
-    count_calls(monkeypatch, preemption_pass, "over_guarantee", counts)
+    count_calls(monkeypatch, preemption_pass, "victim_sort_key", counts)
+    count_calls(monkeypatch, preemption_pass, "is_over_guarantee", counts)
     reclaims = plan_preemptions(
         fleet, ReclaimLists(), plan, RunTimeEstimates(), 2 * S,
-        TUNABLES.preemptor.settings(10 * S), ServiceLevelObjectives([]), most=64,
+        TUNABLES.preemptor.settings(10 * S), ServiceLevelObjectives([]), max_reclaims=64,
     )  # fmt: skip
     assert len(reclaims) == 64
     victims = [victim for reclaim in reclaims for victim in reclaim.victims]
     assert len({id(victim) for victim in victims}) == len(victims)
     # 400 tasks are sorted once; the other calls are for tasks on the machine of a victim.
-    assert counts["victim_key"] <= 400 + 4 * 64
-    assert counts["over_guarantee"] <= 64 * 5 + 2 * 51
+    assert counts["victim_sort_key"] <= 400 + 4 * 64
+    assert counts["is_over_guarantee"] <= 64 * 5 + 2 * 51
 
 
 def test_pending_rentals_count_when_more_are_planned() -> None:
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -17,7 +17,7 @@
 from weldhead.failure_attribution.judgement import JobHealth
 from weldhead.reachability.silence import are_likely_lost
 from weldhead.reconciliation.answer_window import safe_answer_window_us
-from weldhead.scheduling.objectives import FOR_EVER_US
+from weldhead.scheduling.objectives import FAR_FUTURE_US
 from weldhead.transport.http_client import CallError
 
 log = logging.getLogger(__name__)
@@ -173,7 +173,7 @@
             self._term.on_leadership_lost("the leader key no longer belongs to this node")
 
     def expire_leases_and_find_lost(
-        self, at_us: int, leadership_verified_us: int = FOR_EVER_US
+        self, at_us: int, leadership_verified_us: int = FAR_FUTURE_US
     ) -> list[Machine]:
         """Expire leases that are certainly over; return their machines and those likely lost.
 
--- a/weldhead/scheduling/placement/backlog.py
+++ b/weldhead/scheduling/placement/backlog.py
@@ -15,7 +15,7 @@
 from weldhead.cluster_state.deadline_heap import DeadlineHeap
 from weldhead.cluster_state.jobs import Job
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
-from weldhead.scheduling.objectives import FOR_EVER_US, ServiceLevelObjectives
+from weldhead.scheduling.objectives import FAR_FUTURE_US, ServiceLevelObjectives
 from weldhead.scheduling.placement.backlog_entry import (
     BacklogEntry,
     JobKind,
@@ -118,7 +118,7 @@
         insort(self.queues.setdefault(kind, []), entry)
         self._positions[job.id] = kind, entry
         self._jobs_by_class.setdefault(job.spec.job_class, {})[job.id] = job
-        if until_us < FOR_EVER_US:
+        if until_us < FAR_FUTURE_US:
             self._timers.set(job.id, job.serial, until_us)
 
     def find_inconsistent_jobs(self) -> list[str]:
--- a/weldhead/scheduling/placement/backlog_entry.py
+++ b/weldhead/scheduling/placement/backlog_entry.py
@@ -79,11 +79,11 @@
     patience_us: int,
 ) -> tuple[BacklogEntry, int]:
     """Return a job's entry in the placement order, and the time until which it stays valid."""
-    task_us = estimates.order_us(job)
+    task_us = estimates.published_task_us(job)
     urgency, latest_start_us, until_us = objectives.urgency_window(job, task_us, at_us, patience_us)
     return BacklogEntry(
         int(urgency),
-        -job.effective_level if urgency is not Urgency.PATIENT else 0,
+        -job.effective_level if urgency is not Urgency.DEFERRABLE else 0,
         1 if job.spec.is_service else 0,
         latest_start_us,
         job.first_seen_us,
