--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -240,7 +240,7 @@
     for expected_count in (0, 1):
         reclaims = plan_preemptions(
             scenario.cluster, ReclaimLists(), plan, scenario.estimates, scenario.now, PREEMPTOR,
-            GOALS, held=reserved,
+            GOALS, reserved_machines=reserved,
         )  # fmt: skip
         wide_job_reclaims = [reclaim for reclaim in reclaims if reclaim.job_id == wide_job.id]
         assert len(wide_job_reclaims) == expected_count
