--- a/tests/cluster_state/test_late_writes.py
+++ b/tests/cluster_state/test_late_writes.py
@@ -217,7 +217,7 @@
     What had been refused was rented then, though nobody wanted it; of what had been had and
     returned the successor was told the names of machines that were gone.
     """
-    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETION_BATCH_DELAY_S", 0)
     state, cloud = StandInState(), StandInCloud()
     cloud.capacity = capacity
     first = term(state, cloud)
--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -325,7 +325,7 @@
     key = RENTALS
 
     async def write(self) -> None:
-        self.leader.rental_manager._adopt_soon("vm-000007", RentalRecord("m4", "a", True, 1, 0))
+        self.leader.rental_manager._start_adoption("vm-000007", RentalRecord("m4", "a", True, 1, 0))
         machines = self.leader.cluster.machines
         await eventually(lambda: "vm-000007" in machines or self.writer_task.done())
 
@@ -340,7 +340,7 @@
     key = RENTALS
 
     async def write(self) -> None:
-        self.leader.rental_manager.returner.deleted([self.machine])
+        self.leader.rental_manager.returner.record_deletion([self.machine])
         records = self.leader.rental_manager._records
         await eventually(lambda: not records or self.writer_task.done())
 
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -645,7 +645,7 @@
             ServiceLevelObjectives([]),
             S,
             settings,
-            expected=upcoming,
+            expected_demand=upcoming,
         )
         return sum(found.values())
 
@@ -676,7 +676,7 @@
         found = plan_scale_out(
             into, PlacementPlan(), market, RunTimeEstimates(), ServiceLevelObjectives([]), S,
             settings,
-            expected=[ExpectedDemand(waiting, 20 * S)],
+            expected_demand=[ExpectedDemand(waiting, 20 * S)],
         )  # fmt: skip
         return sum(found.values())
 
--- a/tests/controller/test_process_pauses.py
+++ b/tests/controller/test_process_pauses.py
@@ -40,7 +40,7 @@
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
-    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETION_BATCH_DELAY_S", 0)
     rentals, authority = leader.rental_manager, leader.term._lease
 
     async def scenario() -> None:
--- a/tests/gates/test_gates.py
+++ b/tests/gates/test_gates.py
@@ -598,7 +598,7 @@
     world.look()
     at_us = world.clock()
     found = world.gates.forecast.expected_demand(at_us, at_us + 3_600 * S)
-    assert [item.job.id for item in found] == [run_id(1)] and found[0].starts_us > at_us
+    assert [item.job.id for item in found] == [run_id(1)] and found[0].expected_start_us > at_us
     assert not world.gates.forecast.expected_demand(at_us, at_us + 1 * S)
     later_us = at_us + 7_201 * S
     assert not world.gates.forecast.expected_demand(later_us, later_us + 3_600 * S)
--- a/tests/protocol/test_versions.py
+++ b/tests/protocol/test_versions.py
@@ -290,7 +290,7 @@
     state = StandInState()
     old_fleet(state, 50)
     leader = new_leader(state, clock())
-    assert len(leader.rental_manager._parts("welder-0-7-1")) == 1
+    assert len(leader.rental_manager._divide_machines("welder-0-7-1")) == 1
 
 
 def test_a_pong_says_the_format_and_a_link_remembers_it_while_it_is_up(
--- a/tests/scheduling/test_cost_at_size.py
+++ b/tests/scheduling/test_cost_at_size.py
@@ -159,7 +159,7 @@
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
-    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETION_BATCH_DELAY_S", 0)
     rentals = leader.rental_manager
 
     async def scenario() -> None:
@@ -232,7 +232,7 @@
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     cloud.capacity = 50
-    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
+    monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETION_BATCH_DELAY_S", 0)
     rentals, offers = leader.rental_manager, leader.term.rental_offers
 
     async def scenario() -> None:
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -497,13 +497,13 @@
     for at in range(300):
         demand.record(2, 50.0 * S, at * S)
     # 50 CPU seconds a second are 50 CPUs; the memory has filled to 95 % of that.
-    assert demand.cpus_above(1, 300 * S) == pytest.approx(47, rel=0.05)
-    assert demand.cpus_above(2, 300 * S) == 0
+    assert demand.cpus_needed_above(1, 300 * S) == pytest.approx(47, rel=0.05)
+    assert demand.cpus_needed_above(2, 300 * S) == 0
     assert demand.delay_factor(1, 100, 300 * S) == pytest.approx(1.9, rel=0.1)
     assert demand.delay_factor(2, 100, 300 * S) == 1.0
     assert demand.delay_factor(1, 10, 300 * S) == demand.delay_factor(1, 0.1, 300 * S) == 4.0
     assert demand.delay_factor(1, 0, 300 * S) == 1.0
-    assert demand.cpus_above(1, 900 * S) < 1
+    assert demand.cpus_needed_above(1, 900 * S) < 1
 
     into = cluster(Team("red", 0, 1_000))
     fill = add_job(into, job_spec(1, tasks=50, cpus=4.0, priority="high"))
@@ -535,7 +535,7 @@
         one.record(*arrival)
     for arrival in reversed(arrivals):
         other.record(*arrival)
-    assert one.cpus_above(-1, 500 * S) == pytest.approx(other.cpus_above(-1, 500 * S))
+    assert one.cpus_needed_above(-1, 500 * S) == pytest.approx(other.cpus_needed_above(-1, 500 * S))
 
 
 def moves(into: Cluster, plan: PlacementPlan | None = None) -> list[str]:
@@ -605,7 +605,7 @@
         job.effective_level = job.spec.level
         assert chosen(40 * S) == []
     job.spec, job.effective_level = spec, spec.level
-    assert move.gain_us == 111 * S
+    assert move.time_saved_us == 111 * S
     # Whoever may not be late: 150 s again, and as estimates are rough, are not in time.
     assert (
         chosen(40 * S, ServiceLevelObjectives([Objective("finished", "train", 0.9, 240.0)])) == []
@@ -622,7 +622,7 @@
     small.adopted = True
     (move,) = chosen(40 * S)
     assert small not in move.attempts and len(move.attempts) == 7
-    assert move.gain_us < 111 * S
+    assert move.time_saved_us < 111 * S
 
 
 def test_two_machines_are_not_emptied_into_the_same_room() -> None:
--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -269,7 +269,7 @@
         pending_type = offers.types[0]
         rentals = plan_scale_out(
             fragmented_cluster, plan, offers, RunTimeEstimates(), GOALS, 100 * S, FLEET,
-            ahead=lambda up_us: WideTaskForecast(
+            wide_task_forecast=lambda up_us: WideTaskForecast(
                 fragmented_cluster.machines.values(), [(pending_type, pending_count)],
                 Reservations(), 0.5, up_us,
             ),
--- a/tests/support/held_network.py
+++ b/tests/support/held_network.py
@@ -180,7 +180,7 @@
             if worker is not None:
                 worker.slots.clear()
         if doomed:
-            self.leader.rental_manager.returner.deleted(doomed)
+            self.leader.rental_manager.returner.record_deletion(doomed)
             await settle()
 
     # -- workers -------------------------------------------------------------------------------
--- a/tests/support/reference_decisions.py
+++ b/tests/support/reference_decisions.py
@@ -20,7 +20,7 @@
 from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental
-from weldhead.scheduling.autoscaling.scale_out import usual_boots
+from weldhead.scheduling.autoscaling.scale_out import default_boot_expectations
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, Urgency
 from weldhead.scheduling.placement.eligibility import is_schedulable
@@ -254,7 +254,7 @@
             if machine.deleting or machine.draining:
                 continue
             if machine.booting:
-                if not usual_boots(settings).is_late(machine, at_us):
+                if not default_boot_expectations(settings).is_late(machine, at_us):
                     ready_us = max(at_us, machine.rented_us + seconds_us(machine.type.boot_s))
                     self._heap.append((ready_us, machine.cpus))
                 continue
--- a/tests/support/towns.py
+++ b/tests/support/towns.py
@@ -15,7 +15,7 @@
 from weldhead.protocol.settings import Objective, Team
 from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast
 from weldhead.scheduling.autoscaling.rental_offers import PendingRental
-from weldhead.scheduling.autoscaling.scale_out import usual_boots
+from weldhead.scheduling.autoscaling.scale_out import default_boot_expectations
 from weldhead.scheduling.autoscaling.unmet_demand import DemandForecastInput, forecast_unmet_demand
 from weldhead.scheduling.forecast.completion_times import boot_forecast_of, forecast_us
 from weldhead.scheduling.forecast.job_forecasts import BootTracker
@@ -238,7 +238,9 @@
         """Compare before anything is stopped for it, as plan and plain plan count alike then."""
         coming = [PendingRental(machine_type(), self.dice.randint(0, 3))]
         queues = (
-            CapacityForecast(self.cluster, coming, self.estimates, self.now, usual_boots(FLEET)),
+            CapacityForecast(
+                self.cluster, coming, self.estimates, self.now, default_boot_expectations(FLEET)
+            ),
             PlainQueue(self.cluster, coming, self.estimates, self.now, FLEET),
         )
         rest = (self.estimates, GOALS, FLEET, self.now, 20 * S, lambda job: 1.5)
@@ -248,7 +250,7 @@
         expected = forecast_unmet_demand(replace(given, plan=listed), queues[1])
         assert found.deferrable == expected.deferrable
         assert found.urgent == expected.urgent
-        assert math.isclose(found.backlog_us, expected.backlog_us, rel_tol=1e-9)
+        assert math.isclose(found.backlog_cpu_us, expected.backlog_cpu_us, rel_tol=1e-9)
 
     def compare_forecasts(self) -> None:
         boots = self.boots.forecast()
--- a/tools/measure_size.py
+++ b/tools/measure_size.py
@@ -33,7 +33,7 @@
 from weldhead.controller.leadership.leader import Leader  # noqa: E402
 from weldhead.protocol.settings import Objective, Team  # noqa: E402
 from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast  # noqa: E402
-from weldhead.scheduling.autoscaling.scale_out import usual_boots  # noqa: E402
+from weldhead.scheduling.autoscaling.scale_out import default_boot_expectations  # noqa: E402
 from weldhead.scheduling.autoscaling.unmet_demand import (  # noqa: E402
     DemandForecastInput,
     UnmetDemand,
@@ -184,7 +184,7 @@
         return forecast_unmet_demand(DemandForecastInput(into, listed, *rest), queue)
 
     def fleet_now() -> UnmetDemand:
-        queue = CapacityForecast(into, [], estimates, at_us, usual_boots(FLEET))
+        queue = CapacityForecast(into, [], estimates, at_us, default_boot_expectations(FLEET))
         return forecast_unmet_demand(DemandForecastInput(into, plan, *rest), queue)
 
     figures = (plain, still, moved, told, quiet, looked, cost(plain_fleet), cost(fleet_now), first)
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -1,4 +1,4 @@
-"""Autoscaling: when machines are rented, drained and returned."""
+"""Runs the autoscaling decisions: rents, drains and returns machines."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -11,11 +11,15 @@
 from weldhead.controller.term import Term
 from weldhead.controller.workers.machine_monitor import MachineMonitor
 from weldhead.provisioning.boot_times import BootExpectations
-from weldhead.scheduling.autoscaling.consolidation import MachineDrain, movable, plan_consolidation
-from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand, endangered
+from weldhead.scheduling.autoscaling.consolidation import (
+    MachineDrain,
+    can_resume_elsewhere,
+    plan_consolidation,
+)
+from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand, forecast_lost_tasks
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
 from weldhead.scheduling.autoscaling.scale_in import choose_scale_in_candidates, plan_scale_in
-from weldhead.scheduling.autoscaling.scale_out import plan_scale_out, replacements
+from weldhead.scheduling.autoscaling.scale_out import limit_rentals, plan_scale_out
 from weldhead.scheduling.placement.placement_pass import plan_without_starts
 
 if TYPE_CHECKING:
@@ -23,34 +27,35 @@
 
 log = logging.getLogger(__name__)
 
-#: A new leader rents what replaces machines that have not answered by then.
-HIRE_AHEAD_US = 2 * SECOND_US
+#: How long after loading the state a new leader waits before it replaces machines that do not
+#: answer its status probes.
+REPLACEMENT_DELAY_US = 2 * SECOND_US
 
-#: How often the fleet's use is logged.
-FLEET_LOG_US = 10 * SECOND_US
+#: How often the utilization of the fleet is logged.
+FLEET_LOG_INTERVAL_US = 10 * SECOND_US
 
 
 class Autoscaler:
-    """Keeps the fleet at the size that the work needs."""
+    """Adapts the size of the fleet to the waiting and running work."""
 
     def __init__(
         self,
         term: Term,
         scheduling_loop: SchedulingLoop,
-        rentals: RentalManager,
-        watch: MachineMonitor,
-        gates: "GateKeeper | None" = None,
+        rental_manager: RentalManager,
+        machine_monitor: MachineMonitor,
+        gate_keeper: "GateKeeper | None" = None,
     ) -> None:
         self._term = term
         self._scheduling_loop = scheduling_loop
-        self._rental_manager = rentals
-        self._machine_monitor = watch
-        self._gate_keeper = gates
+        self._rental_manager = rental_manager
+        self._machine_monitor = machine_monitor
+        self._gate_keeper = gate_keeper
         self._logged_summary = ""
 
     async def run(self) -> None:
-        """Scale the fleet again and again; a background task."""
-        said_us = 0
+        """Scale the fleet periodically, as a background task."""
+        last_log_us = 0
         while True:
             await self._scheduling_loop.loop_budget.pause(
                 "fleet", LoopPriority.FLEET, self._term.tunables.fleet.period_us
@@ -59,8 +64,8 @@
                 continue
             at_us = now_us()
             with self._scheduling_loop.loop_budget.measure("fleet"):
-                if at_us >= said_us + FLEET_LOG_US:
-                    said_us = at_us
+                if at_us >= last_log_us + FLEET_LOG_INTERVAL_US:
+                    last_log_us = at_us
                     self._log_fleet()
                     self.audit(at_us)
                 if self._term.ready:
@@ -69,25 +74,27 @@
                     self.rent_replacements(at_us)
 
     def rent_replacements(self, at_us: int) -> None:
-        """Rent what replaces machines that recovery waits for in vain.
+        """Rent replacements for machines that do not answer while recovery waits for them.
 
-        After half of a fleet died together with its controllers, recovery waits for a whole
-        lease, and the boots of what replaces them came on top of it.
-        Nothing is started by this, and nothing given up on.
+        If half of the fleet fails together with the controllers, recovery waits for a whole
+        lease, and without this call the boots of the replacements would add to that time.
+        The call starts no tasks and gives up no machine or task.
         """
-        if at_us - self._term.loaded_us < HIRE_AHEAD_US or self._rental_manager.busy:
+        if at_us - self._term.loaded_us < REPLACEMENT_DELAY_US or self._rental_manager.is_busy:
             return
-        unknown = [m for m in self._machine_monitor.live() if not m.reconciled]
-        if not unknown or not all(m.probes_failed for m in unknown):
+        unanswering = [m for m in self._machine_monitor.live() if not m.reconciled]
+        if not unanswering or not all(m.probes_failed for m in unanswering):
             return
         placement_input = self._scheduling_loop.placement_input()
         settings = self._term.tunables.fleet.settings()
-        plan = plan_without_starts(placement_input, at_us, settings.most_considered)
-        fresh = [
+        plan = plan_without_starts(placement_input, at_us, settings.max_considered_jobs)
+        replacements = [
             m for m in self._term.cluster.machines.values() if m.rented_us >= self._term.loaded_us
         ]
-        missing = sum(m.type.cpus for m in unknown) - sum(m.type.cpus for m in fresh)
-        missing -= sum(item.type.cpus * item.count for item in self._rental_manager.pending())
+        missing_cpus = sum(m.type.cpus for m in unanswering) - sum(
+            m.type.cpus for m in replacements
+        )
+        missing_cpus -= sum(item.type.cpus * item.count for item in self._rental_manager.pending())
         rentals = plan_scale_out(
             self._term.cluster,
             plan,
@@ -98,50 +105,58 @@
             settings,
             self._rental_manager.pending(),
             self._term.arrival_rates,
-            backlog=len(placement_input.backlog),
-            silent={m.name for m in unknown},
+            backlog_size=len(placement_input.backlog),
+            silent_machines={m.name for m in unanswering},
         )
-        for offer, count in replacements(rentals, missing).items():
-            log.info("%d machines do not answer: %d of %s asked for in %s (spot: %s)",
-                len(unknown), count, offer.type.name, offer.zone, offer.spot)  # fmt: skip
+        for offer, count in limit_rentals(rentals, missing_cpus).items():
+            log.info(
+                "%d machines do not answer status probes: renting %d of type %s in %s (spot: %s)",
+                len(unanswering), count, offer.type.name, offer.zone, offer.spot)  # fmt: skip
             self._rental_manager.rent(offer, count)
 
     def audit(self, at_us: int) -> None:
-        """See that no waiting job was lost observation of, and say what the loop suffered from."""
+        """Check the backlog for jobs whose changes it missed, and log overruns of the event loop.
+
+        An inconsistent backlog is discarded, so that the next pass rebuilds it from the jobs.
+        """
         placement_input = self._scheduling_loop.placement_input()
         placement_input.refresh(at_us)
-        strays = placement_input.backlog.find_inconsistent_jobs()
-        if strays:
+        inconsistent_job_ids = placement_input.backlog.find_inconsistent_jobs()
+        if inconsistent_job_ids:
             log.error(
-                "%d jobs were out of order, %s first; the order is made anew",
-                len(strays), strays[0],
+                "backlog is inconsistent: %d jobs out of order, first %s; rebuilding it",
+                len(inconsistent_job_ids), inconsistent_job_ids[0],
             )  # fmt: skip
             placement_input.close()
             self._scheduling_loop.current_input = None
         summary = self._scheduling_loop.loop_budget.summary()
         if summary != self._logged_summary:
-            # The counts only grow: repeated each time, an hour-old one looked like a load.
+            # The counts only grow. Repeating an unchanged summary made an overrun of an hour ago
+            # look like current load.
             self._logged_summary = summary
             log.info("event loop: %s", summary)
 
     def _scale(self, at_us: int) -> None:
-        """Decide once what to rent, what to return, and what to drain."""
+        """Run one round of consolidation, scale in and scale out."""
         term = self._term
         settings = term.tunables.fleet.settings()
-        silent = self._machine_monitor.at_risk(at_us)
-        until_us = at_us + settings.foresight_us
-        expected = self._expected_demand(until_us)
+        silent_machines = self._machine_monitor.at_risk(at_us)
+        until_us = at_us + settings.demand_horizon_us
+        expected_demand = self._expected_demand(until_us)
         if self._gate_keeper is not None:
-            expected += self._gate_keeper.forecast.expected_demand(at_us, until_us)
-        expected += endangered(silent, at_us, term.lease_us)
-        self._consolidate(expected, settings, at_us)
+            expected_demand += self._gate_keeper.forecast.expected_demand(at_us, until_us)
+        expected_demand += forecast_lost_tasks(silent_machines, at_us, term.lease_us)
+        self._consolidate(expected_demand, settings, at_us)
         boots = term.boot_history.expectations(
-            term.cluster.machines.values(), at_us, settings.boots, settings.minimum_charge_us
+            term.cluster.machines.values(),
+            at_us,
+            settings.boot_expectation,
+            settings.minimum_charge_us,
         )
         self._scale_in(settings, boots, at_us)
-        if self._rental_manager.busy:
+        if self._rental_manager.is_busy:
             return
-        current = self._scheduling_loop.current_input
+        placement_input = self._scheduling_loop.current_input
         rentals = plan_scale_out(
             term.cluster,
             self._scheduling_loop.last_plan,
@@ -152,9 +167,9 @@
             settings,
             self._rental_manager.pending(),
             term.arrival_rates,
-            expected,
-            len(current.backlog) if current is not None else 0,
-            {machine.name for machine in silent},
+            expected_demand,
+            len(placement_input.backlog) if placement_input is not None else 0,
+            {machine.name for machine in silent_machines},
             boots,
             lambda up_us: self._scheduling_loop.wide_task_forecast(
                 ((item.type, item.count) for item in self._rental_manager.pending()), up_us
@@ -164,11 +179,11 @@
             self._rental_manager.rent(offer, count)
 
     def _consolidate(
-        self, expected: list[ExpectedDemand], settings: FleetSettings, at_us: int
+        self, expected_demand: list[ExpectedDemand], settings: FleetSettings, at_us: int
     ) -> None:
-        """Mark machines that are no longer needed, and drain those that can go sooner for it."""
+        """Mark scale-in candidates, and drain those that can then be returned sooner."""
         term, plan = self._term, self._scheduling_loop.last_plan
-        candidates = choose_scale_in_candidates(term.cluster, plan, settings, expected)
+        candidates = choose_scale_in_candidates(term.cluster, plan, settings, expected_demand)
         for machine in term.cluster.machines.values():
             machine.scale_in_candidate = machine.name in candidates
         for drain in plan_consolidation(
@@ -183,15 +198,19 @@
             self._drain(drain, at_us)
 
     def _scale_in(self, settings: FleetSettings, boots: BootExpectations, at_us: int) -> None:
-        """Return idle machines, and those that never came up."""
+        """Return idle machines, and machines that never came up."""
         returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
-        hopeless = [machine.name for machine in returned if machine.booting]
-        if hopeless:
-            log.info("%d machines never came up: %s", len(hopeless), ", ".join(hopeless))
+        failed_boots = [machine.name for machine in returned if machine.booting]
+        if failed_boots:
+            log.info(
+                "returning %d machines that never came up: %s",
+                len(failed_boots),
+                ", ".join(failed_boots),
+            )
         self._rental_manager.return_machines({m.name: m for m in returned})
 
     def _expected_demand(self, until_us: int) -> list[ExpectedDemand]:
-        """Return the jobs that are expected to wait for nothing more by then."""
+        """Return the jobs whose dependencies are expected to be done by ``until_us``."""
         return [
             ExpectedDemand(job, job.expected_start_us)
             for job in self._term.dependency_graph.blocked.values()
@@ -201,20 +220,27 @@
             and job.team in self._term.cluster.teams
         ]
 
-    def _drain(self, move: MachineDrain, at_us: int) -> None:
-        """Have a machine's tasks go on or begin anew elsewhere; it is returned when empty."""
-        machine = move.machine
+    def _drain(self, drain: MachineDrain, at_us: int) -> None:
+        """Stop the chosen tasks of a machine, so that they continue on other machines.
+
+        A drained machine gets no new tasks, and is returned when it is empty.
+        """
+        machine = drain.machine
         log.info(
-            "consolidation: draining machine %s, %d of %d tasks, %.0f s sooner",
-            machine.name, len(move.attempts), len(machine.attempts), to_seconds(move.gain_us),
+            "consolidation: draining machine %s by moving %d of %d tasks, returned %.0f s sooner",
+            machine.name, len(drain.attempts), len(machine.attempts),
+            to_seconds(drain.time_saved_us),
         )  # fmt: skip
         machine.draining = True
-        for attempt in move.attempts:
-            stop = StopRequest.SOFT if movable(attempt) else StopRequest.HARD
+        for attempt in drain.attempts:
+            stop = StopRequest.SOFT if can_resume_elsewhere(attempt) else StopRequest.HARD
             self._scheduling_loop.stop(attempt, stop, at_us, "moved")
 
     def _log_fleet(self) -> None:
-        """Say how the fleet's CPUs are used, for operators and for measured rounds."""
+        """Log how the CPUs of the fleet are used, for operators and for benchmarks.
+
+        ``waiting`` counts the CPUs of all waiting tasks, ``allowed`` those within the quotas.
+        """
         cpus = dict.fromkeys(("booting", "free", "assigned", "pulling", "running", "saving"), 0.0)
         cost = 0.0
         for machine in self._term.cluster.machines.values():
@@ -234,7 +260,10 @@
         self._log_gpus()
 
     def _log_gpus(self) -> None:
-        """Say how the fleet's cards are used, where it has any; ``bare`` machines have no CPUs."""
+        """Log how the GPUs of the fleet are used, if the fleet has any.
+
+        GPUs are ``bare`` if their machine has no whole free CPU left.
+        """
         machines = [m for m in self._term.cluster.machines.values() if m.type.gpus > 0]
         if not machines:
             return
--- a/weldhead/scheduling/autoscaling/__init__.py
+++ b/weldhead/scheduling/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many machines there should be: scale out, scale in and consolidation."""
+"""Decisions on the size of the fleet: scale out, scale in and consolidation."""
--- a/weldhead/scheduling/autoscaling/arrival_rates.py
+++ b/weldhead/scheduling/autoscaling/arrival_rates.py
@@ -1,44 +1,49 @@
-"""How much work keeps arriving, by priority. No I/O.
+"""Rates at which new work arrives, by priority level. No I/O.
 
-A forecast that knows only what waits now is hopeful for the lower priorities: whatever
-arrives above them in the meantime goes first.
+A forecast that knows only the tasks that wait now is too optimistic for the lower priorities:
+work of higher priority that arrives in the meantime is placed first.
 """
 
 import math
 
-#: Arrivals above are taken to leave at least this share of the fleet.
-LEAST_SHARE = 0.25
+#: The smallest share of the fleet that arriving work of higher priority is assumed to leave.
+MIN_REMAINING_SHARE = 0.25
 
 
 class ArrivalRates:
-    """Fading rates of arriving work, in CPUs that it would keep busy."""
+    """Exponentially decaying rates of arriving work, in CPUs that the work would keep busy."""
 
-    def __init__(self, memory_us: int) -> None:
-        #: Arrivals fade with this time constant.
-        self._memory_us = memory_us
+    def __init__(self, decay_time_us: int) -> None:
+        #: The time constant of the decay: after it, an arrival counts 1/e of its work.
+        self._decay_time_us = decay_time_us
+        #: By priority level: decayed CPU microseconds, and the time as of which they are valid.
         self._levels: dict[int, tuple[float, int]] = {}
 
     def record(self, level: int, cpu_us: float, at_us: int) -> None:
-        """Note work that arrived."""
+        """Record the arrival of work of a priority level, in CPU microseconds."""
         total, since_us = self._levels.get(level, (0.0, at_us))
         if at_us >= since_us:
-            total = total * math.exp((since_us - at_us) / self._memory_us) + cpu_us
+            total = total * math.exp((since_us - at_us) / self._decay_time_us) + cpu_us
             self._levels[level] = (total, at_us)
         else:
-            # Read from the store out of order, at the start of a term.
-            total += cpu_us * math.exp((at_us - since_us) / self._memory_us)
+            # At the start of a term, jobs are read from the store in another order.
+            total += cpu_us * math.exp((at_us - since_us) / self._decay_time_us)
             self._levels[level] = (total, since_us)
 
-    def cpus_above(self, level: int, at_us: int) -> float:
-        """Return how many CPUs the work that arrives above a level would keep busy."""
+    def cpus_needed_above(self, level: int, at_us: int) -> float:
+        """Return how many CPUs the arriving work of higher priority levels would keep busy."""
         return sum(
-            total * math.exp(min(0, since_us - at_us) / self._memory_us) / self._memory_us
+            total * math.exp(min(0, since_us - at_us) / self._decay_time_us) / self._decay_time_us
             for other, (total, since_us) in self._levels.items()
             if other > level
         )
 
     def delay_factor(self, level: int, capacity: float, at_us: int) -> float:
-        """By what factor waiting at a level takes longer than what waits now lets it seem."""
+        """Return the factor by which arrivals of higher priority prolong the wait at a level.
+
+        The factor applies to a wait that was forecast from the tasks that wait now. ``capacity``
+        is the number of CPUs in the fleet.
+        """
         if capacity <= 0:
             return 1.0
-        return 1 / max(LEAST_SHARE, 1 - self.cpus_above(level, at_us) / capacity)
+        return 1 / max(MIN_REMAINING_SHARE, 1 - self.cpus_needed_above(level, at_us) / capacity)
--- a/weldhead/scheduling/autoscaling/capacity_forecast.py
+++ b/weldhead/scheduling/autoscaling/capacity_forecast.py
@@ -13,7 +13,7 @@
 
 
 class CapacityForecast:
-    """A coarse forecast: waiting tasks take CPUs in order, as running ones give them back."""
+    """Forecasts task starts: waiting tasks take capacity in order, as running tasks release it."""
 
     def __init__(
         self,
@@ -22,55 +22,66 @@
         estimates: RunTimeEstimates,
         at_us: int,
         boots: BootExpectations,
-        silent: Collection[str] = (),
+        silent_machines: Collection[str] = (),
         *,
         gpus: bool = False,
         zone: str | None = None,
     ) -> None:
-        """Forecast CPUs, or GPUs for work that takes any; of one zone alone, if it is given."""
-        pools: dict[int, float] = defaultdict(float)
+        """Forecast free CPUs, or free GPUs with ``gpus``; only those of ``zone``, if it is given.
+
+        Machines named in ``silent_machines`` and the tasks on them are left out.
+        """
+        #: By time: the amount that becomes free then.
+        released: dict[int, float] = defaultdict(float)
         for item in pending:
             if zone is not None and item.zone != zone:
                 continue
             amount = item.type.gpus if gpus else item.type.cpus
-            pools[at_us + seconds_us(item.type.boot_s)] += amount * item.count
-        away = set(silent)
+            released[at_us + seconds_us(item.type.boot_s)] += amount * item.count
+        excluded_machines = set(silent_machines)
         for machine in cluster.machines.values():
-            elsewhere = zone is not None and machine.zone != zone
-            if machine.deleting or machine.draining or elsewhere or machine.name in away:
-                away.add(machine.name)
+            in_other_zone = zone is not None and machine.zone != zone
+            if (
+                machine.deleting
+                or machine.draining
+                or in_other_zone
+                or machine.name in excluded_machines
+            ):
+                excluded_machines.add(machine.name)
             elif machine.booting:
                 if not boots.is_late(machine, at_us):
                     amount = machine.gpus if gpus else machine.cpus
-                    pools[boots.ready_us(machine, at_us)] += amount
+                    released[boots.ready_us(machine, at_us)] += amount
             elif (amount := machine.gpus if gpus else machine.cpus) > EPSILON:
-                pools[at_us] += amount
+                released[at_us] += amount
         for job in cluster.active_jobs.values():
             if job.spec.is_service:
                 continue
             task_us, amount = estimates.task_us(job), job.spec.gpus if gpus else job.spec.cpus
             if gpus and amount <= 0:
                 continue
-            for end_us in job.expected_ends_us(task_us, at_us, away):
-                pools[end_us] += amount
-        #: When how many CPUs are given back. What comes at one moment is one item, as are
-        #: tasks that start together: their number is not what this costs.
-        self._heap = list(pools.items())
+            for end_us in job.expected_ends_us(task_us, at_us, excluded_machines):
+                released[end_us] += amount
+        #: Heap of times with the amount that becomes free then. Amounts released at the same
+        #: time are one item, and so are tasks that start together, so that the cost does not
+        #: depend on the number of tasks.
+        self._heap = list(released.items())
         heapq.heapify(self._heap)
 
     def schedule(
-        self, cpus: float, run_us: int, ready_us: int = 0, count: int = 1
+        self, amount: float, run_us: int, ready_us: int = 0, count: int = 1
     ) -> Iterator[tuple[int | None, int]]:
-        """Let tasks run as early as they can; yield when how many of them start.
+        """Let ``count`` tasks run as early as they can; yield start times and numbers of tasks.
 
-        None: they never can. One that becomes ready later leaves what it takes to nobody
-        until then: room for the next stage of a chain is there when it is released.
+        Each task takes ``amount`` CPUs or GPUs for ``run_us``. The start time is None for tasks
+        that can never start. Capacity taken by tasks that become ready later is not lent to other
+        tasks until then: the next stage of a chain finds it free when the stage is released.
         """
         heap = self._heap
         while count > 0:
             taken: list[tuple[int, float]] = []
-            found = 0.0
-            while found + EPSILON < cpus:
+            taken_amount = 0.0
+            while taken_amount + EPSILON < amount:
                 if not heap:
                     for item in taken:
                         heapq.heappush(heap, item)
@@ -78,13 +89,15 @@
                     return
                 item = heapq.heappop(heap)
                 taken.append(item)
-                found += item[1]
+                taken_amount += item[1]
             free_us = taken[-1][0] if taken else 0
             start_us = max(ready_us, free_us)
-            together = min(count, int((found + EPSILON) / cpus)) if cpus > 0 else count
-            rest = found - cpus * together
-            if rest > EPSILON:
-                heapq.heappush(heap, (free_us, rest))
-            heapq.heappush(heap, (start_us + run_us, cpus * together))
-            yield start_us, together
-            count -= together
+            started_count = (
+                min(count, int((taken_amount + EPSILON) / amount)) if amount > 0 else count
+            )
+            remainder = taken_amount - amount * started_count
+            if remainder > EPSILON:
+                heapq.heappush(heap, (free_us, remainder))
+            heapq.heappush(heap, (start_us + run_us, amount * started_count))
+            yield start_us, started_count
+            count -= started_count
--- a/weldhead/scheduling/autoscaling/consolidation.py
+++ b/weldhead/scheduling/autoscaling/consolidation.py
@@ -1,4 +1,4 @@
-"""Consolidation: emptying machines that are to be returned by moving their tasks."""
+"""Consolidation: drains machines that are to be returned by moving their tasks elsewhere."""
 
 from dataclasses import dataclass
 
@@ -8,28 +8,29 @@
 from weldhead.cluster_state.machines import EPSILON, Machine, tasks_that_fit
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
-from weldhead.scheduling.autoscaling.rental_offers import fill_room
+from weldhead.scheduling.autoscaling.rental_offers import allocate_tasks
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
 from weldhead.scheduling.objectives import ServiceLevelObjectives, slack_us
 from weldhead.scheduling.placement.eligibility import is_schedulable
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 
-#: How much sooner, in times of the fetch, a machine must go for a move that costs a fetch.
+#: A move that fetches an image must save the minimum time plus this multiple of the fetch time.
 FETCH_WEIGHT = 4
 
 
-#: A task that begins anew must be in time by so much more: it may have to fetch its image.
-ANEW_US = 15 * SECOND_US
+#: Extra time that a restarted task must have left, as it may have to fetch its image.
+RESTART_MARGIN_US = 15 * SECOND_US
 
 
 @dataclass(frozen=True)
 class MachineDrain:
-    """A machine to be emptied, and which of its tasks go on or begin anew elsewhere."""
+    """A machine to drain, and the attempts to move from it."""
 
     machine: Machine
+    #: Attempts that resume from a checkpoint or restart on another machine.
     attempts: list[Attempt]
-    #: How much sooner the machine can go.
-    gain_us: int
+    #: How much sooner the machine can be returned.
+    time_saved_us: int
 
 
 def plan_consolidation(
@@ -41,17 +42,18 @@
     silence_us: int,
     objectives: ServiceLevelObjectives | None = None,
 ) -> list[MachineDrain]:
-    """Choose closing machines to be emptied by moving their tasks, the dearest first.
-
-    Only while nothing waits; only to machines that stay; and only if the machine can go
-    ``move_worth`` sooner for it. Tasks that save go on there, others begin anew where little
-    is lost (``_unloading``). Machines that have the image come first; to fetch it must be
-    worth FETCH_WEIGHT times its time. After a backlog long tasks hold machines that are
-    otherwise empty.
+    """Choose scale-in candidates to drain, those that save the most money first.
+
+    After a backlog, long tasks keep machines that are otherwise empty. A machine is drained only
+    while no task waits, only if its tasks fit on machines that are not scale-in candidates, and
+    only if it can be returned sooner by at least ``min_drain_saving_us``. Tasks with checkpoints
+    resume on another machine; others restart there if little work is lost (``_plan_drain``).
+    Machines that have a task's image are preferred; a fetch must save FETCH_WEIGHT times its
+    duration as well.
     """
     if plan.unplaced:
         return []
-    closing: list[tuple[float, MachineDrain]] = []
+    drains: list[tuple[float, MachineDrain]] = []
     targets: list[tuple[Machine, list[float]]] = []
     for machine in cluster.machines.values():
         if not is_schedulable(machine, at_us, silence_us):
@@ -60,114 +62,121 @@
             if machine.cpus > EPSILON:
                 targets.append((machine, [machine.cpus, machine.gpus, machine.memory_gb]))
         elif machine.attempts:
-            move = _unloading(machine, estimates, objectives, at_us, settings.move_loss)
-            if move is not None and move.gain_us >= settings.move_worth_us:
-                closing.append((machine.price * move.gain_us, move))
-    closing.sort(key=lambda item: (-item[0], item[1].machine.name))
-    # Fullest first, so that others stay empty.
+            drain = _plan_drain(machine, estimates, objectives, at_us, settings.max_lost_work_share)
+            if drain is not None and drain.time_saved_us >= settings.min_drain_saving_us:
+                drains.append((machine.price * drain.time_saved_us, drain))
+    drains.sort(key=lambda item: (-item[0], item[1].machine.name))
+    # The fullest machines come first, so that emptier ones can become idle.
     targets.sort(key=lambda item: item[1][0])
     return [
-        move
-        for _, move in closing[: settings.most_moves]
-        if _find_places(move, targets, settings.move_worth_us)
+        drain
+        for _, drain in drains[: settings.max_drains_per_run]
+        if _allocate_on_targets(drain, targets, settings.min_drain_saving_us)
     ]
 
 
-def movable(attempt: Attempt) -> bool:
-    """Whether a task may go on elsewhere at little cost, whatever its job's other tasks do."""
-    return attempt.job.spec.checkpoint_s > 0 and _may_move(attempt)
+def can_resume_elsewhere(attempt: Attempt) -> bool:
+    """Whether a task saves checkpoints and can resume on another machine by itself."""
+    return attempt.job.spec.checkpoint_s > 0 and _can_change_machine(attempt)
 
 
-def _may_move(attempt: Attempt) -> bool:
+def _can_change_machine(attempt: Attempt) -> bool:
+    """Whether a task may run on another machine, independently of the job's other tasks."""
     spec = attempt.job.spec
-    # What a gate holds goes on where it runs, and would not start again elsewhere.
-    free = attempt.job.blocking_gate is None
-    return free and not spec.is_service and not spec.one_zone and not spec.spread
+    # A closed gate doesn't stop running tasks, but it would keep a stopped task from restarting.
+    is_startable = attempt.job.blocking_gate is None
+    return is_startable and not spec.is_service and not spec.one_zone and not spec.spread
 
 
-def _may_begin_anew(
+def _can_restart_elsewhere(
     attempt: Attempt, estimates: RunTimeEstimates, objectives: ServiceLevelObjectives, at_us: int
 ) -> bool:
-    """Whether a task that saves nothing may begin anew elsewhere now, and be in time.
+    """Whether a task without checkpoints may restart on another machine and still be in time.
 
-    Only idle work that nobody waits for: estimates are too rough for tasks with deadlines and
-    of chains.
+    Only idle-priority tasks without deadlines, own or inherited from dependent jobs, may:
+    run-time estimates are too rough for tasks with deadlines and for chains.
     """
-    if not _may_move(attempt) or attempt.adopted or attempt.job.effective_level > 0:
+    if not _can_change_machine(attempt) or attempt.adopted or attempt.job.effective_level > 0:
         return False
     if attempt.job.due_us is not None or attempt.job.inherited_due_us:
         return False
     job, task_us = attempt.job, estimates.task_us(attempt.job)
     remaining_us = estimates.remaining_us(attempt, at_us)
-    bound_us = objectives.target_us(job, remaining_us, at_us)
-    # As late as estimates are rough, or later still.
-    return at_us + task_us + slack_us(task_us) + ANEW_US <= bound_us
+    target_us = objectives.target_us(job, remaining_us, at_us)
+    # The slack allows for the error of run-time estimates.
+    return at_us + task_us + slack_us(task_us) + RESTART_MARGIN_US <= target_us
 
 
-def _unloading(
+def _plan_drain(
     machine: Machine,
     estimates: RunTimeEstimates,
     objectives: ServiceLevelObjectives | None,
     at_us: int,
-    most_loss: float,
+    max_lost_work_share: float,
 ) -> MachineDrain | None:
-    """Return which tasks would have to leave a machine for it to go sooner; None: nothing helps.
+    """Choose the tasks to move so that a machine can be returned sooner; None: no task can move.
 
-    A task that saves nothing loses what it has run. Where that is a small part of what the
-    machine would cost until it ends, it is the cheaper of the two: a burst of long small
-    tasks kept hundreds of CPUs idle for minutes.
+    A task without checkpoints loses the work that it has done. Restarting such tasks is allowed
+    if they lose at most ``max_lost_work_share`` of the machine time that the drain saves: a
+    burst of long small tasks kept hundreds of CPUs idle for minutes.
     """
-    leaving: list[Attempt] = []
-    anew: list[Attempt] = []
-    saving_us = staying_us = leaving_us = anew_us = 0
-    lost = 0.0
+    resuming: list[Attempt] = []
+    restarting: list[Attempt] = []
+    saving_us = staying_us = resuming_us = restarting_us = 0
+    lost_cpu_us = 0.0
     for attempt in machine.attempts.values():
         if attempt.phase is not AttemptPhase.RUNNING or attempt.stop_request is not StopRequest.NO:
             return None
         remaining_us = estimates.remaining_us(attempt, at_us)
-        if movable(attempt):
-            leaving.append(attempt)
-            leaving_us = max(leaving_us, remaining_us)
+        if can_resume_elsewhere(attempt):
+            resuming.append(attempt)
+            resuming_us = max(resuming_us, remaining_us)
             saving_us = max(saving_us, seconds_us(attempt.job.spec.save_s))
-        elif objectives is not None and _may_begin_anew(attempt, estimates, objectives, at_us):
-            anew.append(attempt)
-            anew_us = max(anew_us, remaining_us)
-            lost += attempt.job.spec.cpus * attempt.elapsed_us(at_us)
+        elif objectives is not None and _can_restart_elsewhere(
+            attempt, estimates, objectives, at_us
+        ):
+            restarting.append(attempt)
+            restarting_us = max(restarting_us, remaining_us)
+            lost_cpu_us += attempt.job.spec.cpus * attempt.elapsed_us(at_us)
         else:
             staying_us = max(staying_us, remaining_us)
-    gain_us = max(leaving_us, anew_us) - max(staying_us, saving_us)
-    if anew and lost <= most_loss * machine.type.cpus * gain_us:
-        return MachineDrain(machine, leaving + anew, gain_us)
-    staying_us = max(staying_us, anew_us, saving_us)
-    return MachineDrain(machine, leaving, leaving_us - staying_us) if leaving else None
+    time_saved_us = max(resuming_us, restarting_us) - max(staying_us, saving_us)
+    if restarting and lost_cpu_us <= max_lost_work_share * machine.type.cpus * time_saved_us:
+        return MachineDrain(machine, resuming + restarting, time_saved_us)
+    staying_us = max(staying_us, restarting_us, saving_us)
+    return MachineDrain(machine, resuming, resuming_us - staying_us) if resuming else None
 
 
-def _find_places(
-    move: MachineDrain, targets: list[tuple[Machine, list[float]]], worth_us: int
+def _allocate_on_targets(
+    drain: MachineDrain, targets: list[tuple[Machine, list[float]]], min_saving_us: int
 ) -> bool:
-    """Whether all that is to leave fits elsewhere; if so its room is taken there."""
-    taken: list[tuple[list[float], Job]] = []
-    for attempt in move.attempts:
+    """Allocate capacity on target machines for a drain's tasks; return whether all of them fit.
+
+    If a task doesn't fit, the capacity allocated for the others is released again.
+    """
+    allocated: list[tuple[list[float], Job]] = []
+    for attempt in drain.attempts:
         job = attempt.job
+        # Fetch time of the image and index of the target.
         best: tuple[int, int] | None = None
-        for number, (target, room) in enumerate(targets):
-            if not target.allows(job) or tasks_that_fit(job.spec, *room) < 1:
+        for number, (target, remaining) in enumerate(targets):
+            if not target.allows(job) or tasks_that_fit(job.spec, *remaining) < 1:
                 continue
             if job.spec.image in target.images:
                 best = (0, number)
                 break
             fetch_us = seconds_us(job.spec.image_gb / (target.type.fetch_gb_per_s or 1.0))
-            if move.gain_us - FETCH_WEIGHT * fetch_us >= worth_us and (
+            if drain.time_saved_us - FETCH_WEIGHT * fetch_us >= min_saving_us and (
                 best is None or fetch_us < best[0]
             ):
                 best = (fetch_us, number)
         if best is None:
-            for room, other in taken:
-                room[0] += other.spec.cpus
-                room[1] += other.spec.gpus
-                room[2] += other.spec.memory_gb
+            for remaining, other in allocated:
+                remaining[0] += other.spec.cpus
+                remaining[1] += other.spec.gpus
+                remaining[2] += other.spec.memory_gb
             return False
-        room = targets[best[1]][1]
-        fill_room(room, job, 1)
-        taken.append((room, job))
+        remaining = targets[best[1]][1]
+        allocate_tasks(remaining, job, 1)
+        allocated.append((remaining, job))
     return True
--- a/weldhead/scheduling/autoscaling/rental_offers.py
+++ b/weldhead/scheduling/autoscaling/rental_offers.py
@@ -1,4 +1,4 @@
-"""What the cloud offers for rent, and what of it is under way."""
+"""Machines that the cloud offers for rent, and rentals that are not completed yet."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class RentalOffer:
-    """Something that can be rented."""
+    """A machine type in a zone, as a spot or an on-demand machine."""
 
     type: MachineType
     zone: str
@@ -23,50 +23,53 @@
 
 @dataclass(frozen=True)
 class PendingRental:
-    """Machines that are being rented and have no names yet."""
+    """Machines of a rental request whose result, and so their names, is not known yet."""
 
     type: MachineType
     count: int
-    #: Empty: not known, and so no zone's.
+    #: The zone; empty if it is not known, which matches no zone.
     zone: str = ""
 
 
 @dataclass
 class RentalOffers:
-    """What the cloud has said of late."""
+    """The catalog of machine types, and the offers that the cloud refused recently."""
 
     types: list[MachineType] = field(default_factory=list)
-    #: Until when an offer is not asked for again, because it was refused.
+    #: By machine type, zone and spot: until when a refused offer is not requested again.
     refused_until_us: dict[tuple[str, str, bool], int] = field(default_factory=dict)
 
     def available(self, at_us: int) -> list[RentalOffer]:
-        """Return what may be asked for now."""
-        found = []
+        """Return the offers that may be requested now."""
+        offers = []
         for machine_type in self.types:
             for zone in machine_type.zones:
                 for spot in (True, False):
                     key = (machine_type.name, zone, spot)
                     if self.refused_until_us.get(key, 0) <= at_us:
-                        found.append(RentalOffer(machine_type, zone, spot))
-        return found
+                        offers.append(RentalOffer(machine_type, zone, spot))
+        return offers
 
 
-def offer_allows(offer: RentalOffer, job: Job) -> bool:
-    """Whether a task of the job may run on such a machine."""
+def can_run_on_offer(offer: RentalOffer, job: Job) -> bool:
+    """Whether a task of the job may run on a machine of the offer."""
     return (
         offer.type.fits(job.spec)
         and (job.spec.zone is None or job.spec.zone == offer.zone)
         and (job.spec.spot or not offer.spot)
-        # Tasks that are about to be lost still count in their zones.
+        # Tasks that are about to be lost still count toward the limit of their zone.
         and (not (job.spec.one_zone or job.spec.spread) or job.capacity_in_zone(offer.zone) > 0)
     )
 
 
-def fill_room(room: list[float], job: Job, most: int) -> int:
-    """Take the room of as many of a job's tasks as fit, ``most`` at the most; return how many."""
+def allocate_tasks(remaining: list[float], job: Job, task_count: int) -> int:
+    """Allocate capacity for up to ``task_count`` tasks of a job; return for how many it suffices.
+
+    ``remaining`` holds a machine's remaining CPUs, GPUs and memory, and is reduced accordingly.
+    """
     spec = job.spec
-    most = min(most, tasks_that_fit(spec, *room))
-    room[0] -= spec.cpus * most
-    room[1] -= spec.gpus * most
-    room[2] -= spec.memory_gb * most
-    return most
+    task_count = min(task_count, tasks_that_fit(spec, *remaining))
+    remaining[0] -= spec.cpus * task_count
+    remaining[1] -= spec.gpus * task_count
+    remaining[2] -= spec.memory_gb * task_count
+    return task_count
--- a/weldhead/scheduling/autoscaling/scale_in.py
+++ b/weldhead/scheduling/autoscaling/scale_in.py
@@ -10,7 +10,7 @@
 from weldhead.provisioning.boot_times import BootExpectations
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
-from weldhead.scheduling.autoscaling.scale_out import usual_boots
+from weldhead.scheduling.autoscaling.scale_out import default_boot_expectations
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 
 
@@ -18,77 +18,83 @@
     cluster: Cluster,
     plan: PlacementPlan,
     settings: FleetSettings,
-    expected: Sequence[ExpectedDemand] = (),
+    expected_demand: Sequence[ExpectedDemand] = (),
 ) -> set[str]:
-    """Choose machines that are no longer needed, so that they are filled last.
+    """Return the names of machines that are no longer needed, so that placement fills them last.
 
-    The rest must have room for what runs on them, for what is about to become runnable, and
-    a reserve besides. Those that cost most for what runs on them go first.
+    The other machines must have capacity for the running tasks, for the expected demand, and for
+    a reserve. Machines that cost most per used CPU are chosen first.
     """
-    open_machines = [
+    usable_machines = [
         m
         for m in cluster.machines.values()
         if m.reconciled and not m.draining and not m.deleting and not m.not_receiving
     ]
-    if plan.unplaced or not open_machines:
+    if plan.unplaced or not usable_machines:
         return set()
-    used = {m.name: m.type.cpus - m.cpus for m in open_machines}
-    free = sum(m.cpus for m in open_machines)
-    allowance = settings.reserve * sum(used.values())
-    allowance += sum(item.tasks(cluster) * item.job.spec.cpus for item in expected)
+    used_cpus = {m.name: m.type.cpus - m.cpus for m in usable_machines}
+    free_cpus = sum(m.cpus for m in usable_machines)
+    required_cpus = settings.reserve_share * sum(used_cpus.values())
+    required_cpus += sum(item.task_count(cluster) * item.job.spec.cpus for item in expected_demand)
 
-    def waste(machine: Machine) -> float:
-        return machine.price / (used[machine.name] + 0.1 * machine.type.cpus)
+    def cost_per_used_cpu(machine: Machine) -> float:
+        return machine.price / (used_cpus[machine.name] + 0.1 * machine.type.cpus)
 
-    closing: set[str] = set()
-    for machine in sorted(open_machines, key=waste, reverse=True):
-        if free - machine.type.cpus < allowance:
+    candidates: set[str] = set()
+    for machine in sorted(usable_machines, key=cost_per_used_cpu, reverse=True):
+        if free_cpus - machine.type.cpus < required_cpus:
             continue
-        free -= machine.type.cpus
-        closing.add(machine.name)
-    return closing
+        free_cpus -= machine.type.cpus
+        candidates.add(machine.name)
+    return candidates
 
 
 def plan_scale_in(
-    cluster: Cluster, at_us: int, settings: FleetSettings, boots: BootExpectations | None = None
+    cluster: Cluster,
+    at_us: int,
+    settings: FleetSettings,
+    boot_expectations: BootExpectations | None = None,
 ) -> list[Machine]:
-    """Decide which machines to return: idle ones, and those that never came up.
+    """Return the machines to return: idle ones, and those that never came up.
 
-    One that lists a completion which is not committed stays: if the leader ends before the
-    store has it, its successor learns of it from that machine only, and the task ran in vain.
+    A machine that reports a completion that is not committed yet is kept. If the leader fails
+    before the completion is in the store, its successor can learn of the completion only from
+    that machine; otherwise the task would have run for nothing.
     """
-    boots = boots or usual_boots(settings)
-    found = []
+    boots = boot_expectations or default_boot_expectations(settings)
+    machines_to_return = []
     for machine in cluster.machines.values():
         if machine.deleting or machine.command_in_flight or machine.not_receiving:
-            # What hears nothing is returned by a rule of its own (``reachability/replacement.py``).
+            # ``reachability/replacement.py`` decides on machines that receive no commands.
             continue
         if boots.is_given_up(machine, at_us):
-            found.append(machine)
+            machines_to_return.append(machine)
             continue
         if machine.booting or machine.attempts or machine.orphans or not machine.reconciled:
             continue
-        if _lists_unsaved(cluster, machine):
+        if _reports_uncommitted_completion(cluster, machine):
             continue
         idle_us = at_us - machine.idle_since_us
-        paid = at_us - machine.rented_us >= settings.minimum_charge_us
+        is_minimum_used = at_us - machine.rented_us >= settings.minimum_charge_us
         keep_us = settings.keep_idle_spot_us if machine.spot else settings.keep_idle_us
         if machine.scale_in_candidate:
             keep_us = 0
-        if machine.draining or (paid and idle_us >= max(keep_us, weights_worth_us(machine))):
-            found.append(machine)
-    return found
+        if machine.draining or (
+            is_minimum_used and idle_us >= max(keep_us, cache_retention_us(machine))
+        ):
+            machines_to_return.append(machine)
+    return machines_to_return
 
 
-def _lists_unsaved(cluster: Cluster, machine: Machine) -> bool:
-    """Whether a machine lists a completion that the store has not yet."""
+def _reports_uncommitted_completion(cluster: Cluster, machine: Machine) -> bool:
+    """Whether a machine reports a completion that is not in the store yet."""
     for task, _ in machine.unacknowledged:
         try:
             job_id, index = split_task(task)
         except ValueError:
             continue
         job = cluster.jobs.get(job_id)
-        # Workers may list what no job has.
+        # Workers may report tasks that belong to no known job.
         if job is None or index >= job.spec.tasks:
             continue
         if job.states[index] == TaskState.COMPLETED:
@@ -96,13 +102,13 @@
     return False
 
 
-def weights_worth_us(machine: Machine) -> int:
-    """Return for how long an idle machine with cards is worth keeping for what its cache holds.
+def cache_retention_us(machine: Machine) -> int:
+    """Return how long to keep an idle machine with GPUs for the images in its cache.
 
-    For as long as it would take another one to boot and to fetch the same: so whether or not
-    the weights are wanted again, no more than twice the least is paid.
+    The result is the time that another machine would take to boot and to fetch the largest image.
+    Whether or not the cached images are needed again, at most twice the minimum cost is paid.
     """
     if machine.type.gpus <= 0 or not machine.images:
         return 0
-    rate = machine.type.fetch_gb_per_s or 1.0
-    return seconds_us(machine.type.boot_s + max(machine.images.values()) / rate)
+    fetch_gb_per_s = machine.type.fetch_gb_per_s or 1.0
+    return seconds_us(machine.type.boot_s + max(machine.images.values()) / fetch_gb_per_s)
--- a/weldhead/scheduling/autoscaling/scale_out.py
+++ b/weldhead/scheduling/autoscaling/scale_out.py
@@ -1,6 +1,7 @@
-"""Scale out: which machines to rent for work that waits too long.
+"""Scale out: which machines to rent for tasks that would wait too long.
 
-Pure decisions on a snapshot of the cluster, the last placement plan and the time.
+The decisions are pure functions of a snapshot of the cluster, the last placement plan and the
+time.
 """
 
 from collections import defaultdict
@@ -20,8 +21,8 @@
     PendingRental,
     RentalOffer,
     RentalOffers,
-    fill_room,
-    offer_allows,
+    allocate_tasks,
+    can_run_on_offer,
 )
 from weldhead.scheduling.autoscaling.unmet_demand import DemandForecastInput, forecast_unmet_demand
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
@@ -30,20 +31,20 @@
 from weldhead.scheduling.reservations.wide_tasks import WideTaskForecast
 
 
-def replacements(rentals: dict[RentalOffer, int], cpus: float) -> dict[RentalOffer, int]:
-    """Return as many of the machines, the first ones first, as replace so many CPUs."""
-    found: dict[RentalOffer, int] = {}
+def limit_rentals(rentals: dict[RentalOffer, int], max_cpus: float) -> dict[RentalOffer, int]:
+    """Return as many of the machines, in their order, as have at most ``max_cpus`` together."""
+    limited: dict[RentalOffer, int] = {}
     for offer, count in rentals.items():
-        taken = min(count, int(cpus / offer.type.cpus)) if offer.type.cpus else 0
-        if taken > 0:
-            found[offer] = taken
-            cpus -= taken * offer.type.cpus
-    return found
+        allowed = min(count, int(max_cpus / offer.type.cpus)) if offer.type.cpus else 0
+        if allowed > 0:
+            limited[offer] = allowed
+            max_cpus -= allowed * offer.type.cpus
+    return limited
 
 
-def usual_boots(settings: FleetSettings) -> BootExpectations:
-    """Return what is expected of machines that boot while nothing is known of others."""
-    return BootExpectations(settings.boots, settings.minimum_charge_us)
+def default_boot_expectations(settings: FleetSettings) -> BootExpectations:
+    """Return the expected boots of machines while nothing is known of other boots."""
+    return BootExpectations(settings.boot_expectation, settings.minimum_charge_us)
 
 
 def plan_scale_out(
@@ -55,44 +56,52 @@
     at_us: int,
     settings: FleetSettings,
     pending: Sequence[PendingRental] = (),
-    demand: ArrivalRates | None = None,
-    expected: Sequence[ExpectedDemand] = (),
-    backlog: int = 0,
-    silent: Collection[str] = (),
-    boots: BootExpectations | None = None,
-    ahead: Callable[[int], WideTaskForecast] | None = None,
+    arrival_rates: ArrivalRates | None = None,
+    expected_demand: Sequence[ExpectedDemand] = (),
+    backlog_size: int = 0,
+    silent_machines: Collection[str] = (),
+    boot_expectations: BootExpectations | None = None,
+    wide_task_forecast: Callable[[int], WideTaskForecast] | None = None,
 ) -> dict[RentalOffer, int]:
-    """Decide how many of which machines to rent.
+    """Return the offers to rent, each with the number of machines.
 
-    Two patiences: cheap machines are rented as soon as work would wait longer than
-    ``spot_patience``; dear ones only for work that would otherwise miss its goal.
+    Spot machines are rented as soon as tasks would wait longer than ``spot_patience_us``.
+    On-demand machines are rented only for tasks that would otherwise miss their target.
+    ``silent_machines`` are the names of machines whose capacity is not counted.
+    ``wide_task_forecast`` creates the forecast for wide tasks as of the given time.
     """
     offers = rental_offers.available(at_us)
-    if not (plan.unplaced or expected) or not offers:
+    if not (plan.unplaced or expected_demand) or not offers:
         return {}
-    owned = sum(
+    fleet_cpus = sum(
         machine.type.cpus
         for machine in cluster.machines.values()
-        if not machine.deleting and machine.name not in silent
+        if not machine.deleting and machine.name not in silent_machines
     )
-    owned += sum(item.type.cpus * item.count for item in pending)
+    fleet_cpus += sum(item.type.cpus * item.count for item in pending)
 
     @cache
-    def delay_factor_at(level: int) -> float:
-        return demand.delay_factor(level, owned, at_us) if demand is not None else 1.0
+    def delay_factor_of_level(level: int) -> float:
+        return (
+            arrival_rates.delay_factor(level, fleet_cpus, at_us)
+            if arrival_rates is not None
+            else 1.0
+        )
 
     def delay_factor(job: Job) -> float:
-        return delay_factor_at(job.effective_level)
+        return delay_factor_of_level(job.effective_level)
 
     boot_us = seconds_us(min(offer.type.boot_s for offer in offers))
-    boots = boots or usual_boots(settings)
-    queue = CapacityForecast(cluster, pending, estimates, at_us, boots, silent)
+    boots = boot_expectations or default_boot_expectations(settings)
+    cpu_forecast = CapacityForecast(cluster, pending, estimates, at_us, boots, silent_machines)
 
     @cache
-    def zone_queue(zone: str) -> CapacityForecast:
-        return CapacityForecast(cluster, pending, estimates, at_us, boots, silent, zone=zone)
+    def zone_forecast(zone: str) -> CapacityForecast:
+        return CapacityForecast(
+            cluster, pending, estimates, at_us, boots, silent_machines, zone=zone
+        )
 
-    given = DemandForecastInput(
+    forecast_input = DemandForecastInput(
         cluster,
         plan,
         estimates,
@@ -101,73 +110,79 @@
         at_us,
         boot_us,
         delay_factor,
-        expected,
-        backlog,
-        lambda: CapacityForecast(cluster, pending, estimates, at_us, boots, silent, gpus=True),
-        zone_queue,
-        ahead(at_us + boot_us) if ahead is not None else None,
+        expected_demand,
+        backlog_size,
+        lambda: CapacityForecast(
+            cluster, pending, estimates, at_us, boots, silent_machines, gpus=True
+        ),
+        zone_forecast,
+        wide_task_forecast(at_us + boot_us) if wide_task_forecast is not None else None,
     )
-    unmet = forecast_unmet_demand(given, queue)
+    unmet = forecast_unmet_demand(forecast_input, cpu_forecast)
     rentals: dict[RentalOffer, int] = defaultdict(int)
-    cheap = [offer for offer in offers if offer.spot]
-    rooms = _rent_for(unmet.deferrable, cheap, rentals, [], settings)
-    # More dear machines than this would share the backlog so thinly that they are idle
-    # before they have been paid for; one is always allowed.
-    capacity = owned + sum(offer.type.cpus * number for offer, number in rentals.items())
-    worthwhile = unmet.backlog_us / settings.payback_us - capacity
-    _rent_for(unmet.urgent, offers, rentals, rooms, settings, worthwhile)
+    spot_offers = [offer for offer in offers if offer.spot]
+    rented = _add_rentals(unmet.deferrable, spot_offers, rentals, [], settings)
+    # With more on-demand machines than this, each would get so little of the backlog that it
+    # would be idle before it has paid for itself. One machine is always allowed.
+    capacity = fleet_cpus + sum(offer.type.cpus * count for offer, count in rentals.items())
+    max_on_demand_cpus = unmet.backlog_cpu_us / settings.payback_us - capacity
+    _add_rentals(unmet.urgent, offers, rentals, rented, settings, max_on_demand_cpus)
     return dict(rentals)
 
 
-def _rent_for(
-    missing: list[tuple[Job, int]],
+def _add_rentals(
+    demand: list[tuple[Job, int]],
     offers: list[RentalOffer],
     rentals: dict[RentalOffer, int],
-    rooms: list[tuple[RentalOffer, list[float]]],
+    rented: list[tuple[RentalOffer, list[float]]],
     settings: FleetSettings,
-    dear_cpus: float = 0.0,
+    max_on_demand_cpus: float = 0.0,
 ) -> list[tuple[RentalOffer, list[float]]]:
-    """Add machines for the missing tasks; ``rooms`` are those hired already this time."""
-    rooms = [
-        (offer, [offer.type.cpus, offer.type.gpus, offer.type.memory_gb]) for offer, _ in rooms
+    """Add machines for the demand to ``rentals``; return the machines rented in this run.
+
+    ``rented`` are the machines that an earlier call for this run returned. They are used first,
+    as empty machines. Each returned machine is its offer and its remaining CPUs, GPUs and memory.
+    """
+    rented = [
+        (offer, [offer.type.cpus, offer.type.gpus, offer.type.memory_gb]) for offer, _ in rented
     ]
-    dear = 0.0
-    for job, count in missing:
-        for offer, left in rooms:
+    on_demand_cpus = 0.0
+    for job, count in demand:
+        for offer, remaining in rented:
             if count <= 0:
                 break
-            if offer_allows(offer, job):
-                count -= fill_room(left, job, count)
-        while count > 0 and len(rooms) < settings.most_per_look:
-            best = _best_offer(job, count, missing, offers)
+            if can_run_on_offer(offer, job):
+                count -= allocate_tasks(remaining, job, count)
+        while count > 0 and len(rented) < settings.max_machines_per_run:
+            best = _choose_offer(job, count, demand, offers)
             if best is None:
                 break
             if not best.spot:
-                if dear and dear + best.type.cpus > dear_cpus:
-                    return rooms
-                dear += best.type.cpus
-            left = [best.type.cpus, best.type.gpus, best.type.memory_gb]
-            count -= fill_room(left, job, count)
-            rooms.append((best, left))
+                if on_demand_cpus and on_demand_cpus + best.type.cpus > max_on_demand_cpus:
+                    return rented
+                on_demand_cpus += best.type.cpus
+            remaining = [best.type.cpus, best.type.gpus, best.type.memory_gb]
+            count -= allocate_tasks(remaining, job, count)
+            rented.append((best, remaining))
             rentals[best] += 1
-    return rooms
+    return rented
 
 
-def _best_offer(
-    job: Job, count: int, missing: list[tuple[Job, int]], offers: list[RentalOffer]
+def _choose_offer(
+    job: Job, count: int, demand: list[tuple[Job, int]], offers: list[RentalOffer]
 ) -> RentalOffer | None:
-    """Return the offer that costs least for what would run on it."""
-    demand = sum(other.spec.cpus * number for other, number in missing)
+    """Return the offer with the lowest price per CPU that the demand would use on the machine."""
+    demand_cpus = sum(other.spec.cpus * other_count for other, other_count in demand)
     best: tuple[float, float, RentalOffer] | None = None
     for offer in offers:
-        if not offer_allows(offer, job):
+        if not can_run_on_offer(offer, job):
             continue
-        room = [offer.type.cpus, offer.type.gpus, offer.type.memory_gb]
-        fitting = fill_room(room, job, job.spec.tasks)
-        own = min(fitting, count) * job.spec.cpus
-        used = max(own, min(offer.type.cpus, demand, fitting * job.spec.cpus))
+        remaining = [offer.type.cpus, offer.type.gpus, offer.type.memory_gb]
+        fitting = allocate_tasks(remaining, job, job.spec.tasks)
+        job_cpus = min(fitting, count) * job.spec.cpus
+        used_cpus = max(job_cpus, min(offer.type.cpus, demand_cpus, fitting * job.spec.cpus))
         fetch_s = job.spec.image_gb / (offer.type.fetch_gb_per_s or 1.0)
-        cost = offer.price / max(used, EPSILON)
+        cost = offer.price / max(used_cpus, EPSILON)
         rank = (cost, offer.type.boot_s + fetch_s, offer)
         if best is None or rank[:2] < best[:2]:
             best = rank
