--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -520,13 +520,13 @@
     for second in range(300):
         demand.record(2, 50.0 * S, second * S)
     # 50 CPU seconds per second are 50 CPUs; the decaying average has reached 95 % of that.
-    assert demand.cpus_above(1, 300 * S) == pytest.approx(47, rel=0.05)
-    assert demand.cpus_above(2, 300 * S) == 0
+    assert demand.cpus_needed_above(1, 300 * S) == pytest.approx(47, rel=0.05)
+    assert demand.cpus_needed_above(2, 300 * S) == 0
     assert demand.delay_factor(1, 100, 300 * S) == pytest.approx(1.9, rel=0.1)
     assert demand.delay_factor(2, 100, 300 * S) == 1.0
     assert demand.delay_factor(1, 10, 300 * S) == demand.delay_factor(1, 0.1, 300 * S) == 4.0
     assert demand.delay_factor(1, 0, 300 * S) == 1.0
-    assert demand.cpus_above(1, 900 * S) < 1
+    assert demand.cpus_needed_above(1, 900 * S) < 1
 
     state = cluster(Team("red", 0, 1_000))
     fill = add_job(state, job_spec(1, tasks=50, cpus=4.0, priority="high"))
@@ -558,7 +558,7 @@
         forward.record(*arrival)
     for arrival in reversed(arrivals):
         backward.record(*arrival)
-    assert forward.cpus_above(-1, 500 * S) == pytest.approx(backward.cpus_above(-1, 500 * S))
+    assert forward.cpus_needed_above(-1, 500 * S) == pytest.approx(backward.cpus_needed_above(-1, 500 * S))
 
 
 def machines_to_drain(state: Cluster, plan: PlacementPlan | None = None) -> list[str]:
@@ -634,7 +634,7 @@
         job.effective_level = job.spec.level
         assert chosen(40 * S) == []
     job.spec, job.effective_level = spec, spec.level
-    assert move.gain_us == 111 * S
+    assert move.time_saved_us == 111 * S
     # A restart takes 150 s plus a tolerance for rough estimates, which misses a limit of 240 s
     # but meets one of 300 s.
     assert (
@@ -652,7 +652,7 @@
     small.adopted = True
     (move,) = chosen(40 * S)
     assert small not in move.attempts and len(move.attempts) == 7
-    assert move.gain_us < 111 * S
+    assert move.time_saved_us < 111 * S
 
 
 def test_two_drains_do_not_share_the_same_capacity() -> None:
