--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -558,7 +558,9 @@
         forward.record(*arrival)
     for arrival in reversed(arrivals):
         backward.record(*arrival)
-    assert forward.cpus_needed_above(-1, 500 * S) == pytest.approx(backward.cpus_needed_above(-1, 500 * S))
+    assert forward.cpus_needed_above(-1, 500 * S) == pytest.approx(
+        backward.cpus_needed_above(-1, 500 * S)
+    )
 
 
 def machines_to_drain(state: Cluster, plan: PlacementPlan | None = None) -> list[str]:
