--- a/tests/calendars/test_calendars.py
+++ b/tests/calendars/test_calendars.py
@@ -598,7 +598,7 @@
     name = bound_job(terms, 1, terms.clock() + 60 * S)
     leader = terms.lead()
     terms.clock.us += 2000 * S  # far behind its lease
-    assert not leader.valid
+    assert not leader.is_valid
     terms.look(leader)
     assert not late_lines(caplog) and leader.status(name) is None
 
--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -41,7 +41,7 @@
 from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.configuration.gate_binder import GateBinder
 from weldhead.controller.leadership.leader import Leader
-from weldhead.controller.leadership.previous_leaders import missed_from_us
+from weldhead.controller.leadership.previous_leaders import read_unsettled_from_us
 from weldhead.documents.records import HEAD_KEY, DocumentSet, HeadRecord, document_key
 from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.experiment import play_observed
@@ -416,7 +416,7 @@
         await self.leader.recovery.clear_unsettled()
 
     async def meanwhile(self) -> None:
-        assert await missed_from_us(cast(StateClient, self.state)) is None
+        assert await read_unsettled_from_us(cast(StateClient, self.state)) is None
 
     def succeeded(self, successor: Leader) -> None:
         assert UNSETTLED_KEY not in self.state.keys
--- a/tests/controller/leadership/test_peer_directory.py
+++ b/tests/controller/leadership/test_peer_directory.py
@@ -1,4 +1,4 @@
-"""What a controller has others answer, and when it is ready."""
+"""Forwarding of requests to peers, and the readiness of a controller."""
 
 import asyncio
 from types import SimpleNamespace
@@ -16,11 +16,14 @@
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import StateClient
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
-class Link:
-    """A link to a peer that answers everything, and says whether it is served."""
+class FakeLink:
+    """A link to a peer that answers every request.
+
+    ``state_ok`` is whether the state service serves the peer.
+    """
 
     connected, format, last_message_us = True, 4, 0
 
@@ -39,25 +42,32 @@
         return ForwardedAnswer(1, 200, b"{}")
 
 
-class Site:
-    """One controller and its links, at a time that is set."""
+class Controller:
+    """One controller and its links, with a clock that the test moves."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, served: bool) -> None:
-        self.at_us = 100 * S
+        self.at_us = 100 * SECOND_US
         monkeypatch.setattr(peer_directory, "now_us", lambda: self.at_us)
-        self.links = {name: Link(name, served) for name in ("n-1", "n-2", "n-3")}
-        self.campaign = SimpleNamespace(
-            leader=None, catalog=[machine_type()], known_leader=LeaderRecord("n-1", "x", 3 * S)
+        self.links = {name: FakeLink(name, served) for name in ("n-1", "n-2", "n-3")}
+        self.election = SimpleNamespace(
+            leader=None,
+            catalog=[machine_type()],
+            known_leader=LeaderRecord("n-1", "x", 3 * SECOND_US),
         )
         links = cast(dict[str, PeerLink], self.links)
-        self.here = PeerDirectory("n-0", links, cast(LeaderElection, self.campaign), self.at_us)
+        self.directory = PeerDirectory(
+            "n-0", links, cast(LeaderElection, self.election), self.at_us
+        )
         self.state = SimpleNamespace(available=True, served_us=self.at_us, failed_us=0)
-        self.here.open(cast(StateClient, self.state))
+        self.directory.open(cast(StateClient, self.state))
 
     def pass_time(self, seconds: int, *, heard: bool, served: bool) -> int:
-        """Let time pass; return what ``/ready`` says then."""
+        """Let time pass; return the status of ``/ready`` afterwards.
+
+        ``heard`` is whether the peers answer, ``served`` whether the state service does.
+        """
         for _ in range(seconds * 5):
-            self.at_us += S // 5
+            self.at_us += SECOND_US // 5
             self.state.available = served
             if served:
                 self.state.served_us = self.at_us
@@ -65,60 +75,65 @@
                 self.state.failed_us = self.at_us
             for link in self.links.values():
                 link.last_message_us = self.at_us if heard else link.last_message_us
-            self.here._update_isolation()
-        return self.here.ready().status
+            self.directory._update_isolation()
+        return self.directory.ready().status
 
 
-def test_all_stay_ready_in_an_outage_and_one_that_is_alone_does_not(
+def test_controller_stays_ready_in_outage_unless_isolated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Ready as long as no served peer was known, a lone controller took users for minutes."""
-    site = Site(monkeypatch, served=False)
-    assert site.pass_time(3, heard=True, served=True) == 200
-    assert site.pass_time(60, heard=True, served=False) == 200
-    assert site.pass_time(2, heard=False, served=False) == 503
-    assert site.here.isolated
-    assert site.pass_time(1, heard=False, served=True) == 200
-    # Refused by the service, beside one that is served.
-    site.links["n-2"].state_ok = True
-    assert site.pass_time(1, heard=True, served=False) == 503
-    assert not site.here.isolated
-
-
-def test_served_followers_look_for_themselves_and_are_asked_in_turn(
+    """An isolated controller used to stay ready, and received users, for minutes.
+
+    It counted as ready as long as it knew of no peer that the state service served.
+    """
+    controller = Controller(monkeypatch, served=False)
+    assert controller.pass_time(3, heard=True, served=True) == 200
+    assert controller.pass_time(60, heard=True, served=False) == 200
+    assert controller.pass_time(2, heard=False, served=False) == 503
+    assert controller.directory.isolated
+    assert controller.pass_time(1, heard=False, served=True) == 200
+    # The state service refuses this controller and serves one of its peers.
+    controller.links["n-2"].state_ok = True
+    assert controller.pass_time(1, heard=True, served=False) == 503
+    assert not controller.directory.isolated
+
+
+def test_polls_are_forwarded_to_served_followers_in_turn(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One follower, always the same, was asked what only a leader answers."""
-    site = Site(monkeypatch, served=True)
-    site.pass_time(1, heard=True, served=True)
+    """All polls used to go to the same follower, as requests that only a leader answers."""
+    controller = Controller(monkeypatch, served=True)
+    controller.pass_time(1, heard=True, served=True)
 
-    async def ask(times: int) -> None:
+    async def forward_polls(times: int) -> None:
         for _ in range(times):
-            assert await site.here.ask_served_peer("poll", "run-1", b"") is not None
+            assert await controller.directory.ask_served_peer("poll", "run-1", b"") is not None
 
-    asyncio.run(ask(4))
-    asked = {name: link.asked for name, link in site.links.items()}
+    asyncio.run(forward_polls(4))
+    asked = {name: link.asked for name, link in controller.links.items()}
     assert asked == {"n-1": [], "n-2": ["read"] * 2, "n-3": ["read"] * 2}
-    site.links["n-2"].state_ok = site.links["n-3"].state_ok = False
-    asyncio.run(ask(1))
-    assert site.links["n-1"].asked == ["poll"]
+    controller.links["n-2"].state_ok = controller.links["n-3"].state_ok = False
+    asyncio.run(forward_polls(1))
+    assert controller.links["n-1"].asked == ["poll"]
 
 
-def test_all_choose_the_same_home_of_a_job_among_those_that_are_served() -> None:
+def test_all_controllers_choose_same_served_owner_of_a_job() -> None:
     names = ["n-0", "n-1", "n-2", "n-3"]
-    homes: dict[str, set[str]] = {}
-    for own in names:
-        links = {name: Link(name, name != "n-2") for name in names if name != own}
+    owners: dict[str, set[str]] = {}
+    for own_name in names:
+        links = {name: FakeLink(name, name != "n-2") for name in names if name != own_name}
         for link in links.values():
             link.last_message_us = now_us()
-        here = PeerDirectory(own, cast(Any, links), cast(Any, None), 1)
-        here.open(cast(Any, SimpleNamespace(available=own != "n-2")))
+        directory = PeerDirectory(own_name, cast(Any, links), cast(Any, None), 1)
+        directory.open(cast(Any, SimpleNamespace(available=own_name != "n-2")))
         for number in range(40):
             job_id = f"run-{number:06}"
-            before = {name: len(link.asked) for name, link in links.items()}
-            answer = asyncio.run(here.ask_home(job_id))
-            asked = [name for name, link in links.items() if len(link.asked) > before[name]]
+            requests_before = {name: len(link.asked) for name, link in links.items()}
+            answer = asyncio.run(directory.ask_home(job_id))
+            asked = [
+                name for name, link in links.items() if len(link.asked) > requests_before[name]
+            ]
             assert (answer is None) == (asked == [])
-            homes.setdefault(job_id, set()).update(asked or [own])
-    assert all(len(found) == 1 for found in homes.values())
-    assert set.union(*homes.values()) == {"n-0", "n-1", "n-3"}
+            owners.setdefault(job_id, set()).update(asked or [own_name])
+    assert all(len(names_of_owners) == 1 for names_of_owners in owners.values())
+    assert set.union(*owners.values()) == {"n-0", "n-1", "n-3"}
--- a/tests/controller/leadership/test_term_recovery.py
+++ b/tests/controller/leadership/test_term_recovery.py
@@ -1,7 +1,7 @@
-"""A new leader: it starts nothing until it knows what may run anywhere.
+"""Recovery of a new leader: it starts no task before it knows which tasks may be running.
 
-The leader is driven directly: its background tasks are not started, the store is a stand-in, and
-the clock is the test's.
+The tests call the leader directly. Its background tasks are not started, the state service is a
+stand-in, and the tests move the clock.
 """
 
 import asyncio
@@ -35,11 +35,11 @@
 from weldhead.reconciliation.buffered_heartbeats import MessageSource
 
 
-def synced(leader: Leader) -> list[str]:
+def reconciled_machines(leader: Leader) -> list[str]:
     return [machine.name for machine in leader.cluster.machines.values() if machine.reconciled]
 
 
-def test_jobs_progress_and_cancellations_are_read(clock: Clock) -> None:
+def test_recovery_loads_jobs_progress_and_cancellations(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1, tasks=4))
     state.put(progress_key("run-000001", 0), encode_progress(bytes([1, 0, 1, 0])))
@@ -52,7 +52,7 @@
     assert leader.recovery.all_known.is_set()
 
 
-def test_nothing_is_known_until_every_machine_has_shown_the_new_token(clock: Clock) -> None:
+def test_all_machines_are_known_only_after_showing_the_new_token(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1, tasks=4))
     workers = [put_machine(state, f"vm-{n:06}") for n in range(2)]
@@ -60,11 +60,11 @@
     workers[0].tasks["run-000001/2"] = StandInTask(77, "running")
     leader = new_leader(state, clock())
     assert not leader.recovery.all_known.is_set()
-    # The first report still has the old token: an earlier leader could still command it.
+    # The first heartbeat still has the old token, so an earlier leader could command the worker.
     assert report(leader, workers[0], clock())
-    assert synced(leader) == []
+    assert reconciled_machines(leader) == []
     assert report(leader, workers[0], clock())
-    assert synced(leader) == ["vm-000000"]
+    assert reconciled_machines(leader) == ["vm-000000"]
     assert not leader.recovery.all_known.is_set()
     report(leader, workers[1], clock())
     report(leader, workers[1], clock())
@@ -73,16 +73,16 @@
     assert (attempt.number, attempt.phase) == (77, AttemptPhase.RUNNING)
 
 
-def test_a_machine_synced_directly_keeps_its_earlier_lease(clock: Clock) -> None:
-    """Found on the bench: it had never been heard by report, so its lease seemed over."""
+def test_machine_reconciled_by_command_answer_keeps_its_lease(clock: Clock) -> None:
+    """A machine that had sent no heartbeat in the new term seemed to have an expired lease."""
     state = StandInState()
     put_job(state, job_spec(1))
     worker = put_machine(state, "vm-000001")
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     leader = new_leader(state, clock(), predecessor_over_us=clock())
     machine = leader.cluster.machines["vm-000001"]
-    _, shown = worker.direct(leader.token, 1, [])
-    leader.heartbeats.apply(machine, shown, MessageSource.COMMAND_ANSWER)
+    _, heartbeat = worker.direct(leader.token, 1, [])
+    leader.heartbeats.apply(machine, heartbeat, MessageSource.COMMAND_ANSWER)
     assert machine.reconciled
     lease_us = leader.term.lease_us
     assert machine.lease_expired_us(lease_us, 0) > clock() + lease_us
@@ -90,7 +90,7 @@
     assert machine.lease_expired_us(lease_us, 0) < clock()
 
 
-def test_a_silent_machines_lease_counts_from_the_earlier_leaders_end(clock: Clock) -> None:
+def test_silent_machines_lease_counts_from_previous_leaders_end(clock: Clock) -> None:
     state = StandInState()
     put_machine(state, "vm-000001")
     leader = new_leader(state, clock())
@@ -99,7 +99,7 @@
     assert over_us > clock() + 3 * S + leader.term.lease_us
 
 
-def test_reports_of_an_expired_session_are_not_answered(clock: Clock) -> None:
+def test_heartbeats_of_an_expired_session_are_not_answered(clock: Clock) -> None:
     state = StandInState()
     worker = put_machine(state, "vm-000001")
     leader = new_leader(state, clock())
@@ -110,7 +110,7 @@
     assert report(leader, worker, clock())
 
 
-def test_completions_are_committed_before_they_are_forgotten(clock: Clock) -> None:
+def test_worker_keeps_completions_until_they_are_committed(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1, tasks=4))
     worker = put_machine(state, "vm-000001")
@@ -125,16 +125,16 @@
     assert worker.tasks == {}
 
 
-def test_what_was_taken_is_written_once_and_given_back_by_the_next_leader(clock: Clock) -> None:
+def test_next_leader_restarts_preempted_tasks_first(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1, tasks=6, checkpoint_s=20.0, cpus=0.5, memory_gb=1.0))
     put_machine(state, "vm-000001")
     leader = new_leader(state, clock())
     job, machine = leader.cluster.jobs["run-000001"], leader.cluster.machines["vm-000001"]
-    before = state.revision
+    revision_before = state.revision
 
-    async def take() -> None:
-        ledger = asyncio.create_task(leader.state_writer.run())
+    async def preempt() -> None:
+        writer = asyncio.create_task(leader.state_writer.run())
         for index in (3, 0, 5):
             clock.us += S
             attempt = leader.cluster.start(job, index, machine, clock())
@@ -142,12 +142,16 @@
         for _ in range(50):
             await asyncio.sleep(0)
         leader.state_writer.close()
-        await ledger
+        await writer
 
-    asyncio.run(take())
-    # Three tasks of one job, taken in one pass: one change.
-    assert state.revision == before + 1 and leader.scheduling_loop.preemption_recorder.writes == 1
-    # The third saves while the leader changes, the first is listed as halted.
+    asyncio.run(preempt())
+    # Three tasks of one job that are preempted in one pass need a single write.
+    assert (
+        state.revision == revision_before + 1
+        and leader.scheduling_loop.preemption_recorder.writes == 1
+    )
+    # While the leader changes, one preempted task is saving its checkpoint. The worker reports a
+    # further task as halted, which the first leader had not recorded.
     worker = StandInWorker("vm-000001", 4.0)
     worker.tasks["run-000001/5"] = StandInTask(9, "saving")
     worker.tasks["run-000001/4"] = StandInTask(8, "ended", "halted", True)
@@ -164,7 +168,7 @@
     assert list(second.cluster.stopping) == [("run-000001/5", 9)]
 
 
-def test_attempt_numbers_never_repeat_across_terms(clock: Clock) -> None:
+def test_attempt_numbers_are_unique_across_terms(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1))
     first, second = new_leader(state, clock()), new_leader(state, clock())
@@ -173,18 +177,18 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 2), st.booleans()), max_size=40))
-def test_attempt_numbers_never_repeat_within_a_term(steps: list[tuple[str, int, bool]]) -> None:
-    """Nothing is kept of jobs that are over, each of which might be entered once more."""
-    into = Cluster([], 41)
-    given_out: set[tuple[str, int, int]] = set()
-    for job_id, index, over in steps:
-        if over:
-            into.forget_attempt_numbers(job_id)
-            assert job_id not in into._attempt_counts
+def test_attempt_numbers_are_unique_within_a_term(steps: list[tuple[str, int, bool]]) -> None:
+    """Attempt numbers stay unique although an ended job is forgotten and may be added again."""
+    cluster = Cluster([], 41)
+    assigned: set[tuple[str, int, int]] = set()
+    for job_id, index, has_ended in steps:
+        if has_ended:
+            cluster.forget_attempt_numbers(job_id)
+            assert job_id not in cluster._attempt_counts
         else:
-            number = into.next_attempt(job_id, index)
-            assert (job_id, index, number) not in given_out and number >> 20 == 41
-            given_out.add((job_id, index, number))
+            number = cluster.next_attempt(job_id, index)
+            assert (job_id, index, number) not in assigned and number >> 20 == 41
+            assigned.add((job_id, index, number))
 
 
 @given(
@@ -195,30 +199,33 @@
         max_size=25,
     )
 )
-def test_whatever_an_earlier_leader_started_is_known_before_anything_starts(
+def test_all_tasks_are_known_once_all_machines_are_known(
     events: list[tuple[str, int]],
 ) -> None:
-    """Until all is known an old leader may still start tasks; afterwards none are unknown."""
+    """An earlier leader may start tasks until all machines are known, but not afterwards.
+
+    Otherwise the new leader would start the same tasks a second time.
+    """
     with fixed_clock() as clock:
         state = StandInState()
         put_job(state, job_spec(1, tasks=50, cpus=1.0))
         workers = [put_machine(state, f"vm-{n:06}") for n in range(3)]
         leader = new_leader(state, clock())
-        for number, (event, who) in enumerate(events):
+        for number, (event, index) in enumerate(events):
             clock.us += 100_000
-            worker = workers[who]
+            worker = workers[index]
             machine = leader.cluster.machines[worker.name]
             match event:
                 case "report":
                     report(leader, worker, clock())
                 case "old term runs":
-                    # Dropped by the worker once it has seen the new token.
+                    # A worker that has seen the new token rejects commands of the old term.
                     if worker.token < leader.token and len(worker.live()) < 4:
                         worker.tasks[f"run-000001/{number}"] = StandInTask(number, "running")
                 case "direct":
-                    accepted, shown = worker.direct(leader.token, worker.session, [])
+                    accepted, heartbeat = worker.direct(leader.token, worker.session, [])
                     assert accepted
-                    leader.heartbeats.apply(machine, shown, MessageSource.COMMAND_ANSWER)
+                    leader.heartbeats.apply(machine, heartbeat, MessageSource.COMMAND_ANSWER)
                 case "expire":
                     worker.expire()
             if leader.recovery.all_known.is_set():
@@ -228,28 +235,28 @@
         leader.cluster.check_invariants()
 
 
-def test_a_cancellation_that_the_store_cannot_take_is_answered_at_once(
+def test_cancellation_is_answered_while_the_store_is_down(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In an outage the user was kept waiting until the store was back."""
-    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCEL_WAIT_US", 0)
+    """In an outage of the state service, users waited until the service was back."""
+    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCELLATION_TIMEOUT_US", 0)
     state = StandInState()
     put_job(state, job_spec(1))
     leader = new_leader(state, clock())
     job = leader.cluster.jobs["run-000001"]
 
     async def scenario() -> None:
-        store_is_back: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        commit: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
         async def write(changes: dict[str, Any], *, urgent: bool = False) -> int:
-            return await store_is_back
+            return await commit
 
         monkeypatch.setattr(leader.state_writer, "write", write)
         for _ in range(2):
             with pytest.raises(NotReadyError):
                 await leader.cancel(job.id)
         assert not job.cancelled and len(leader.completions.cancelling) == 1
-        store_is_back.set_result(99)
+        commit.set_result(99)
         await asyncio.gather(*leader.completions.cancelling.values())
         answer = await leader.cancel(job.id)
         assert answer is not None and answer.state == "withdrawn"
@@ -259,38 +266,47 @@
 
 
 @pytest.mark.parametrize("replaced", [False, True])
-def test_a_leader_that_was_replaced_ends_no_lease(clock: Clock, replaced: bool) -> None:
-    """Its successor may be answering the worker: what was started elsewhere would run twice."""
+def test_replaced_leader_does_not_expire_leases(clock: Clock, replaced: bool) -> None:
+    """A successor may be renewing the worker's lease.
+
+    If the replaced leader expired it and started the tasks elsewhere, they would run twice.
+    """
     state = StandInState()
     put_job(state, job_spec(1))
     worker = put_machine(state, "vm-000001")
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     leader = new_leader(state, clock())
-    deposed: list[str] = []
-    leader.term.on_leadership_lost = deposed.append
+    reasons: list[str] = []
+    leader.term.on_leadership_lost = reasons.append
     for _ in range(2):
         report(leader, worker, clock())
-    watch, term, machine = leader.machine_monitor, leader.term, leader.cluster.machines["vm-000001"]
+    monitor, term, machine = (
+        leader.machine_monitor,
+        leader.term,
+        leader.cluster.machines["vm-000001"],
+    )
     clock.us += term.lease_us + S
-    assert watch.has_unverified_expiry(clock())
-    watch.expired_or_silent(clock(), term.leadership_verified_us)
+    assert monitor.has_unverified_expiry(clock())
+    monitor.expired_or_silent(clock(), term.leadership_verified_us)
     assert machine.attempts
     if replaced:
         state.put(LEADER_KEY, {"name": "n-1", "nonce": "y", "ttl_us": 3 * S})
-    asyncio.run(watch._verify_leadership())
-    watch.expired_or_silent(clock(), term.leadership_verified_us)
-    assert bool(deposed) == bool(machine.attempts) == replaced
+    asyncio.run(monitor._verify_leadership())
+    monitor.expired_or_silent(clock(), term.leadership_verified_us)
+    assert bool(reasons) == bool(machine.attempts) == replaced
 
 
-def test_a_term_whose_ledger_fails_is_over(clock: Clock, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It led on, renewed its lease and wrote nothing: found by reading."""
+def test_term_ends_when_its_state_writer_fails(
+    clock: Clock, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Such a leader used to go on renewing its lease although it could write nothing."""
     leader = new_leader(StandInState(), clock())
     reasons: list[str] = []
     monkeypatch.setattr(leader.term, "on_leadership_lost", reasons.append)
 
     async def fail() -> None:
-        raise ValueError("a fault of its own")
+        raise ValueError("unexpected")
 
     monkeypatch.setattr(leader.state_writer, "run", fail)
     asyncio.run(leader._run_state_writer())
-    assert reasons == ["its writes have failed"]
+    assert reasons == ["its state writer failed"]
--- a/tests/controller/requests/test_cancellations_across_leaders.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -216,7 +216,7 @@
     clock: Clock, monkeypatch: pytest.MonkeyPatch, applied: bool
 ) -> None:
     """Applied and unanswered, the store said withdrawn while the tasks ran on for the outage."""
-    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCEL_WAIT_US", 0)
+    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCELLATION_TIMEOUT_US", 0)
     state = StandInState()
     put_job(state, job_spec(1))
     put_machine(state, "vm-000001")
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -379,7 +379,7 @@
 def test_nothing_is_withdrawn_before_the_users_own_cancellation_is_committed(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCEL_WAIT_US", 0)
+    monkeypatch.setattr("weldhead.controller.leadership.leader.CANCELLATION_TIMEOUT_US", 0)
     world.submit(job_spec(1))
     world.submit(job_spec(2, needs=(name(1),)))
     world.state.fates = ["lost"] * 50
--- a/tests/controller/test_process_pauses.py
+++ b/tests/controller/test_process_pauses.py
@@ -1,4 +1,4 @@
-"""A process that stood still while its clocks ran on acts on nothing that it knew before."""
+"""A process that was paused, while its clocks ran on, does not act on outdated knowledge."""
 
 import asyncio
 from types import SimpleNamespace
@@ -14,14 +14,13 @@
 from tests.support.settings import SETTINGS
 from tests.support.stand_ins import StandInState
 from tests.support.users import GOOD_BODY, JOB, StandInNode, desk, run
-from weldhead.clock import SECOND_US as S
-from weldhead.clock import now_us
+from weldhead.clock import SECOND_US, now_us
 from weldhead.cluster_state.records import LeaderRecord
-from weldhead.controller import process as node
+from weldhead.controller import process
 from weldhead.controller.leadership import peer_directory
 from weldhead.controller.leadership.leader_lease import default_timing
-from weldhead.controller.leadership.peer_directory import FORWARD_US
-from weldhead.controller.process import PONG_US, ControllerProcess
+from weldhead.controller.leadership.peer_directory import FORWARD_TIMEOUT_US
+from weldhead.controller.process import PONG_TIMEOUT_US, ControllerProcess
 from weldhead.controller.requests import job_status_reader, poll_handler, request_handler
 from weldhead.protocol.peer import ForwardedAnswer
 from weldhead.protocol.settings import parse_settings
@@ -33,15 +32,15 @@
 from weldhead.tunables.defaults import Tunables
 
 
-def test_what_waited_for_the_clouds_turn_is_not_sent_by_a_leader_of_the_past(
+def test_queued_cloud_calls_are_not_sent_after_lease_expiry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its successor may use the machines by then, or have settled the rental otherwise."""
+    """A successor may already use the machines, or have decided differently about the rental."""
     state, cloud = StandInState(), StandInCloud()
     leader = new_leader(state, now_us())
     leader.term.cloud = cast(Any, cloud)
     monkeypatch.setattr("weldhead.controller.fleet.machine_returner.DELETE_GATHER_S", 0)
-    rentals, authority = leader.rental_manager, leader.term._lease
+    rentals, lease = leader.rental_manager, leader.term._lease
 
     async def scenario() -> None:
         background_task = asyncio.create_task(leader.state_writer.run())
@@ -50,17 +49,17 @@
         await settle()
         assert len(leader.cluster.machines) == 3
         async with cloud.turn:
-            # The lease runs out while both wait for their turn.
+            # The lease expires while a rental and a deletion wait for the cloud client.
             rentals.rent(RentalOffer(machine_type(), "a", True), 5)
             await settle()
-            monkeypatch.setattr(authority, "is_valid", lambda at_us: False)
+            monkeypatch.setattr(lease, "is_valid", lambda at_us: False)
         machines = dict(leader.cluster.machines)
         rentals.return_machines(machines)
         await settle()
         assert [request.count for request in cloud.rented] == [3]
         assert cloud.deleted == []
         monkeypatch.undo()
-        # Valid again by proof, it does what is still wanted.
+        # Once the lease is valid again, the leader sends the deletion that is still wanted.
         await asyncio.sleep(0.15)
         await settle()
         assert [set(names) for names in cloud.deleted] == [set(machines)]
@@ -70,38 +69,38 @@
     asyncio.run(scenario())
 
 
-def test_what_the_store_said_before_a_standstill_is_told_to_nobody(
+def test_status_read_before_a_pause_is_not_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock, state = Clock(), StandInState()
     set_request_clock(monkeypatch, clock)
     assert run(desk(state).submit(GOOD_BODY))[0] == 201
-    front, read = desk(state), state.get
+    handler, read = desk(state), state.get
 
-    async def get(key: str, **more: Any) -> KeyValue | None:
-        found = await read(key, **more)
+    async def get(key: str, **options: Any) -> KeyValue | None:
+        entry = await read(key, **options)
         clock.us += job_status_reader.MAX_STALENESS_US + 1
-        return found
+        return entry
 
-    assert run(front.poll(JOB))[0] == 200
+    assert run(handler.poll(JOB))[0] == 200
     monkeypatch.setattr(state, "get", get)
-    assert run(front.poll(JOB))[0] == 503
+    assert run(handler.poll(JOB))[0] == 503
 
 
-def test_polls_leave_the_store_to_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_polls_use_only_their_share_of_the_request_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     clock, state = Clock(), StandInState()
     set_request_clock(monkeypatch, clock)
-    front, asked = desk(state), []
+    handler, statuses = desk(state), []
     rate = state.limits.rps * request_handler.POLL_SHARE
-    # Ten polls over the half that is kept for those that have waited.
-    front.polls.limiter._level = rate + 10 * poll_handler.REQUESTS_PER_POLL
+    # The budget allows ten polls above the half that is reserved for users who have waited.
+    handler.polls.limiter._level = rate + 10 * poll_handler.REQUESTS_PER_POLL
     for _ in range(50):
-        asked.append(run(front.poll("run-999999"))[0])
-    assert asked == [404] * 10 + [503] * 40
+        statuses.append(run(handler.poll("run-999999"))[0])
+    assert statuses == [404] * 10 + [503] * 40
 
 
 class SilentLink:
-    """A peer's link whose answers are late by as much as is set."""
+    """A link to a peer whose answers are late by ``late_us``."""
 
     name = "n-1"
 
@@ -130,19 +129,22 @@
     return ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
 
 
-@pytest.mark.parametrize(("late_us", "dropped"), [(PONG_US, 1), (PONG_US + 5 * S, 0)])
-def test_whose_timer_fires_late_does_not_blame_its_peer(
+@pytest.mark.parametrize(
+    ("late_us", "dropped"), [(PONG_TIMEOUT_US, 1), (PONG_TIMEOUT_US + 5 * SECOND_US, 0)]
+)
+def test_paused_process_keeps_its_link_to_a_silent_peer(
     monkeypatch: pytest.MonkeyPatch, late_us: int, dropped: int
 ) -> None:
+    """The timeout of a ping that fires late shows a pause of this process, not a silent peer."""
     clock = Clock()
-    monkeypatch.setattr(node, "now_us", clock)
+    monkeypatch.setattr(process, "now_us", clock)
     link = SilentLink(clock, late_us, CallError("no answer"))
 
     async def scenario() -> None:
-        here = controller()
-        here._state = cast(Any, StandInNode())
-        monkeypatch.setattr(here._state, "available", True, raising=False)
-        background_task = asyncio.create_task(here._ping(cast(PeerLink, link)))
+        node = controller()
+        node._state = cast(Any, StandInNode())
+        monkeypatch.setattr(node._state, "available", True, raising=False)
+        background_task = asyncio.create_task(node._send_pings(cast(PeerLink, link)))
         for _ in range(5):
             await asyncio.sleep(0)
         background_task.cancel()
@@ -152,9 +154,11 @@
     assert link.dropped == dropped
 
 
-@pytest.mark.parametrize(("late_us", "told"), [(FORWARD_US // 2, True), (FORWARD_US * 3, False)])
-def test_a_leaders_answer_that_was_read_late_is_not_passed_on(
-    monkeypatch: pytest.MonkeyPatch, late_us: int, told: bool
+@pytest.mark.parametrize(
+    ("late_us", "is_answered"), [(FORWARD_TIMEOUT_US // 2, True), (FORWARD_TIMEOUT_US * 3, False)]
+)
+def test_forwarded_answer_read_after_a_pause_is_dropped(
+    monkeypatch: pytest.MonkeyPatch, late_us: int, is_answered: bool
 ) -> None:
     clock = Clock()
     monkeypatch.setattr(peer_directory, "now_us", clock)
@@ -164,47 +168,53 @@
         answer = await controller().peers.forward(cast(PeerLink, link), "poll", JOB, b"")
         return answer is not None
 
-    assert asyncio.run(scenario()) == told
+    assert asyncio.run(scenario()) == is_answered
 
 
 @pytest.mark.parametrize(
-    ("fates", "asked"),
+    ("failures", "promise_requests"),
     [
         ([CallError("no answer")], 0),
         ([CallError("no answer"), CallError("no answer")], 1),
         ([RequestRefusedError("503")], 1),
     ],
 )
-def test_one_lost_renewal_hands_nothing_over(fates: list[Exception], asked: int) -> None:
-    """A leader whose renewal was lost once on the way gave its term up, and others' work waited."""
+def test_single_lost_renewal_does_not_end_the_term(
+    failures: list[Exception], promise_requests: int
+) -> None:
+    """A leader used to give up its term after one lost renewal, which delayed all work.
+
+    A lost renewal is repeated at once. Only after a second failure, or an answer that refuses the
+    request, does the leader request promises from its peers.
+    """
 
     class Store:
         async def extend(self, lease: int, timeout_us: int) -> None:
-            if fates:
-                raise fates.pop(0)
-            here.election.leader = None
+            if failures:
+                raise failures.pop(0)
+            node.election.leader = None
 
         async def get(self, key: str, **_: Any) -> KeyValue:
-            # Read with each renewal: the key is still its own.
+            # Each renewal reads the key, which still belongs to this node.
             record = LeaderRecord("n-0", "x", 200_000)
             return KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
 
-    here = controller()
-    campaign, asks = here.election, []
-    campaign.timing = default_timing(200_000)
-    campaign._state = cast(Any, Store())
-    campaign.lease.begin(5, 1, now_us() + 60 * S)
-    campaign.known_leader_token = 5
-    campaign._own_nonces.add("x")
-    campaign.leader = leader = cast(Any, SimpleNamespace(token=5))
+    node = controller()
+    election, requests = node.election, []
+    election.timing = default_timing(200_000)
+    election._state = cast(Any, Store())
+    election.lease.begin(5, 1, now_us() + 60 * SECOND_US)
+    election.known_leader_token = 5
+    election._own_nonces.add("x")
+    election.leader = leader = cast(Any, SimpleNamespace(token=5))
 
-    async def hold_on() -> None:
-        asks.append(1)
+    async def request_promises() -> None:
+        requests.append(1)
 
     async def read_leader(timeout_us: int) -> None:
-        """The key is still its own."""
+        """Leaves everything unchanged, as if the key still belonged to this node."""
 
-    cast(Any, campaign)._request_promises = hold_on
-    cast(Any, campaign).read_leader = read_leader
-    asyncio.run(asyncio.wait_for(campaign._renew(leader), 5))
-    assert (len(asks), fates) == (asked, [])
+    cast(Any, election)._request_promises = request_promises
+    cast(Any, election).read_leader = read_leader
+    asyncio.run(asyncio.wait_for(election._renew(leader), 5))
+    assert (len(requests), failures) == (promise_requests, [])
--- a/tests/controller/test_slow_state_service.py
+++ b/tests/controller/test_slow_state_service.py
@@ -1,4 +1,4 @@
-"""The store slow, or refusing the leader and then everybody, while users cancel and ask."""
+"""A state service that is slow or refuses requests, while users submit and poll."""
 
 import asyncio
 from heapq import heapify, heappop, heappush
@@ -18,8 +18,7 @@
 from tests.support.slow_store import SlowStore
 from tests.support.stand_ins import StandInState
 from tests.support.users import GOOD_BODY, JOB, StandInNode, desk, run
-from weldhead.clock import SECOND_US as S
-from weldhead.clock import now_us
+from weldhead.clock import SECOND_US, now_us
 from weldhead.controller.leadership.leader_election import LeaderElection
 from weldhead.controller.leadership.leader_lease import Candidacy, default_timing
 from weldhead.controller.process import ControllerProcess
@@ -31,7 +30,7 @@
 from weldhead.transport.state_client import LeaseNotFoundError, RateLimitedError
 from weldhead.tunables.defaults import Tunables
 
-RPS, JOBS = 15.0, 200
+REQUESTS_PER_SECOND, JOB_COUNT = 15.0, 200
 
 
 def controller() -> LeaderElection:
@@ -39,169 +38,185 @@
 
 
 class SmallStore(StandInState):
-    """A store of so few requests that most polls are refused while nobody leads."""
+    """A store with such a low request rate that most polls are refused while there is no leader."""
 
     @property
     def limits(self) -> StateLimits:
-        return StateLimits(RPS, 10.0, 8.0, 12)
+        return StateLimits(REQUESTS_PER_SECOND, 10.0, 8.0, 12)
 
 
 class Follower(StandInNode):
-    """A node without a leader; it has others look, as a front desk wants it to."""
+    """A node without a leader that forwards polls to its peers for its request handler."""
 
-    def __init__(self, chance: Random, number: int) -> None:
+    def __init__(self, rng: Random, number: int) -> None:
         super().__init__()
         self.number = number
         self.peers: list[RequestHandler] = []
-        self._chance = chance
+        self._rng = rng
 
     async def ask_served_peer(
         self, kind: str, job_id: str, body: bytes, *, chained: bool = False
     ) -> Response | None:
-        return await self._chance.choice(self.peers).poll(job_id, elsewhere=False)
+        return await self._rng.choice(self.peers).poll(job_id, elsewhere=False)
 
     async def ask_home(self, job_id: str) -> Response | None:
-        homes = [self, *(cast(Follower, peer.reader._controller) for peer in self.peers)]
-        # Any choice will do that all make alike.
-        home = max(homes, key=lambda node: crc32(f"{job_id}{node.number * 7919}".encode()))
-        if home is self:
+        candidates = [self, *(cast(Follower, peer.reader._controller) for peer in self.peers)]
+        # Any choice of an owner suffices if all nodes make the same.
+        owner = max(candidates, key=lambda node: crc32(f"{job_id}{node.number * 7919}".encode()))
+        if owner is self:
             return None
-        return await self.peers[homes.index(home) - 1].poll(job_id, elsewhere=False)
+        return await self.peers[candidates.index(owner) - 1].poll(job_id, elsewhere=False)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_whose_users_reach_another_node_each_time_are_not_forgotten_either(
+def test_polls_that_reach_changing_nodes_are_answered_in_time(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """Each node counted anew whoever came by only every half minute: some waited for 84 s."""
-    clock, chance, state = Clock(), Random(seed), SmallStore()
+    """A user whose polls reach a different node each time must not wait too long.
+
+    Each node used to count the waiting time of such a user from its first poll at that node. A
+    user may reach a given node only every half minute, and some waited for 84 s.
+    """
+    clock, rng, state = Clock(), Random(seed), SmallStore()
     set_request_clock(monkeypatch, clock)
-    nodes = [Follower(chance, number) for number in range(3)]
-    desks = [RequestHandler(node, cast(Any, state), [Team("red", 8, 16)], 3) for node in nodes]
-    for node, own in zip(nodes, desks, strict=True):
-        node.peers = [other for other in desks if other is not own]
-    names = [f"run-{number:06}" for number in range(JOBS)]
-    for number in range(JOBS):
+    nodes = [Follower(rng, number) for number in range(3)]
+    handlers = [RequestHandler(node, cast(Any, state), [Team("red", 8, 16)], 3) for node in nodes]
+    for node, handler in zip(nodes, handlers, strict=True):
+        node.peers = [other for other in handlers if other is not handler]
+    job_ids = [f"run-{number:06}" for number in range(JOB_COUNT)]
+    for number in range(JOB_COUNT):
         put_job(state, job_spec(number))
 
     async def scenario() -> int:
-        answered_us = dict.fromkeys(names, clock.us)
-        asks = [(clock.us + chance.randrange(5 * S), name) for name in names]
-        heapify(asks)
-        longest_us, over_us = 0, clock.us + 200 * S
-        while asks:
-            clock.us, name = heappop(asks)
-            if (await chance.choice(desks).poll(name)).status == 200:
-                longest_us = max(longest_us, clock.us - answered_us[name])
-                answered_us[name] = clock.us
-            if clock.us < over_us:
-                heappush(asks, (clock.us + chance.randrange(4 * S, 6 * S), name))
+        answered_us = dict.fromkeys(job_ids, clock.us)
+        next_polls = [(clock.us + rng.randrange(5 * SECOND_US), job_id) for job_id in job_ids]
+        heapify(next_polls)
+        longest_us, end_us = 0, clock.us + 200 * SECOND_US
+        while next_polls:
+            clock.us, job_id = heappop(next_polls)
+            if (await rng.choice(handlers).poll(job_id)).status == 200:
+                longest_us = max(longest_us, clock.us - answered_us[job_id])
+                answered_us[job_id] = clock.us
+            if clock.us < end_us:
+                heappush(
+                    next_polls, (clock.us + rng.randrange(4 * SECOND_US, 6 * SECOND_US), job_id)
+                )
         return max(longest_us, *(clock.us - at_us for at_us in answered_us.values()))
 
-    assert asyncio.run(scenario()) < 70 * S
+    assert asyncio.run(scenario()) < 70 * SECOND_US
 
 
 @pytest.mark.parametrize(
     ("answers", "promised"),
     [
         ([10_000], False),
-        # Slow is like silent: nobody leads meanwhile who could have been told otherwise.
+        # A slow state service counts as silent: during the promise no other node becomes leader.
         ([600_000], True),
         ([CallError("503")], True),
     ],
 )
-def test_who_promised_because_the_store_was_slow_does_not_stand_when_its_answer_comes(
+def test_node_that_promised_does_not_campaign_on_a_late_answer(
     answers: list[Any], promised: bool
 ) -> None:
-    campaign = controller()
-    campaign.timing = default_timing()
-    campaign.candidacy = Candidacy(campaign.timing, now_us() - 60 * S)
-    campaign._state = cast(Any, SlowStore(answers))
-    assert campaign.candidacy.can_lead(now_us())
+    """A promise given because of a slow state service still binds the node after the answer."""
+    election = controller()
+    election.timing = default_timing()
+    election.candidacy = Candidacy(election.timing, now_us() - 60 * SECOND_US)
+    election._state = cast(Any, SlowStore(answers))
+    assert election.candidacy.can_lead(now_us())
     asked_us = now_us()
-    hold = PromiseRequest(1, 5, campaign.timing.promise_duration_us)
-    assert asyncio.run(campaign.grant_promise(hold)) is promised
-    # The key that it finds free now may be that of the leader it has promised to.
-    assert campaign.candidacy.can_lead(now_us()) is not promised
+    request = PromiseRequest(1, 5, election.timing.promise_duration_us)
+    assert asyncio.run(election.grant_promise(request)) is promised
+    # If the key is absent now, it may be the key of the leader that requested the promise.
+    assert election.candidacy.can_lead(now_us()) is not promised
     if promised:
-        assert not campaign.candidacy.can_lead(asked_us + campaign.timing.promise_duration_us)
+        assert not election.candidacy.can_lead(asked_us + election.timing.promise_duration_us)
+
 
+def test_exceeded_rate_limit_does_not_count_as_outage() -> None:
+    """An exceeded rate limit shows that the state service works, so no promise is given.
 
-def test_a_rate_that_is_used_up_is_no_outage() -> None:
-    """The store is well: a promise kept a leader in place that it did not serve."""
-    campaign = controller()
-    campaign._state = cast(Any, SlowStore([RateLimitedError("429")]))
+    Such promises used to keep a leader in office that the state service did not serve.
+    """
+    election = controller()
+    election._state = cast(Any, SlowStore([RateLimitedError("429")]))
     with pytest.raises(RateLimitedError):
         asyncio.run(
-            campaign.grant_promise(PromiseRequest(1, 5, campaign.timing.promise_duration_us))
+            election.grant_promise(PromiseRequest(1, 5, election.timing.promise_duration_us))
         )
-    campaign.candidacy.discard_earlier_promises()
-    assert campaign.candidacy.can_lead(now_us())
+    election.candidacy.discard_earlier_promises()
+    assert election.candidacy.can_lead(now_us())
 
 
-def test_a_renewal_that_finds_the_rate_used_up_hands_nothing_over() -> None:
-    """All were served, so the leader gave up its term for one 429."""
-    asks: list[int] = []
+def test_rate_limited_renewal_does_not_end_the_term() -> None:
+    """A leader used to give up its term for one status 429, as the service served its peers."""
+    requests: list[int] = []
     answers: list[Exception] = [RateLimitedError("429"), RateLimitedError("429")]
-    campaign = controller()
-    campaign.timing = default_timing(200_000)
+    election = controller()
+    election.timing = default_timing(200_000)
 
     class Store:
         async def extend(self, lease: int, timeout_us: int) -> None:
             if answers:
                 raise answers.pop(0)
-            campaign.leader = None
+            election.leader = None
 
-    campaign._state = cast(Any, Store())
-    campaign.lease.begin(5, 1, now_us() + 60 * S)
-    campaign.leader = leader = cast(Any, object())
+    election._state = cast(Any, Store())
+    election.lease.begin(5, 1, now_us() + 60 * SECOND_US)
+    election.leader = leader = cast(Any, object())
 
-    async def hold_on() -> None:
-        asks.append(1)
+    async def request_promises() -> None:
+        requests.append(1)
 
     async def read_leader(timeout_us: int) -> None:
-        """The key is still its own."""
+        """Leaves everything unchanged, as if the key still belonged to this node."""
 
-    cast(Any, campaign)._request_promises = hold_on
-    cast(Any, campaign).read_leader = read_leader
-    asyncio.run(asyncio.wait_for(campaign._renew(leader), 5))
-    assert (asks, answers) == ([], [])
+    cast(Any, election)._request_promises = request_promises
+    cast(Any, election).read_leader = read_leader
+    asyncio.run(asyncio.wait_for(election._renew(leader), 5))
+    assert (requests, answers) == ([], [])
 
 
-def test_the_last_renewal_of_a_term_does_not_end_the_next() -> None:
-    """It woke after its term, asked for lease 0, and took the answer for the new term's."""
-    ended: list[str] = []
-    campaign = controller()
-    campaign.timing = default_timing(100_000)
+def test_last_renewal_of_a_term_does_not_end_the_next_term() -> None:
+    """The renewal task of an ended term used to renew lease 0 and fail.
+
+    It took the failure for one of the new term, and ended that term.
+    """
+    reasons: list[str] = []
+    election = controller()
+    election.timing = default_timing(100_000)
 
     class Store:
         async def extend(self, lease: int, timeout_us: int) -> None:
-            campaign.leader = cast(Any, "the next term")
+            election.leader = cast(Any, "the next term")
             raise LeaseNotFoundError
 
-    campaign._state = cast(Any, Store())
-    campaign.step_down = ended.append  # type: ignore[assignment]
-    campaign.lease.begin(5, 1, now_us() + 60 * S)
-    campaign.leader = leader = cast(Any, "a term")
-    asyncio.run(asyncio.wait_for(campaign._renew(leader), 5))
-    assert ended == []
+    election._state = cast(Any, Store())
+    election.step_down = reasons.append  # type: ignore[assignment]
+    election.lease.begin(5, 1, now_us() + 60 * SECOND_US)
+    election.leader = leader = cast(Any, "a term")
+    asyncio.run(asyncio.wait_for(election._renew(leader), 5))
+    assert reasons == []
 
 
 @given(st.lists(st.sampled_from(["refused", "lost", "late", "unanswered"]), max_size=5))
-def test_a_submission_in_doubt_is_accepted_once_whatever_is_carried_out_late(
+def test_submission_is_accepted_once_despite_late_writes(
     fates: list[str],
 ) -> None:
-    """Nothing is promised before it is known, and what was told accepted is told ever after."""
+    """A submission is confirmed only once it is committed, and stays confirmed from then on.
+
+    Requests to the state service may be refused or lost, or be applied late.
+    """
     state = StandInState()
     state.fates = list(fates)
-    told: list[int] = []
+    statuses: list[int] = []
     for _ in range(len(fates) + 1):
-        told.append(run(desk(state).submit(GOOD_BODY))[0])
-        if told[-1] != 503:
+        statuses.append(run(desk(state).submit(GOOD_BODY))[0])
+        if statuses[-1] != 503:
             assert run(desk(state).poll(JOB))[0] == 200
-    assert told[-1] in (200, 201)
-    kept = state.keys
+    assert statuses[-1] in (200, 201)
+    keys_before = state.keys
     state.release_late()
-    assert state.keys == kept
+    assert state.keys == keys_before
     assert run(desk(state).submit(GOOD_BODY))[0] == 200
-    assert told.count(201) <= 1
+    assert statuses.count(201) <= 1
--- a/tests/controller/workers/test_late_heartbeats.py
+++ b/tests/controller/workers/test_late_heartbeats.py
@@ -42,7 +42,7 @@
         deliver(leader, copy, clock())
     # Asked directly, the one that runs it shows the token; what its report is told is lost.
     _, shown = runner.direct(leader.token, 1, [])
-    leader._answered(leader.cluster.machines[runner.name], shown)
+    leader._apply_command_answer(leader.cluster.machines[runner.name], shown)
     meet(leader, runner, clock(), heard=False)
     for _ in range(3):
         clock.us += S
--- a/tests/reachability/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -323,7 +323,7 @@
                 case "direct" if one.alive and machine is not None:
                     _, shown = one.worker.direct(leader.token, machine.session or 1, [])
                     one.said.append(shown)
-                    leader._answered(machine, shown)
+                    leader._apply_command_answer(machine, shown)
                 case "start" if leader.recovery.all_known.is_set() and machine is not None:
                     job = leader.cluster.jobs["run-000001"]
                     indexes = job.waiting_indexes(1)
--- a/tests/scheduling/test_cost_of_changes.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -410,9 +410,9 @@
     assert pacer.overruns == {"fleet": 2}
     assert pacer.summary() == "fleet held 2 times"
     for rank, share in LOOP_SHARES.items():
-        pause_us = pacer.pause_us("fleet", rank, S // 100)
+        pause_us = pacer.compute_pause_us("fleet", rank, S // 100)
         assert (S // 5) / (S // 5 + pause_us) == pytest.approx(share, rel=1e-3)
-    assert pacer.pause_us("fleet", LoopPriority.PLACEMENT, 3 * S) == 3 * S
+    assert pacer.compute_pause_us("fleet", LoopPriority.PLACEMENT, 3 * S) == 3 * S
 
 
 def test_while_the_loop_is_late_the_last_in_order_waits_first_and_not_for_ever() -> None:
--- a/tests/support/handing_back.py
+++ b/tests/support/handing_back.py
@@ -117,7 +117,7 @@
             leader = node.leader if node is not None else None
             if leader is None or life is None or life.frozen:
                 continue
-            if life.context.run(lambda leader=leader: leader.valid):  # type: ignore[misc]
+            if life.context.run(lambda leader=leader: leader.is_valid):  # type: ignore[misc]
                 found.append((controller, leader))
         return sorted(found, key=lambda pair: pair[1].token)
 
--- a/weldhead/controller/__init__.py
+++ b/weldhead/controller/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: leadership, recovery, reports, placement, preemption, fleet sizing."""
+"""The controller: leader election, recovery, scheduling, autoscaling, and its request handlers."""
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -458,7 +458,7 @@
         }
         for tracker in self.trackers.values():
             # Before every machine is known, an earlier leader's command may start a task.
-            certain = self._term.ready and self._term.valid
+            certain = self._term.ready and self._term.is_valid
             tracker.quiesced = (
                 certain and tracker.pending_state is None and tracker.name not in about
             )
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -55,7 +55,7 @@
             await self._scheduling_loop.loop_budget.pause(
                 "fleet", LoopPriority.FLEET, self._term.tunables.fleet.period_us
             )
-            if not self._term.valid:
+            if not self._term.is_valid:
                 continue
             at_us = now_us()
             with self._scheduling_loop.loop_budget.measure("fleet"):
--- a/weldhead/controller/fleet/machine_returner.py
+++ b/weldhead/controller/fleet/machine_returner.py
@@ -52,7 +52,7 @@
         # What holds work up goes first.
         order = sorted(self.to_delete.values(), key=lambda m: m.reconciled and not m.attempts)
         batch = order[:MOST_DELETED]
-        if not self._term.valid:
+        if not self._term.is_valid:
             # Decided before this process stood still: a successor may use them now.
             await asyncio.sleep(0.1)
             return
@@ -67,7 +67,7 @@
         self.deleted(batch)
 
     def _may_delete(self) -> bool:
-        return self._term.valid
+        return self._term.is_valid
 
     def deleted(self, machines: list[Machine]) -> None:
         """The cloud has answered: the machines and everything on them are gone."""
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -235,7 +235,7 @@
     async def _request(self, name: str, record: RentalRecord) -> list[str] | None:
         """Ask the cloud once; return the machines that came of it, None if that is not known."""
         offer = _offer_key(record)
-        if not self._term.valid:
+        if not self._term.is_valid:
             await asyncio.sleep(0.1)
             return None
         if not self._wanted(name):
@@ -275,7 +275,7 @@
         A process that stood still may have been replaced since it last looked, and its
         successor have settled the rental otherwise.
         """
-        wanted = self._term.valid and self._wanted(name)
+        wanted = self._term.is_valid and self._wanted(name)
         if wanted:
             self._unsent.discard(name)
         return wanted
@@ -371,7 +371,7 @@
             # Each page is a call, and calls are few.
             pages = 1 + len(term.cluster.machines) // PAGE
             await asyncio.sleep(max(2.0, lag_s * pages / 2))
-            if term.valid:
+            if term.is_valid:
                 self._compare(await term.cloud.machines(), now_us())
 
     def _compare(self, listed: list[ListedMachine], at_us: int) -> None:
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -1,7 +1,7 @@
-"""A leader's term: what users and workers are answered, and who does the rest.
+"""A leader's term: connects the term's components and starts its background tasks.
 
-Everything here ends with the term. The models are changed only between awaits, and every
-command checks the authority to lead at the moment it is sent.
+Everything in this module ends with the term. The in-memory state of the cluster changes only
+between awaits, and each command checks that this node still leads when the command is sent.
 """
 
 import asyncio
@@ -42,34 +42,37 @@
 
 log = logging.getLogger(__name__)
 
-#: How long a user waits for a cancellation before being told to ask again.
-CANCEL_WAIT_US = 1_500_000
-#: How long a new leader waits for its machines before it says how bound jobs stand.
-ACCOUNT_S = 15.0
+#: How long a cancellation request waits for its commit before the user has to retry it.
+CANCELLATION_TIMEOUT_US = 1_500_000
+#: A new leader logs which jobs with deadlines are late when it is ready, at the latest after this
+#: time.
+MAX_LATENESS_LOG_DELAY_S = 15.0
 
 
 class NotReadyError(Exception):
-    """The leader cannot answer this yet; ask again later."""
+    """The leader cannot decide the request yet; the client has to retry it later."""
 
 
 class Leader:
-    """One term of leadership."""
+    """One term of leadership: its components, and the requests that only a leader answers."""
 
     def __init__(self, term: Term, documents: DocumentReplica | None = None) -> None:
         self.term = term
-        #: The term's part in calendars and gates; None: this node is given none.
+        #: Publishes calendars and gates during the term; None if this node has no documents.
         self.publisher: DocumentPublisher | None = None
         if documents is not None:
             self.publisher = DocumentPublisher(
-                documents, term.state, lambda: term.state_writer, lambda: term.valid
+                documents, term.state, lambda: term.state_writer, lambda: term.is_valid
             )
         self.token = term.token
         self._background_tasks = term.background_tasks
-        self._dispatcher = CommandDispatcher(term, self._answered, self._unanswered)
+        self._dispatcher = CommandDispatcher(
+            term, self._apply_command_answer, self._record_unanswered_command
+        )
         self.job_dependencies = JobDependencies(term, self._dispatcher, self.job_created)
         self.completions = Completions(
             term,
-            self._ended,
+            self._apply_job_end,
             self.job_dependencies.withdraw_with_dependents,
             self.job_dependencies.stop_tasks,
         )
@@ -78,11 +81,11 @@
             round(term.tunables.leadership.ttl_us * term.tunables.most_hold)
         )
         self.scheduling_loop = SchedulingLoop(term, self._dispatcher, self.loop_budget)
-        self.rental_manager = RentalManager(term, self._machine_gone)
+        self.rental_manager = RentalManager(term, self._remove_machine)
         self.machine_monitor = MachineMonitor(
             term, self._dispatcher, self.rental_manager.return_machines, self._check_known
         )
-        #: The term's gates; None: this node is given no documents.
+        #: The gates of the term; None if this node has no documents.
         self.gate_keeper: GateKeeper | None = None
         if self.publisher is not None:
             self.gate_keeper = self._open_gates(self.publisher)
@@ -90,11 +93,11 @@
         self.reachability = ReachabilityMonitor(
             term,
             self._dispatcher,
-            self._answered,
+            self._apply_command_answer,
             self.rental_manager.return_machines,
             self.machine_monitor.silent_live,
         )
-        parts = RecoveryParts(
+        recovery_parts = RecoveryParts(
             self.completions,
             self.rental_manager,
             self.job_dependencies,
@@ -105,7 +108,7 @@
             self.publisher,
             self.gate_keeper,
         )
-        self.recovery = TermRecovery(term, parts)
+        self.recovery = TermRecovery(term, recovery_parts)
         self.heartbeats = HeartbeatHandler(
             term,
             self.completions,
@@ -122,7 +125,7 @@
         self.forecaster = CompletionForecaster(
             term, self.loop_budget, self.job_dependencies.stage_us
         )
-        #: The term's calendars; None: this node is given no documents.
+        #: The calendars of the term; None if this node has no documents.
         self.calendar_keeper: CalendarKeeper | None = None
         if self.publisher is not None:
             self.calendar_keeper = self._open_calendars(self.publisher)
@@ -133,91 +136,92 @@
         self.statuses = JobStatusReporter(term, self.completions, self.forecaster, self.gate_keeper)
 
     def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
-        # Loaded by controllers that are given documents only.
+        # Only controllers that have documents load this module.
         from weldhead.controller.configuration.gate_keeper import GateKeeper
 
         return GateKeeper(self.term, publisher, self.job_dependencies, self._dispatcher)
 
     def _open_calendars(self, publisher: DocumentPublisher) -> "CalendarKeeper":
-        # Loaded by controllers that are given documents only.
+        # Only controllers that have documents load this module.
         from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
 
         return CalendarKeeper(self.term, publisher, self.job_dependencies.refresh_inherited)
 
-    # -- the term's life ------------------------------------------------------------
+    # -- start and end of the term --------------------------------------------------
 
     def start(self) -> None:
-        """Begin the term's background tasks."""
-        self._background_tasks.spawn("ledger", self._run_state_writer())
+        """Start the term's background tasks."""
+        self._background_tasks.spawn("state writer", self._run_state_writer())
         self._background_tasks.spawn("recovery", self._recover())
 
     async def close(self) -> None:
-        """End the term."""
+        """End the term: stop its writes and its background tasks."""
         self.state_writer.close()
         await self._background_tasks.close()
 
     @property
     def cluster(self) -> Cluster:
-        """The picture of jobs, machines and usage."""
+        """The in-memory state of jobs, machines and resource usage."""
         return self.term.cluster
 
     @property
     def state_writer(self) -> StateWriter:
-        """The term's writes."""
+        """The writer of the term's changes to the state service."""
         return self.term.state_writer
 
     @property
     def dependency_graph(self) -> DependencyGraph:
-        """Which jobs wait for which."""
+        """The dependencies between jobs."""
         return self.term.dependency_graph
 
     @property
     def loaded(self) -> bool:
-        """Whether the store has been read."""
+        """Whether the term has read its records from the state service."""
         return self.term.loaded
 
     @property
-    def valid(self) -> bool:
-        """Whether this node may command now."""
-        return self.term.valid
+    def is_valid(self) -> bool:
+        """Whether this node may command workers now."""
+        return self.term.is_valid
 
     def update_catalog(self, types: list[MachineType]) -> None:
-        """Take up the machine types and prices that the cloud states now."""
+        """Replace the machine types and prices by the ones that the cloud offers now."""
         self.term.rental_offers.types = types
 
     async def _run_state_writer(self) -> None:
         try:
             await self.state_writer.run()
         except LeadershipLostError:
-            self.term.on_leadership_lost("the leader's key is not ours any more")
+            self.term.on_leadership_lost("the leader's key is no longer its own")
         except Exception:
-            # It kept its lease without writing anything more, and nobody else could lead.
+            # A leader whose state writer had failed used to renew its lease without writing
+            # anything, which kept every other node from leading.
             log.exception("state writer failed")
-            self.term.on_leadership_lost("its writes have failed")
+            self.term.on_leadership_lost("its state writer failed")
 
     async def _recover(self) -> None:
-        """Read everything, learn what runs where, then start the other background tasks."""
+        """Load the records, probe the machines, and start the term's other background tasks."""
         term, background_tasks, scheduling_loop = (
             self.term,
             self._background_tasks,
             self.scheduling_loop,
         )
-        background_tasks.spawn("questions", self.recovery.probe_machines())
+        background_tasks.spawn("machine probes", self.recovery.probe_machines())
         background_tasks.spawn("safe revision", self.recovery.find_safe_revision())
         await self.recovery.load_until_done()
         self.job_watcher.revision = self.recovery.jobs_revision
-        background_tasks.spawn("settling", self.recovery.clear_unsettled())
+        background_tasks.spawn("unsettled record", self.recovery.clear_unsettled())
         background_tasks.start("job watch", self.job_watcher.watch)
         background_tasks.start("machine watch", self.machine_monitor.watch)
         background_tasks.start("reachability", self.reachability.watch_suspects)
-        background_tasks.start("needed jobs", self.job_dependencies.resolve_dependencies, 0.2)
+        background_tasks.start("job dependencies", self.job_dependencies.resolve_dependencies, 0.2)
         background_tasks.start("forecasts", self.forecaster.run)
-        background_tasks.start("loop watch", self.loop_budget.watch_lag)
+        background_tasks.start("event loop lag", self.loop_budget.watch_lag)
         if self.publisher is not None:
             background_tasks.start("documents", self.publisher.publish)
         if self.calendar_keeper is not None:
             self.calendar_keeper.start(background_tasks)
-        background_tasks.spawn("account", self._log_lateness())
+        background_tasks.spawn("lateness summary", self._log_lateness())
         if self.gate_keeper is not None:
             background_tasks.start("gates", self.gate_keeper.run)
         self.completions.start()
@@ -227,28 +231,28 @@
         await scheduling_loop.load_backlog()
         background_tasks.start("fleet", self.autoscaler.run)
         background_tasks.start("placement", scheduling_loop.run_placement, 0.2)
-        await self.recovery.finish(self._start_preempting)
+        await self.recovery.finish(self._start_preemption)
 
     async def _log_lateness(self) -> None:
-        """Say how bound jobs stand, as soon as it is known what runs where, or late enough."""
+        """Log which jobs with deadlines are late, once the term is ready or after a timeout."""
         with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(self.term.became_ready.wait(), ACCOUNT_S)
+            await asyncio.wait_for(self.term.became_ready.wait(), MAX_LATENESS_LOG_DELAY_S)
         self.forecaster.log_summary(now_us())
 
-    def _start_preempting(self) -> None:
+    def _start_preemption(self) -> None:
         self._background_tasks.start("preemptor", self.scheduling_loop.run_preemption)
 
     def _check_known(self) -> None:
         self.recovery.check_known()
 
-    def _machine_gone(self, machine: Machine) -> None:
+    def _remove_machine(self, machine: Machine) -> None:
         self.machine_monitor.remove(machine)
         self.reachability.remove(machine)
 
-    # -- users ------------------------------------------------------------------------
+    # -- user requests ----------------------------------------------------------------
 
     def job_created(self, record: JobRecord, version: int) -> None:
-        """Take up a job that has been committed."""
+        """Add a job whose record has been committed, unless the term knows it already."""
         job_id = record.spec.id
         if not self.loaded or job_id in self.cluster.jobs or job_id in self.completions.finals:
             return
@@ -259,49 +263,61 @@
         self.term.placement_wanted.set()
 
     def status(self, job_id: str) -> JobStatus | None:
-        """Return a job's status from memory, as new as the store's; None: not known here."""
+        """Return a job's status from memory, or None if this leader does not know the job.
+
+        The status is as current as the state service's.
+        """
         return self.statuses.status(job_id)
 
     def is_service(self, job_id: str) -> bool | None:
-        """Whether an accepted job is a service; None: not known here."""
+        """Return whether an accepted job is a service; None if this leader does not know it."""
         return self.statuses.is_service(job_id)
 
     async def cancel(self, job_id: str) -> JobStatus | None:
-        """Cancel a job; None if it is not known. NotReadyError if it cannot be decided now."""
+        """Cancel a job and return its status, or None if the job is not known.
+
+        Raises NotReadyError if the leader cannot decide the cancellation now.
+        """
         if not self.loaded or now_us() < self.term.previous_leader_expired_us:
             raise NotReadyError
         job = self.cluster.jobs.get(job_id)
         if job is None:
             return self.statuses.status(job_id)
-        if not job.cancelled and not await self.completions.cancel(job, CANCEL_WAIT_US):
+        if not job.cancelled and not await self.completions.cancel(job, CANCELLATION_TIMEOUT_US):
             raise NotReadyError
         return JobStatus(job_id, "withdrawn")
 
-    # -- workers ----------------------------------------------------------------------
+    # -- worker messages --------------------------------------------------------------
 
     def silent_machines(self, at_us: int) -> tuple[str, ...]:
-        """Machines that ought to have reported by now; their reports are to be relayed."""
+        """Return the machines whose heartbeat is overdue.
+
+        Followers relay the heartbeats of these machines.
+        """
         return self.machine_monitor.silent_machines(at_us)
 
     def handle_heartbeat(
         self, heartbeat: Heartbeat, at_us: int, *, relayed: bool
     ) -> HeartbeatAnswer | None:
-        """Handle a worker's heartbeat; None: it must not be answered 200."""
+        """Apply a worker's heartbeat and return its answer.
+
+        Returns None if the heartbeat must not be answered with status 200.
+        """
         return self.heartbeats.handle(heartbeat, at_us, relayed=relayed)
 
-    def _answered(self, machine: Machine, heartbeat: Heartbeat) -> None:
+    def _apply_command_answer(self, machine: Machine, heartbeat: Heartbeat) -> None:
         self.heartbeats.handle_command_answer(machine, heartbeat)
 
-    def _unanswered(self, machine: Machine) -> None:
+    def _record_unanswered_command(self, machine: Machine) -> None:
         self.reachability.observe_no_answer(machine)
 
     def _apply_buffered(self, buffered: BufferedHeartbeat) -> None:
         self.heartbeats.apply_buffered(buffered)
 
-    # -- background tasks -------------------------------------------------------------------------
+    # -- ends of jobs ---------------------------------------------------------------------------
 
-    def _ended(self, job: Job, final: FinalRecord) -> None:
-        """A job is over, and that is committed."""
+    def _apply_job_end(self, job: Job, final: FinalRecord) -> None:
+        """Discard the state of a job whose final record is committed, and update its dependents."""
         self.term.estimates.forget(job.id)
         self.cluster.forget_attempt_numbers(job.id)
         self.scheduling_loop.reclaims.trim(job.id, 0)
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -38,7 +38,7 @@
 )
 from weldhead.controller.leadership.lease_renewer import LeaseRenewer, RenewalActions
 from weldhead.controller.leadership.peer_failure_detector import PeerFailureDetector
-from weldhead.controller.leadership.previous_leaders import PreviousLeaders, missed_from_us
+from weldhead.controller.leadership.previous_leaders import PreviousLeaders, read_unsettled_from_us
 from weldhead.controller.leadership.promises import request_promises
 from weldhead.controller.term import Term, TermContext
 from weldhead.protocol.peer import LeaderResigned, Pong, PromiseAnswer, PromiseRequest
@@ -300,7 +300,7 @@
     ) -> None:
         sent_us, sent_wall_us = now_us(), wall_us()
         lease_id, unsettled_from_us = await asyncio.gather(
-            self._state.grant(self.timing.ttl_us), missed_from_us(self._state)
+            self._state.grant(self.timing.ttl_us), read_unsettled_from_us(self._state)
         )
         # The record states how long earlier leaders may be active. A successor may replace this
         # record at once, because its writer never led or ended immediately, and then has to wait
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -1,4 +1,4 @@
-"""The other controllers as far as this one can ask them, and whether it is alone."""
+"""Forwards requests to other controllers, and detects whether this controller is isolated."""
 
 import asyncio
 import logging
@@ -22,60 +22,66 @@
 
 log = logging.getLogger(__name__)
 
-#: How long a user's or worker's request may take on its way through another node.
-FORWARD_US = 900 * MILLISECOND_US
-#: Between two looks at whether this node is alone.
-LOOK_US = 200 * MILLISECOND_US
-#: How long the state service has to answer who seems to be alone.
-PROOF_US = 400 * MILLISECOND_US
+#: How long another controller may take to answer a request that a user or worker sent here.
+FORWARD_TIMEOUT_US = 900 * MILLISECOND_US
+#: The time between two checks whether this node is isolated.
+ISOLATION_CHECK_INTERVAL_US = 200 * MILLISECOND_US
+#: How long the state service may take to answer the probe of a node that reaches no peer.
+SERVICE_PROBE_TIMEOUT_US = 400 * MILLISECOND_US
 
 
 class PeerDirectory:
-    """What this node knows of the others, and what it has them answer."""
+    """The peers of this node, as far as its request handlers need them."""
 
     def __init__(
-        self, name: str, links: Mapping[str, PeerLink], campaign: LeaderElection, started_us: int
+        self, name: str, links: Mapping[str, PeerLink], election: LeaderElection, started_us: int
     ) -> None:
         self._name = name
         self._links = links
-        self._election = campaign
+        self._election = election
         self._isolation = IsolationDetector(started_us)
-        self._turn = 0
-        #: Calendars and gates; None: this node is given none.
+        #: Counts forwarded requests, so that successive ones go to different peers.
+        self._forward_count = 0
+        #: The calendars and gates; None if this node has no documents.
         self.documents: DocumentReplica | None = None
 
     def open(self, state: StateClient) -> None:
-        """Use this from now on."""
+        """Set the client of the state service; has to be called before any other method."""
         self._state = state
 
     @property
     def leader(self) -> Leader | None:
-        """This node's term, if it leads."""
+        """This node's term, or None while it is a follower."""
         return self._election.leader
 
     @property
     def catalog(self) -> list[MachineType]:
-        """The machine types, as far as they are known."""
+        """The machine types of the cloud; empty until they are known."""
         return self._election.catalog
 
-    # -- alone --------------------------------------------------------------------------------
+    # -- isolation ----------------------------------------------------------------------------
 
     @property
     def isolated(self) -> bool:
-        """Whether neither the state service nor another controller answers this one."""
+        """Whether neither the state service nor any peer answers this controller."""
         return self._isolation.isolated
 
     async def watch(self) -> None:
-        """Update whether this controller is isolated, again and again; a background task."""
+        """Check periodically whether this controller is isolated; a background task."""
         while self._links:
-            await asyncio.sleep(to_seconds(LOOK_US))
+            await asyncio.sleep(to_seconds(ISOLATION_CHECK_INTERVAL_US))
             self._update_isolation()
             if self._isolation.probe_wanted:
-                # Nobody may have called the service for seconds: then nothing has failed.
+                # If no call was made to the state service for seconds, no failed call shows
+                # that it is out of reach.
                 try:
-                    await self._state.get(LEADER_KEY, urgent=True, timeout_us=PROOF_US)
+                    await self._state.get(
+                        LEADER_KEY, urgent=True, timeout_us=SERVICE_PROBE_TIMEOUT_US
+                    )
                 except CallError as error:
-                    log.debug("all others are silent, and the state service: %s", error)
+                    log.debug(
+                        "all peers are silent, and the state service does not answer: %s", error
+                    )
                 self._update_isolation()
         await asyncio.Event().wait()
 
@@ -86,84 +92,95 @@
             if self.isolated:
                 log.info(
                     "%s is isolated: neither the state service nor another controller answers; "
-                    "users and workers are sent on",
+                    "users and workers are sent to other controllers",
                     self._name,
                 )
             else:
                 log.info("%s is no longer isolated", self._name)
 
     def ready(self) -> Response:
-        """Tell the load balancer whether users are served here as well as elsewhere."""
+        """Answer the load balancer's health check.
+
+        The node is ready if it can serve users as well as the other controllers can.
+        """
         if not self.catalog:
             return unavailable("machine types not known yet")
         if self.isolated:
             return unavailable("this node is alone")
         if not self._state.available and self._served_peers(now_us()):
             return unavailable("the state service refuses this node")
-        # In an outage all stay: a balancer without a healthy node serves nobody.
+        # In an outage of the state service every node stays ready, because a load balancer
+        # without a healthy node rejects all users.
         return Response(http_status.OK, b"{}")
 
-    # -- asking others ------------------------------------------------------------------------
+    # -- forwarding to peers ------------------------------------------------------------------
 
     async def ask_leader(self, kind: str, job_id: str, body: bytes) -> Response | None:
-        """Have the leader answer; None if it cannot be reached."""
+        """Forward a request to the leader; return None if the leader cannot be reached."""
         record = self._election.known_leader
         link = self._links.get(record.name) if record is not None else None
         if link is None or not link.alive(now_us()):
-            # Asked in vain, a silent leader kept each user waiting for most of a second.
+            # Each request that was forwarded to a silent leader made its user wait for most of
+            # a second.
             return None
         return await self.forward(link, kind, job_id, body)
 
     async def ask_served_peer(
         self, kind: str, job_id: str, body: bytes, *, chained: bool = False
     ) -> Response | None:
-        """Have a peer answer that the state service serves; None if there is none."""
-        least = CHAINS_FORMAT if chained else 0
+        """Forward a request to a peer that the state service serves.
+
+        Returns None if there is no such peer, or if the peer does not answer.
+        """
+        min_format = CHAINS_FORMAT if chained else 0
         if self.documents is not None and kind == "submit":
-            # Another version would accept a job without what binds it.
-            least = DOCUMENTS_FORMAT
-        served = self._served_peers(now_us(), least)
+            # A peer of an earlier version would accept a job without its calendars and gates.
+            min_format = DOCUMENTS_FORMAT
+        served = self._served_peers(now_us(), min_format)
         if not served:
             return None
-        self._turn += 1
-        followers = [link for link in served if not self._leads(link)]
+        self._forward_count += 1
+        followers = [link for link in served if not self._is_leader(link)]
         if kind == "poll" and followers:
-            # The leader was asked before. A follower looks for itself: it refused what is
-            # meant for a leader, and who reaches only followers was never answered.
-            link, kind = followers[self._turn % len(followers)], "read"
+            # The poll was forwarded to the leader before. A follower refuses a request of kind
+            # "poll", so a user who reached only followers was never answered. A request of
+            # kind "read" makes the follower read the job from the state service itself.
+            link, kind = followers[self._forward_count % len(followers)], "read"
         else:
-            # In turn, so that one peer that fails does not fail each time.
-            link = served[self._turn % len(served)]
+            # The peers take turns, so that one failing peer does not fail every request.
+            link = served[self._forward_count % len(served)]
         return await self.forward(link, kind, job_id, body)
 
     async def ask_home(self, job_id: str) -> Response | None:
-        """Have the one controller look that counts how long a job waits for an answer.
+        """Forward a poll to the controller that owns the polls of this job.
 
-        All controllers choose the same one of those that the state service serves, by the job's
-        id. None: that is this one. CallError if it does not answer in time.
+        The owner records how long the job's user has waited for an answer. All controllers
+        choose the same owner, by the job's id, among the controllers that the state service
+        serves. Returns None if this controller is the owner. Raises CallError if the owner does
+        not answer in time.
         """
         links = {link.name: link for link in self._served_peers(now_us(), DOCUMENTS_FORMAT)}
         served = [*links, self._name] if self._state.available else [*links]
-        home = max(
+        owner = max(
             served, key=lambda name: sha256(f"{job_id} {name}".encode()).digest(), default=""
         )
-        if home not in links:
+        if owner not in links:
             return None
-        answer = await self.forward(links[home], "read", job_id, b"")
+        answer = await self.forward(links[owner], "read", job_id, b"")
         if answer is None:
-            raise CallError(f"{home} does not answer for {job_id}")
+            raise CallError(f"{owner} did not answer a poll of job {job_id} in time")
         return answer
 
     def peers_know(self, least_format: int) -> bool:
-        """Whether no peer is known to run a version of an earlier format."""
+        """Return whether no peer is known to use an earlier format than the given one."""
         return all(not 0 < link.format < least_format for link in self._links.values())
 
-    def _leads(self, link: PeerLink) -> bool:
+    def _is_leader(self, link: PeerLink) -> bool:
         record = self._election.known_leader
         return record is not None and record.name == link.name
 
     def _served_peers(self, at_us: int, least_format: int = 0) -> list[PeerLink]:
-        """Return the live peers of that format or a later one that the state service serves."""
+        """Return the live peers that the state service serves, of at least the given format."""
         return [
             link
             for link in self._links.values()
@@ -171,18 +188,21 @@
         ]
 
     async def forward(self, link: PeerLink, kind: str, job_id: str, body: bytes) -> Response | None:
-        """Have a peer answer; None if it does not, or not in time."""
+        """Forward a request to a peer; return None if the peer does not answer in time."""
         if not link.connected:
             return None
         at_us = now_us()
         try:
             answer = await link.request(
-                ForwardedRequest(link.next_id(), kind, job_id, body), ForwardedAnswer, FORWARD_US
+                ForwardedRequest(link.next_id(), kind, job_id, body),
+                ForwardedAnswer,
+                FORWARD_TIMEOUT_US,
             )
         except CallError:
             return None
-        if now_us() - at_us > FORWARD_US:
-            # Read only after this process stood still: others may have answered newer since.
+        if now_us() - at_us > FORWARD_TIMEOUT_US:
+            # The answer was read late because this process was paused. Other controllers may
+            # have given newer answers in the meantime.
             return None
         return Response(
             answer.status, answer.body, 1 if answer.status == http_status.UNAVAILABLE else 0
--- a/weldhead/controller/leadership/previous_leaders.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -1,8 +1,8 @@
-"""The leaders before: every record of the leader's key, and until when their writers count.
+"""Determines until when leaders before the current one may still command workers.
 
-A record that replaced another says for how long the one before it may go on. It may be gone
-before anybody reads the key, so the key's changes are followed, and nothing between two of
-them is left out.
+A leader's record that replaced another record states for how long the replaced leader may
+continue. The record may itself be replaced before any node reads the key. This module therefore
+follows all changes of the key and takes every record into account.
 """
 
 import asyncio
@@ -21,123 +21,147 @@
 
 log = logging.getLogger(__name__)
 
-#: How long a new leader waits to learn whom its own record comes after.
+#: How long a new leader may take to read which leaders its own record replaced.
 CATCH_UP_US = 300 * MILLISECOND_US
-#: Who was in no term so long ago cannot have won one, been replaced, and its successor's key be
-#: gone: the key goes with a lease, or after a promise that is asked for when one is not renewed.
-JUST_ASKED_US = 500 * MILLISECOND_US
+#: How old a peer's statement that it is in no term may be, to prove that the peer is no replaced
+#: leader whose successor's key is absent already. Within this time a node cannot win a term, be
+#: replaced, and its successor's key vanish: a key is deleted with its lease, or after a promise,
+#: which a leader requests only when its lease was not renewed.
+MAX_STATEMENT_AGE_US = 500 * MILLISECOND_US
 
 
 class PreviousLeaders:
-    """What one controller knows of the leaders before the one that leads.
+    """What one controller knows of the leaders before the current one.
 
-    ``life`` is how all nonces of this process begin; ``ttl_us`` bounds how long a leader may
-    believe in its lease after it was replaced.
+    ``nonce_prefix`` is the prefix of all nonces of this process. ``ttl_us`` bounds how long a
+    leader may trust its lease after it was replaced.
     """
 
-    def __init__(self, name: str, life: str, peers: int, ttl_us: int) -> None:
-        self._name, self._nonce_prefix, self._peers, self._ttl_us = name, life, peers, ttl_us
-        #: Until then a leader before the one that is known may command.
+    def __init__(self, name: str, nonce_prefix: str, peer_count: int, ttl_us: int) -> None:
+        self._name, self._nonce_prefix, self._peer_count, self._ttl_us = (
+            name,
+            nonce_prefix,
+            peer_count,
+            ttl_us,
+        )
+        #: When all leaders before the known one have surely stopped commanding; 0 if they have.
         self.expired_us = 0
-        #: Peers that have said since the key was read that they are in no term.
-        self._ended: set[str] = set()
-        #: Peers that have said, in this process's life, that they are in no term: when asked.
-        self._in_no_term: dict[str, int] = {}
-        #: The newest version at which the key was read, and when it was first read.
+        #: The peers that have stated, since the key was read, that they are in no term.
+        self._ended_peers: set[str] = set()
+        #: The peers whose last answer to this process stated that they are in no term, and when
+        #: the answered ping was sent.
+        self._no_term_stated_us: dict[str, int] = {}
+        #: The newest version of the key that was read, and when a record was last taken into
+        #: account.
         self.read_token = self._read_us = 0
-        #: Whether a former life of this node wrote that.
+        #: Whether a previous process of this node wrote that version.
         self._written_by_earlier_process = False
-        #: Every record up to this revision was taken into account, or the key was read at it;
-        #: None: not yet.
-        self._followed: int | None = None
+        #: The revision up to which all records were taken into account; None until the key was
+        #: read.
+        self._followed_revision: int | None = None
 
     def open(self, state: StateClient) -> None:
-        """Use this from now on."""
+        """Set the client of the state service; has to be called before ``follow``."""
         self._state = state
 
     def record(self, record: LeaderRecord, version: int) -> None:
-        """Take a record into account."""
+        """Take a record of the leader's key into account."""
         if version == self.read_token:
             return
-        former = False
+        by_earlier_process = False
         if version > self.read_token:
             self.read_token = version
-            mine = record.name == self._name
-            former = mine and not record.nonce.startswith(self._nonce_prefix)
-            # What a former life wrote was there before anybody answered this one.
-            self._written_by_earlier_process = former
+            is_own = record.name == self._name
+            by_earlier_process = is_own and not record.nonce.startswith(self._nonce_prefix)
+            # A record of a previous process was written before any peer answered this process.
+            self._written_by_earlier_process = by_earlier_process
         self._read_us = now_us()
-        self._ended = set(self._in_no_term) if former else set()
-        if record.earlier_us and len(self._ended) < self._peers:
+        self._ended_peers = set(self._no_term_stated_us) if by_earlier_process else set()
+        if record.earlier_us and len(self._ended_peers) < self._peer_count:
             self.expired_us = max(self.expired_us, surely_over_us(self._read_us, record.earlier_us))
 
     def observe_pong(self, name: str, pong: Pong, sent_us: int) -> bool:
-        """A peer has said whether it is in a term; whether all have said they are in none."""
+        """Process a peer's statement whether it is in a term.
+
+        Returns whether the last statement of every peer was that it is in no term.
+        """
         if pong.leads:
-            self._in_no_term.pop(name, None)
-            self._ended.discard(name)
+            self._no_term_stated_us.pop(name, None)
+            self._ended_peers.discard(name)
             return False
-        self._in_no_term[name] = sent_us
+        self._no_term_stated_us[name] = sent_us
         if sent_us >= self._read_us or self._written_by_earlier_process:
-            self._ended.add(name)
-        if len(self._ended) == self._peers:
-            # Whoever led before that record was written has ended since.
+            self._ended_peers.add(name)
+        if len(self._ended_peers) == self._peer_count:
+            # Every term that began before the record was written has ended since.
             self.expired_us = 0
-        return len(self._in_no_term) == self._peers
+        return len(self._no_term_stated_us) == self._peer_count
 
     async def follow(self, wait_us: int) -> bool:
-        """Take the records since the last time into account; whether the key has changed."""
-        since = self._followed if self._followed is not None else await self._read_key()
+        """Take all records since the last call into account; return whether the key changed."""
+        since = (
+            self._followed_revision
+            if self._followed_revision is not None
+            else await self._read_key()
+        )
         try:
             changes = await self._state.watch(LEADER_KEY, since, wait_us)
         except RevisionCompactedError:
-            self._followed = None
+            self._followed_revision = None
             raise
-        # Somebody else may have asked meanwhile, and have taken some of it into account.
-        known = max(since, self._followed or 0)
+        # A concurrent call may have taken some of these records into account already.
+        known_revision = max(since, self._followed_revision or 0)
         changed = False
         for event in changes.events:
             changed = changed or LEADER_KEY in (event.put, event.delete)
-            if event.put == LEADER_KEY and event.version > known:
+            if event.put == LEADER_KEY and event.version > known_revision:
                 self.record(decode(bytes(event.value), LeaderRecord), event.version)
-        self._followed = max(known, changes.revision)
+        self._followed_revision = max(known_revision, changes.revision)
         return changed
 
     async def _read_key(self) -> int:
-        """Read the key; return the revision from which it can be followed."""
-        found, revision = False, 0
+        """Read the key; return the revision from which its changes can be followed."""
+        key_exists, revision = False, 0
         async for entries, revision in self._state.pages(LEADER_KEY):  # noqa: B007
-            found = found or any(entry.key == LEADER_KEY for entry in entries)
-        asked_us = now_us() - JUST_ASKED_US
+            key_exists = key_exists or any(entry.key == LEADER_KEY for entry in entries)
+        oldest_valid_us = now_us() - MAX_STATEMENT_AGE_US
         if (
-            not found
-            and sum(at_us >= asked_us for at_us in self._in_no_term.values()) < self._peers
+            not key_exists
+            and sum(at_us >= oldest_valid_us for at_us in self._no_term_stated_us.values())
+            < self._peer_count
         ):
-            # Nothing says whom the last record had replaced, and when it went.
+            # No record states which leader the last record replaced, or when it was deleted.
             self._assume_recent_leader()
         return revision
 
     def _assume_recent_leader(self) -> None:
-        """Whoever was replaced of late is over as soon as a leader replaced just now."""
-        if self._peers:
+        """Assume that a previous leader was replaced just now.
+
+        A leader that was replaced earlier stops no later than that one.
+        """
+        if self._peer_count:
             self.expired_us = max(self.expired_us, surely_over_us(now_us(), self._ttl_us))
 
     async def catch_up(self) -> None:
-        """Learn whom this node's own record comes after; unknown, somebody counts as active."""
-        if not self._peers:
+        """Take the records before this node's own record into account.
+
+        If they cannot be read in time, a previous leader is assumed to be active.
+        """
+        if not self._peer_count:
             return
         try:
             async with asyncio.timeout(to_seconds(CATCH_UP_US)):
                 await self.follow(0)
         except (CallError, RevisionCompactedError, TimeoutError) as error:
-            log.info("previous leaders unknown: %r", error)
+            log.info("records of previous leaders not read, assuming an active one: %r", error)
             self._assume_recent_leader()
 
 
-async def missed_from_us(state: StateClient) -> int | None:
-    """Return since when an unsettled row of terms may have missed cancellations (time of day).
+async def read_unsettled_from_us(state: StateClient) -> int | None:
+    """Return the time of day since which earlier terms may have missed cancellations.
 
-    None: the last term was settled (``reconciliation/answer_window.py``).
+    Returns None if the last term has settled all of them; see
+    ``weldhead/reconciliation/answer_window.py``.
     """
     entry = await state.get(UNSETTLED_KEY, urgent=True, timeout_us=STAND_US)
     if entry is None:
@@ -145,5 +169,6 @@
     try:
         return decode(bytes(entry.value), UnsettledRecord).from_us
     except CallError:
-        # Not ours: anything may have been missed, and to lead is better than not to.
+        # The record is unreadable, so cancellations of any age may have been missed. This is no
+        # reason not to lead, because a cluster without a leader is worse.
         return 0
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -1,4 +1,7 @@
-"""The start of a term: what is recorded is read, and what runs where is learned."""
+"""Recovers the cluster's state at the start of a term.
+
+The new leader loads the records of the state service, and asks each machine which tasks it runs.
+"""
 
 import asyncio
 import contextlib
@@ -56,15 +59,15 @@
 
 log = logging.getLogger(__name__)
 
-#: How often it is looked whether all that was cancelled before is gone.
-SETTLE_LOOK_US = 500 * MILLISECOND_US
-#: How often it is looked whom to ask next.
-ASK_PAUSE_US = 20 * MILLISECOND_US
+#: The time between two checks whether the tasks of all cancelled jobs have ended.
+SETTLED_CHECK_INTERVAL_US = 500 * MILLISECOND_US
+#: The time between two checks which machines to probe next.
+PROBE_CHECK_INTERVAL_US = 20 * MILLISECOND_US
 
 
 @dataclass(frozen=True)
 class RecoveryParts:
-    """The parts of the term that its recovery fills or asks."""
+    """The components of the term that its recovery uses."""
 
     completions: Completions
     rental_manager: RentalManager
@@ -72,36 +75,40 @@
     machine_monitor: MachineMonitor
     dispatcher: CommandDispatcher
     loop_budget: EventLoopBudget
-    #: Takes what a machine said before its records were loaded.
-    apply: Callable[[BufferedHeartbeat], None]
+    #: Applies a worker's message that was received before the records were loaded.
+    apply_buffered: Callable[[BufferedHeartbeat], None]
     publisher: DocumentPublisher | None = None
     gate_keeper: "GateKeeper | None" = None
 
 
 class TermRecovery:
-    """Loads the term; ``all_known`` is set once nothing can run that this leader does not know."""
+    """Recovers the state of one term.
+
+    ``all_known`` is set once this leader knows of every task that may be running.
+    """
 
-    def __init__(self, term: Term, parts: RecoveryParts) -> None:
+    def __init__(self, term: Term, recovery_parts: RecoveryParts) -> None:
         self._term = term
-        self._completions = parts.completions
-        self._rental_manager = parts.rental_manager
-        self._job_dependencies = parts.job_dependencies
-        self._machine_monitor = parts.machine_monitor
-        self._dispatcher = parts.dispatcher
-        self._loop_budget = parts.loop_budget
-        self._apply = parts.apply
-        self._publisher = parts.publisher
-        self._gates = parts.gate_keeper
-        #: The revision at which the jobs were read.
+        self._completions = recovery_parts.completions
+        self._rental_manager = recovery_parts.rental_manager
+        self._job_dependencies = recovery_parts.job_dependencies
+        self._machine_monitor = recovery_parts.machine_monitor
+        self._dispatcher = recovery_parts.dispatcher
+        self._loop_budget = recovery_parts.loop_budget
+        self._apply_buffered = recovery_parts.apply_buffered
+        self._publisher = recovery_parts.publisher
+        self._gate_keeper = recovery_parts.gate_keeper
+        #: The revision at which the jobs were read; their later changes can be followed from it.
         self.jobs_revision = 0
         self.all_known = asyncio.Event()
         self.heartbeat_buffer = HeartbeatBuffer()
-        #: Jobs that were read and are not cancelled: before the term is loaded nobody cancels one.
+        #: The ids of the jobs that were read and are not cancelled. No job is cancelled before the
+        #: term is loaded.
         self._live_jobs: set[str] = set()
         sockets = term.settings.facts.limits.sockets
         self.status_probes = StatusProbes(term.tunables.recovery.asking(sockets))
-        #: Machines on record that have not been seen to be known or gone.
-        self._unknown: dict[str, Machine] = {}
+        #: The recorded machines that have neither been reconciled nor removed, by name.
+        self._unknown_machines: dict[str, Machine] = {}
         self._logged_unanswered = False
         term.state_writer.record_version(UNSETTLED_KEY, term.token)
         self._safe_revision: int | None = None
@@ -111,13 +118,13 @@
     # -- loading -----------------------------------------------------------------------------
 
     async def load_until_done(self) -> None:
-        """Read everything, as often as it takes."""
+        """Load the records; retry until that succeeds."""
         term = self._term
         while not term.loaded:
             try:
                 await self.load()
             except CallError as error:
-                log.info("recovery: reading the store failed: %s", error)
+                log.info("recovery: records not loaded, retrying: %s", error)
                 await asyncio.sleep(0.2)
         log.info(
             "term %d: %d jobs, %d machines loaded",
@@ -125,27 +132,28 @@
         )  # fmt: skip
 
     async def load(self) -> None:
-        """Read what is recorded, page by page, and let the loop live in between.
+        """Load all records, page by page, yielding to the event loop in between.
 
-        Machines come first: they are probed while the jobs are read.
+        The machines are loaded first, so that they can be probed while the jobs are loaded.
         """
         term = self._term
-        at_us, wall = now_us(), wall_us()
+        at_us, at_wall_us = now_us(), wall_us()
         term.cluster = Cluster(term.settings.facts.teams, term.token)
         term.dependency_graph = DependencyGraph(term.cluster.jobs)
         term.arrival_rates = ArrivalRates(term.tunables.fleet.demand_memory_us)
         if self._publisher is not None:
-            # Before the jobs: whether they are held is judged by this term's own reading.
+            # The documents are loaded before the jobs, because this term's own reading of them
+            # decides which jobs a gate holds.
             await self._publisher.load()
-        if self._gates is not None:
-            self._gates.reset()
-        await self._load_rentals(at_us, wall)
-        revision = await self._load_jobs(at_us, wall)
+        if self._gate_keeper is not None:
+            self._gate_keeper.reset()
+        await self._load_rentals(at_us, at_wall_us)
+        revision = await self._load_jobs(at_us, at_wall_us)
         await self._link_jobs()
-        await load_preemption_history(term, at_us, wall)
+        await load_preemption_history(term, at_us, at_wall_us)
         async for entries, _ in term.state.pages(PROGRESS):
-            for part in batches(entries):
-                for entry in part:
+            for batch in batches(entries):
+                for entry in batch:
                     self._load_progress(entry)
                 await asyncio.sleep(0)
         self._machine_monitor.subscribe()
@@ -153,42 +161,51 @@
         term.loaded = True
         term.loaded_us = now_us()
         for buffered in self.heartbeat_buffer.take():
-            self._apply(buffered)
+            self._apply_buffered(buffered)
 
-    async def _load_rentals(self, at_us: int, wall: int) -> None:
-        """Read rentals and their machines, and begin to probe those that may run something."""
+    async def _load_rentals(self, at_us: int, at_wall_us: int) -> None:
+        """Load the rentals and their machines, and probe the machines that may run tasks."""
         term = self._term
         async for entries, _ in term.state.pages(RENTALS):
             for entry in entries:
                 rental = decode(bytes(entry.value), RentalRecord)
                 term.state_writer.record_version(entry.key, entry.version)
-                self._rental_manager.load(entry.key.removeprefix(RENTALS), rental, at_us, wall)
+                self._rental_manager.load(
+                    entry.key.removeprefix(RENTALS), rental, at_us, at_wall_us
+                )
             await asyncio.sleep(0)
-        self._unknown = {m.name: m for m in term.cluster.machines.values() if m.enrolled}
-        shown = (m for m in self._unknown if not self.heartbeat_buffer.has_shown(m, term.token))
-        self.status_probes.add(shown)
+        self._unknown_machines = {
+            machine.name: machine for machine in term.cluster.machines.values() if machine.enrolled
+        }
+        to_probe = (
+            machine
+            for machine in self._unknown_machines
+            if not self.heartbeat_buffer.has_shown(machine, term.token)
+        )
+        self.status_probes.add(to_probe)
 
-    async def _load_jobs(self, at_us: int, wall: int) -> int:
-        """Read the jobs; return the revision from which they can be followed."""
+    async def _load_jobs(self, at_us: int, at_wall_us: int) -> int:
+        """Load the jobs; return the revision from which their changes can be followed."""
         revision = 0
         async for entries, revision in self._term.state.pages(JOBS):  # noqa: B007
-            for part in batches(entries):
-                for entry in part:
+            for batch in batches(entries):
+                for entry in batch:
                     record = decode(bytes(entry.value), JobRecord)
-                    self.add_job(record, entry.version, at_us, wall)
+                    self.add_job(record, entry.version, at_us, at_wall_us)
                     if not record.cancelled:
                         self._live_jobs.add(record.spec.id)
                 await asyncio.sleep(0)
         return revision
 
     async def _link_jobs(self) -> None:
-        """Enter which jobs wait for which, and what they inherit."""
+        """Record the dependencies of all jobs and compute their inherited priorities."""
         term = self._term
-        for part in batches(list(term.cluster.jobs.values())):
-            for job in part:
+        for batch in batches(list(term.cluster.jobs.values())):
+            for job in batch:
                 self._job_dependencies.add(job)
             await asyncio.sleep(0)
-        # All others have their own priority and deadline.
+        # Only the jobs that a blocked job waits for inherit anything. All other jobs have their own
+        # priority and deadline.
         self._job_dependencies.refresh_inherited(term.dependency_graph.blocked.values())
 
     def _load_progress(self, entry: KeyValue) -> None:
@@ -200,36 +217,37 @@
             self._completions.load_leftover(entry.key)
             return
         tasks = min(CHUNK_TASKS, job.spec.tasks - int(chunk) * CHUNK_TASKS)
-        done = decode_progress(msgspec.json.decode(entry.value, type=str), tasks)
-        self._completions.load(job, int(chunk), done)
+        completed = decode_progress(msgspec.json.decode(entry.value, type=str), tasks)
+        self._completions.load(job, int(chunk), completed)
 
-    def add_job(self, record: JobRecord, version: int, at_us: int, wall: int) -> Job:
-        """Enter a job that is on record."""
+    def add_job(self, record: JobRecord, version: int, at_us: int, at_wall_us: int) -> Job:
+        """Add a recorded job to the in-memory state."""
         term = self._term
         job = Job(without_gate(record.spec), record.submitted_us, version, at_us)
-        # The same moment on the steady clock; a time of day that is off must not put it
-        # into the future.
-        job.first_seen_us = job.runnable_since_us = at_us - max(0, wall - record.submitted_us)
+        # The time of submission is converted to the steady clock. A wrong time of day must not
+        # put it into the future.
+        job.first_seen_us = job.runnable_since_us = at_us - max(0, at_wall_us - record.submitted_us)
         job.cancelled = record.cancelled
         job.calendar_deadline, job.gate_hold = record.deadline, record.gate_hold
         if record.gate_hold is not None or record.gate_action is not None:
-            # Whoever is given no gates starts nothing that concerns one.
+            # A controller that has no documents starts no job that a gate concerns.
             job.blocking_gate = UNKNOWN_GATE_STATUS
-        if self._gates is not None:
-            self._gates.add_job(job, record)
-        term.job_deadlines.add(job, at_us, wall)
+        if self._gate_keeper is not None:
+            self._gate_keeper.add_job(job, record)
+        term.job_deadlines.add(job, at_us, at_wall_us)
         term.cluster.jobs[job.id] = job
         term.state_writer.record_version(job_key(job.id), version)
         return job
 
-    # -- before it is loaded -----------------------------------------------------------------
+    # -- before the records are loaded -------------------------------------------------------
 
     def buffer_heartbeat(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
-        """Keep a report that comes before the records are read; whether to answer it.
+        """Buffer a heartbeat that arrives before the records are loaded.
 
-        An answer renews the worker's lease. In an outage that began before the jobs were read
-        all workers were kept, with tasks whose cancellation an earlier leader had confirmed and
-        this one did not know (``docs/incidents/meetings.md``).
+        Returns whether the heartbeat has to be answered. An answer renews the worker's lease. In
+        an outage of the state service that began before the jobs were read, the leader used to
+        keep all leases alive. Tasks kept running although an earlier leader had confirmed their
+        cancellation, which this leader did not know (``docs/incidents/meetings.md``).
         """
         if at_us < self._term.answer_unloaded_until_us or self._runs_live_jobs_only(report):
             return self.heartbeat_buffer.add_answered(report, at_us, relayed=relayed)
@@ -237,13 +255,13 @@
         if not self._logged_unanswered:
             self._logged_unanswered = True
             log.warning(
-                "term %d: the jobs are not read, and some may be cancelled: workers with tasks "
-                "are not answered", self._term.token,
+                "term %d: jobs not loaded yet, and some may be cancelled: heartbeats of workers "
+                "with tasks are not answered", self._term.token,
             )  # fmt: skip
         return False
 
     def _runs_live_jobs_only(self, report: Heartbeat) -> bool:
-        """Whether all that is on a machine was read in this term, and is not cancelled."""
+        """Return whether all tasks of a machine belong to loaded jobs that are not cancelled."""
         try:
             return all(
                 split_task(task.task)[0] in self._live_jobs
@@ -254,39 +272,40 @@
             return False
 
     async def clear_unsettled(self) -> None:
-        """Once nothing can be left that was cancelled before this term, say so in the store.
+        """Delete the unsettled record once no task that was cancelled before this term can run.
 
-        Until then a successor counts from the cancellations that this one may have missed.
+        While the record exists, a new leader assumes that tasks may still run whose cancellation
+        this term has missed, and limits the leases that it renews before it has loaded the jobs.
         """
         term = self._term
-        over_us = surely_over_us(
+        settled_us = surely_over_us(
             max(term.loaded_us, term.previous_leader_expired_us), term.lease_us
         )
-        while now_us() < over_us and not (term.ready and self._nothing_cancelled_left()):  # noqa: ASYNC110
-            await asyncio.sleep(to_seconds(SETTLE_LOOK_US))
+        while now_us() < settled_us and not (term.ready and self._are_cancelled_tasks_stopped()):  # noqa: ASYNC110
+            await asyncio.sleep(to_seconds(SETTLED_CHECK_INTERVAL_US))
         with contextlib.suppress(LeadershipLostError, TransactionRejectedError):
             await term.state_writer.write({UNSETTLED_KEY: None})
 
-    def _nothing_cancelled_left(self) -> bool:
-        """Whether no machine is known to hold what must end."""
+    def _are_cancelled_tasks_stopped(self) -> bool:
+        """Return whether no machine is known to run a task that has to be stopped."""
         cluster = self._term.cluster
-        return not any(a.job.unwanted for a in cluster.stopping.values()) and not any(
+        return not any(attempt.job.unwanted for attempt in cluster.stopping.values()) and not any(
             machine.orphans for machine in cluster.machines.values()
         )
 
-    # -- what runs where ---------------------------------------------------------------------
+    # -- probing the machines ----------------------------------------------------------------
 
     async def probe_machines(self) -> None:
-        """Ask the machines on record what they run, until all are known; a background task."""
+        """Ask the recorded machines for their tasks until all are known; a background task."""
         while not self.all_known.is_set():
             self._probe_next()
-            if self._term.loaded and self._term.valid:
+            if self._term.loaded and self._term.is_valid:
                 self._return_lost_machines(now_us())
-            await asyncio.sleep(to_seconds(ASK_PAUSE_US))
+            await asyncio.sleep(to_seconds(PROBE_CHECK_INTERVAL_US))
 
     def _probe_next(self) -> None:
         for name in self.status_probes.next_targets(now_us()):
-            self._term.background_tasks.spawn("question", self._probe(name))
+            self._term.background_tasks.spawn("machine probe", self._probe(name))
 
     async def _probe(self, name: str) -> None:
         machine = self._term.cluster.machines.get(name)
@@ -301,42 +320,50 @@
         self.status_probes.record_answer(name, now_us())
         if report.token == self._term.token:
             self.status_probes.mark_known(name)
-        # Its turn is another's at once, not at the next look.
+        # The next machine is probed at once instead of at the next periodic check.
         self._probe_next()
         buffered = BufferedHeartbeat(report, MessageSource.COMMAND_ANSWER, 0, False)
         if self._term.loaded:
-            self._apply(buffered)
+            self._apply_buffered(buffered)
         else:
             self.heartbeat_buffer.add_probe_answer(report)
 
     def _return_lost_machines(self, at_us: int) -> None:
-        """Return machines that were asked in vain, if they look gone rather than cut off.
+        """Return machines that answer no probe to the cloud, if they are probably lost.
 
-        Most are gone already and only still on record; the answered deletion proves it.
+        Machines that a network partition has probably cut off are kept. Most machines that look
+        lost no longer exist and are only still recorded; the cloud's answer to their deletion
+        proves that.
         """
         for name in self.status_probes.unanswered(at_us, self._loop_budget.lag_us):
             machine = self._term.cluster.machines.get(name)
             if machine is not None:
                 machine.probes_failed = True
-        live = self._machine_monitor.live()
-        unknown = [machine for machine in live if not machine.reconciled]
-        if unknown and all(m.probes_failed for m in unknown) and look_lost(unknown, live):
-            self._rental_manager.return_machines({machine.name: machine for machine in unknown})
+        live_machines = self._machine_monitor.live()
+        unknown_machines = [machine for machine in live_machines if not machine.reconciled]
+        if (
+            unknown_machines
+            and all(machine.probes_failed for machine in unknown_machines)
+            and look_lost(unknown_machines, live_machines)
+        ):
+            self._rental_manager.return_machines(
+                {machine.name: machine for machine in unknown_machines}
+            )
 
     def check_known(self) -> None:
-        """See whether every machine on which something may run has been heard or is gone."""
+        """Set ``all_known`` if every machine that may run tasks is reconciled or removed."""
         if self.all_known.is_set() or not self._term.loaded:
             return
         machines = self._term.cluster.machines
-        for name, machine in list(self._unknown.items()):
+        for name, machine in list(self._unknown_machines.items()):
             if machine.reconciled or name not in machines:
-                del self._unknown[name]
+                del self._unknown_machines[name]
                 self.status_probes.mark_known(name)
-        if not self._unknown:
+        if not self._unknown_machines:
             self.all_known.set()
 
     async def finish(self, start_preempting: Callable[[], None]) -> None:
-        """Wait until everything is known; from then on anything may be decided."""
+        """Wait until all machines are known, then declare the term ready for all decisions."""
         term = self._term
         await self.all_known.wait()
         term.ready, term.ready_us = True, now_us()
@@ -349,33 +376,35 @@
         )  # fmt: skip
         start_preempting()
         term.placement_wanted.set()
-        # Cancelled jobs may be ended now.
+        # Cancelled jobs can be finished only now that all machines are known.
         term.commit_wanted.set()
 
-    # -- what may be decided already ---------------------------------------------------------
+    # -- decisions before all machines are known ---------------------------------------------
 
     async def find_safe_revision(self) -> None:
-        """Learn from which revision on no earlier leader can have started a job.
+        """Determine the revision after which no earlier leader can have started a new job.
 
-        One that was replaced may believe in its lease for a while, and follows the jobs: only
-        what is created after that is surely unknown to it.
+        A replaced leader may trust its lease for a while, and follows new jobs until then. Only a
+        job that is created after the end of that lease is surely unknown to that leader.
         """
         term = self._term
         while self._safe_revision is None and not self.all_known.is_set():
-            left_us = term.previous_leader_expired_us - now_us()
-            if left_us > 0:
-                await asyncio.sleep(to_seconds(left_us))
+            remaining_us = term.previous_leader_expired_us - now_us()
+            if remaining_us > 0:
+                await asyncio.sleep(to_seconds(remaining_us))
                 continue
             try:
                 async for _, revision in term.state.pages(LEADER_KEY):
                     self._safe_revision = revision
             except CallError as error:
-                log.info("recovery: the store's revision is unknown: %s", error)
+                log.info(
+                    "recovery: current revision of the state service not read, retrying: %s", error
+                )
                 await asyncio.sleep(0.2)
 
     def partial_view(self) -> PartialView:
-        """Return what is known so far, and draw its bounds on the teams."""
+        """Return the known part of the cluster, and update the teams' unverified usage by it."""
         cluster = self._term.cluster
-        partial = partial_view_of(cluster.machines.values(), self._safe_revision)
-        cluster.unverified_usage = unverified_usage(cluster, partial)
-        return partial
+        view = partial_view_of(cluster.machines.values(), self._safe_revision)
+        cluster.unverified_usage = unverified_usage(cluster, view)
+        return view
--- a/weldhead/controller/memory_monitor.py
+++ b/weldhead/controller/memory_monitor.py
@@ -1,4 +1,4 @@
-"""Watches this process's memory, and says when new work is refused for it and when no more."""
+"""Measures this process's memory use, and decides whether it accepts new jobs."""
 
 import logging
 from collections.abc import Callable
@@ -10,50 +10,58 @@
 log = logging.getLogger(__name__)
 
 MIB = 1024 * 1024
-#: No reading is taken sooner after the one before.
-READING_US = 250 * MILLISECOND_US
+#: The minimum time between two readings of the memory use.
+MIN_READING_INTERVAL_US = 250 * MILLISECOND_US
 
 
 class MemoryMonitor:
-    """Readings of one process; ``limit_mb`` 0: none are taken, and all work is."""
+    """Applies a memory limit to one process.
 
-    def __init__(self, limit_mb: float, read: Callable[[], int | None] = own_bytes) -> None:
+    With ``limit_mb`` 0 there is no limit: the memory use is not read, and all jobs are accepted.
+    """
+
+    def __init__(
+        self, limit_mb: float, read_used_bytes: Callable[[], int | None] = own_bytes
+    ) -> None:
         self._gate = MemoryGate(round(limit_mb * MIB))
-        self._read = read
-        self._read_us: int | None = None
+        self._read_used_bytes = read_used_bytes
+        self._last_reading_us: int | None = None
 
-    def exhausted(self, at_us: int) -> bool:
-        """Whether this process takes no new work at all for its own memory."""
-        self._read_memory(at_us)
+    def is_exhausted(self, at_us: int) -> bool:
+        """Return whether this process accepts no new job at all, because of its own memory use."""
+        self._update_gate(at_us)
         return self._gate.exhausted
 
     def admits(self, at_us: int) -> bool:
-        """Whether a new job may be taken."""
-        self._read_memory(at_us)
+        """Return whether this process may accept a new job now."""
+        self._update_gate(at_us)
         return self._gate.admits(at_us)
 
     def observe_leader(self, at_us: int, *, full: bool) -> None:
-        """The leader says whether it takes no new work at all."""
+        """Record the leader's statement whether it accepts no new job at all."""
         self._gate.observe_leader(at_us, full=full)
 
-    def _read_memory(self, at_us: int) -> None:
+    def _update_gate(self, at_us: int) -> None:
         gate = self._gate
-        if not gate.limit or (self._read_us is not None and at_us - self._read_us < READING_US):
+        if not gate.limit or (
+            self._last_reading_us is not None
+            and at_us - self._last_reading_us < MIN_READING_INTERVAL_US
+        ):
             return
-        self._read_us = at_us
-        used = self._read()
-        if used is None:
+        self._last_reading_us = at_us
+        used_bytes = self._read_used_bytes()
+        if used_bytes is None:
             return
-        match gate.read(used):
+        match gate.read(used_bytes):
             case MemoryTransition.FULL:
                 log.warning(
-                    "memory: %.0f of %.0f MB are used; new jobs are refused until it is below %.0f",
-                    used / MIB, gate.limit / MIB, gate.limit * ACCEPT_SHARE / MIB,
+                    "memory: %.0f of %.0f MB used; new jobs are refused until use is below %.0f MB",
+                    used_bytes / MIB, gate.limit / MIB, gate.limit * ACCEPT_SHARE / MIB,
                 )  # fmt: skip
             case MemoryTransition.ROOM:
                 log.warning(
-                    "memory: %.0f of %.0f MB are used; new jobs are taken again",
-                    used / MIB, gate.limit / MIB,
+                    "memory: %.0f of %.0f MB used; new jobs are accepted again",
+                    used_bytes / MIB, gate.limit / MIB,
                 )  # fmt: skip
             case MemoryTransition.NONE:
                 pass
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -1,4 +1,4 @@
-"""A controller: campaigns, follows or leads, and answers whoever asks."""
+"""A controller process: serves users, workers and peers, and takes part in leader election."""
 
 import asyncio
 import logging
@@ -50,18 +50,22 @@
 log = logging.getLogger(__name__)
 
 _encode = msgspec.json.Encoder().encode
-_report_decoder = msgspec.json.Decoder(Heartbeat)
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
-#: A peer that has not answered a ping by then has its connection made anew.
-PONG_US = 2 * SECOND_US
-#: A timer that fires so much too late shows that this process stood still.
-STOOD_STILL_US = 500 * MILLISECOND_US
-#: Between two pings.
-PING_S = 0.4
+#: How long a peer may take to answer a ping before the connection to it is opened again.
+PONG_TIMEOUT_US = 2 * SECOND_US
+#: A timer that fires late by at least this time shows that this process was paused.
+PROCESS_PAUSE_THRESHOLD_US = 500 * MILLISECOND_US
+#: The time between the answer to a ping, or its timeout, and the next ping.
+PING_INTERVAL_S = 0.4
 
 
 class ControllerProcess:
-    """One controller process."""
+    """One controller process: its servers, its links to the peers, and its background tasks.
+
+    ``client`` and ``server`` create the HTTP client and server; ``offer`` is the set of documents
+    that this node offers to the leader, or None if this node has no documents.
+    """
 
     def __init__(
         self,
@@ -75,10 +79,10 @@
     ) -> None:
         self.settings = settings
         self.tunables = tunables
-        self._client = client
-        self._serve = server
+        self._client_factory = client
+        self._server_factory = server
         self._background_tasks = BackgroundTasks()
-        self._links = {p.name: PeerLink(p, settings.name) for p in settings.peers}
+        self._links = {peer.name: PeerLink(peer, settings.name) for peer in settings.peers}
         self._forwarding = HeartbeatForwarding()
         self._document_set = offer
         self.memory = MemoryMonitor(settings.facts.limits.memory_mb)
@@ -87,30 +91,31 @@
         )
         self.peers = PeerDirectory(settings.name, self._links, self.election, started_us)
 
-    def _warn_of_shortfall(self) -> None:
-        """Tell the operator once what the site's times do not allow to guarantee."""
+    def _log_unmet_guarantee(self) -> None:
+        """Log which guarantee about cancellations the configured times don't allow, if any."""
         workers = self.settings.facts.workers
-        missing = shortfall(seconds_us(workers.cancel_s), seconds_us(workers.lease_s))
-        if missing:
-            log.warning("%s", missing)
+        unmet_guarantee = shortfall(seconds_us(workers.cancel_s), seconds_us(workers.lease_s))
+        if unmet_guarantee:
+            log.warning("%s", unmet_guarantee)
 
     @property
     def leader(self) -> Leader | None:
-        """This node's term, if it leads."""
+        """This node's term, or None while it is a follower."""
         return self.election.leader
 
     @property
     def catalog(self) -> list[MachineType]:
-        """The machine types, as far as they are known."""
+        """The machine types of the cloud; empty until they are known."""
         return self.election.catalog
 
     async def run(self) -> None:
-        """Serve until cancelled."""
-        # Users' and workers' own connections need the rest. Direct commands have a pool of
-        # their own, so that they never keep a call to the store waiting.
+        """Serve requests until cancelled."""
+        # Only a part of the sockets is used for outgoing calls, because users and workers need the
+        # rest to connect. Direct commands to workers have a separate connection pool, so that they
+        # never delay a call to the state service.
         sockets = self.settings.facts.limits.sockets
-        self._http = self._client(max(8, sockets // 16))
-        self._worker_http = self._client(max(8, sockets // 7), 15.0)
+        self._http = self._client_factory(max(8, sockets // 16))
+        self._worker_http = self._client_factory(max(8, sockets // 7), 15.0)
         self._state = StateClient(
             self._http, self.settings.services.state, self.settings.facts.state
         )
@@ -125,18 +130,22 @@
         self._request_handler = RequestHandler(
             self.peers, self._state, teams, 1 + len(self._links), self.memory
         )
-        server = self._serve(self._handle)
-        peer_server = PeerServer(self._peer_request, self._background_tasks, set(self._links))
+        server = self._server_factory(self._handle)
+        peer_server = PeerServer(
+            self._handle_peer_message, self._background_tasks, set(self._links)
+        )
         try:
             await server.start(self.settings.listen)
             await peer_server.start(self.settings.peer_listen)
             for link in self._links.values():
                 self._background_tasks.start(f"link to {link.name}", link.run, 0.05)
-                self._background_tasks.start(f"pings to {link.name}", partial(self._ping, link))
+                self._background_tasks.start(
+                    f"pings to {link.name}", partial(self._send_pings, link)
+                )
             self._background_tasks.start("catalog", self._watch_catalog)
             self._background_tasks.start("peers", self.peers.watch)
             self.election.start()
-            self._warn_of_shortfall()
+            self._log_unmet_guarantee()
             log.info("%s serves %s", self.settings.name, self.settings.listen)
             await asyncio.Event().wait()
         finally:
@@ -148,19 +157,19 @@
             await self._worker_http.close()
 
     def _follow_documents(self, offer: DocumentSet) -> DocumentReplica:
-        """Begin what a node does that is given documents."""
-        # Loaded by controllers that are given documents only.
+        """Start to replicate calendars and gates, on a node that has documents."""
+        # Only controllers that have documents load these modules.
         from weldhead.controller.configuration.calendar_binder import CalendarBinder
         from weldhead.controller.configuration.deadline_table_follower import DeadlineTableFollower
         from weldhead.controller.configuration.gate_binder import GateBinder
 
         documents = DocumentReplica(self._state, offer, self.peers.ask_leader)
         self._background_tasks.start("documents", documents.follow)
-        self._background_tasks.start("edition", documents.offer_own_documents)
+        self._background_tasks.start("document offer", documents.offer_own_documents)
         documents.binders.append(GateBinder(documents.cache))
         CalendarBinder(documents, round(self.settings.facts.clock_error_ms * MILLISECOND_US))
         self._background_tasks.start(
-            "due table", DeadlineTableFollower(documents, self._state).follow
+            "deadline table", DeadlineTableFollower(documents, self._state).follow
         )
         return documents
 
@@ -173,25 +182,35 @@
 
     # -- peers ------------------------------------------------------------------------
 
-    async def _ping(self, link: PeerLink) -> None:
+    async def _send_pings(self, link: PeerLink) -> None:
         while True:
             await link.up.wait()
             at_us = now_us()
             token = self.election.lease.token if self.election.lease.is_valid(at_us) else 0
             silent = self.leader.silent_machines(at_us) if self.leader is not None else ()
-            full, known = self.memory.exhausted(at_us), self.election.highest_token
-            ping = Ping(link.next_id(), token, self._state.available, silent, full, known)
+            memory_exhausted, highest_token = (
+                self.memory.is_exhausted(at_us),
+                self.election.highest_token,
+            )
+            ping = Ping(
+                link.next_id(),
+                token,
+                self._state.available,
+                silent,
+                memory_exhausted,
+                highest_token,
+            )
             try:
-                pong = await link.request(ping, Pong, PONG_US)
+                pong = await link.request(ping, Pong, PONG_TIMEOUT_US)
                 self.election.observe_pong(link.name, pong, at_us)
             except CallError:
-                # Where this process stood still, the silence was its own: what the peer has
-                # sent meanwhile is read next.
-                if now_us() - at_us < PONG_US + STOOD_STILL_US:
+                # If this process was paused, the peer may have answered in time. Its messages
+                # are read next, so the connection is kept.
+                if now_us() - at_us < PONG_TIMEOUT_US + PROCESS_PAUSE_THRESHOLD_US:
                     link.drop()
-            await asyncio.sleep(PING_S)
+            await asyncio.sleep(PING_INTERVAL_S)
 
-    async def _peer_request(self, name: str, message: Message) -> Message | None:
+    async def _handle_peer_message(self, name: str, message: Message) -> Message | None:
         at_us = now_us()
         match message:
             case Ping():
@@ -201,8 +220,8 @@
                     self.election.observe_leader(name, message.token)
                     self.memory.observe_leader(at_us, full=message.full)
                     self._forwarding.record_missed(message.silent, at_us)
-                leads, known = self.leader is not None, self.election.highest_token
-                return Pong(message.id, self._state.available, FORMAT, leads, known)
+                is_leader, highest_token = self.leader is not None, self.election.highest_token
+                return Pong(message.id, self._state.available, FORMAT, is_leader, highest_token)
             case ForwardedRequest():
                 answer = await self._answer_peer(message)
                 return ForwardedAnswer(message.id, answer.status, answer.body)
@@ -214,37 +233,41 @@
                 )
             case LeaderResigned():
                 self._background_tasks.spawn(
-                    "succession", self.election.replace_resigned_leader(message)
+                    "leader resignation", self.election.replace_resigned_leader(message)
                 )
                 return None
             case _:
-                log.error("peer %s asked with an answer", name)
+                log.error(
+                    "unexpected %s from peer %s ignored: not a request",
+                    type(message).__name__,
+                    name,
+                )
                 return None
 
-    async def _answer_peer(self, ask: ForwardedRequest) -> Response:
-        match ask.kind:
+    async def _answer_peer(self, request: ForwardedRequest) -> Response:
+        match request.kind:
             case "submit":
-                return await self._request_handler.submit(ask.body, forwarded=True)
+                return await self._request_handler.submit(request.body, forwarded=True)
             case "poll":
-                # Without its memory it has nothing over others: whose turn it is to read is
-                # counted by the job's home.
+                # A node that has no jobs in memory would have to read the state service. Which
+                # poll may do that is decided by the controller that owns the job's polls.
                 if self.leader is None or not self.leader.loaded:
                     return unavailable("not a leader that has read the jobs")
-                return await self._request_handler.poll(ask.job_id, forwarded=True)
+                return await self._request_handler.poll(request.job_id, forwarded=True)
             case "read":
-                return await self._request_handler.poll(ask.job_id, elsewhere=False)
+                return await self._request_handler.poll(request.job_id, elsewhere=False)
             case "known":
-                return self._request_handler.known_status(ask.job_id)
+                return self._request_handler.known_status(request.job_id)
             case "cancel":
-                return await self._request_handler.cancel(ask.job_id, forwarded=True)
+                return await self._request_handler.cancel(request.job_id, forwarded=True)
             case "report":
-                return await self._handle_heartbeat(ask.body, relayed=True)
+                return await self._handle_heartbeat(request.body, relayed=True)
             case "documents" if self.leader is not None and self.leader.publisher is not None:
-                return self.leader.publisher.accept_offer(ask.body)
+                return self.leader.publisher.accept_offer(request.body)
             case _:
                 return unavailable("unknown kind")
 
-    # -- HTTP -------------------------------------------------------------------------
+    # -- HTTP requests ----------------------------------------------------------------
 
     async def _handle(self, method: str, path: str, body: bytes) -> Response:
         if path == "/v1/report" and method == "POST":
@@ -264,28 +287,28 @@
     async def _handle_heartbeat(self, body: bytes, *, relayed: bool) -> Response:
         at_us = now_us()
         try:
-            report = _report_decoder.decode(body)
+            heartbeat = _heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             log.exception("malformed heartbeat refused")
             return refusal(http_status.BAD_REQUEST, str(error))
         leader = self.leader
         if leader is not None and self.election.lease.is_valid(at_us):
-            answer = leader.handle_heartbeat(report, at_us, relayed=relayed)
+            answer = leader.handle_heartbeat(heartbeat, at_us, relayed=relayed)
             if answer is not None:
                 return Response(http_status.OK, _encode(answer))
             return unavailable("not now")
-        self.election.observe_token(report.machine, report.token)
+        self.election.observe_token(heartbeat.machine, heartbeat.token)
         record = self.election.known_leader
         if record is None or record.name not in self._links:
             return Response(http_status.MISDIRECTED, _encode(LeaderRedirect()))
         return await self._forward_heartbeat(
-            report.machine, body, record.name, at_us, relayed=relayed
+            heartbeat.machine, body, record.name, at_us, relayed=relayed
         )
 
     async def _forward_heartbeat(
         self, machine: str, body: bytes, leader: str, at_us: int, *, relayed: bool
     ) -> Response:
-        """A worker's report has reached a follower: redirect the worker, or relay it."""
+        """Relay a heartbeat that reached this follower to the leader, or redirect its worker."""
         link = self._links[leader]
         if link.alive(at_us):
             if relayed or self._forwarding.should_forward(machine, at_us):
@@ -297,8 +320,8 @@
             self._forwarding.record_redirect(machine, at_us)
             return Response(http_status.MISDIRECTED, _encode(LeaderRedirect(leader)))
         if not relayed:
-            # A worker sent to a leader that is cut off from this zone would lose seconds
-            # of its lease: another node may reach that leader.
+            # The leader may be cut off from this zone. A worker that was redirected to it would
+            # lose seconds of its lease, while another node may still reach the leader.
             for other in self._links.values():
                 if other.name != leader and other.alive(at_us):
                     answer = await self.peers.forward(other, "report", "", body)
--- a/weldhead/controller/requests/job_status.py
+++ b/weldhead/controller/requests/job_status.py
@@ -33,7 +33,7 @@
 
     def status(self, job_id: str) -> JobStatus | None:
         """Return a job's status from memory, as new as the store's; None: not known here."""
-        if not self._term.loaded or not self._term.valid:
+        if not self._term.loaded or not self._term.is_valid:
             return None
         job = self._term.cluster.jobs.get(job_id)
         if job is not None:
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -144,7 +144,7 @@
         notes, due_us = self.late_notices, job.calendar_due_us
         if due_us is None or self.deadline_standing(job, at_us) is not DeadlineStanding.LATE:
             return
-        if not self._term.ready or not self._term.valid:
+        if not self._term.ready or not self._term.is_valid:
             return
         if notes.was_notified(job) if notes is not None else job.reported_late:
             return
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -119,7 +119,7 @@
 
     def place(self) -> None:
         """Make one placement pass and see to its starts."""
-        if not self._term.valid:
+        if not self._term.is_valid:
             return
         at_us = now_us()
         placement_input = self.placement_input()
@@ -163,7 +163,7 @@
             await self.loop_budget.pause(
                 "preemptor", LoopPriority.PREEMPTOR, self._term.tunables.preemptor.period_us
             )
-            if not self._term.valid:
+            if not self._term.is_valid:
                 continue
             self._place_now()
             with self.loop_budget.measure("preemptor"):
--- a/weldhead/controller/term.py
+++ b/weldhead/controller/term.py
@@ -1,4 +1,4 @@
-"""What the parts of a leader's term share."""
+"""The state and the clients that the components of a leader's term share."""
 
 import asyncio
 from collections.abc import Callable, Iterator, Sequence
@@ -28,18 +28,18 @@
 
 T = TypeVar("T")
 
-#: How many records are taken up before the loop gets its turn.
+#: How many records are processed before control returns to the event loop.
 LOAD_BATCH_SIZE = 250
 
 
 def batches(items: Sequence[T], size: int = LOAD_BATCH_SIZE) -> Iterator[Sequence[T]]:
-    """Cut a sequence into parts of that many."""
+    """Split a sequence into batches of at most ``size`` items."""
     return (items[start : start + size] for start in range(0, len(items), size))
 
 
 @dataclass(frozen=True)
 class TermContext:
-    """What a term begins with."""
+    """The inputs that a term is created from."""
 
     settings: Settings
     tunables: Tunables
@@ -48,16 +48,16 @@
     cloud: CloudClient
     worker_http: HttpClient
     machine_types: list[MachineType]
-    #: Until then an earlier leader may still answer users and workers (steady clock).
+    #: When all earlier leaders have surely stopped answering users and workers (steady clock).
     previous_leader_expired_us: int
-    #: Ends the term; called with the reason.
+    #: Ends the term; the argument is the reason as text.
     on_leadership_lost: Callable[[str], None]
-    #: Until then workers with tasks are answered although the jobs are not read (steady clock).
+    #: Until when workers with tasks are answered before the jobs are loaded (steady clock).
     answer_unloaded_until_us: int
 
 
 class Term:
-    """One term: the lease, the view of the cluster, and the clients that its parts share."""
+    """One term of leadership: the lease, the cluster's in-memory state, and the clients."""
 
     def __init__(self, context: TermContext) -> None:
         settings, tunables, state = context.settings, context.tunables, context.state
@@ -82,7 +82,7 @@
         self.boot_history = BootHistory()
         self.reconciliation_counts = ReconciliationCounts()
         self.job_deadlines = JobDeadlines(round(settings.facts.clock_error_ms * MILLISECOND_US))
-        #: What was taken from whom, to be given back.
+        #: The tasks that were preempted for other jobs, and are restarted first.
         self.preemption_history = PreemptionHistory()
         self.background_tasks = BackgroundTasks()
         workers = settings.facts.workers
@@ -90,33 +90,34 @@
         self.cancel_us = seconds_us(workers.cancel_s)
         self.heartbeat_interval_us = seconds_us(workers.report_s)
         self.silence_us = 2 * self.heartbeat_interval_us + SECOND_US
-        #: When the token was won.
+        #: When this node won the election.
         self.won_us = now_us()
-        #: The store has been read; since when (0: not yet).
+        #: Whether the records of the state service are loaded, and since when (0: not yet).
         self.loaded = False
         self.loaded_us = 0
-        #: Recovery is over: work may be started and evicted.
+        #: Whether recovery has finished, so that any task may be started or evicted, and since when
+        #: (0: not yet).
         self.ready = False
         self.ready_us = 0
         self.became_ready = asyncio.Event()
-        #: Something that placement should look at.
+        #: Set when placement has to run because the cluster's state has changed.
         self.placement_wanted = asyncio.Event()
-        #: Jobs may be over, or have completions to commit.
+        #: Set when jobs may have finished, or have completed tasks to commit.
         self.commit_wanted = asyncio.Event()
 
     @property
-    def valid(self) -> bool:
-        """Whether this node may command now."""
+    def is_valid(self) -> bool:
+        """Whether this node may command workers in this term now."""
         return self._lease.token == self.token and self._lease.is_valid(now_us())
 
     @property
     def leadership_verified_us(self) -> int:
-        """The latest moment at which surely nobody else led."""
+        """The latest time at which certainly no other node led."""
         return max(self.state_writer.leadership_verified_us, self._lease.sole_leader_confirmed_us)
 
     def previous_leader_until_us(self) -> int:
-        """Return when an earlier leader may last have answered a worker.
+        """Return the latest time at which an earlier leader may have answered a worker.
 
-        What this one answers is known of each machine, also before the term is loaded.
+        Answers of this leader are recorded for each machine, also before the term is loaded.
         """
         return self.previous_leader_expired_us
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -130,7 +130,7 @@
     def _may_send(self, machine: Machine) -> bool:
         """Whether the machine is still ours and has been heard of late."""
         term = self._term
-        if machine.name not in term.cluster.machines or machine.deleting or not term.valid:
+        if machine.name not in term.cluster.machines or machine.deleting or not term.is_valid:
             return False
         heard_us = max(machine.last_heartbeat_us, machine.first_probe_us)
         return now_us() - heard_us <= term.silence_us
--- a/weldhead/controller/workers/heartbeat_handler.py
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -44,7 +44,7 @@
 
     def handle(self, heartbeat: Heartbeat, at_us: int, *, relayed: bool) -> HeartbeatAnswer | None:
         """Handle a worker's heartbeat; None: it must not be answered 200."""
-        if not self._term.valid:
+        if not self._term.is_valid:
             return None
         if heartbeat.token > self._term.token:
             self._term.on_leadership_lost(f"{heartbeat.machine} has seen token {heartbeat.token}")
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -99,7 +99,7 @@
         """See leases run out, unconfirmed resolved, and machines go that must go."""
         while True:
             await asyncio.sleep(0.2)
-            if not self._term.valid:
+            if not self._term.is_valid:
                 continue
             if self.has_unverified_expiry(now_us()):
                 await self._verify_leadership()
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -147,7 +147,7 @@
         """Ask the doubted machines, and give back those that hear nothing; a background task."""
         while True:
             await asyncio.sleep(to_seconds(LOOK_US))
-            if self._suspects and self._term.valid:
+            if self._suspects and self._term.is_valid:
                 at_us = now_us()
                 self._probe_suspects(at_us)
                 self._replace_unreachable(at_us)
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -336,7 +336,7 @@
 
 
 def _valid(leader: Leader) -> bool:
-    return leader.valid
+    return leader.is_valid
 
 
 def _longest(times: list[float]) -> float:
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -261,7 +261,7 @@
     async def settled(state: StateClient) -> int | None:
         return None
 
-    yield patch.object(leader_election, "missed_from_us", settled)
+    yield patch.object(leader_election, "read_unsettled_from_us", settled)
 
 
 def _follower_answers_from_an_old_read() -> Iterator[Any]:
--- a/weldhead/emulator/read_your_writes.py
+++ b/weldhead/emulator/read_your_writes.py
@@ -127,7 +127,7 @@
             life = controller.life
             if leader is None or life is None or life.frozen or not leader.loaded:
                 continue
-            if life.context.run(lambda leader=leader: leader.valid):  # type: ignore[misc]
+            if life.context.run(lambda leader=leader: leader.is_valid):  # type: ignore[misc]
                 found.append((controller, leader.token))
         return max(found, key=lambda pair: pair[1], default=None)
 
