--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -88,7 +88,7 @@
         #: The gates of the term; None if this node has no documents.
         self.gate_keeper: GateKeeper | None = None
         if self.publisher is not None:
-            self.gate_keeper = self._open_gates(self.publisher)
+            self.gate_keeper = self._create_gate_keeper(self.publisher)
             self.completions.commit_gate_end = self.gate_keeper.commit_end
         self.reachability = ReachabilityMonitor(
             term,
@@ -128,20 +128,20 @@
         #: The calendars of the term; None if this node has no documents.
         self.calendar_keeper: CalendarKeeper | None = None
         if self.publisher is not None:
-            self.calendar_keeper = self._open_calendars(self.publisher)
+            self.calendar_keeper = self._create_calendar_keeper(self.publisher)
             self.forecaster.late_notices = self.calendar_keeper.late_notifications
             self.forecaster.follow_clock = self.calendar_keeper.follow_clock
         if self.gate_keeper is not None:
             self.forecaster.hold_reason = self.gate_keeper.hold_reason
         self.statuses = JobStatusReporter(term, self.completions, self.forecaster, self.gate_keeper)
 
-    def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
+    def _create_gate_keeper(self, publisher: DocumentPublisher) -> "GateKeeper":
         # Only controllers that have documents load this module.
         from weldhead.controller.configuration.gate_keeper import GateKeeper
 
         return GateKeeper(self.term, publisher, self.job_dependencies, self._dispatcher)
 
-    def _open_calendars(self, publisher: DocumentPublisher) -> "CalendarKeeper":
+    def _create_calendar_keeper(self, publisher: DocumentPublisher) -> "CalendarKeeper":
         # Only controllers that have documents load this module.
         from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
 
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -179,12 +179,12 @@
         record = self._election.known_leader
         return record is not None and record.name == link.name
 
-    def _served_peers(self, at_us: int, least_format: int = 0) -> list[PeerLink]:
+    def _served_peers(self, at_us: int, min_format: int = 0) -> list[PeerLink]:
         """Return the live peers that the state service serves, of at least the given format."""
         return [
             link
             for link in self._links.values()
-            if link.alive(at_us) and link.state_ok and link.format >= least_format
+            if link.alive(at_us) and link.state_ok and link.format >= min_format
         ]
 
     async def forward(self, link: PeerLink, kind: str, job_id: str, body: bytes) -> Response | None:
--- a/weldhead/controller/leadership/previous_leaders.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -23,10 +23,11 @@
 
 #: How long a new leader may take to read which leaders its own record replaced.
 CATCH_UP_US = 300 * MILLISECOND_US
-#: How old a peer's statement that it is in no term may be, to prove that the peer is no replaced
-#: leader whose successor's key is absent already. Within this time a node cannot win a term, be
-#: replaced, and its successor's key vanish: a key is deleted with its lease, or after a promise,
-#: which a leader requests only when its lease was not renewed.
+#: How old a peer's statement that it is in no term may be to show that the peer is not a replaced
+#: leader. Without a key, no record shows which leader was replaced last. Within this time, however,
+#: a node cannot win a term and be replaced and the key of its successor be deleted. A key is
+#: deleted only with its lease, or after a promise, which a leader requests only when its lease was
+#: not renewed.
 MAX_STATEMENT_AGE_US = 500 * MILLISECOND_US
 
 
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -241,7 +241,7 @@
 
     # -- before the records are loaded -------------------------------------------------------
 
-    def buffer_heartbeat(self, report: Heartbeat, at_us: int, *, relayed: bool) -> bool:
+    def buffer_heartbeat(self, heartbeat: Heartbeat, at_us: int, *, relayed: bool) -> bool:
         """Buffer a heartbeat that arrives before the records are loaded.
 
         Returns whether the heartbeat has to be answered. An answer renews the worker's lease. In
@@ -249,9 +249,9 @@
         keep all leases alive. Tasks kept running although an earlier leader had confirmed their
         cancellation, which this leader did not know (``docs/incidents/meetings.md``).
         """
-        if at_us < self._term.answer_unloaded_until_us or self._runs_live_jobs_only(report):
-            return self.heartbeat_buffer.add_answered(report, at_us, relayed=relayed)
-        self.heartbeat_buffer.add_unanswered(report, relayed=relayed)
+        if at_us < self._term.answer_unloaded_until_us or self._runs_live_jobs_only(heartbeat):
+            return self.heartbeat_buffer.add_answered(heartbeat, at_us, relayed=relayed)
+        self.heartbeat_buffer.add_unanswered(heartbeat, relayed=relayed)
         if not self._logged_unanswered:
             self._logged_unanswered = True
             log.warning(
@@ -260,12 +260,12 @@
             )  # fmt: skip
         return False
 
-    def _runs_live_jobs_only(self, report: Heartbeat) -> bool:
+    def _runs_live_jobs_only(self, heartbeat: Heartbeat) -> bool:
         """Return whether all tasks of a machine belong to loaded jobs that are not cancelled."""
         try:
             return all(
                 split_task(task.task)[0] in self._live_jobs
-                for task in report.tasks
+                for task in heartbeat.tasks
                 if task.state != "ended"
             )
         except ValueError:
@@ -313,20 +313,20 @@
             self.status_probes.record_failure(name)
             self.status_probes.mark_known(name)
             return
-        report = await self._dispatcher.probe(name, machine.address, max(1, machine.session))
-        if report is None:
+        heartbeat = await self._dispatcher.probe(name, machine.address, max(1, machine.session))
+        if heartbeat is None:
             self.status_probes.record_failure(name)
             return
         self.status_probes.record_answer(name, now_us())
-        if report.token == self._term.token:
+        if heartbeat.token == self._term.token:
             self.status_probes.mark_known(name)
         # The next machine is probed at once instead of at the next periodic check.
         self._probe_next()
-        buffered = BufferedHeartbeat(report, MessageSource.COMMAND_ANSWER, 0, False)
+        buffered = BufferedHeartbeat(heartbeat, MessageSource.COMMAND_ANSWER, 0, False)
         if self._term.loaded:
             self._apply_buffered(buffered)
         else:
-            self.heartbeat_buffer.add_probe_answer(report)
+            self.heartbeat_buffer.add_probe_answer(heartbeat)
 
     def _return_lost_machines(self, at_us: int) -> None:
         """Return machines that answer no probe to the cloud, if they are probably lost.
@@ -362,7 +362,7 @@
         if not self._unknown_machines:
             self.all_known.set()
 
-    async def finish(self, start_preempting: Callable[[], None]) -> None:
+    async def finish(self, start_preemption: Callable[[], None]) -> None:
         """Wait until all machines are known, then declare the term ready for all decisions."""
         term = self._term
         await self.all_known.wait()
@@ -374,7 +374,7 @@
             term.token, to_seconds(now_us() - term.won_us), self.status_probes.sent,
             term.reconciliation_counts.summary(term.cluster),
         )  # fmt: skip
-        start_preempting()
+        start_preemption()
         term.placement_wanted.set()
         # Cancelled jobs can be finished only now that all machines are known.
         term.commit_wanted.set()
