--- a/tests/controller/workers/test_late_heartbeats.py
+++ b/tests/controller/workers/test_late_heartbeats.py
@@ -48,7 +48,7 @@
         deliver(leader, copy, clock())
     # The running attempt's worker shows the token when probed; its heartbeat's answer is lost.
     _, answer = current_worker.direct(leader.token, 1, [])
-    leader._answered(leader.cluster.machines[current_worker.name], answer)
+    leader._apply_command_answer(leader.cluster.machines[current_worker.name], answer)
     meet(leader, current_worker, clock(), heard=False)
     for _ in range(3):
         clock.us += S
--- a/tests/reachability/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -356,7 +356,7 @@
                 case "direct" if history.alive and machine is not None:
                     _, probe_answer = history.worker.direct(leader.token, machine.session or 1, [])
                     history.sent.append(probe_answer)
-                    leader._answered(machine, probe_answer)
+                    leader._apply_command_answer(machine, probe_answer)
                 case "start" if leader.recovery.all_known.is_set() and machine is not None:
                     job = leader.cluster.jobs["run-000001"]
                     indexes = job.waiting_indexes(1)
--- a/tests/scheduling/test_cost_of_changes.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -430,9 +430,9 @@
     assert budget.overruns == {"fleet": 2}
     assert budget.summary() == "fleet held 2 times"
     for priority, share in LOOP_SHARES.items():
-        pause_us = budget.pause_us("fleet", priority, S // 100)
+        pause_us = budget.compute_pause_us("fleet", priority, S // 100)
         assert (S // 5) / (S // 5 + pause_us) == pytest.approx(share, rel=1e-3)
-    assert budget.pause_us("fleet", LoopPriority.PLACEMENT, 3 * S) == 3 * S
+    assert budget.compute_pause_us("fleet", LoopPriority.PLACEMENT, 3 * S) == 3 * S
 
 
 def test_late_loop_defers_low_priorities_for_limited_time() -> None:
--- a/weldhead/controller/fleet/machine_returner.py
+++ b/weldhead/controller/fleet/machine_returner.py
@@ -55,7 +55,7 @@
             self.to_delete.values(), key=lambda m: m.reconciled and not m.attempts
         )
         batch = deletion_order[:MAX_MACHINES_PER_DELETION]
-        if not self._term.valid:
+        if not self._term.is_valid:
             # The decision may predate a pause of this process: a new leader may use them now.
             await asyncio.sleep(0.1)
             return
@@ -71,7 +71,7 @@
 
     def _may_delete(self) -> bool:
         """Whether the term is still valid, checked right before the call is sent."""
-        return self._term.valid
+        return self._term.is_valid
 
     def record_deletion(self, machines: list[Machine]) -> None:
         """Record the cloud's answer that machines, and all tasks on them, are gone."""
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -244,7 +244,7 @@
     async def _request(self, name: str, record: RentalRecord) -> list[str] | None:
         """Request a rental once; return its machines' names, or None if the result is unknown."""
         offer = _offer_key(record)
-        if not self._term.valid:
+        if not self._term.is_valid:
             await asyncio.sleep(0.1)
             return None
         if not self._should_request(name):
@@ -284,7 +284,7 @@
         After a pause of this process, a new leader may have replaced it and settled the rental
         with another result.
         """
-        is_confirmed = self._term.valid and self._should_request(name)
+        is_confirmed = self._term.is_valid and self._should_request(name)
         if is_confirmed:
             self._unsent.discard(name)
         return is_confirmed
@@ -384,7 +384,7 @@
             # Each page is a call, and the cloud limits the rate of calls.
             pages = 1 + len(term.cluster.machines) // MACHINES_PER_LIST_PAGE
             await asyncio.sleep(max(2.0, lag_s * pages / 2))
-            if term.valid:
+            if term.is_valid:
                 self._reconcile_list(await term.cloud.machines(), now_us())
 
     def _reconcile_list(self, listed: list[ListedMachine], at_us: int) -> None:
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -136,7 +136,7 @@
     def _can_send(self, machine: Machine) -> bool:
         """Whether the machine is on record, not being deleted, and was recently heard from."""
         term = self._term
-        if machine.name not in term.cluster.machines or machine.deleting or not term.valid:
+        if machine.name not in term.cluster.machines or machine.deleting or not term.is_valid:
             return False
         last_heard_us = max(machine.last_heartbeat_us, machine.first_probe_us)
         return now_us() - last_heard_us <= term.silence_us
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -105,7 +105,7 @@
         """Check leases, failures, overdue stops and interruptions; runs as a background task."""
         while True:
             await asyncio.sleep(0.2)
-            if not self._term.valid:
+            if not self._term.is_valid:
                 continue
             if self.has_unverified_expiry(now_us()):
                 await self._verify_leadership()
--- a/weldhead/controller/workers/reachability_monitor.py
+++ b/weldhead/controller/workers/reachability_monitor.py
@@ -151,7 +151,7 @@
         """Probe suspected machines and replace unreachable ones; runs as a background task."""
         while True:
             await asyncio.sleep(to_seconds(SUSPECT_CHECK_INTERVAL_US))
-            if self._suspects and self._term.valid:
+            if self._suspects and self._term.is_valid:
                 at_us = now_us()
                 self._probe_suspects(at_us)
                 self._replace_unreachable(at_us)
