--- a/tests/calendars/test_calendars.py
+++ b/tests/calendars/test_calendars.py
@@ -337,7 +337,7 @@
     def look(self, leader: Leader) -> None:
         assert leader.calendar_keeper is not None
         notes = leader.calendar_keeper.late_notifications
-        leader.forecaster.refresh_due(self.clock())
+        leader.forecaster.refresh_due_forecasts(self.clock())
         while notes._waiting:
             self.act(leader, notes.commit)
 
@@ -476,7 +476,7 @@
     caplog.set_level(logging.INFO)
     name = bound_job(terms, 1, terms.clock() - 5 * S)
     leader = terms.lead()
-    leader.forecaster.refresh_due(terms.clock())
+    leader.forecaster.refresh_due_forecasts(terms.clock())
     successor = terms.lead()
     # The first one's note is refused by the store, so it says nothing.
     assert leader.calendar_keeper is not None
@@ -547,11 +547,11 @@
                 case "look":
                     terms.look(leader)
                 case "found only":
-                    leader.forecaster.refresh_due(at())
+                    leader.forecaster.refresh_due_forecasts(at())
                     leader = terms.lead()
                 case "overlap":
                     former, leader = leader, terms.lead()
-                    former.forecaster.refresh_due(at())
+                    former.forecaster.refresh_due_forecasts(at())
                     assert former.calendar_keeper is not None
                     terms.act(former, former.calendar_keeper.late_notifications.commit)
                 case "submit":
--- a/tests/cluster_state/test_late_writes.py
+++ b/tests/cluster_state/test_late_writes.py
@@ -318,7 +318,7 @@
         job = leader.cluster.jobs[JOB]
         for index in range(2):
             job.complete_waiting(index)
-        await leader.completions._save(job)
+        await leader.completions._save_progress(job)
         assert job.committed == 2
 
     async def cancel() -> None:
@@ -332,7 +332,7 @@
         if not cancelled:
             for index in job.waiting_indexes(job.spec.tasks):
                 job.complete_waiting(index)
-        await leader.completions._end(job)
+        await leader.completions._try_finish_job(job)
         assert JOB not in leader.cluster.jobs
 
     step(0)
@@ -387,7 +387,7 @@
         job = leader.cluster.jobs[JOB]
         for index in job.waiting_indexes(job.spec.tasks):
             job.complete_waiting(index)
-        await leader.completions._end(job)
+        await leader.completions._try_finish_job(job)
 
     run(played(leader, end))
     state.release_late()
--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -132,7 +132,7 @@
         job = self.job(number)
         for index in range(job.spec.tasks):
             job.complete_waiting(index)
-        await self.leader.completions._end(job)
+        await self.leader.completions._try_finish_job(job)
 
     async def write(self) -> None:
         """Have the write made, and let whoever asked for it wait as it does."""
@@ -227,7 +227,7 @@
     async def write(self) -> None:
         job = self.job()
         job.complete_waiting(1)
-        await self.leader.completions._save(job)
+        await self.leader.completions._save_progress(job)
 
     async def meanwhile(self) -> None:
         assert not self.leader.completions.is_committed(f"{ONE}/1")
--- a/tests/cluster_state/test_uneven_ends.py
+++ b/tests/cluster_state/test_uneven_ends.py
@@ -110,13 +110,13 @@
             and not job.saving
             and not job.finishing
         ):
-            await leader.completions._save(job)
+            await leader.completions._save_progress(job)
 
     @staticmethod
     async def end(leader: Leader) -> None:
         for job in list(leader.cluster.jobs.values()):
             if job.over and not job.finishing and not job.saving:
-                await leader.completions._end(job)
+                await leader.completions._try_finish_job(job)
 
     async def pause(self) -> None:
         for _ in range(20):
--- a/tests/controller/leadership/test_isolated_leader.py
+++ b/tests/controller/leadership/test_isolated_leader.py
@@ -17,7 +17,7 @@
 from tests.support.users import StandInNode, desk
 from weldhead.clock import now_us
 from weldhead.cluster_state.records import LEADER_KEY, FinalRecord, final_key, job_key
-from weldhead.controller.requests.job_dependencies import DOUBT_US
+from weldhead.controller.requests.job_dependencies import MAX_STATUS_WITHHOLD_US
 from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol.wire import KeyValue
 from weldhead.transport.http_client import CallError
@@ -88,7 +88,7 @@
     job = site.leader.cluster.jobs[JOB]
     for index in range(job.spec.tasks):
         job.complete_waiting(index)
-    site.leader.term.background_tasks.spawn("end", site.leader.completions._end(job))
+    site.leader.term.background_tasks.spawn("end", site.leader.completions._try_finish_job(job))
 
 
 @pytest.mark.parametrize(
@@ -150,7 +150,7 @@
         await cancel(site)
         await until(lambda: site.way.cut)
         assert (await site.answered(site.near, JOB))[0] == 503
-        site.leader.state_writer.unanswered_since_us -= DOUBT_US
+        site.leader.state_writer.unanswered_since_us -= MAX_STATUS_WITHHOLD_US
         assert (await site.answered(site.near, JOB))[0] == 200
         await site.leader.close()
         background_task.cancel()
--- a/tests/controller/leadership/test_peer_directory.py
+++ b/tests/controller/leadership/test_peer_directory.py
@@ -116,7 +116,7 @@
         for number in range(40):
             job_id = f"run-{number:06}"
             before = {name: len(link.asked) for name, link in links.items()}
-            answer = asyncio.run(here.ask_home(job_id))
+            answer = asyncio.run(here.ask_poll_owner(job_id))
             asked = [name for name, link in links.items() if len(link.asked) > before[name]]
             assert (answer is None) == (asked == [])
             homes.setdefault(job_id, set()).update(asked or [own])
--- a/tests/controller/leadership/test_term_recovery.py
+++ b/tests/controller/leadership/test_term_recovery.py
@@ -248,9 +248,9 @@
         for _ in range(2):
             with pytest.raises(NotReadyError):
                 await leader.cancel(job.id)
-        assert not job.cancelled and len(leader.completions.cancelling) == 1
+        assert not job.cancelled and len(leader.completions.pending_cancellations) == 1
         store_is_back.set_result(99)
-        await asyncio.gather(*leader.completions.cancelling.values())
+        await asyncio.gather(*leader.completions.pending_cancellations.values())
         answer = await leader.cancel(job.id)
         assert answer is not None and answer.state == "withdrawn"
         assert (job.cancelled, job.version, job.waiting) == (True, 99, 0)
--- a/tests/controller/requests/test_cancellations_across_leaders.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -263,7 +263,9 @@
 
     def meet(jobs: list[Job], part: Any) -> list[Job]:
         # Of one turn of the loop: asked for just before, and about to be written.
-        met.append(asyncio.get_running_loop().create_task(leader.completions._commit_cancel(job)))
+        met.append(
+            asyncio.get_running_loop().create_task(leader.completions._commit_cancellation(job))
+        )
         return round_robin(jobs, part)
 
     monkeypatch.setattr("weldhead.controller.requests.completions.round_robin", meet)
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -103,7 +103,7 @@
         job = self.leader.cluster.jobs[name(number)]
         for index in job.waiting_indexes(job.spec.tasks):
             job.complete_waiting(index)
-        self.run(self.leader.completions._end(job))
+        self.run(self.leader.completions._try_finish_job(job))
 
     def cancel(self, number: int) -> str | None:
         answer = self.run(self.leader.cancel(name(number)))
@@ -113,7 +113,7 @@
         """Some of the cancelled jobs' ends are committed."""
         over = [job for job in self.leader.cluster.jobs.values() if job.cancelled and job.over]
         for job in over[:most]:
-            self.run(self.leader.completions._end(job))
+            self.run(self.leader.completions._try_finish_job(job))
 
 
 class ChainsMachine(RuleBasedStateMachine):
@@ -418,7 +418,7 @@
     # The leader ends right after the first transaction: the next one finds what is left.
     world.state.fates = ["ok", *["lost"] * 50]
     job = world.leader.cluster.jobs[name(1)]
-    task = world.loop.create_task(world.leader.completions._end(job))
+    task = world.loop.create_task(world.leader.completions._try_finish_job(job))
     for _ in range(20):
         world.run(asyncio.sleep(0))
     assert final_key(name(1)) in world.state.keys and job_key(name(1)) not in world.state.keys
@@ -426,7 +426,7 @@
     task.cancel()
     world.state.fates.clear()
     world.take_over()
-    world.run(world.leader.completions._clear(world.leader.completions._leftovers))
+    world.run(world.leader.completions._delete_keys(world.leader.completions._stale_progress_keys))
     assert not any(key.startswith("p/") for key in world.state.keys)
     assert world.poll(name(1)) == "done"
 
@@ -595,7 +595,7 @@
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
             world.clock.us += S
-            leader.forecaster.refresh_due(world.clock())
+            leader.forecaster.refresh_due_forecasts(world.clock())
     said = [r.getMessage() for r in caplog.records if r.levelno >= logging.WARNING]
     assert len(said) == 1
     assert "run-000003 will be late" in said[0]
@@ -689,7 +689,7 @@
         needs = (name(number - 1),) if number > 1 else None
         world.submit(job_spec(number, needs=needs))
     world.cancel(1)
-    world.run(world.leader.completions._end(world.leader.cluster.jobs[name(1)]))
+    world.run(world.leader.completions._try_finish_job(world.leader.cluster.jobs[name(1)]))
     world.take_over()
     assert world.leader.dependency_graph.unresolved == {name(1)}
     for number in (2, 3):
--- a/tests/controller/test_slow_state_service.py
+++ b/tests/controller/test_slow_state_service.py
@@ -58,15 +58,15 @@
     async def ask_served_peer(
         self, kind: str, job_id: str, body: bytes, *, chained: bool = False
     ) -> Response | None:
-        return await self._chance.choice(self.peers).poll(job_id, elsewhere=False)
+        return await self._chance.choice(self.peers).poll(job_id, ask_peers=False)
 
-    async def ask_home(self, job_id: str) -> Response | None:
+    async def ask_poll_owner(self, job_id: str) -> Response | None:
         homes = [self, *(cast(Follower, peer.reader._controller) for peer in self.peers)]
         # Any choice will do that all make alike.
         home = max(homes, key=lambda node: crc32(f"{job_id}{node.number * 7919}".encode()))
         if home is self:
             return None
-        return await self.peers[homes.index(home) - 1].poll(job_id, elsewhere=False)
+        return await self.peers[homes.index(home) - 1].poll(job_id, ask_peers=False)
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/emulator/test_limits_and_failovers.py
+++ b/tests/emulator/test_limits_and_failovers.py
@@ -117,7 +117,7 @@
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     meet(leader, worker, clock(), heard=False)
     assert job.over and leader.cluster.usage["red"].cpus == job.spec.cpus
-    assert not leader.completions.may_end(job)
+    assert not leader.completions.can_finish(job)
     meet(leader, worker, clock())
     meet(leader, worker, clock())
-    assert leader.completions.may_end(job)
+    assert leader.completions.can_finish(job)
--- a/tests/emulator/test_memory_of_short_jobs.py
+++ b/tests/emulator/test_memory_of_short_jobs.py
@@ -12,8 +12,8 @@
 from tests.support.paths import ROOT
 from weldhead.cluster_state.records import FINAL, JOBS
 from weldhead.controller.process import ControllerProcess
-from weldhead.controller.requests.completions import FINALS_KEPT
-from weldhead.controller.requests.job_status_reader import MAX_REMEMBERED
+from weldhead.controller.requests.completions import MAX_FINAL_RECORDS
+from weldhead.controller.requests.job_status_reader import MAX_REMEMBERED_JOBS
 from weldhead.controller.workers.heartbeat_forwarding import (
     CAME_BACK_US,
     MOST_REMEMBERED,
@@ -88,7 +88,7 @@
     assert store.writes < WRITES_A_JOB * jobs + OTHER_WRITES
     assert most["starts of jobs that are over"] == most["versions of jobs that are over"] == 0
     assert most["versions"] < OTHER_KEYS
-    assert most["finals"] <= FINALS_KEPT and most["desk"] <= MAX_REMEMBERED
+    assert most["finals"] <= MAX_FINAL_RECORDS and most["desk"] <= MAX_REMEMBERED_JOBS
     assert most["waiting"] < jobs / 2
 
 
--- a/tests/gates/test_gates.py
+++ b/tests/gates/test_gates.py
@@ -309,7 +309,7 @@
         assert job.waiting == job.spec.tasks - job.done
         for index in job.waiting_indexes(job.spec.tasks):
             job.complete_waiting(index)
-        self.run(self.leader.completions._end(job))
+        self.run(self.leader.completions._try_finish_job(job))
         assert run_id(number) not in self.leader.cluster.jobs
         self.look()
 
@@ -493,7 +493,7 @@
     world.state.fates = ["lost"] * 1_000
 
     async def end() -> None:
-        task = asyncio.create_task(world.leader.completions._end(job))
+        task = asyncio.create_task(world.leader.completions._try_finish_job(job))
         await asyncio.sleep(0.02)
         assert world.job(1).waiting == 0
         world.leader.state_writer.close()
@@ -626,7 +626,7 @@
     world.submit(11, "quotes")
     job = world.job(10)
     world.run(world.leader.cancel(job.id))
-    world.run(world.leader.completions._end(job))
+    world.run(world.leader.completions._try_finish_job(job))
     world.look()
     assert not world.kept().pending
     told = world.leader.status(run_id(11))
--- a/tests/protocol/test_versions.py
+++ b/tests/protocol/test_versions.py
@@ -219,15 +219,15 @@
         asyncio.run(node.peers.ask_served_peer("submit", "run-1", b"", chained=chained))
         return list(sent)
 
-    assert (link.format, node.peers.peers_know(CHAINS_FORMAT)) == (0, True)
+    assert (link.format, node.peers.peers_support(CHAINS_FORMAT)) == (0, True)
     assert (ask(chained=True), ask(chained=False)) == ([], ["submit"])
     link.format = 1
-    assert not node.peers.peers_know(CHAINS_FORMAT)
+    assert not node.peers.peers_support(CHAINS_FORMAT)
     assert (ask(chained=True), ask(chained=False)) == ([], ["submit"])
     link.format = 2
-    assert node.peers.peers_know(CHAINS_FORMAT)
+    assert node.peers.peers_support(CHAINS_FORMAT)
     link.format = FORMAT
-    assert node.peers.peers_know(CHAINS_FORMAT)
+    assert node.peers.peers_support(CHAINS_FORMAT)
     assert (ask(chained=True), ask(chained=False)) == (["submit"], ["submit"])
 
 
--- a/tests/support/held_network.py
+++ b/tests/support/held_network.py
@@ -169,7 +169,9 @@
         """Commit what has been completed."""
         job = self.leader.cluster.jobs[JOB]
         if job.uncommitted_chunks and not job.finishing:
-            self.leader.term.background_tasks.spawn("save", self.leader.completions._save(job))
+            self.leader.term.background_tasks.spawn(
+                "save", self.leader.completions._save_progress(job)
+            )
             await settle()
 
     async def delete(self) -> None:
--- a/tests/support/users.py
+++ b/tests/support/users.py
@@ -46,10 +46,10 @@
     ) -> Response | None:
         return None
 
-    async def ask_home(self, job_id: str) -> Response | None:
+    async def ask_poll_owner(self, job_id: str) -> Response | None:
         return None
 
-    def peers_know(self, least_format: int) -> bool:
+    def peers_support(self, min_format: int) -> bool:
         return self.all_know_chains
 
 
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -113,7 +113,7 @@
             for _ in range(9):
                 leader.term.estimates.observe(job, 600 * S)
             before_all = state.requests, state.changes, state.bytes
-            leader.forecaster.refresh_due(clock())
+            leader.forecaster.refresh_due_forecasts(clock())
             while notes._waiting:
                 await notes.commit()
             now = state.requests, state.changes, state.bytes
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -88,7 +88,7 @@
             now = lent(bounds, MOST_BOUNDS, at_us)
             if now != before:
                 dependency_graph.gate_inheritance[act.id] = now
-                self._linking.refresh_inherited([act])
+                self._linking.refresh_inherited_priorities([act])
 
     def expected_demand(self, at_us: int, until_us: int) -> list[ExpectedDemand]:
         """Return held work that is expected to be released by then; machines may be rented.
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -476,7 +476,7 @@
             return
         job.blocking_gate = None
         if not job.cancelled and not job.unmet_dependencies:
-            self._linking.runnable(job)
+            self._linking.record_arrival(job)
         self._term.placement_wanted.set()
 
     async def _release(self) -> None:
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -22,7 +22,7 @@
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.leadership.term_recovery import RecoveryParts, TermRecovery
 from weldhead.controller.loop_budget import EventLoopBudget
-from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.completions import CompletionCommitter
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.requests.job_status import JobStatusReporter
 from weldhead.controller.requests.job_watcher import JobWatcher
@@ -67,13 +67,13 @@
         self._background_tasks = term.background_tasks
         self._dispatcher = CommandDispatcher(term, self._answered, self._unanswered)
         self.job_dependencies = JobDependencies(term, self._dispatcher, self.job_created)
-        self.completions = Completions(
+        self.completions = CompletionCommitter(
             term,
             self._ended,
             self.job_dependencies.withdraw_with_dependents,
             self.job_dependencies.stop_tasks,
         )
-        self.job_dependencies.start(self.completions)
+        self.job_dependencies.set_completions(self.completions)
         self.loop_budget = EventLoopBudget(
             round(term.tunables.leadership.ttl_us * term.tunables.most_hold)
         )
@@ -142,7 +142,9 @@
         # Loaded by controllers that are given documents only.
         from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
 
-        return CalendarKeeper(self.term, publisher, self.job_dependencies.refresh_inherited)
+        return CalendarKeeper(
+            self.term, publisher, self.job_dependencies.refresh_inherited_priorities
+        )
 
     # -- the term's life ------------------------------------------------------------
 
@@ -255,7 +257,7 @@
         job = self.recovery.add_job(record, version, now_us(), wall_us())
         self.job_dependencies.add(job)
         if not job.cancelled:
-            self.job_dependencies.refresh_inherited([job])
+            self.job_dependencies.refresh_inherited_priorities([job])
         self.term.placement_wanted.set()
 
     def status(self, job_id: str) -> JobStatus | None:
@@ -306,4 +308,4 @@
         self.cluster.forget_attempt_numbers(job.id)
         self.scheduling_loop.reclaims.trim(job.id, 0)
         self.dependency_graph.remove(job)
-        self.job_dependencies.job_ended(job.id, final)
+        self.job_dependencies.apply_job_end(job.id, final)
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -136,7 +136,7 @@
             link = served[self._turn % len(served)]
         return await self.forward(link, kind, job_id, body)
 
-    async def ask_home(self, job_id: str) -> Response | None:
+    async def ask_poll_owner(self, job_id: str) -> Response | None:
         """Have the one controller look that counts how long a job waits for an answer.
 
         All controllers choose the same one of those that the state service serves, by the job's
@@ -154,9 +154,9 @@
             raise CallError(f"{home} does not answer for {job_id}")
         return answer
 
-    def peers_know(self, least_format: int) -> bool:
+    def peers_support(self, min_format: int) -> bool:
         """Whether no peer is known to run a version of an earlier format."""
-        return all(not 0 < link.format < least_format for link in self._links.values())
+        return all(not 0 < link.format < min_format for link in self._links.values())
 
     def _leads(self, link: PeerLink) -> bool:
         record = self._election.known_leader
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -32,7 +32,7 @@
 from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.loop_budget import EventLoopBudget
-from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.completions import CompletionCommitter
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.scheduling_loop.preemption_recorder import load_preemption_history
 from weldhead.controller.term import Term, batches
@@ -66,7 +66,7 @@
 class RecoveryParts:
     """The parts of the term that its recovery fills or asks."""
 
-    completions: Completions
+    completions: CompletionCommitter
     rental_manager: RentalManager
     job_dependencies: JobDependencies
     machine_monitor: MachineMonitor
@@ -189,7 +189,7 @@
                 self._job_dependencies.add(job)
             await asyncio.sleep(0)
         # All others have their own priority and deadline.
-        self._job_dependencies.refresh_inherited(term.dependency_graph.blocked.values())
+        self._job_dependencies.refresh_inherited_priorities(term.dependency_graph.blocked.values())
 
     def _load_progress(self, entry: KeyValue) -> None:
         term = self._term
@@ -197,11 +197,11 @@
         term.state_writer.record_version(entry.key, entry.version)
         job = term.cluster.jobs.get(job_id)
         if job is None:
-            self._completions.load_leftover(entry.key)
+            self._completions.add_stale_progress_key(entry.key)
             return
         tasks = min(CHUNK_TASKS, job.spec.tasks - int(chunk) * CHUNK_TASKS)
         done = decode_progress(msgspec.json.decode(entry.value, type=str), tasks)
-        self._completions.load(job, int(chunk), done)
+        self._completions.load_progress(job, int(chunk), done)
 
     def add_job(self, record: JobRecord, version: int, at_us: int, wall: int) -> Job:
         """Enter a job that is on record."""
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -232,7 +232,7 @@
                     return unavailable("not a leader that has read the jobs")
                 return await self._request_handler.poll(ask.job_id, forwarded=True)
             case "read":
-                return await self._request_handler.poll(ask.job_id, elsewhere=False)
+                return await self._request_handler.poll(ask.job_id, ask_peers=False)
             case "known":
                 return self._request_handler.known_status(ask.job_id)
             case "cancel":
--- a/weldhead/controller/requests/__init__.py
+++ b/weldhead/controller/requests/__init__.py
@@ -1,1 +1,1 @@
-"""What users ask for: submissions, polls, cancellations, completions and job chains."""
+"""Request handling and job life cycle: submissions, polls, cancellations, completions, chains."""
--- a/weldhead/controller/requests/cancellation_handler.py
+++ b/weldhead/controller/requests/cancellation_handler.py
@@ -1,4 +1,7 @@
-"""Answering cancellations: only the leader cancels a job, as it knows what runs."""
+"""Handles cancellation requests.
+
+Only the leader cancels a job, because only the leader knows which tasks run.
+"""
 
 import msgspec
 
@@ -17,14 +20,17 @@
 
 
 class CancellationHandler:
-    """Answers cancellations on one controller."""
+    """Handles the cancellation requests that reach one controller."""
 
     def __init__(self, controller: ControllerView, reader: JobStatusReader) -> None:
         self._controller = controller
         self._reader = reader
 
     async def cancel(self, job_id: str, *, forwarded: bool = False) -> Response:
-        """Cancel a job; only the leader does, as it knows what runs."""
+        """Cancel a job on the leader; a follower forwards the request to the leader.
+
+        ``forwarded``: the request comes from another controller and is not forwarded again.
+        """
         if not is_job_id(job_id):
             return refusal(http_status.NOT_FOUND, "no such job")
         if self._controller.isolated:
@@ -37,9 +43,9 @@
                     return answer
             return unavailable("no leader")
         try:
-            answer_now = await leader.cancel(job_id)
-            if answer_now is not None:
-                return Response(http_status.OK, _encode(answer_now))
+            status = await leader.cancel(job_id)
+            if status is not None:
+                return Response(http_status.OK, _encode(status))
             stored = await self._reader.read_status(job_id)
         except (CallError, NotReadyError):
             return unavailable("cannot be decided yet")
@@ -47,5 +53,6 @@
             return refusal(http_status.NOT_FOUND, "no such job")
         if stored.state in ("done", "withdrawn"):
             return Response(http_status.OK, _encode(JobStatus(job_id, stored.state)))
-        # Accepted by another node a moment ago, and taken up just now.
+        # Another controller has just accepted the job, and reading the record has just added the
+        # job to this leader's memory: the user's next attempt finds it there.
         return unavailable("cannot be decided yet")
--- a/weldhead/controller/requests/controller_view.py
+++ b/weldhead/controller/requests/controller_view.py
@@ -1,4 +1,4 @@
-"""What request handlers need of their controller, and what they answer when it is isolated."""
+"""The interface that request handlers need of their controller, and the isolated response."""
 
 from typing import Protocol
 
@@ -11,7 +11,7 @@
 
 
 class ControllerView(Protocol):
-    """What request handlers need of their controller."""
+    """The controller as its request handlers see it."""
 
     @property
     def isolated(self) -> bool:
@@ -19,40 +19,42 @@
 
     @property
     def leader(self) -> Leader | None:
-        """This node's term, if it leads."""
+        """This controller's term, if this controller leads."""
 
     @property
     def catalog(self) -> list[MachineType]:
-        """The machine types, as far as they are known."""
+        """The machine types known so far; empty until the first ones are known."""
 
     @property
     def documents(self) -> DocumentReplica | None:
-        """The calendars and gates; None: this controller is given none."""
+        """The calendars and gates; None if this controller is configured without documents."""
 
     async def ask_leader(self, kind: str, job_id: str, body: bytes) -> Response | None:
-        """Have the leader answer; None if it cannot be reached."""
+        """Forward a request to the leader; None if the leader cannot be reached."""
 
     async def ask_served_peer(
         self, kind: str, job_id: str, body: bytes, *, chained: bool = False
     ) -> Response | None:
-        """Have a peer answer that the state service serves; None if there is none."""
+        """Forward a request to a peer that the state service serves; None if there is none."""
 
-    async def ask_home(self, job_id: str) -> Response | None:
-        """Have the peer look that counts how long a job waits; None: that is this controller.
+    async def ask_poll_owner(self, job_id: str) -> Response | None:
+        """Forward a poll to its owner, the one peer that tracks how long the job's polls fail.
 
-        CallError if it does not answer.
+        Returns None if this controller is the owner. Raises CallError if the owner does not
+        answer.
         """
 
-    def peers_know(self, least_format: int) -> bool:
-        """Whether no peer is known to run a version of an earlier format."""
+    def peers_support(self, min_format: int) -> bool:
+        """Whether no peer is known to run a version with a format older than ``min_format``."""
 
 
-def isolated_response(known: str = "") -> Response:
-    """Send a user to other controllers, with what is known here of the job.
+def isolated_response(details: str = "") -> Response:
+    """Return the response that sends a user to another controller.
 
-    The caller's next connection goes to another controller once the load balancer knows; nobody
-    is kept waiting for what cannot come.
+    ``details`` is appended to the message: facts about the job that this controller knows. The
+    connection is closed, and the caller's next one goes to another controller once the load
+    balancer has noticed. The response is immediate, since this controller can get no answer.
     """
-    answer = unavailable("this node reaches nobody" + known)
+    answer = unavailable("this node reaches nobody" + details)
     answer.close = True
     return answer
--- a/weldhead/controller/requests/job_status.py
+++ b/weldhead/controller/requests/job_status.py
@@ -1,11 +1,11 @@
-"""What a term tells users of a job, from its memory."""
+"""Builds the job statuses that a term reports to users from its memory."""
 
 from typing import TYPE_CHECKING
 
 from weldhead.calendars.formatting import utc
 from weldhead.clock import now_us, to_seconds
 from weldhead.cluster_state.jobs import Job
-from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.completions import CompletionCommitter
 from weldhead.controller.scheduling_loop.completion_forecaster import CompletionForecaster
 from weldhead.controller.term import Term
 from weldhead.protocol.wire import JobStatus
@@ -17,12 +17,12 @@
 
 
 class JobStatusReporter:
-    """Statuses as new as the store's, while the term may command."""
+    """Reports job statuses that are as new as the state service's, while the lease is valid."""
 
     def __init__(
         self,
         term: Term,
-        completions: Completions,
+        completions: CompletionCommitter,
         forecaster: CompletionForecaster,
         gate_keeper: "GateKeeper | None",
     ) -> None:
@@ -32,12 +32,13 @@
         self._gate_keeper = gate_keeper
 
     def status(self, job_id: str) -> JobStatus | None:
-        """Return a job's status from memory, as new as the store's; None: not known here."""
+        """Return a job's status from memory; None if the state service has to be read."""
         if not self._term.loaded or not self._term.valid:
             return None
         job = self._term.cluster.jobs.get(job_id)
         if job is not None:
-            # What only the store knows could have withdrawn it, and have been told so.
+            # A dependency whose outcome only the state service knows could have withdrawn the
+            # job, and another controller could have reported that already.
             return self._status_of(job) if self._term.dependency_graph.is_resolved(job) else None
         final = self._completions.finals.get(job_id)
         if final is not None:
@@ -45,7 +46,7 @@
         return None
 
     def is_service(self, job_id: str) -> bool | None:
-        """Whether an accepted job is a service; None: not known here."""
+        """Whether an accepted job is a service; None if the job is not in memory."""
         job = self._term.cluster.jobs.get(job_id)
         if job is not None:
             return job.spec.is_service
@@ -64,17 +65,17 @@
         if job.cancelled or job.expected_finish_us is None:
             return answer
         answer.forecast_s = round(to_seconds(job.expected_finish_us - job.first_seen_us), 1)
-        due = due_us(job)
-        stands = (
+        job_due_us = due_us(job)
+        standing = (
             self._forecaster.deadline_standing(job, now_us())
             if job.calendar_deadline is not None
             else None
         )
-        if stands is DeadlineStanding.UNKNOWN:
-            # Nothing is guessed of a job of no history.
+        if standing is DeadlineStanding.UNKNOWN:
+            # Without run times of earlier tasks of the job's class there is no basis for a guess.
             return answer
-        if due is not None:
-            answer.late = job.expected_finish_us > due or stands is DeadlineStanding.LATE
-            if job.expected_finish_us > due:
-                answer.late_by_s = round(to_seconds(job.expected_finish_us - due), 1)
+        if job_due_us is not None:
+            answer.late = job.expected_finish_us > job_due_us or standing is DeadlineStanding.LATE
+            if job.expected_finish_us > job_due_us:
+                answer.late_by_s = round(to_seconds(job.expected_finish_us - job_due_us), 1)
         return answer
--- a/weldhead/controller/requests/job_status_reader.py
+++ b/weldhead/controller/requests/job_status_reader.py
@@ -1,8 +1,8 @@
-"""Job statuses from memory and from the state service, never older than one told before.
+"""Reads job statuses from memory and from the state service, never older than one reported before.
 
-A job's creation is committed by whichever controller the user has reached. Everything that changes
-later is the leader's: its memory answers while its lease lasts, and otherwise the store is read.
-What can never change is remembered.
+A job's creation is committed by the controller that the user reaches. Only the leader commits the
+job's later changes, so the leader's memory answers while its lease is valid; otherwise the records
+are read from the state service. Final records never change and are remembered.
 """
 
 import asyncio
@@ -32,24 +32,27 @@
 
 T = TypeVar("T")
 
-#: How many answers that never change are remembered.
-MAX_REMEMBERED = 4_096
+#: How many jobs' unchanging facts are remembered.
+MAX_REMEMBERED_JOBS = 4_096
 #: How many dependencies of a job are read at once.
 MAX_CONCURRENT_READS = 8
-#: What the store said so long ago is told to nobody: this process may have stood still, and
-#: others have told something newer since.
+#: A status read longer ago than this is not reported: if this process was suspended meanwhile,
+#: other controllers may have reported a newer one.
 MAX_STALENESS_US = SECOND_US
 
 
-def _remember(kept: dict[str, T], job_id: str, value: T) -> None:
-    """Remember what never changes; the oldest is forgotten."""
-    kept[job_id] = value
-    while len(kept) > MAX_REMEMBERED:
-        del kept[next(iter(kept))]
+def _remember(cache: dict[str, T], job_id: str, value: T) -> None:
+    """Add an unchanging fact to a cache, and drop the oldest entries beyond its limit."""
+    cache[job_id] = value
+    while len(cache) > MAX_REMEMBERED_JOBS:
+        del cache[next(iter(cache))]
 
 
 class JobStatusReader:
-    """Reads jobs for the users of one controller; ``dependency_limiter`` bounds chains' reads."""
+    """Reads jobs for the users of one controller.
+
+    ``dependency_limiter`` limits the rate at which the dependencies of jobs are read.
+    """
 
     def __init__(
         self,
@@ -60,75 +63,80 @@
         self._controller = controller
         self._state = state
         self._dependency_limiter = dependency_limiter
-        #: How jobs ended, and whether accepted ones are services, as the store said.
+        #: Final records, and whether accepted jobs are services, as read from the state service.
         self.finals: dict[str, FinalRecord] = {}
         self._services: dict[str, bool] = {}
 
-    def in_memory(self, job_id: str) -> JobStatus | None:
-        """Return a job's status as this controller knows it; None: it has to be read."""
+    def status_in_memory(self, job_id: str) -> JobStatus | None:
+        """Return a job's status from memory; None if the state service has to be read."""
         final = self.finals.get(job_id)
         if final is not None:
-            # Before the leader's memory: it may have been told while that was not to be used.
+            # This comes before the leader's memory, which may be older: the final record may
+            # have been reported while that memory was not valid.
             return JobStatus(job_id, final.status, final.done, 0)
         leader = self._controller.leader
-        known: JobStatus | None = None
+        status: JobStatus | None = None
         try:
-            known = leader.status(job_id) if leader is not None else None
+            status = leader.status(job_id) if leader is not None else None
             if (
-                known is not None
+                status is not None
                 and leader is not None
                 and leader.job_dependencies.has_unanswered_write(job_id)
             ):
-                known = None
+                status = None
         except Exception:
-            # A bug that one job brings out must not keep it from its users: the store's word
-            # is as new.
-            log.exception("status of %s", job_id)
-        return known
+            # A bug that a single job triggers must not leave its users without an answer: the
+            # state service's record is as new as the memory.
+            log.exception("status from memory failed, reading the state service: job %s", job_id)
+        return status
 
     async def is_service(self, job_id: str) -> bool | None:
         """Whether an accepted job is a service; None if it was never accepted."""
         leader = self._controller.leader
-        known = leader.is_service(job_id) if leader is not None else None
-        if known is None:
-            known = self._services.get(job_id)
-        if known is None:
-            stored = await self.read_record(job_id)
-            if stored is None:
+        is_service = leader.is_service(job_id) if leader is not None else None
+        if is_service is None:
+            is_service = self._services.get(job_id)
+        if is_service is None:
+            record = await self.read_record(job_id)
+            if record is None:
                 return None
-            known = stored.spec.is_service if isinstance(stored, JobRecord) else stored.service
-            _remember(self._services, job_id, known)
-        return known
+            is_service = record.spec.is_service if isinstance(record, JobRecord) else record.service
+            _remember(self._services, job_id, is_service)
+        return is_service
 
     async def read_status(self, job_id: str, *, urgent: bool = False) -> JobStatus | None:
-        """Read a job's status; it moves from j/ to f/ only, so that order is safe."""
-        at_us = now_us()
+        """Read a job's status from the state service; None if the job was never accepted.
+
+        A record only ever moves from the prefix ``j/`` to ``f/``, so reading the keys in that
+        order cannot miss the job.
+        """
+        started_us = now_us()
         try:
             async with asyncio.timeout(to_seconds(MAX_STALENESS_US)):
-                stored = await self.read_record(job_id, urgent=urgent)
-                if isinstance(stored, FinalRecord):
-                    return JobStatus(job_id, stored.status, stored.done, 0)
-                if stored is not None and (
-                    stored.cancelled
-                    or await self._is_withdrawn_by_dependency(stored, urgent=urgent)
+                record = await self.read_record(job_id, urgent=urgent)
+                if isinstance(record, FinalRecord):
+                    return JobStatus(job_id, record.status, record.done, 0)
+                if record is not None and (
+                    record.cancelled
+                    or await self._is_withdrawn_by_dependency(record, urgent=urgent)
                 ):
                     return JobStatus(job_id, "withdrawn")
         except TimeoutError as error:
-            raise CallError("the store takes too long") from error
-        # What is over stays over; anything else may have changed since.
-        if now_us() - at_us > MAX_STALENESS_US:
-            raise CallError("what the store said may be old by now")
-        if stored is None:
+            raise CallError(f"job {job_id} was not read within the allowed staleness") from error
+        # A job that is over stays over; any other state may have changed since the read.
+        if now_us() - started_us > MAX_STALENESS_US:
+            raise CallError(f"the record of job {job_id} may have changed since it was read")
+        if record is None:
             return None
-        return JobStatus(job_id, "pending", due_at=self.due_at(stored))
+        return JobStatus(job_id, "pending", due_at=self.due_at(record))
 
     async def read_record(
         self, job_id: str, *, urgent: bool = False
     ) -> JobRecord | FinalRecord | None:
-        """Read a job's record."""
-        kept = self.finals.get(job_id)
-        if kept is not None:
-            return kept
+        """Read a job's record from the state service; None if the job was never accepted."""
+        remembered = self.finals.get(job_id)
+        if remembered is not None:
+            return remembered
         leader = self._controller.leader
         entry = await self._state.get(job_key(job_id), urgent=urgent)
         if entry is not None:
@@ -146,46 +154,49 @@
         return outcome
 
     async def _is_withdrawn_by_dependency(self, record: JobRecord, *, urgent: bool = False) -> bool:
-        """Whether a job that the record's needs, directly or through others, is withdrawn.
+        """Whether any direct or indirect dependency of a job is withdrawn.
 
-        The leader calls a job withdrawn as soon as that follows from what is stored, and the
-        store may say so later only for the job itself: so the same is followed here. Each
-        job is read once; what is over is remembered, so a long chain that fails gets further
-        the next time.
+        The leader reports a job as withdrawn as soon as the records of its dependencies imply
+        that; the job's own record may show it only later. This method follows the dependencies
+        in the same way. Each one is read once, and final records are remembered, so a long chain
+        whose reading fails gets further the next time.
         """
         job_id, seen = record.spec.id, set(without_gate(record.spec).needs or ())
         names = list(seen)
         if names and not self._dependency_limiter.take(
             job_id, min(len(names), MAX_CONCURRENT_READS), now_us()
         ):
-            raise CallError("too many needed jobs are to be read at once")
-        # It has had its turn: a chain that is too long each time must not go first each time.
+            raise CallError(f"dependencies of job {job_id} not read: rate limit reached")
+        # The job has had its turn: a chain that is too long to be read must not be the first
+        # again and again.
         self._dependency_limiter.answered(job_id)
         while names:
             batch, names = names[:MAX_CONCURRENT_READS], names[MAX_CONCURRENT_READS:]
-            fresh: set[str] = set()
-            for need in await asyncio.gather(*(self.read_record(n, urgent=urgent) for n in batch)):
-                if isinstance(need, FinalRecord):
-                    if need.status == "withdrawn":
+            found: set[str] = set()
+            for dependency in await asyncio.gather(
+                *(self.read_record(name, urgent=urgent) for name in batch)
+            ):
+                if isinstance(dependency, FinalRecord):
+                    if dependency.status == "withdrawn":
                         return True
-                elif need is not None:
-                    if need.cancelled:
+                elif dependency is not None:
+                    if dependency.cancelled:
                         return True
-                    fresh |= set(without_gate(need.spec).needs or ())
-            names += fresh - seen
-            seen |= fresh
+                    found |= set(without_gate(dependency.spec).needs or ())
+            names += found - seen
+            seen |= found
             self._dependency_limiter.charge(min(len(names), MAX_CONCURRENT_READS), now_us())
         return False
 
     def due_at(self, record: JobRecord) -> str | None:
-        """Say by when a calendar has a job finished."""
+        """Return the time by which a calendar requires the job's end; None if no calendar does."""
         documents = self._controller.documents
         if documents is None or record.deadline is None or record.cancelled:
             return None
         return utc(moved(documents.cache, record.deadline).due_us)
 
     def describe_deadline(self, job_id: str) -> str:
-        """Say in a refusal by when a job is due, as far as this node knows."""
+        """Return the text about a job's calendar deadline that error responses include."""
         documents = self._controller.documents
         return (
             documents.deadline_table.describe(job_id, documents.cache)
--- a/weldhead/controller/requests/job_watcher.py
+++ b/weldhead/controller/requests/job_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the jobs that other controllers accept while this term leads."""
+"""Watches the state service for jobs that other controllers accept while this term leads."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 
 
 class JobWatcher:
-    """Tells ``on_job`` of each job's record and its version."""
+    """Calls ``on_job`` with the record and the version of each new job."""
 
     def __init__(self, term: Term, on_job: Callable[[JobRecord, int], None]) -> None:
         self._term = term
         self._on_job = on_job
-        #: The revision from which jobs are watched; kept when the watch fails.
+        #: The revision from which the watch continues; it is kept when the watch fails.
         self.revision = 0
 
     async def watch(self) -> None:
-        """Follow the jobs; a background task."""
-        followed = follow_prefix(self._term.state, JOBS, self.revision, self._reread)
-        async for batch in followed:
+        """Watch the job records; a background task."""
+        change_batches = follow_prefix(self._term.state, JOBS, self.revision, self._reread)
+        async for batch in change_batches:
             for event in batch.events:
                 self._apply(event)
             self.revision = batch.revision
@@ -36,8 +36,8 @@
 
     async def _reread(self) -> int:
         async for entries, revision in self._term.state.pages(JOBS):  # noqa: B007
-            for part in batches(entries):
-                for entry in part:
+            for batch in batches(entries):
+                for entry in batch:
                     self._on_job(decode(bytes(entry.value), JobRecord), entry.version)
                 await asyncio.sleep(0)
         self.revision = revision
--- a/weldhead/controller/requests/request_handler.py
+++ b/weldhead/controller/requests/request_handler.py
@@ -1,4 +1,4 @@
-"""The users' side of a controller: submissions, polls and cancellations."""
+"""Handles users' requests on a controller: submissions, polls and cancellations."""
 
 from weldhead.admission.fair_rate_limiter import FairRateLimiter
 from weldhead.clock import now_us
@@ -14,17 +14,18 @@
     StateClient,
 )
 
-#: Share of the store's requests that the polls of all controllers together may use; the rest is
-#: for the leader and for submissions.
+#: Share of the state service's request rate that the polls of all controllers together may use;
+#: the rest is for the leader and for submissions.
 POLL_SHARE = 0.6
-#: Share of that for reading dependencies: a few long chains would leave nothing to the rest.
+#: Share of the polls' rate for reading dependencies. Without this limit, a few long chains would
+#: use the whole rate.
 DEPENDENCY_SHARE = 1 / 3
-#: Seconds of its rate that a limiter gives out at once.
+#: A limiter's burst, as seconds of its rate.
 BURST_S = 2
 
 
 class RequestHandler:
-    """Answers users on one of ``controllers`` controllers."""
+    """Handles the requests that users send to one of ``controllers`` controllers."""
 
     def __init__(
         self,
@@ -46,22 +47,24 @@
         self.cancellations = CancellationHandler(controller, self.reader)
 
     async def submit(self, body: bytes, *, forwarded: bool = False) -> Response:
-        """Accept a job: 201 only when it is in the store."""
+        """Accept a job; the response is 201 only after the job's record is committed."""
         return await self.submissions.submit(body, forwarded=forwarded)
 
     def known_status(self, job_id: str) -> Response:
-        """Tell a job's state if it is in memory; the store is not asked."""
+        """Report a job's status from memory only, without reading the state service."""
         return self.submissions.known_status(job_id)
 
     async def poll(
-        self, job_id: str, *, forwarded: bool = False, elsewhere: bool = True
+        self, job_id: str, *, forwarded: bool = False, ask_peers: bool = True
     ) -> Response:
-        """Tell a job's state; ``forwarded``: by what this controller has itself.
+        """Report a job's status.
 
-        ``elsewhere``: other controllers may be asked to look, besides the leader.
+        ``forwarded``: the poll was forwarded to this controller as the leader, which answers it
+        without other controllers. ``ask_peers``: controllers other than the leader may be asked;
+        False if the poll itself comes from a peer.
         """
-        return await self.polls.poll(job_id, forwarded=forwarded, elsewhere=elsewhere)
+        return await self.polls.poll(job_id, forwarded=forwarded, ask_peers=ask_peers)
 
     async def cancel(self, job_id: str, *, forwarded: bool = False) -> Response:
-        """Cancel a job; only the leader does."""
+        """Cancel a job on the leader."""
         return await self.cancellations.cancel(job_id, forwarded=forwarded)
--- a/weldhead/controller/scheduling_loop/__init__.py
+++ b/weldhead/controller/scheduling_loop/__init__.py
@@ -1,1 +1,1 @@
-"""When tasks are placed, stopped and forecast, and what is given back to whom."""
+"""The leader's scheduling loop: placement, preemption and completion forecasts."""
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -1,12 +1,12 @@
-"""Each job's forecast, and what is said of those that turn late."""
+"""Keeps the completion forecast of each job, and logs the jobs that turn late."""
 
 import logging
 from collections.abc import Callable
 from typing import Protocol
 
 from weldhead.calendars.deadline_table import SOON_US
-from weldhead.calendars.formatting import due as due_words
-from weldhead.calendars.formatting import span
+from weldhead.calendars.formatting import due as format_deadline
+from weldhead.calendars.formatting import span as format_duration
 from weldhead.clock import now_us, seconds_us, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
 from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
@@ -20,17 +20,20 @@
 
 
 class LateNotices(Protocol):
-    """What was told of bound jobs, by any term."""
+    """The record of which jobs any term has reported late for their calendar deadline."""
 
     def was_notified(self, job: Job) -> bool:
-        """Whether a job was told late for its instant, or for a later one."""
+        """Whether a job was reported late for its current calendar deadline or a later one."""
 
-    def notify(self, job: Job, words: str) -> None:
-        """Have it said that a job will be late."""
+    def notify(self, job: Job, message: str) -> None:
+        """Record that a job is reported late, and then log the message."""
 
 
 class CompletionForecaster:
-    """Keeps the forecasts; ``stage_us`` estimates a job's own part of its chain."""
+    """Keeps the forecasts of a term's jobs.
+
+    ``stage_us`` estimates the time from a job's release to its end.
+    """
 
     def __init__(
         self, term: Term, loop_budget: EventLoopBudget, stage_us: Callable[[Job], int]
@@ -38,16 +41,17 @@
         self._term = term
         self._loop_budget = loop_budget
         self._stage_us = stage_us
-        #: What was told of bound jobs, and who follows the clocks; None: no calendars here.
+        #: The reported late jobs, and the callback that adjusts calendar deadlines to the steady
+        #: clock and the time of day; None if the controller is configured without documents.
         self.late_notices: LateNotices | None = None
         self.follow_clock: Callable[[int, int], None] | None = None
-        #: Says why a job is held; "": no gate holds it.
+        #: Returns the reason why a gate holds a job; "" if no gate does.
         self.hold_reason: Callable[[Job], str] = lambda job: ""
-        #: Made when first needed, and made anew after a failure.
+        #: Created when first needed, and again after a failure.
         self._forecasts: JobForecasts | None = None
 
     def refresh(self, job: Job) -> None:
-        """Bring a job's forecast up to date for somebody who asks."""
+        """Update a job's forecast, for the answer to a poll."""
         self._current_forecasts().refresh_job(job, now_us())
 
     def _current_forecasts(self) -> JobForecasts:
@@ -65,16 +69,16 @@
         return self._forecasts
 
     async def run(self) -> None:
-        """Forecast each job's finish, and say when one turns late."""
+        """Update the forecasts and log the jobs that turn late; a background task."""
         while True:
             await self._loop_budget.pause(
                 "forecasts", LoopPriority.FORECASTS, self._term.tunables.forecast_period_us
             )
             with self._loop_budget.measure("forecasts"):
-                self.refresh_due(now_us())
+                self.refresh_due_forecasts(now_us())
 
-    def refresh_due(self, at_us: int) -> None:
-        """Bring the forecasts that are due up to date."""
+    def refresh_due_forecasts(self, at_us: int) -> None:
+        """Update the forecasts whose next update is due, and log the jobs that turned late."""
         if self.follow_clock is not None:
             self.follow_clock(at_us, wall_us())
         forecasts = self._current_forecasts()
@@ -82,89 +86,97 @@
             for job in forecasts.refresh(at_us):
                 self._report_if_late(job, at_us)
         except Exception:
-            # It may have lost a job out of its observation: made anew at the next look.
+            # The failure may have lost a job's change notification: the next update starts with
+            # new forecasts of all jobs.
             forecasts.close()
             self._forecasts = None
             raise
 
     def _report_if_late(self, job: Job, at_us: int) -> None:
-        """Log a job that turns late; of a chain, that whose users set the deadline."""
+        """Log a job that turns late.
+
+        In a chain of jobs, this reports the job whose users set the deadline.
+        """
         if job.cancelled:
             return
-        due = due_us(job)
+        job_due_us = due_us(job)
         if job.calendar_deadline is not None:
             self._report_calendar_lateness(job, at_us)
             if job.spec.deadline_s is None:
                 return
-            # Its owner's deadline is told of as that of any other job.
-            due = job.first_seen_us + seconds_us(job.spec.deadline_s)
-        late = due is not None and (
-            at_us > due or (job.expected_finish_us is not None and job.expected_finish_us > due)
+            # The deadline that the job's owner set is reported separately, as for any other job.
+            job_due_us = job.first_seen_us + seconds_us(job.spec.deadline_s)
+        late = job_due_us is not None and (
+            at_us > job_due_us
+            or (job.expected_finish_us is not None and job.expected_finish_us > job_due_us)
         )
         stuck = looks_unable(job) and not job.spec.is_service and not job.unmet_dependencies
-        turned = (late or stuck) and not job.reported_late
-        # Forecasts of a whole chain waver: said once.
+        newly_reported = (late or stuck) and not job.reported_late
+        # The forecast of a whole chain fluctuates, so a job with dependencies is reported once.
         job.reported_late = late or stuck or (job.reported_late and bool(job.spec.needs))
-        if not turned:
+        if not newly_reported:
             return
         if stuck:
-            log.warning("%s looks unable to finish: it fails everywhere", job.id)
+            log.warning("%s looks unable to finish: its tasks fail on every machine tried", job.id)
         elif job.spec.deadline_s is not None:
             stage = holding_up(self._term.cluster, job)
             finish_us = job.expected_finish_us or at_us
             log.warning(
-                "%s will be late: due in %.0f s, forecast in %.0f s; %s%s (%s) has %d of %d "
+                "%s will be late: due in %.0f s, forecast in %.0f s; %s%s (%s): %d of %d "
                 "tasks done",
-                job.id, to_seconds((due or at_us) - at_us), to_seconds(finish_us - at_us),
+                job.id, to_seconds((job_due_us or at_us) - at_us), to_seconds(finish_us - at_us),
                 "" if stage is job else "it waits for ", stage.id, stage.spec.job_class,
                 stage.done, stage.spec.tasks,
             )  # fmt: skip
 
-    # -- bound jobs ------------------------------------------------------------------------
+    # -- jobs with a calendar deadline -----------------------------------------------------
 
     def deadline_standing(self, job: Job, at_us: int) -> DeadlineStanding:
-        """Say how a bound job stands, by its latest forecast, or as it was told last.
+        """Compare a job's latest forecast with its calendar deadline.
 
-        A successor of no history called those unknown that its predecessor had told late.
+        Without enough history for a forecast, a job that any term has reported late stays late:
+        otherwise a new leader reported such jobs as unknown.
         """
-        # Who does not know yet what runs where would take all that runs for waiting.
-        known = self._term.ready and self._term.estimates.has_observations(job)
-        least_us = self._stage_us(job) if job.blocking_gate is not None else 0
-        stands = lateness.standing(job, at_us, has_history=known, least_us=least_us)
+        # Before recovery has ended, running tasks may be unknown and would count as waiting.
+        has_history = self._term.ready and self._term.estimates.has_observations(job)
+        min_remaining_us = self._stage_us(job) if job.blocking_gate is not None else 0
+        standing = lateness.standing(job, at_us, has_history=has_history, least_us=min_remaining_us)
         if (
-            stands is DeadlineStanding.UNKNOWN
+            standing is DeadlineStanding.UNKNOWN
             and self.late_notices is not None
             and self.late_notices.was_notified(job)
         ):
             return DeadlineStanding.LATE
-        return stands
+        return standing
 
     def _report_calendar_lateness(self, job: Job, at_us: int) -> None:
-        """Have it said once, by whichever term, that a bound job will be late."""
-        notes, due_us = self.late_notices, job.calendar_due_us
-        if due_us is None or self.deadline_standing(job, at_us) is not DeadlineStanding.LATE:
+        """Report a job that will miss its calendar deadline, once over all terms."""
+        notices, deadline_us = self.late_notices, job.calendar_due_us
+        if deadline_us is None or self.deadline_standing(job, at_us) is not DeadlineStanding.LATE:
             return
         if not self._term.ready or not self._term.valid:
             return
-        if notes.was_notified(job) if notes is not None else job.reported_late:
+        if notices.was_notified(job) if notices is not None else job.reported_late:
             return
-        job.reported_late = job.reported_late or notes is None
-        forecast_us = job.expected_finish_us
-        expected = "no end in observation"
-        if forecast_us is not None and not job.broken:
-            expected = f"expected {span(max(0, forecast_us - due_us))} after that"
-        boots = self._current_forecasts().boot_forecast()
-        why = lateness.reason(self._term.cluster, job, boots, at_us, self.hold_reason)
-        state = "is late" if at_us > due_us else "will be late"
+        job.reported_late = job.reported_late or notices is None
+        finish_us = job.expected_finish_us
+        expected = "no end can be forecast"
+        if finish_us is not None and not job.broken:
+            expected = f"expected {format_duration(max(0, finish_us - deadline_us))} after that"
+        boot_forecast = self._current_forecasts().boot_forecast()
+        reason = lateness.reason(self._term.cluster, job, boot_forecast, at_us, self.hold_reason)
+        state = "is late" if at_us > deadline_us else "will be late"
         assert job.calendar_deadline is not None
-        words = f"{job.id} {state}: {due_words(job.calendar_deadline)}, {expected}: {why}"
-        if notes is not None:
-            notes.notify(job, words)
+        message = (
+            f"{job.id} {state}: {format_deadline(job.calendar_deadline)}, {expected}: {reason}"
+        )
+        if notices is not None:
+            notices.notify(job, message)
         else:
-            log.warning("%s", words)
+            log.warning("%s", message)
 
     def log_summary(self, at_us: int) -> None:
-        """Log how the bound jobs stand that a new term has found."""
+        """Log how many jobs with calendar deadlines a new term has, and which of them are late."""
         jobs = [
             job for job in self._term.cluster.jobs.values() if job.calendar_deadline is not None
         ]
@@ -173,5 +185,7 @@
         for job in jobs:
             if job.calendar_due_us is not None and job.calendar_due_us - at_us <= SOON_US:
                 self.refresh(job)
-        found = lateness.account(((job, self.deadline_standing(job, at_us)) for job in jobs), at_us)
-        log.info("term %d: %s", self._term.token, found.line())
+        summary = lateness.account(
+            ((job, self.deadline_standing(job, at_us)) for job in jobs), at_us
+        )
+        log.info("term %d: %s", self._term.token, summary.line())
--- a/weldhead/controller/scheduling_loop/preemption_recorder.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -1,9 +1,9 @@
 """Persists which GPU tasks were preempted, so that the next leader restarts them first.
 
-A record is written as soon as a task is preempted (``cluster_state/preemption_history.py``); the
-preemption does not wait for the write. A leader that ends before the write is answered leaves
-evidence: tasks that save their checkpoint when its successor finds them, or that their workers
-list as halted.
+A record is written as soon as a task is preempted
+(``weldhead/cluster_state/preemption_history.py``); the preemption does not wait for the write. If
+a leader's term ends before the write is answered, other evidence remains: tasks that save their
+checkpoint when the successor finds them, or that their workers list as halted.
 """
 
 import contextlib
@@ -25,68 +25,74 @@
 from weldhead.controller.term import Term
 from weldhead.transport.state_client import TransactionRejectedError, decode
 
-#: A task that saves when it is found was stopped no longer ago than this, or is about to end.
-INHERITED_US = SECOND_US
+#: The assumed age of a preemption by an earlier leader, for tasks that are found while they save
+#: their checkpoint: such a task was stopped at most this long ago, or is about to end.
+INHERITED_PREEMPTION_AGE_US = SECOND_US
 
 
 class PreemptedRecord(msgspec.Struct, omit_defaults=True):
-    """Part of what was taken."""
+    """One shard of the preemption history, as stored in the state service."""
 
     rows: list[Row] = []
 
 
-async def load_preemption_history(term: Term, at_us: int, wall: int) -> None:
-    """Read what earlier leaders took and did not see given back; as often as it takes."""
+async def load_preemption_history(term: Term, at_us: int, wall_now_us: int) -> None:
+    """Read the preemption history that earlier leaders recorded; may be repeated.
+
+    ``at_us`` and ``wall_now_us`` are the same moment on the steady clock and as time of day.
+    """
     term.preemption_history.clear()
     async for entries, _ in term.state.pages(PREEMPTED):
         for entry in entries:
             term.state_writer.record_version(entry.key, entry.version)
             record = decode(bytes(entry.value), PreemptedRecord)
-            restore_rows(term.preemption_history, record.rows, term.cluster.jobs, wall - at_us)
+            restore_rows(
+                term.preemption_history, record.rows, term.cluster.jobs, wall_now_us - at_us
+            )
     term.preemption_history.expire(at_us, term.cluster.jobs)
 
 
 class PreemptionRecorder:
-    """Keeps what is taken on record."""
+    """Records preemptions of GPU tasks in the term's history and in the state service."""
 
     def __init__(self, term: Term) -> None:
         self._term = term
-        #: How many changes this has asked for.
+        #: How many record values were built for writing.
         self.writes = 0
-        self._scheduled: set[int] = set()
+        self._scheduled_shards: set[int] = set()
 
     def record(self, attempt: Attempt, at_us: int) -> None:
-        """Note that a task which holds cards is stopped for another."""
+        """Record the preemption of a task that holds GPUs."""
         self._term.preemption_history.record_preemption(attempt, at_us)
-        self._write_soon(shard_of(attempt.job.id))
+        self._schedule_write(shard_of(attempt.job.id))
 
-    def inherit(self, at_us: int) -> None:
-        """Note what an earlier leader stopped last, and may not have written down."""
+    def record_inherited(self, at_us: int) -> None:
+        """Record the last preemptions of an earlier leader, which may not have recorded them."""
         for attempt in list(self._term.cluster.stopping.values()):
             if attempt.job.spec.gpus <= 0 or attempt.job.unwanted or not attempt.adopted:
                 continue
-            known = self._term.preemption_history.of_job(attempt.job.id).get(attempt.index)
-            if attempt.phase is AttemptPhase.SAVING and known is None:
-                self.record(attempt, at_us - INHERITED_US)
+            recorded = self._term.preemption_history.of_job(attempt.job.id).get(attempt.index)
+            if attempt.phase is AttemptPhase.SAVING and recorded is None:
+                self.record(attempt, at_us - INHERITED_PREEMPTION_AGE_US)
 
-    def _write_soon(self, shard: int) -> None:
-        if shard not in self._scheduled:
-            self._scheduled.add(shard)
-            self._term.background_tasks.spawn("taken", self._write(shard))
+    def _schedule_write(self, shard: int) -> None:
+        if shard not in self._scheduled_shards:
+            self._scheduled_shards.add(shard)
+            self._term.background_tasks.spawn("preemption history", self._write(shard))
 
     async def _write(self, shard: int) -> None:
-        """Write a record once, with what has been taken until its turn comes."""
+        """Write a shard once, with all preemptions up to the moment at which it is sent."""
         with contextlib.suppress(LeadershipLostError, TransactionRejectedError):
             await self._term.state_writer.write_latest(
-                preempted_key(shard), lambda: self._record(shard), urgent=True
+                preempted_key(shard), lambda: self._build_record(shard), urgent=True
             )
 
-    def _record(self, shard: int) -> PreemptedRecord:
-        self._scheduled.discard(shard)
+    def _build_record(self, shard: int) -> PreemptedRecord:
+        self._scheduled_shards.discard(shard)
         self.writes += 1
         at_us = now_us()
         self._term.preemption_history.expire(at_us, self._term.cluster.jobs)
-        limit = self._term.settings.facts.state.tightest().value_bytes - 32
+        max_bytes = self._term.settings.facts.state.tightest().value_bytes - 32
         return PreemptedRecord(
-            rows_of(self._term.preemption_history, shard, wall_us() - at_us, limit)
+            rows_of(self._term.preemption_history, shard, wall_us() - at_us, max_bytes)
         )
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""When tasks are placed and stopped: the background tasks around placement and the preemptor."""
+"""The background tasks that place waiting tasks and preempt running ones."""
 
 import asyncio
 import logging
@@ -28,12 +28,13 @@
 
 log = logging.getLogger(__name__)
 
-#: While machines are unknown, placement looks at all waiting jobs: not so often.
-PARTIAL_PAUSE_US = 200 * MILLISECOND_US
+#: Pause between placement passes until recovery has ended. Until then each pass examines all
+#: waiting jobs, so passes are less frequent.
+PARTIAL_VIEW_PAUSE_US = 200 * MILLISECOND_US
 
 
 class SchedulingLoop:
-    """Places tasks and makes room for them."""
+    """Runs placement and preemption for one term, and keeps the state that they share."""
 
     def __init__(
         self, term: Term, dispatcher: CommandDispatcher, loop_budget: EventLoopBudget
@@ -45,15 +46,15 @@
         self.preemption_recorder = PreemptionRecorder(term)
         self._rate_limit = PreemptionRateLimit(term.tunables.recovery.pace())
         self.last_plan = PlacementPlan()
-        #: What placement and forecasts keep in order; made when first needed, and made anew
-        #: after a failure.
+        #: The sorted backlog, the capacity index and the reservations, shared by placement and
+        #: the autoscaler; created when first needed, and again after a failure.
         self.current_input: PlacementInput | None = None
         self._reserver: CapacityReserver | None = None
-        #: What is known while recovery goes on.
+        #: Returns the partial view of the cluster that placement uses until recovery has ended.
         self.partial_view: Callable[[], PartialView] | None = None
 
     def placement_input(self) -> PlacementInput:
-        """Return what placement keeps in order."""
+        """Return the placement input; create it if there is none."""
         if self.current_input is None:
             self.current_input = PlacementInput(
                 self._term.cluster, self._term.estimates, self._term.objectives,
@@ -70,55 +71,58 @@
     def wide_task_forecast(
         self, pending: Iterable[tuple[MachineType, int]], up_us: int
     ) -> WideTaskForecast:
-        """Return which wide tasks will find machines by a time."""
+        """Return the forecast of which wide tasks find a machine by ``up_us``.
+
+        ``pending`` lists machine types that are being rented, each with its count.
+        """
         reservations = (
             self.current_input.reservations if self.current_input is not None else Reservations()
         )
-        least = self._term.tunables.holding.least
+        min_portion = self._term.tunables.holding.least
         return WideTaskForecast(
-            self._term.cluster.machines.values(), pending, reservations, least, up_us
+            self._term.cluster.machines.values(), pending, reservations, min_portion, up_us
         )
 
     def _update_reservations(self, placement_input: PlacementInput, at_us: int) -> None:
-        """Decide what is kept free for wide work; nothing while machines are unknown."""
+        """Update the machines reserved for wide tasks; no change until recovery has ended."""
         if self._reserver is None or not self._term.ready:
             return
-        before = placement_input.reservations
+        previous = placement_input.reservations
         placement_input.reservations = self._reserver.update(
             at_us,
             lambda machine: usable(machine, at_us, self._term.silence_us),
             ((entry.machine, entry.job_id) for entry in self.reclaims.entries()),
         )
-        if placement_input.reservations is not before:
+        if placement_input.reservations is not previous:
             for name, job_id in placement_input.reservations.machines.items():
-                if name not in before.machines:
+                if name not in previous.machines:
                     log.info("machine %s is reserved for job %s", name, job_id)
 
     async def load_backlog(self) -> None:
-        """Put all waiting jobs in order while workers are still being asked what they run."""
+        """Sort all waiting jobs in batches, while recovery still collects the running tasks."""
         backlog = self.placement_input().backlog
-        more = True
-        while more:
-            more = backlog.load_batch(now_us(), LOAD_BATCH_SIZE)
+        has_more = True
+        while has_more:
+            has_more = backlog.load_batch(now_us(), LOAD_BATCH_SIZE)
             await asyncio.sleep(0)
 
     async def run_placement(self) -> None:
-        """Place tasks whenever something has changed; a background task."""
+        """Place tasks whenever a change requires it; a background task."""
         while True:
             await self._term.placement_wanted.wait()
             self._term.placement_wanted.clear()
-            self._place_now()
+            self._place_measured()
             pause_us = self._term.tunables.placement_pause_us
             if not self._term.ready:
-                pause_us = max(pause_us, PARTIAL_PAUSE_US)
+                pause_us = max(pause_us, PARTIAL_VIEW_PAUSE_US)
             await self.loop_budget.pause("placement", LoopPriority.PLACEMENT, pause_us)
 
-    def _place_now(self) -> None:
+    def _place_measured(self) -> None:
         with self.loop_budget.measure("placement"):
             self.place()
 
     def place(self) -> None:
-        """Make one placement pass and see to its starts."""
+        """Run one placement pass and start the tasks that it has placed."""
         if not self._term.valid:
             return
         at_us = now_us()
@@ -137,45 +141,46 @@
                 may_start,
             )
         except Exception:
-            # What it had read of the feeds may be lost with it: made anew at the next pass.
+            # The failed pass may have lost change notifications that it had read: the next pass
+            # creates a new input.
             placement_input.close()
             self.current_input = None
             raise
         self.last_plan = plan
-        touched: dict[str, Machine] = {}
+        machines_by_name: dict[str, Machine] = {}
         for start in plan.starts:
             if self._term.cluster.has_orphan(f"{start.job.id}/{start.index}"):
-                # An attempt that no job counts may still run: its kill may be lost.
+                # An orphaned attempt of the task may still run, since its kill may be lost.
                 continue
             self._term.cluster.start(start.job, start.index, start.machine, at_us)
             self.reclaims.granted(start.job.id, start.machine.name)
-            touched[start.machine.name] = start.machine
+            machines_by_name[start.machine.name] = start.machine
         if plan.starts:
-            log.debug("placed %d tasks on %d machines", len(plan.starts), len(touched))
+            log.debug("placed %d tasks on %d machines", len(plan.starts), len(machines_by_name))
         if self._term.tunables.direct_runs:
-            for machine in touched.values():
+            for machine in machines_by_name.values():
                 self._dispatcher.schedule(machine)
 
     async def run_preemption(self) -> None:
-        """Make room for those who found none; a background task."""
-        self.preemption_recorder.inherit(now_us())
+        """Preempt tasks for waiting tasks that found no capacity; a background task."""
+        self.preemption_recorder.record_inherited(now_us())
         while True:
             await self.loop_budget.pause(
                 "preemptor", LoopPriority.PREEMPTOR, self._term.tunables.preemptor.period_us
             )
             if not self._term.valid:
                 continue
-            self._place_now()
+            self._place_measured()
             with self.loop_budget.measure("preemptor"):
                 self._preempt_for_waiting(now_us())
 
     def _preempt_for_waiting(self, at_us: int) -> None:
-        """Ask for capacity on behalf of those who found none."""
+        """Preempt running tasks for jobs whose tasks found no capacity in the last pass."""
         settings = self._term.tunables.preemptor.settings(self._term.silence_us)
         self._trim_reclaims()
         self._escalate_overdue(settings, at_us)
-        current = self.current_input
-        planned = plan_preemptions(
+        placement_input = self.current_input
+        reclaims = plan_preemptions(
             self._term.cluster,
             self.reclaims,
             self.last_plan,
@@ -183,44 +188,44 @@
             at_us,
             settings,
             self._term.objectives,
-            free=current.capacity_index if current is not None else None,
-            held=current.reservations.machines if current is not None else None,
+            free=placement_input.capacity_index if placement_input is not None else None,
+            held=placement_input.reservations.machines if placement_input is not None else None,
         )
         running = sum(len(job.active) for job in self._term.cluster.active_jobs.values())
         allowed = self._rate_limit.allowed(self._term.ready_us, running, at_us)
-        for reclaim in planned:
+        for reclaim in reclaims:
             if allowed is not None:
                 if allowed <= 0:
-                    # Asked for again at the next run, if it is still wanted then.
+                    # The next run plans this preemption again if it is still needed.
                     self._rate_limit.deferred += 1
                     continue
                 allowed -= len(reclaim.victims)
                 self._rate_limit.record(len(reclaim.victims))
-            self._carry_out(reclaim, at_us)
+            self._execute_reclaim(reclaim, at_us)
 
     def _escalate_overdue(self, settings: PreemptorSettings, at_us: int) -> None:
-        """Kill victims that take too long, and give up requests that bring nothing."""
-        hard, expired = overdue(self.reclaims, at_us, settings)
+        """Kill victims that take too long to stop, and remove reclaims that have expired."""
+        to_kill, expired = overdue(self.reclaims, at_us, settings)
         for entry in expired:
             self.reclaims.remove(entry)
-        for entry in hard:
+        for entry in to_kill:
             entry.hard_kill_us = at_us
             for victim in entry.victims:
                 if victim.job.active.get(victim.index) is victim:
                     self.stop(victim, StopRequest.HARD, at_us, "room, overdue")
 
-    def _carry_out(self, reclaim: Reclaim, at_us: int) -> None:
-        """Enter a request and stop its victims."""
+    def _execute_reclaim(self, reclaim: Reclaim, at_us: int) -> None:
+        """Add a reclaim to its job's list and stop the victims."""
         self.reclaims.add(reclaim)
         claimant = self._term.cluster.jobs[reclaim.job_id]
         for victim in reclaim.victims:
             log.info(
-                "preempting %s (%s, %s) for %s (%s)",
+                "preempting task %s (%s, %s) for job %s (%s)",
                 victim.task,
                 victim.job.spec.priority,
                 victim.job.team,
                 reclaim.job_id,
-                self._who(reclaim.job_id),
+                self._priority_and_team(reclaim.job_id),
             )
             if victim.job.spec.gpus > 0:
                 self.preemption_recorder.record(victim, at_us)
@@ -228,21 +233,21 @@
             self.stop(victim, stop, at_us, "room")
 
     def _trim_reclaims(self) -> None:
-        """Drop requests on behalf of jobs that wait for less than they did."""
+        """Remove the surplus reclaims of jobs that now have fewer waiting tasks."""
         for job_id in self.reclaims.jobs():
             job = self._term.cluster.jobs.get(job_id)
             waiting = 0
             if job is not None and self.current_input is not None:
-                place = self.current_input.backlog.position_of(job_id)
-                waiting = self.last_plan.unplaced.count_of(job, place)
+                position = self.current_input.backlog.position_of(job_id)
+                waiting = self.last_plan.unplaced.count_of(job, position)
             self.reclaims.trim(job_id, waiting)
 
-    def _who(self, job_id: str) -> str:
+    def _priority_and_team(self, job_id: str) -> str:
         job = self._term.cluster.jobs[job_id]
         return f"{job.spec.priority}, {job.team}"
 
     def stop(self, attempt: Attempt, stop: StopRequest, at_us: int, reason: str) -> None:
-        """Ask an attempt to stop, and tell its worker."""
+        """Stop an attempt: release it if it was never sent, otherwise command its worker."""
         machine = self._term.cluster.machines[attempt.machine]
         if request_stop(self._term.cluster, attempt, stop, at_us, reason):
             self._term.placement_wanted.set()
--- a/weldhead/controller/workers/heartbeat_handler.py
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -6,7 +6,7 @@
 from weldhead.cluster_state.machines import Machine
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.leadership.term_recovery import TermRecovery
-from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.completions import CompletionCommitter
 from weldhead.controller.term import Term
 from weldhead.controller.workers.heartbeat_reconciler import (
     HeartbeatEffect,
@@ -29,7 +29,7 @@
     def __init__(
         self,
         term: Term,
-        completions: Completions,
+        completions: CompletionCommitter,
         rental_manager: RentalManager,
         machine_monitor: MachineMonitor,
         reachability: ReachabilityMonitor,
