--- a/tests/controller/requests/test_cancellations_across_leaders.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -1,6 +1,7 @@
-"""Cancellations confirmed elsewhere: whoever keeps a worker's lease knows them, or stops in time.
+"""Cancellations that another leader confirmed: leases of their tasks end within ``cancel_s``.
 
-Times are microseconds. What plays whole sites is in ``test_meet_scenarios.py``.
+A leader that renews a worker's lease either knows the cancellations or stops renewing in time.
+Times are microseconds. Tests of whole sites are in ``tests/emulator/test_meeting_faults.py``.
 """
 
 import asyncio
@@ -39,122 +40,136 @@
 S = 1_000_000
 
 
-# -- the argument, by its numbers ---------------------------------------------------------------
+# -- how long an unloaded term renews leases -----------------------------------------------------
 
 
-class Wrong:
-    """The clocks of one controller: a time of day that is off, and a rate."""
+class InaccurateClocks:
+    """One controller's clocks: a time of day with an offset, and a steady clock that drifts."""
 
-    def __init__(self, off_us: int, drift_ppm: int) -> None:
-        self.off_us, self.drift_ppm = off_us, drift_ppm
+    def __init__(self, offset_us: int, drift_ppm: int) -> None:
+        self.offset_us, self.drift_ppm = offset_us, drift_ppm
 
-    def steady(self, true_us: int) -> int:
+    def to_steady(self, true_us: int) -> int:
         return true_us + true_us * self.drift_ppm // 1_000_000
 
-    def true(self, steady_us: int) -> int:
+    def to_true(self, steady_us: int) -> int:
         return steady_us * 1_000_000 // (1_000_000 + self.drift_ppm)
 
 
 ERROR_US = S
-CLOCKS = st.builds(Wrong, st.integers(-ERROR_US, ERROR_US), st.integers(-500, 500))
+CLOCKS = st.builds(InaccurateClocks, st.integers(-ERROR_US, ERROR_US), st.integers(-500, 500))
 
 
 @given(
-    times=st.sampled_from([(44 * S, 14 * S), (30 * S, 12 * S), (90 * S, 15 * S), (25 * S, 12 * S)]),
-    row=st.lists(st.tuples(CLOCKS, st.integers(0, 20 * S), st.integers(0, 60 * S)), max_size=5),
+    timing=st.sampled_from(
+        [(44 * S, 14 * S), (30 * S, 12 * S), (90 * S, 15 * S), (25 * S, 12 * S)]
+    ),
+    terms=st.lists(st.tuples(CLOCKS, st.integers(0, 20 * S), st.integers(0, 60 * S)), max_size=5),
     worker_ppm=st.integers(-500, 500),
-    first_us=st.integers(0, 15 * S),
+    first_term_delay_us=st.integers(0, 15 * S),
 )
-def test_leases_that_a_row_of_unloaded_terms_keeps_end_in_time(
-    times: tuple[int, int], row: list[tuple[Wrong, int, int]], worker_ppm: int, first_us: int
+def test_leases_kept_by_successive_unloaded_terms_end_in_time(
+    timing: tuple[int, int],
+    terms: list[tuple[InaccurateClocks, int, int]],
+    worker_ppm: int,
+    first_term_delay_us: int,
 ) -> None:
-    """Each answers as long as it may; a successor that began anew would pass ``cancel_s``."""
-    cancel_us, lease_us = times
+    """Leases of cancelled tasks end within ``cancel_s``, however many unloaded terms follow.
+
+    Each term renews leases for as long as it may. Leases would outlast ``cancel_s`` if a
+    successor ignored what its predecessors may have missed.
+    """
+    cancel_us, lease_us = timing
     cancelled_us = 1_000 * S
     lease = lease_us + lease_us * worker_ppm // 1_000_000
-    # A report sent just before the confirmation was answered without the kill.
-    over_us = cancelled_us + lease
+    # The answer to a heartbeat just before the confirmation renews the lease without a kill.
+    lease_end_us = cancelled_us + lease
     inherited: int | None = None
-    at_us = cancelled_us + first_us
-    for clocks, lasts_us, pause_us in row:
-        if at_us > over_us:
+    at_us = cancelled_us + first_term_delay_us
+    for clocks, duration_us, pause_us in terms:
+        if at_us > lease_end_us:
             break
-        wall_us = at_us + clocks.off_us
-        until_us = clocks.true(
+        wall_us = at_us + clocks.offset_us
+        until_us = clocks.to_true(
             answers_until_us(
-                clocks.steady(at_us), wall_us, inherited, cancel_us, lease_us, ERROR_US
+                clocks.to_steady(at_us), wall_us, inherited, cancel_us, lease_us, ERROR_US
             )
         )
         inherited = earliest_missed(wall_us, lease_us, inherited)
-        # It wins a moment after it stood, and ends or loses the store's view at any time.
-        last_us = min(at_us + lasts_us, until_us)
+        # The term begins just after its campaign, and may end at any time.
+        last_us = min(at_us + duration_us, until_us)
         if last_us > at_us:
-            over_us = max(over_us, last_us + lease)
-        at_us += lasts_us + pause_us
-    assert over_us <= cancelled_us + cancel_us
-
-
-def test_a_load_of_seconds_costs_nobody_a_lease_and_short_times_are_told() -> None:
-    alone = answers_until_us(100 * S, 0, None, 44 * S, 14 * S, S)
-    assert 115 * S < alone < 116 * S
-    # The row before it began ten seconds earlier, by clocks that may both be wrong by one.
-    later = answers_until_us(100 * S, 50 * S, 50 * S - 24 * S, 44 * S, 14 * S, S)
-    assert later == 100 * S - 26 * S + span_us(44 * S, 14 * S)
+            lease_end_us = max(lease_end_us, last_us + lease)
+        at_us += duration_us + pause_us
+    assert lease_end_us <= cancelled_us + cancel_us
+
+
+def test_leases_survive_a_short_load_and_short_times_are_named() -> None:
+    single_term_us = answers_until_us(100 * S, 0, None, 44 * S, 14 * S, S)
+    assert 115 * S < single_term_us < 116 * S
+    # Earlier terms may have missed cancellations since ten seconds earlier, by two clocks that
+    # may each be off by one second.
+    second_term_us = answers_until_us(100 * S, 50 * S, 50 * S - 24 * S, 44 * S, 14 * S, S)
+    assert second_term_us == 100 * S - 26 * S + span_us(44 * S, 14 * S)
     assert shortfall(44 * S, 14 * S) == ""
     assert "before it has read the jobs" in shortfall(20 * S, 14 * S)
     assert "may last 14 s" in shortfall(10 * S, 14 * S)
 
 
-# -- a term that is not loaded -------------------------------------------------------------------
+# -- a term that has not read the records --------------------------------------------------------
 
 
-def busy_worker(task: str = "run-000001/0") -> StandInWorker:
+def worker_with_task(task: str = "run-000001/0") -> StandInWorker:
     worker = StandInWorker("vm-000001", 4.0)
     worker.tasks[task] = StandInTask(77, "running")
     return worker
 
 
-def test_an_unloaded_term_lets_leases_run_out_of_which_it_knows_nothing(clock: Clock) -> None:
-    """In an outage it kept all leases, with tasks that an earlier leader had told cancelled."""
+def test_unloaded_term_stops_renewing_leases_with_tasks(clock: Clock) -> None:
+    """Only leases of workers without live tasks are renewed after ``answers_until_us``.
+
+    In an outage an unloaded leader renewed all leases, also those of tasks whose cancellation an
+    earlier leader had confirmed.
+    """
     leader = leader_of(StandInState(), clock(), answers_until_us=clock() + 5 * S)
-    busy, idle = busy_worker(), StandInWorker("vm-000002", 4.0)
-    ended = busy_worker()
+    busy, idle = worker_with_task(), StandInWorker("vm-000002", 4.0)
+    ended = worker_with_task()
     ended.name, ended.tasks["run-000001/0"].state = "vm-000003", "ended"
     assert all(report(leader, worker, clock()) for worker in (busy, idle, ended))
     clock.us += 5 * S
     assert [report(leader, w, clock()) for w in (busy, idle, ended)] == [False, True, True]
-    # Its lease is over: it has nothing to hide.
+    # The worker's lease has expired, so its tasks are gone and it may be answered.
     busy.expire()
     assert report(leader, busy, clock())
 
 
-def test_what_was_read_and_is_wanted_is_kept_though_the_rest_cannot_be_read(clock: Clock) -> None:
+def test_partly_loaded_term_renews_leases_of_known_wanted_jobs(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1))
     put_job(state, job_spec(2), cancelled=True)
     leader = leader_of(state, clock(), answers_until_us=clock() - S)
-    wanted, cancelled, unread = (busy_worker(f"run-00000{n}/0") for n in (1, 2, 3))
+    wanted, cancelled, unread = (worker_with_task(f"run-00000{n}/0") for n in (1, 2, 3))
     assert not report(leader, wanted, clock())
     pages = state.pages
 
-    def down(prefix: str) -> Any:
+    def failing_pages(prefix: str) -> Any:
         if prefix != "t/" and prefix != "p/":
             return pages(prefix)
         raise CallError("503")
 
-    state.__dict__["pages"] = down
+    state.__dict__["pages"] = failing_pages
     with pytest.raises(CallError):
         asyncio.run(leader.recovery.load())
     assert not leader.loaded
     assert [report(leader, w, clock()) for w in (wanted, cancelled, unread)] == [True, False, False]
 
 
-def test_what_is_not_answered_counts_no_lease_and_is_known_once_loaded(clock: Clock) -> None:
+def test_unanswered_heartbeat_renews_no_lease_but_is_buffered(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1))
     put_machine(state, "vm-000001")
     leader = leader_of(state, clock(), answers_until_us=clock() + S)
-    worker = busy_worker()
+    worker = worker_with_task()
     assert report(leader, worker, clock())
     answered_us = clock()
     clock.us += 2 * S
@@ -165,33 +180,31 @@
     assert machine.lease_from_us == answered_us and set(machine.attempts) == set(worker.tasks)
 
 
-def test_what_runs_on_a_machine_of_no_record_is_ended_by_the_answer(clock: Clock) -> None:
-    """The answer renewed its lease, and what ran there counted for nobody."""
+def test_tasks_on_an_unrecorded_machine_are_killed(clock: Clock) -> None:
+    """The answer renewed the lease of such a machine, and its tasks counted for no team."""
     leader = new_leader(StandInState(), clock())
-    worker = busy_worker()
+    worker = worker_with_task()
     assert report(leader, worker, clock())
     assert worker.live() == set()
 
 
 @pytest.mark.parametrize("crowded", [False, True])
-def test_a_report_from_before_the_term_is_not_answered_without_the_kills(
-    clock: Clock, crowded: bool
-) -> None:
-    """What waits until a machine shows the token is what may go on, not what must end."""
+def test_worker_with_an_old_token_is_sent_the_kills(clock: Clock, crowded: bool) -> None:
+    """Only starts wait until a worker has seen the term's token; kills do not."""
     state = StandInState()
     put_job(state, job_spec(1, cpus=9.0 if crowded else 2.0), cancelled=True)
     put_machine(state, "vm-000001")
-    leader, worker = new_leader(state, clock()), busy_worker()
+    leader, worker = new_leader(state, clock()), worker_with_task()
     worker.token = leader.token - 1
     assert report(leader, worker, clock())
     assert worker.live() == set()
 
 
-def test_an_overtaken_report_is_not_answered_without_the_kills(clock: Clock) -> None:
+def test_overtaken_heartbeat_is_answered_with_the_kills(clock: Clock) -> None:
     state = StandInState()
     put_job(state, job_spec(1), cancelled=True)
     put_machine(state, "vm-000001")
-    leader, worker = new_leader(state, clock()), busy_worker()
+    leader, worker = new_leader(state, clock()), worker_with_task()
     machine = leader.cluster.machines["vm-000001"]
     overtaken = worker.report()
     _, shown = worker.direct(leader.token, 1, [])
@@ -202,26 +215,34 @@
     assert worker.live() == set()
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(10):
-        while not holds():  # noqa: ASYNC110
+        while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
 
 
-# -- a write whose outcome is in doubt -----------------------------------------------------------
+# -- a write without an answer -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("applied", [True, False])
-def test_tasks_stop_when_the_user_asks_whatever_becomes_of_the_write(
+def test_tasks_stop_before_their_cancellation_is_committed(
     clock: Clock, monkeypatch: pytest.MonkeyPatch, applied: bool
 ) -> None:
-    """Applied and unanswered, the store said withdrawn while the tasks ran on for the outage."""
+    """Tasks stop when the cancellation is requested, also if its write is never answered.
+
+    If the write was applied but not answered, the store reported the job as withdrawn while its
+    tasks ran until the outage ended.
+    """
     monkeypatch.setattr("weldhead.controller.leadership.leader.CANCEL_WAIT_US", 0)
     state = StandInState()
     put_job(state, job_spec(1))
     put_machine(state, "vm-000001")
     put_machine(state, "vm-000002")
-    leader, worker, other = new_leader(state, clock()), busy_worker(), busy_worker("run-000001/1")
+    leader, worker, other = (
+        new_leader(state, clock()),
+        worker_with_task(),
+        worker_with_task("run-000001/1"),
+    )
     other.name = "vm-000002"
     for _ in range(2):
         report(leader, worker, clock())
@@ -229,72 +250,78 @@
 
     async def outage() -> None:
         state.fates = ["unanswered" if applied else "lost"] + ["refused"] * 1_000
-        ledger = asyncio.create_task(leader.state_writer.run())
+        writer_task = asyncio.create_task(leader.state_writer.run())
         with pytest.raises(NotReadyError):
             await leader.cancel(job.id)
         for _ in range(20):
             await asyncio.sleep(0)
         assert msgspec.convert(state.keys[job_key(job.id)][0], JobRecord).cancelled == applied
-        # It is not told, and nothing of it is kept, started, or taken for wanted later.
+        # The cancellation is not confirmed, but the job's tasks are stopped and none is started.
         assert leader.status(job.id).state != "withdrawn"  # type: ignore[union-attr]
         assert job.waiting == 0
-        for late in (worker, other):
-            answer = leader.handle_heartbeat(late.report(), clock(), relayed=False)
+        for running_worker in (worker, other):
+            answer = leader.handle_heartbeat(running_worker.report(), clock(), relayed=False)
             assert answer is not None
-            late.answered(answer)
-            assert late.live() == set()
+            running_worker.answered(answer)
+            assert running_worker.live() == set()
         assert all(a.stop_request is StopRequest.HARD for a in job.active.values())
         leader.state_writer.close()
-        ledger.cancel()
+        writer_task.cancel()
 
     asyncio.run(outage())
 
 
-def test_a_cancellation_and_an_end_that_meet_are_one_after_the_other(
+def test_simultaneous_cancellation_and_end_are_serialized(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Both found that nothing of the job was being written: told withdrawn, it ended as done."""
+    """A job ended as done after its cancellation was confirmed, since both writes ran at once."""
     state = StandInState()
     put_job(state, job_spec(1, tasks=1))
     leader = new_leader(state, clock())
     job = leader.cluster.jobs["run-000001"]
     job.complete_waiting(0)
-    met: list[asyncio.Task[None]] = []
+    cancellations: list[asyncio.Task[None]] = []
 
-    def meet(jobs: list[Job], part: Any) -> list[Job]:
-        # Of one turn of the loop: asked for just before, and about to be written.
-        met.append(
+    def cancel_before_selection(jobs: list[Job], team_of: Any) -> list[Job]:
+        # Starts the cancellation in the same loop iteration, just before the end is written.
+        cancellations.append(
             asyncio.get_running_loop().create_task(leader.completions._commit_cancellation(job))
         )
-        return round_robin(jobs, part)
+        return round_robin(jobs, team_of)
 
-    monkeypatch.setattr("weldhead.controller.requests.completions.round_robin", meet)
+    monkeypatch.setattr(
+        "weldhead.controller.requests.completions.round_robin", cancel_before_selection
+    )
 
     async def scenario() -> None:
-        ledger = asyncio.create_task(leader.state_writer.run())
+        writer_task = asyncio.create_task(leader.state_writer.run())
         leader.completions.start()
         leader.term.commit_wanted.set()
-        await until(lambda: final_key(job.id) in state.keys)
-        await met[0]
-        ledger.cancel()
+        await wait_until(lambda: final_key(job.id) in state.keys)
+        await cancellations[0]
+        writer_task.cancel()
         await leader.close()
 
     asyncio.run(scenario())
     assert (state.keys[final_key(job.id)][0]["status"], job.cancelled) == ("done", False)
 
 
-def test_a_cancelled_job_is_not_ended_before_all_machines_have_shown_its_tasks(
+def test_cancelled_job_ends_only_after_its_tasks_are_known(
     clock: Clock,
 ) -> None:
-    """Off the record, what it still used counted for nobody: its team could start as much."""
+    """A cancelled job must not end before all machines have reported its tasks.
+
+    When the job's record was removed earlier, the resources that its tasks still used counted
+    for no team, and the team could start the same amount again.
+    """
     state = StandInState()
     put_job(state, job_spec(1), cancelled=True)
     put_machine(state, "vm-000001")
-    leader, worker = new_leader(state, clock()), busy_worker()
+    leader, worker = new_leader(state, clock()), worker_with_task()
 
-    async def ends() -> None:
+    async def end_scenario() -> None:
         leader.completions.start()
-        ledger = asyncio.create_task(leader.state_writer.run())
+        writer_task = asyncio.create_task(leader.state_writer.run())
         leader.term.commit_wanted.set()
         await asyncio.sleep(0.1)
         assert final_key("run-000001") not in state.keys
@@ -309,21 +336,21 @@
         leader.handle_heartbeat(worker.report(), clock(), relayed=False)
         assert leader.cluster.usage["red"].cpus == 0.0
         await leader.recovery.finish(lambda: None)
-        await until(lambda: final_key("run-000001") in state.keys)
-        ledger.cancel()
+        await wait_until(lambda: final_key("run-000001") in state.keys)
+        writer_task.cancel()
         await leader.close()
 
-    asyncio.run(ends())
+    asyncio.run(end_scenario())
 
 
-# -- from term to term ---------------------------------------------------------------------------
+# -- successive terms ----------------------------------------------------------------------------
 
 
-def test_what_terms_may_have_missed_is_handed_on_until_one_has_seen_to_it(
+def test_unsettled_start_is_inherited_until_a_term_settles(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each unloaded term counted anew from its own beginning."""
-    # The test does what its background tasks would do, in its own time.
+    """Each unloaded term counted from its own beginning instead of the first unsettled term's."""
+    # The test itself runs the steps of the leader's background tasks.
     monkeypatch.setattr(Leader, "start", lambda self: None)
     state = StandInState()
     state.__dict__["grant"] = lambda ttl_us: asyncio.sleep(0, state.store.grant(ttl_us // 1_000, 0))
@@ -342,26 +369,26 @@
         until_us = leader.term.answer_unloaded_until_us - stood_us
         from_us: int = state.keys[UNSETTLED_KEY][0]["from_us"]
         assert state.keys[UNSETTLED_KEY][1] == leader.token == state.keys[LEADER_KEY][1]
-        if settles:
+        if settle:
             await leader.recovery.load()
             leader._check_known()
-            ledger = asyncio.create_task(leader.state_writer.run())
+            writer_task = asyncio.create_task(leader.state_writer.run())
             await leader.recovery.finish(lambda: None)
             await leader.recovery.clear_unsettled()
-            ledger.cancel()
+            writer_task.cancel()
             assert UNSETTLED_KEY not in state.keys
         await leader.close()
         await node._background_tasks.close()
         return until_us, from_us
 
-    settles = False
-    alone_us, first = asyncio.run(term())
-    inherited_us, second = asyncio.run(term())
-    assert second == first
-    # Two clocks may be wrong.
-    assert inherited_us < alone_us - S
-    settles = True
-    assert asyncio.run(term())[1] == first
-    settles = False
-    again_us, third = asyncio.run(term())
-    assert third > first and abs(again_us - alone_us) < S // 2
+    settle = False
+    single_until_us, first_from_us = asyncio.run(term())
+    inherited_until_us, second_from_us = asyncio.run(term())
+    assert second_from_us == first_from_us
+    # The inherited time allows for the errors of two clocks.
+    assert inherited_until_us < single_until_us - S
+    settle = True
+    assert asyncio.run(term())[1] == first_from_us
+    settle = False
+    settled_until_us, third_from_us = asyncio.run(term())
+    assert third_from_us > first_from_us and abs(settled_until_us - single_until_us) < S // 2
--- a/tests/controller/requests/test_fair_polls.py
+++ b/tests/controller/requests/test_fair_polls.py
@@ -1,7 +1,7 @@
-"""More is asked than a small store answers, and no leader has read the jobs: nobody is forgotten.
+"""Polls are answered fairly when the store is too slow for all and no leader has read the jobs.
 
-Five real controllers on the emulator's network and store; each job's user reaches another one
-each time.
+The test runs five real controllers on the emulator's network and store. Each poll of a job goes to
+a random controller.
 """
 
 import asyncio
@@ -16,22 +16,22 @@
 from weldhead.emulator.scenario import JobClass, Scenario, ScenarioTeam
 from weldhead.tunables.defaults import Tunables
 
-JOBS, STORE_RPS, SECONDS = 300, 20.0, 160.0
+JOBS, STORE_RPS, DURATION_S = 300, 20.0, 160.0
 
 
 async def _never(_: TermRecovery) -> None:
-    """The jobs are not read: the leader has no memory to answer from."""
+    """Replace the loading of the jobs, so that the leader cannot answer polls from memory."""
     await asyncio.Event().wait()
 
 
-def test_each_job_is_answered_about_while_no_leader_has_read_the_jobs() -> None:
-    """Each of the five counted for itself how long a job waits: some waited for 118 s."""
+def test_no_job_starves_while_polls_exceed_the_store_rate() -> None:
+    """When each controller tracked waiting jobs by itself, some polls failed for 118 s."""
     job = JobClass("one", "red", 0.0, tasks=1, run_s=1_000.0, cpus=0.1, initial=0)
     scenario = Scenario(
         "fair-polls", [ScenarioTeam("red", 8.0, 40.0)], [job], controllers=5, machines=4,
         store_rps=STORE_RPS, store_write_rps=10.0, stored_jobs=JOBS,
     )  # fmt: skip
-    chance, over_s = random.Random(1), BEGIN_S + SECONDS
+    rng, end_s = random.Random(1), BEGIN_S + DURATION_S
     with simulated() as loop, patch.object(TermRecovery, "load_until_done", _never):
         experiment = Experiment(loop, scenario, 1, Tunables())
         users, addresses = experiment.users, list(experiment.addresses.values())
@@ -39,32 +39,36 @@
         answered_s: dict[str, list[float]] = {}
 
         async def poll(name: str) -> None:
-            address = chance.choice(addresses)
+            address = rng.choice(addresses)
             answer = await users._call("GET", address, f"/submissions/{name}", b"", 2.0)
             if answer is not None and answer.status == 200:
                 answered_s[name].append(loop.true_s)
 
         async def follow(name: str) -> None:
-            await asyncio.sleep(10.0 + chance.uniform(0, 5))
+            await asyncio.sleep(10.0 + rng.uniform(0, 5))
             answered_s[name] = [loop.true_s]
             polls = []
-            while loop.true_s < over_s:
+            while loop.true_s < end_s:
                 polls.append(asyncio.create_task(poll(name)))
-                await asyncio.sleep(chance.uniform(4, 6))
+                await asyncio.sleep(rng.uniform(4, 6))
             await asyncio.gather(*polls)
             answered_s[name].append(loop.true_s)
 
-        async def ask() -> None:
+        async def poll_all_jobs() -> None:
             await asyncio.gather(*(follow(name) for name in experiment.checker.jobs))
 
         async def run() -> None:
             for controller in experiment.controllers:
                 controller.start()
-            await loop.spawn(users.life, ask)
+            await loop.spawn(users.life, poll_all_jobs)
 
         loop.run_until_complete(run())
-    longest_s = max(b - a for times in answered_s.values() for a, b in itertools.pairwise(times))
+    longest_s = max(
+        later_s - earlier_s
+        for times in answered_s.values()
+        for earlier_s, later_s in itertools.pairwise(times)
+    )
     assert len(answered_s) == JOBS
-    # More was asked than answered: it came about.
-    assert sum(len(times) for times in answered_s.values()) < JOBS * SECONDS / 5 / 2
+    # The store was overloaded: fewer than half of the polls were answered.
+    assert sum(len(times) for times in answered_s.values()) < JOBS * DURATION_S / 5 / 2
     assert longest_s < FORGOTTEN_IN_CALM_US / 1e6
--- a/tests/controller/requests/test_requests.py
+++ b/tests/controller/requests/test_requests.py
@@ -1,4 +1,4 @@
-"""The users' side over HTTP on loopback, with a stand-in for the state service."""
+"""Request handlers with a stand-in for the state service, and the HTTP server on loopback."""
 
 import asyncio
 import socket
@@ -17,16 +17,16 @@
 from weldhead.transport.http_server import HttpServer, Response
 
 
-async def responded(call: Awaitable[Response]) -> Response:
+async def await_response(call: Awaitable[Response]) -> Response:
     return await call
 
 
-def test_a_job_is_created_once_and_known_ever_after() -> None:
+def test_repeated_submission_and_poll_know_an_accepted_job() -> None:
     state = StandInState()
     assert run(desk(state).submit(GOOD_BODY)) == (201, {"uid": JOB, "status": "pending"})
     assert run(desk(state).submit(GOOD_BODY)) == (200, {"uid": JOB, "status": "pending"})
     assert run(desk(state).poll(JOB))[0] == 200
-    # Over: it has moved, and is neither new nor unknown.
+    # When the job is over, its record moves to another key. The job is still known.
     state.delete(job_key(JOB))
     state.put(final_key(JOB), FinalRecord("done", 16))
     assert run(desk(state).submit(GOOD_BODY)) == (
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("fate", ["refused", "lost", "late", "unanswered"])
-def test_without_an_answer_from_the_store_nothing_is_promised(fate: str) -> None:
+def test_unanswered_store_write_makes_the_submission_a_503(fate: str) -> None:
     state = StandInState()
     state.fates = [fate]
     assert run(desk(state).submit(GOOD_BODY))[0] == 503
@@ -46,18 +46,18 @@
     assert run(desk(state).poll(JOB))[0] == 200
 
 
-def test_unknown_jobs_are_404_by_the_stores_word() -> None:
+def test_poll_of_a_job_that_is_not_stored_is_a_404() -> None:
     assert run(desk(StandInState()).poll("run-999999"))[0] == 404
     assert run(desk(StandInState()).poll("nonsense"))[0] == 404
 
 
-def test_undecidable_without_machine_types() -> None:
+def test_submission_without_machine_types_is_a_503() -> None:
     node = StandInNode()
     node.catalog = []
     assert run(desk(StandInState(), node).submit(GOOD_BODY))[0] == 503
 
 
-def test_impossible_jobs_are_422_unless_they_were_accepted_before() -> None:
+def test_invalid_job_is_a_422_unless_accepted_before() -> None:
     state = StandInState()
     body = msgspec.json.encode(GOOD | {"owner": "nobody"})
     assert run(desk(state).submit(body)) == (422, {"error": "unknown team", "field": "owner"})
@@ -65,34 +65,34 @@
     assert run(desk(state).submit(body))[0] == 200
 
 
-def test_a_node_that_is_alone_answers_at_once_and_sends_users_on() -> None:
+def test_isolated_controller_closes_connections_with_a_503() -> None:
     state, node = StandInState(), StandInNode()
-    front = desk(state, node)
-    assert run(front.submit(GOOD_BODY))[0] == 201
+    handler = desk(state, node)
+    assert run(handler.submit(GOOD_BODY))[0] == 201
     state.delete(job_key(JOB))
     state.put(final_key(JOB), FinalRecord("done", 16))
-    assert run(front.poll(JOB))[0] == 200
+    assert run(handler.poll(JOB))[0] == 200
     node.isolated = True
-    for call in (front.submit(OTHER_BODY), front.poll("run-000413"), front.cancel(JOB)):
-        answer = asyncio.run(responded(call))
+    for call in (handler.submit(OTHER_BODY), handler.poll("run-000413"), handler.cancel(JOB)):
+        answer = asyncio.run(await_response(call))
         assert (answer.status, answer.retry_after_s, answer.close) == (503, 1, True)
-    # What never changes is told all the same.
-    assert run(front.poll(JOB))[1]["status"] == "done"
-    assert run(front.submit(GOOD_BODY))[0] == 200
+    # Final records never change, so an isolated controller still reports them.
+    assert run(handler.poll(JOB))[1]["status"] == "done"
+    assert run(handler.submit(GOOD_BODY))[0] == 200
 
 
-def test_a_repeated_submission_is_known_also_when_no_more_are_taken() -> None:
-    """Its user was asked to come back, again and again, as long as others submitted much."""
+def test_rate_limited_repeated_submission_asks_the_leader() -> None:
+    """A follower refused repeated submissions for as long as others submitted many jobs."""
     node = StandInNode()
-    front = desk(StandInState(), node)
-    front.submissions.limiter.admit = lambda *_: 7  # type: ignore[method-assign]
-    assert run(front.submit(GOOD_BODY))[0] == 503
+    handler = desk(StandInState(), node)
+    handler.submissions.limiter.admit = lambda *_: 7  # type: ignore[method-assign]
+    assert run(handler.submit(GOOD_BODY))[0] == 503
     node.others["known"] = Response(200, b"{}")
-    assert run(front.submit(GOOD_BODY))[0] == 200
+    assert run(handler.submit(GOOD_BODY))[0] == 200
 
 
-def test_a_job_whose_status_fails_in_memory_is_read_from_the_store() -> None:
-    """One job that brings out a bug was never answered by its leader."""
+def test_failing_status_from_memory_is_read_from_the_store() -> None:
+    """A leader never answered the polls of a job whose status triggered a bug."""
 
     class Leader:
         def status(self, job_id: str) -> None:
@@ -102,26 +102,30 @@
             pass
 
     node = StandInNode()
-    front = desk(StandInState(), node)
-    assert run(front.submit(GOOD_BODY))[0] == 201
+    handler = desk(StandInState(), node)
+    assert run(handler.submit(GOOD_BODY))[0] == 201
     node.leader = cast(Any, Leader())
-    assert run(front.poll(JOB))[0] == 200
+    assert run(handler.poll(JOB))[0] == 200
 
 
-def test_a_term_that_began_before_a_submission_was_answered_does_not_take_it_up() -> None:
-    """Cancelled and ended by the leader before, it was entered as waiting, and ran."""
-    state, node, taken = StandInState(), StandInNode(), list[str]()
+def test_term_that_begins_during_a_submission_skips_the_job() -> None:
+    """A new term must not add a job that was accepted before the term began.
+
+    The job had been cancelled and ended by the previous leader before the submission's answer
+    arrived. The new leader added the job as waiting, and its tasks ran.
+    """
+    state, node, created = StandInState(), StandInNode(), list[str]()
     transact = state.transact
 
     class Leader:
         def status(self, job_id: str) -> None:
-            """It is over: no term keeps it in memory."""
+            """Return None: the job is over and in no term's memory."""
 
         def job_created(self, record: Any, version: int) -> None:
-            taken.append(record.spec.id)
+            created.append(record.spec.id)
 
-    async def answered_late(*args: Any, **more: Any) -> int:
-        revision = await transact(*args, **more)
+    async def answered_late(*args: Any, **options: Any) -> int:
+        revision = await transact(*args, **options)
         state.delete(job_key(JOB))
         state.put(final_key(JOB), FinalRecord("withdrawn", 0))
         node.leader = cast(Any, Leader())
@@ -129,42 +133,43 @@
 
     state.transact = answered_late  # type: ignore[method-assign]
     assert run(desk(state, node).submit(GOOD_BODY))[0] == 201
-    assert taken == []
+    assert created == []
 
 
-def test_what_is_over_is_read_once_and_a_long_chain_gets_further_each_time() -> None:
+def test_finished_dependencies_are_read_only_once() -> None:
+    """Retries of a job with many dependencies succeed although reads fail in between."""
     state = StandInState()
-    front = desk(state)
+    handler = desk(state)
     names = [f"run-{n:06}" for n in range(500, 540)]
     for name in names:
         state.put(final_key(name), FinalRecord("done", 1))
     body = msgspec.json.encode(GOOD | {"waits_on": names})
-    read: list[str] = []
+    read_keys: list[str] = []
     get = state.get
 
-    async def limited(key: str, **more: Any) -> Any:
-        read.append(key)
-        if len(read) % 60 == 0:
+    async def failing_get(key: str, **options: Any) -> Any:
+        read_keys.append(key)
+        if len(read_keys) % 60 == 0:
             raise CallError("enough")
-        return await get(key, **more)
+        return await get(key, **options)
 
-    state.get = limited  # type: ignore[method-assign]
-    answers = [run(front.submit(body))[0] for _ in range(3)]
+    state.get = failing_get  # type: ignore[method-assign]
+    answers = [run(handler.submit(body))[0] for _ in range(3)]
     assert answers[0] == 503 and 201 in answers
-    assert len(read) < 160
+    assert len(read_keys) < 160
 
 
-def test_cancellations_need_a_leader() -> None:
+def test_cancellation_without_a_leader_is_a_503() -> None:
     assert run(desk(StandInState()).cancel(JOB))[0] == 503
 
 
 async def with_server(
-    visit: Callable[[aiohttp.ClientSession, str, list[tuple[str, str, bytes]]], Awaitable[None]],
+    exchange: Callable[[aiohttp.ClientSession, str, list[tuple[str, str, bytes]]], Awaitable[None]],
 ) -> None:
-    seen: list[tuple[str, str, bytes]] = []
+    received: list[tuple[str, str, bytes]] = []
 
     async def handle(method: str, path: str, body: bytes) -> Response:
-        seen.append((method, path, body))
+        received.append((method, path, body))
         if path == "/broken":
             raise RuntimeError("a bug")
         return Response(200, b"{}")
@@ -175,33 +180,33 @@
     await server.start(address)
     try:
         async with aiohttp.ClientSession() as session:
-            await visit(session, f"http://{address}", seen)
+            await exchange(session, f"http://{address}", received)
     finally:
         await server.close()
 
 
-def test_bodies_over_the_limit_are_malformed_and_not_read() -> None:
+def test_body_over_the_size_limit_is_a_400_and_not_handled() -> None:
     async def chunks() -> Any:
         for _ in range(3):
             yield b"x" * 40_000
 
-    async def visit(session: aiohttp.ClientSession, base: str, seen: list[Any]) -> None:
+    async def exchange(session: aiohttp.ClientSession, base: str, received: list[Any]) -> None:
         for body in (b"x" * 65_537, chunks()):
             async with session.post(f"{base}/submissions", data=body) as answer:
                 assert answer.status == 400
                 assert "65536" in (await answer.json())["error"]
-        assert seen == []
+        assert received == []
         async with session.post(f"{base}/submissions", data=b"x" * 65_536) as answer:
             assert answer.status == 200
-        assert len(seen[0][2]) == 65_536
+        assert len(received[0][2]) == 65_536
 
-    asyncio.run(with_server(visit))
+    asyncio.run(with_server(exchange))
 
 
-def test_a_bug_is_a_503_with_retry_after() -> None:
-    async def visit(session: aiohttp.ClientSession, base: str, seen: list[Any]) -> None:
+def test_exception_in_a_handler_is_a_503_with_retry_after() -> None:
+    async def exchange(session: aiohttp.ClientSession, base: str, received: list[Any]) -> None:
         async with session.get(f"{base}/broken") as answer:
             assert answer.status == 503
             assert answer.headers["Retry-After"] == "1"
 
-    asyncio.run(with_server(visit))
+    asyncio.run(with_server(exchange))
