--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -561,7 +561,8 @@
     assert (middle.effective_level, middle.inherited_due_us) == (2, (100 * S - rest_us,))
     rest_us += round(1.25 * 20 * S) + 2 * S
     assert (first.effective_level, first.inherited_due_us) == (2, (100 * S - rest_us,))
-    # The inherited deadline makes the job urgent; its own deadline is more than a minute away.
+    # The inherited deadline makes the job urgent; without it, the job could wait for more than a
+    # minute.
     objectives = ServiceLevelObjectives([])
     task_us = RunTimeEstimates().task_us(first)
     assert objectives.urgency_of(first, task_us, 10 * S, 45 * S) is Urgency.PRESSING
