--- a/tests/controller/leadership/test_peer_directory.py
+++ b/tests/controller/leadership/test_peer_directory.py
@@ -129,7 +129,7 @@
         for number in range(40):
             job_id = f"run-{number:06}"
             requests_before = {name: len(link.asked) for name, link in links.items()}
-            answer = asyncio.run(directory.ask_home(job_id))
+            answer = asyncio.run(directory.ask_poll_owner(job_id))
             asked = [
                 name for name, link in links.items() if len(link.asked) > requests_before[name]
             ]
--- a/tests/controller/leadership/test_term_recovery.py
+++ b/tests/controller/leadership/test_term_recovery.py
@@ -255,9 +255,9 @@
         for _ in range(2):
             with pytest.raises(NotReadyError):
                 await leader.cancel(job.id)
-        assert not job.cancelled and len(leader.completions.cancelling) == 1
+        assert not job.cancelled and len(leader.completions.pending_cancellations) == 1
         commit.set_result(99)
-        await asyncio.gather(*leader.completions.cancelling.values())
+        await asyncio.gather(*leader.completions.pending_cancellations.values())
         answer = await leader.cancel(job.id)
         assert answer is not None and answer.state == "withdrawn"
         assert (job.cancelled, job.version, job.waiting) == (True, 99, 0)
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -22,7 +22,7 @@
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.leadership.term_recovery import RecoveryParts, TermRecovery
 from weldhead.controller.loop_budget import EventLoopBudget
-from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.completions import CompletionCommitter
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.requests.job_status import JobStatusReporter
 from weldhead.controller.requests.job_watcher import JobWatcher
@@ -70,13 +70,13 @@
             term, self._apply_command_answer, self._record_unanswered_command
         )
         self.job_dependencies = JobDependencies(term, self._dispatcher, self.job_created)
-        self.completions = Completions(
+        self.completions = CompletionCommitter(
             term,
             self._apply_job_end,
             self.job_dependencies.withdraw_with_dependents,
             self.job_dependencies.stop_tasks,
         )
-        self.job_dependencies.start(self.completions)
+        self.job_dependencies.set_completions(self.completions)
         self.loop_budget = EventLoopBudget(
             round(term.tunables.leadership.ttl_us * term.tunables.most_hold)
         )
@@ -145,7 +145,9 @@
         # Only controllers that have documents load this module.
         from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
 
-        return CalendarKeeper(self.term, publisher, self.job_dependencies.refresh_inherited)
+        return CalendarKeeper(
+            self.term, publisher, self.job_dependencies.refresh_inherited_priorities
+        )
 
     # -- start and end of the term --------------------------------------------------
 
@@ -259,7 +261,7 @@
         job = self.recovery.add_job(record, version, now_us(), wall_us())
         self.job_dependencies.add(job)
         if not job.cancelled:
-            self.job_dependencies.refresh_inherited([job])
+            self.job_dependencies.refresh_inherited_priorities([job])
         self.term.placement_wanted.set()
 
     def status(self, job_id: str) -> JobStatus | None:
@@ -322,4 +324,4 @@
         self.cluster.forget_attempt_numbers(job.id)
         self.scheduling_loop.reclaims.trim(job.id, 0)
         self.dependency_graph.remove(job)
-        self.job_dependencies.job_ended(job.id, final)
+        self.job_dependencies.apply_job_end(job.id, final)
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -151,7 +151,7 @@
             link = served[self._forward_count % len(served)]
         return await self.forward(link, kind, job_id, body)
 
-    async def ask_home(self, job_id: str) -> Response | None:
+    async def ask_poll_owner(self, job_id: str) -> Response | None:
         """Forward a poll to the controller that owns the polls of this job.
 
         The owner records how long the job's user has waited for an answer. All controllers
@@ -171,9 +171,9 @@
             raise CallError(f"{owner} did not answer a poll of job {job_id} in time")
         return answer
 
-    def peers_know(self, least_format: int) -> bool:
+    def peers_support(self, min_format: int) -> bool:
         """Return whether no peer is known to use an earlier format than the given one."""
-        return all(not 0 < link.format < least_format for link in self._links.values())
+        return all(not 0 < link.format < min_format for link in self._links.values())
 
     def _is_leader(self, link: PeerLink) -> bool:
         record = self._election.known_leader
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -35,7 +35,7 @@
 from weldhead.controller.configuration.document_publisher import DocumentPublisher
 from weldhead.controller.fleet.rental_manager import RentalManager
 from weldhead.controller.loop_budget import EventLoopBudget
-from weldhead.controller.requests.completions import Completions
+from weldhead.controller.requests.completions import CompletionCommitter
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.scheduling_loop.preemption_recorder import load_preemption_history
 from weldhead.controller.term import Term, batches
@@ -69,7 +69,7 @@
 class RecoveryParts:
     """The components of the term that its recovery uses."""
 
-    completions: Completions
+    completions: CompletionCommitter
     rental_manager: RentalManager
     job_dependencies: JobDependencies
     machine_monitor: MachineMonitor
@@ -206,7 +206,7 @@
             await asyncio.sleep(0)
         # Only the jobs that a blocked job waits for inherit anything. All other jobs have their own
         # priority and deadline.
-        self._job_dependencies.refresh_inherited(term.dependency_graph.blocked.values())
+        self._job_dependencies.refresh_inherited_priorities(term.dependency_graph.blocked.values())
 
     def _load_progress(self, entry: KeyValue) -> None:
         term = self._term
@@ -214,11 +214,11 @@
         term.state_writer.record_version(entry.key, entry.version)
         job = term.cluster.jobs.get(job_id)
         if job is None:
-            self._completions.load_leftover(entry.key)
+            self._completions.add_stale_progress_key(entry.key)
             return
         tasks = min(CHUNK_TASKS, job.spec.tasks - int(chunk) * CHUNK_TASKS)
         completed = decode_progress(msgspec.json.decode(entry.value, type=str), tasks)
-        self._completions.load(job, int(chunk), completed)
+        self._completions.load_progress(job, int(chunk), completed)
 
     def add_job(self, record: JobRecord, version: int, at_us: int, at_wall_us: int) -> Job:
         """Add a recorded job to the in-memory state."""
