--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -531,7 +531,9 @@
         calls.append(job.id)
         return create_backlog_entry(job, *rest)
 
-    monkeypatch.setattr("weldhead.scheduling.placement.backlog.create_backlog_entry", counting_entry_of)
+    monkeypatch.setattr(
+        "weldhead.scheduling.placement.backlog.create_backlog_entry", counting_entry_of
+    )
     plan_starts(view, RunTimeEstimates(), ServiceLevelObjectives([]), S, 10 * S, 45 * S)
     assert sorted(calls) == [job_id_of(1), job_id_of(2)]
 
@@ -584,7 +586,7 @@
     )
     objectives = ServiceLevelObjectives([])
     order = [
-        entry_of(job, RunTimeEstimates(), objectives, S, 45 * S)[0]
+        create_backlog_entry(job, RunTimeEstimates(), objectives, S, 45 * S)[0]
         for job in (upstream, rival)
     ]
     assert order[0] < order[1]
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -116,6 +116,7 @@
         )
         stuck = (
             is_failing_everywhere(job) and not job.spec.is_service and not job.unmet_dependencies
+        )
         newly_reported = (late or stuck) and not job.reported_late
         # The forecast of a whole chain fluctuates, so a job with dependencies is reported once.
         job.reported_late = late or stuck or (job.reported_late and bool(job.spec.needs))
@@ -145,7 +146,9 @@
         # Before recovery has ended, running tasks may be unknown and would count as waiting.
         has_history = self._term.ready and self._term.estimates.has_observations(job)
         min_remaining_us = self._stage_us(job) if job.blocking_gate is not None else 0
-        standing = lateness.assess_deadline(job, at_us, has_history=has_history, min_duration_us=min_remaining_us)
+        standing = lateness.assess_deadline(
+            job, at_us, has_history=has_history, min_duration_us=min_remaining_us
+        )
         if (
             standing is DeadlineStatus.UNKNOWN
             and self.late_notices is not None
@@ -169,7 +172,9 @@
         if finish_us is not None and not job.broken:
             expected = f"expected {format_duration(max(0, finish_us - deadline_us))} after that"
         boot_forecast = self._current_forecasts().boot_forecast()
-        reason = lateness.explain_lateness(self._term.cluster, job, boot_forecast, at_us, self.hold_reason)
+        reason = lateness.explain_lateness(
+            self._term.cluster, job, boot_forecast, at_us, self.hold_reason
+        )
         state = "is late" if at_us > deadline_us else "will be late"
         assert job.calendar_deadline is not None
         message = (
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -193,7 +193,9 @@
             settings,
             self._term.objectives,
             capacity_index=placement_input.capacity_index if placement_input is not None else None,
-            reserved_machines=placement_input.reservations.machines if placement_input is not None else None,
+            reserved_machines=placement_input.reservations.machines
+            if placement_input is not None
+            else None,
         )
         running = sum(len(job.active) for job in self._term.cluster.active_jobs.values())
         allowed = self._rate_limit.allowed(self._term.ready_us, running, at_us)
