--- a/tests/calendars/test_calendars.py
+++ b/tests/calendars/test_calendars.py
@@ -637,7 +637,7 @@
         assess_deadline(job, 11 * S, has_history=True, min_duration_us=90 * S)
         is DeadlineStatus.LATE
     )
-    job.blocking_gate, job.broken = None, True
+    job.blocking_gate, job.fails_everywhere = None, True
     assert "fail everywhere" in explain_lateness(into, job, quiet, 0, why)
 
 
--- a/tests/cluster_state/test_late_writes.py
+++ b/tests/cluster_state/test_late_writes.py
@@ -129,7 +129,7 @@
             return ledger, asyncio.create_task(ledger.run())
 
         def look(ledger: StateWriter) -> None:
-            unsettled_keys.update(key for key in KEYS if ledger.creation_unconfirmed(key))
+            unsettled_keys.update(key for key in KEYS if ledger.is_creation_unconfirmed(key))
             for key, value in told.items():
                 stored = transport.stored(key)
                 came_back = value is None and key in unsettled_keys and stored in created[key]
--- a/tests/cluster_state/test_uneven_ends.py
+++ b/tests/cluster_state/test_uneven_ends.py
@@ -106,7 +106,7 @@
         if (
             job is not None
             and job.uncommitted_chunks
-            and not job.over
+            and not job.has_ended
             and not job.saving
             and not job.finishing
         ):
@@ -115,7 +115,7 @@
     @staticmethod
     async def end(leader: Leader) -> None:
         for job in list(leader.cluster.jobs.values()):
-            if job.over and not job.finishing and not job.saving:
+            if job.has_ended and not job.finishing and not job.saving:
                 await leader.completions._end(job)
 
     async def pause(self) -> None:
--- a/tests/controller/leadership/test_term_recovery.py
+++ b/tests/controller/leadership/test_term_recovery.py
@@ -24,7 +24,7 @@
 )
 from tests.support.stand_ins import StandInState, StandInTask, StandInWorker
 from weldhead.cluster_state.cluster import Cluster
-from weldhead.cluster_state.preemption_history import MIN_UNDISTURBED_US
+from weldhead.cluster_state.preemption_history import MIN_UNDISTURBED_RUN_US
 from weldhead.cluster_state.records import (
     LEADER_KEY,
     encode_progress,
@@ -158,8 +158,10 @@
     assert job.waiting_indexes(9) == [3, 0, 4, 1, 2]
     assert job.last_machine == dict.fromkeys((0, 3, 4, 5), "vm-000001")
     assert (
-        second.scheduling_loop.reclaims.preemption_history.undisturbed_us(job.id, 3, clock())
-        == MIN_UNDISTURBED_US
+        second.scheduling_loop.reclaims.preemption_history.min_undisturbed_run_us(
+            job.id, 3, clock()
+        )
+        == MIN_UNDISTURBED_RUN_US
     )
     assert list(second.cluster.stopping) == [("run-000001/5", 9)]
 
@@ -168,7 +170,7 @@
     state = StandInState()
     put_job(state, job_spec(1))
     first, second = new_leader(state, clock()), new_leader(state, clock())
-    numbers = {leader.cluster.next_attempt("run-000001", 0) for leader in (first, second)}
+    numbers = {leader.cluster.next_attempt_number("run-000001", 0) for leader in (first, second)}
     assert len(numbers) == 2 and all(number < 2**64 for number in numbers)
 
 
@@ -182,7 +184,7 @@
             into.forget_attempt_numbers(job_id)
             assert job_id not in into._attempt_counts
         else:
-            number = into.next_attempt(job_id, index)
+            number = into.next_attempt_number(job_id, index)
             assert (job_id, index, number) not in given_out and number >> 20 == 41
             given_out.add((job_id, index, number))
 
--- a/tests/controller/requests/test_cancellations_across_leaders.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -162,7 +162,7 @@
     assert not report(leader, worker, clock())
     asyncio.run(leader.recovery.load())
     machine = leader.cluster.machines["vm-000001"]
-    assert machine.lease_from_us == answered_us and set(machine.attempts) == set(worker.tasks)
+    assert machine.lease_start_us == answered_us and set(machine.attempts) == set(worker.tasks)
 
 
 def test_what_runs_on_a_machine_of_no_record_is_ended_by_the_answer(clock: Clock) -> None:
--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -111,7 +111,7 @@
 
     def end_withdrawn(self, most: int) -> None:
         """Some of the cancelled jobs' ends are committed."""
-        over = [job for job in self.leader.cluster.jobs.values() if job.cancelled and job.over]
+        over = [job for job in self.leader.cluster.jobs.values() if job.cancelled and job.has_ended]
         for job in over[:most]:
             self.run(self.leader.completions._end(job))
 
--- a/tests/controller/workers/test_attempt_life_cycle.py
+++ b/tests/controller/workers/test_attempt_life_cycle.py
@@ -72,7 +72,7 @@
             job.mark_committed(fresh)
         if source is MessageSource.HEARTBEAT:
             machine.record_heartbeat(self.now, 10_000_000)
-            machine.lease_from_us = self.now
+            machine.lease_start_us = self.now
 
     def _is_committed(self, task: str) -> bool:
         job_id, index = split_task(task)
--- a/tests/controller/workers/test_run_commands.py
+++ b/tests/controller/workers/test_run_commands.py
@@ -116,7 +116,7 @@
     """
     cluster_state = cluster()
     machine = add_machine(cluster_state)
-    machine.lease_from_us = 1
+    machine.lease_start_us = 1
     new_session = report(machine, 3, [])
     new_session.session += 1
     apply_heartbeat(cluster_state, machine, new_session, 9_000_000, MessageSource.COMMAND_ANSWER)
--- a/tests/emulator/test_limits_and_failovers.py
+++ b/tests/emulator/test_limits_and_failovers.py
@@ -116,7 +116,7 @@
     job.complete_waiting(0)
     worker.tasks["run-000001/0"] = StandInTask(77, "running")
     meet(leader, worker, clock(), heard=False)
-    assert job.over and leader.cluster.usage["red"].cpus == job.spec.cpus
+    assert job.has_ended and leader.cluster.usage["red"].cpus == job.spec.cpus
     assert not leader.completions.may_end(job)
     meet(leader, worker, clock())
     meet(leader, worker, clock())
--- a/tests/failure_attribution/test_failure_attribution.py
+++ b/tests/failure_attribution/test_failure_attribution.py
@@ -68,7 +68,7 @@
     for machine in review.faulty:
         machine.draining = True
     for job, standing in review.changed:
-        job.broken = standing is JobHealth.BROKEN
+        job.fails_everywhere = standing is JobHealth.BROKEN
         job.on_probation = standing is not JobHealth.SOUND
     return {job.id: standing for job, standing in review.changed}
 
--- a/tests/quota/test_quota_and_gpu_claims.py
+++ b/tests/quota/test_quota_and_gpu_claims.py
@@ -13,11 +13,11 @@
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.preemption_history import (
     MAX_PREEMPTIONS_PER_HOUR,
-    MIN_UNDISTURBED_US,
-    SHARDS,
+    MIN_UNDISTURBED_RUN_US,
+    SHARD_COUNT,
     PreemptionHistory,
+    build_rows,
     restore_rows,
-    rows_of,
     shard_of,
 )
 from weldhead.cluster_state.reclaim import Reclaim, ReclaimLists
@@ -304,7 +304,7 @@
     add(into, tuning(1, 2))
     place(into, S)
     lists = ReclaimLists()
-    for number, at_us in ((2, 2 * S), (3, 20 * S), (4, 15 * S + MIN_UNDISTURBED_US)):
+    for number, at_us in ((2, 2 * S), (3, 20 * S), (4, 15 * S + MIN_UNDISTURBED_RUN_US)):
         wanted = add(into, replicas(number, 4))
         stopped = victims(reclaim(into, place(into, at_us), lists, at_us))
         assert len(stopped) == (0 if number == 3 else 2)
@@ -329,7 +329,9 @@
         into.release(victim)
     # Rows as the store has them; the second leader's clocks differ.
     rows = [
-        row for n in range(SHARDS) for row in rows_of(lists.preemption_history, n, 900 * S, 8_000)
+        row
+        for n in range(SHARD_COUNT)
+        for row in build_rows(lists.preemption_history, n, 900 * S, 8_000)
     ]
     after = with_cards(3, Team("serving", 0, 0, 8), Team("tuning", 0))
     again = add(after, tuning(1, 9))
@@ -347,7 +349,7 @@
     # Nor may the second leader stop them at once again.
     attempt = again.active[stopped[0].index]
     assert found.is_protected(attempt, 60 * S) and not found.is_protected(
-        attempt, 55 * S + MIN_UNDISTURBED_US
+        attempt, 55 * S + MIN_UNDISTURBED_RUN_US
     )
 
 
@@ -358,7 +360,7 @@
     machine = next(iter(into.machines))
     for index in range(500):
         taken.record_preemption(Attempt(job, index, index + 1, machine, 0), (index + 1) * S)
-    rows = rows_of(taken, shard_of(job.id), 0, 8_192)
+    rows = build_rows(taken, shard_of(job.id), 0, 8_192)
     assert 100 < len(rows) < 500 and [row[1] for row in rows] == list(
         range(499, 499 - len(rows), -1)
     )
--- a/tests/reachability/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -374,7 +374,7 @@
                 case "copy" if history.sent:
                     copy = history.sent[number % len(history.sent)]
                     before = machine_states(leader)
-                    leases = {m.name: m.lease_from_us for m in leader.cluster.machines.values()}
+                    leases = {m.name: m.lease_start_us for m in leader.cluster.machines.values()}
                     newest = machine.newest_message if machine is not None else (0, 0)
                     stale_token_answers = machine.stale_token_answers if machine is not None else 0
                     last_message_us = machine.last_message_us if machine is not None else 0
@@ -387,7 +387,7 @@
                         assert (
                             last_heartbeat_us == before[name][0] and reconciled == before[name][1]
                         )
-                        lease_from_us = leader.cluster.machines[name].lease_from_us
+                        lease_from_us = leader.cluster.machines[name].lease_start_us
                         if lease_from_us != leases[name] and copy.token == leader.token:
                             # The lease starts no later than the machine's last own message,
                             # which came before this copy.
--- a/tests/reconciliation/test_reconciliation.py
+++ b/tests/reconciliation/test_reconciliation.py
@@ -191,7 +191,7 @@
     asyncio.run(leader.recovery.load())
     machine = leader.cluster.machines["vm-000001"]
     assert machine.reconciled and machine.relayed and "run-000001/0" in machine.attempts
-    assert machine.last_heartbeat_us == machine.lease_from_us == answered_us
+    assert machine.last_heartbeat_us == machine.lease_start_us == answered_us
     # A machine that has shown the token is not probed.
     assert leader.recovery.status_probes.next_targets(clock()) == [other.name]
 
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -266,7 +266,7 @@
     lists.add(entry)
     assert find_overdue_reclaims(lists, PREEMPTOR.kill_timeout_us - 1, PREEMPTOR) == ([], [])
     assert find_overdue_reclaims(lists, PREEMPTOR.kill_timeout_us, PREEMPTOR) == ([entry], [])
-    entry.hard_kill_us = 20 * S
+    entry.hard_kill_requested_us = 20 * S
     assert find_overdue_reclaims(lists, 20 * S + PREEMPTOR.expiry_us, PREEMPTOR) == ([], [entry])
 
 
@@ -299,7 +299,7 @@
     @rule(job=st.sampled_from("xyz"), machine=st.sampled_from(["m1", "m2", "m3"]))
     def grant(self, job: str, machine: str) -> None:
         before = self.lists.count(job)
-        self.lists.granted(job, machine)
+        self.lists.record_grant(job, machine)
         assert self.lists.count(job) == max(0, before - 1)
         left = [e for e in self.lists.entries() if e.job_id == job]
         same = [e for e in self.model.get(job, []) if e.machine == machine]
@@ -317,7 +317,7 @@
     def lists_agree(self) -> None:
         for job in "xyz":
             assert self.lists.count(job) == len(self.model.get(job, []))
-        assert set(self.lists.jobs()) == {job for job, entries in self.model.items() if entries}
+        assert set(self.lists.job_ids()) == {job for job, entries in self.model.items() if entries}
 
 
 ReclaimListsStateMachine.TestCase.settings = settings(max_examples=80, stateful_step_count=30)
--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -82,7 +82,7 @@
             for attempt in list(machine.attempts.values()):
                 if self.now - attempt.running_since_us >= attempt.job.spec.estimate_us:
                     self.cluster.release(attempt, completed=True)
-                    if attempt.job.complete:
+                    if attempt.job.is_complete:
                         self.cluster.jobs.remove(attempt.job.id)
         for _ in range(rng.randint(0, 3)):
             self.add_job(tasks=rng.randint(1, 8), estimate_s=float(rng.randint(5, 30)))
--- a/tests/support/reference_decisions.py
+++ b/tests/support/reference_decisions.py
@@ -254,7 +254,7 @@
         for machine in cluster.machines.values():
             if machine.deleting or machine.draining:
                 continue
-            if machine.booting:
+            if machine.is_booting:
                 if not usual_boots(settings).is_late(machine, at_us):
                     ready_us = max(at_us, machine.rented_us + seconds_us(machine.type.boot_s))
                     self._heap.append((ready_us, machine.cpus))
--- a/tests/support/towns.py
+++ b/tests/support/towns.py
@@ -179,7 +179,7 @@
                 request_stop(cluster, attempt, StopRequest.SOFT, self.now, "test")
             case 9 if machine is not None and len(self.cluster.machines) > 5:
                 cluster.remove_machine(machine)
-            case 10 if machine is not None and machine.booting:
+            case 10 if machine is not None and machine.is_booting:
                 self.bring_up(machine)
             case 11 if machine is not None:
                 # Long silent, then heard again: only the hearing tells of it.
@@ -210,7 +210,7 @@
         assert bool(plan.unplaced) == bool(plain.listed)
         for start in plan.starts:
             attempt = self.cluster.start(start.job, start.index, start.machine, self.now)
-            self.lists.granted(start.job.id, start.machine.name)
+            self.lists.record_grant(start.job.id, start.machine.name)
             if self.dice.random() < 0.9:
                 attempt.phase, attempt.running_since_us = AttemptPhase.RUNNING, self.now
                 start.machine.record_image(start.job.spec.image, start.job.spec.image_gb)
--- a/weldhead/cluster_state/change_feed.py
+++ b/weldhead/cluster_state/change_feed.py
@@ -1,8 +1,8 @@
-"""Who has changed since a reader last looked. No I/O.
+"""Change feeds: which jobs or machines have changed since a reader last read its feed. No I/O.
 
-What a leader does again and again (placement, forecasts, ends of jobs, the machine watch) is
-to cost what has changed since, not what there is: each reader has a feed of its own, into
-which everything that changes is entered once, in the order of its first change.
+The cost of a leader's periodic work (placement, forecasts, completing jobs, monitoring machines)
+should depend on the number of changes and not on the number of items. Each reader therefore has
+its own feed, which holds each changed item once, in the order of the first change.
 """
 
 from functools import partial
@@ -14,16 +14,16 @@
 
 
 class Observable(Protocol):
-    """Something with a name that tells of its changes."""
+    """An item that publishes its changes to change feeds."""
 
-    #: Where it tells; None: nobody listens.
+    #: The feeds that receive the changes of the item; None: there are none.
     change_feeds: "ChangeFeeds[Self] | None"
-    #: Its place in the order of entry, never used again.
+    #: The position of the item in the order of registration; numbers are never reused.
     serial: int
 
 
 class ChangeFeeds(Generic[T]):
-    """The feeds of one kind of thing."""
+    """The change feeds of all readers of one kind of item."""
 
     __slots__ = ("_readers",)
 
@@ -31,23 +31,23 @@
         self._readers: list[dict[str, T]] = []
 
     def subscribe(self) -> "ChangeFeed[T]":
-        """Return a new reader's feed, empty."""
+        """Create an empty feed for a new reader."""
         changed: dict[str, T] = {}
         self._readers.append(changed)
         return ChangeFeed(self, changed)
 
     def close(self, changed: dict[str, T]) -> None:
-        """Enter nothing more for a reader."""
+        """Remove the feed of a reader, so that it receives no further changes."""
         self._readers = [reader for reader in self._readers if reader is not changed]
 
     def publish(self, name: str, item: T) -> None:
-        """Something has changed, for everyone who reads."""
+        """Add a changed item to the feed of each reader."""
         for changed in self._readers:
             changed[name] = item
 
 
 class ChangeFeed(Generic[T]):
-    """One reader's feed."""
+    """The change feed of one reader."""
 
     __slots__ = ("_changed", "_feeds")
 
@@ -59,20 +59,20 @@
         return len(self._changed)
 
     def take(self) -> list[T]:
-        """Return what has changed since the last look, each thing once."""
+        """Return the items that have changed since the last call, each once, and empty the feed."""
         if not self._changed:
             return []
-        found = list(self._changed.values())
+        changed_items = list(self._changed.values())
         self._changed.clear()
-        return found
+        return changed_items
 
     def close(self) -> None:
-        """Stop reading."""
+        """Remove the feed, so that it receives no further changes."""
         self._feeds.close(self._changed)
 
 
 class Registry(dict[str, T], Generic[T]):
-    """Things by name; what enters or leaves counts as changed, and is numbered on entry."""
+    """Items by name, each with a serial number; adding or removing an item publishes a change."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -92,14 +92,14 @@
         self.feeds.publish(name, item)
 
     def remove(self, name: str) -> T | None:
-        """Take something out; None if it is not there."""
+        """Remove and return an item; return None if there is no item of this name."""
         item = super().pop(name, None)
         if item is not None:
             self.feeds.publish(name, item)
         return item
 
 
-def _put(slot: str, item: Any, value: Any) -> None:
+def _set_and_notify(slot: str, item: Any, value: Any) -> None:
     if getattr(item, slot) != value:
         setattr(item, slot, value)
         item.notify_changed()
@@ -108,7 +108,7 @@
 if TYPE_CHECKING:
 
     class ObservedAttribute(Generic[V]):
-        """An attribute kept in a slot, which tells of its changes when it is set."""
+        """An attribute that is stored in a slot and publishes a change when its value changes."""
 
         def __init__(self, slot: str) -> None: ...
 
@@ -119,10 +119,13 @@
 else:
 
     class ObservedAttribute(property):
-        """An attribute kept in a slot; read far more often than set, so by no code of ours."""
+        """An attribute that is stored in a slot and publishes a change when its value changes.
 
-        def __class_getitem__(cls, kind):
+        It is read far more often than set, so ``attrgetter`` reads it without running Python code.
+        """
+
+        def __class_getitem__(cls, value_type):
             return cls
 
         def __init__(self, slot: str) -> None:
-            super().__init__(attrgetter(slot), partial(_put, slot))
+            super().__init__(attrgetter(slot), partial(_set_and_notify, slot))
--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -1,6 +1,6 @@
-"""The leader's picture of jobs, machines and usage. No I/O.
+"""The leader's model of jobs, machines and resource usage. No I/O.
 
-Usage counts every attempt from the decision to start it until it is surely gone.
+Usage counts each attempt from the decision to start it until the attempt has certainly ended.
 """
 
 from collections import Counter, defaultdict
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class UnverifiedUsage:
-    """What a team's attempts on unknown machines may use at most."""
+    """The upper bound of a team's usage on machines that have not reported their tasks yet."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True)
 class OrphanAttempt:
-    """An attempt that must go and is no job's attempt in the books; its job, if on record."""
+    """An attempt that has to be stopped and that no job counts as its own.
+
+    ``job`` is the job of its task; None: the job is not on record.
+    """
 
     machine: str
     job: Job | None
@@ -37,63 +40,65 @@
 
 
 class Cluster:
-    """All jobs that are not over and all machines of ours."""
+    """All jobs that have not ended and all machines of the fleet."""
 
     def __init__(self, teams: Iterable[Team], token: int = 0) -> None:
         self.teams: dict[str, Team] = {team.name: team for team in teams}
         self.token = token
         self.jobs: Registry[Job] = Registry()
         self.machines: Registry[Machine] = Registry()
-        #: Jobs that hold room.
+        #: Jobs with active attempts, by job id.
         self.active_jobs: dict[str, Job] = {}
-        #: Attempts that were asked to stop, and those whose direct request may be lost, by
-        #: what tells them apart: an attempt's number is unique within its task.
+        #: Attempts that were requested to stop, and attempts whose direct ``run`` command may be
+        #: lost. Keys are task and attempt number, which is unique within the task.
         self.stopping: dict[tuple[str, int], Attempt] = {}
         self.unconfirmed: dict[tuple[str, int], Attempt] = {}
-        #: Attempts that must go and that no job counts, by machine, task and number; and how
-        #: many there are of a task.
+        #: Orphan attempts by machine, task and attempt number; and their number by task.
         self.orphans: dict[tuple[str, str, int], OrphanAttempt] = {}
         self._orphan_counts: Counter[str] = Counter()
-        #: What each team's attempts take, by evidence; exact (``account/``).
+        #: The resources that each team's known attempts use; the sums are exact (``quota/``).
         self.usage: Mapping[str, ResourceUsage] = defaultdict(ResourceUsage)
-        #: By team, while some machines have not shown what runs there.
+        #: Further usage by team that is possible while some machines have not reported their tasks.
         self.unverified_usage: Mapping[str, UnverifiedUsage] = {}
-        #: The count of the newest attempt of each task, by job; of jobs that are over only the
-        #: highest of all: kept for each task, they were all that grew as long as a term lasted.
+        #: The count of the newest attempt of each task, by job. Of ended jobs only the highest
+        #: count of all is kept: counts of each of their tasks grew as long as the term lasted.
         self._attempt_counts: dict[str, dict[int, int]] = defaultdict(dict)
         self._highest_finished_count = 0
 
-    def next_attempt(self, job_id: str, index: int) -> int:
-        """Return an attempt number that no leader ever used for this task.
+    def next_attempt_number(self, job_id: str, index: int) -> int:
+        """Return an attempt number that no leader has ever used for this task.
 
-        Tokens are unique and grow, so a number made of the token and a count within the
-        term is unique across terms without being stored.
+        Fencing tokens are unique and increase. A number made of the token and a count within the
+        term is therefore unique across terms without being stored.
         """
-        starts = self._attempt_counts[job_id]
-        count = starts[index] = max(starts.get(index, 0), self._highest_finished_count) + 1
+        counts = self._attempt_counts[job_id]
+        count = counts[index] = max(counts.get(index, 0), self._highest_finished_count) + 1
         return (self.token << 20) + count
 
     def forget_attempt_numbers(self, job_id: str) -> None:
-        """A job is over. Should it be entered again, it begins above all that it ever had."""
-        starts = self._attempt_counts.pop(job_id, None)
-        if starts:
-            self._highest_finished_count = max(self._highest_finished_count, max(starts.values()))
+        """Forget the attempt counts of an ended job.
+
+        If the job is added again, its attempts are numbered above all of its earlier ones.
+        """
+        counts = self._attempt_counts.pop(job_id, None)
+        if counts:
+            self._highest_finished_count = max(self._highest_finished_count, max(counts.values()))
 
     def start(self, job: Job, index: int, machine: Machine, at_us: int) -> Attempt:
-        """Decide that a task starts on a machine."""
-        attempt = Attempt(job, index, self.next_attempt(job.id, index), machine.name, at_us)
+        """Create an attempt of a task and assign it to a machine."""
+        attempt = Attempt(job, index, self.next_attempt_number(job.id, index), machine.name, at_us)
         self.adopt(attempt, machine)
         return attempt
 
     def adopt(self, attempt: Attempt, machine: Machine) -> None:
-        """Count an attempt that exists or is about to."""
+        """Add an attempt that exists or is about to start to its job, machine and team usage."""
         attempt.job.begin(attempt, machine.zone)
         machine.add(attempt)
         self.active_jobs[attempt.job.id] = attempt.job
         self.usage[attempt.job.team].add(attempt.job.spec)
 
     def release(self, attempt: Attempt, *, completed: bool = False) -> None:
-        """Record that an attempt is surely gone."""
+        """Record that an attempt has certainly ended, and free its resources."""
         machine = self.machines[attempt.machine]
         machine.remove(attempt)
         attempt.job.end(attempt, machine.zone, completed=completed)
@@ -106,20 +111,20 @@
         self.usage[attempt.job.team].add(attempt.job.spec, -1)
 
     def release_all(self, machine: Machine) -> list[Attempt]:
-        """Record that everything on a machine is surely gone."""
-        gone = list(machine.attempts.values())
-        for attempt in gone:
+        """Record that all attempts on a machine have certainly ended; return the jobs' attempts."""
+        released = list(machine.attempts.values())
+        for attempt in released:
             self.release(attempt)
         machine.unacknowledged.clear()
         self.remove_orphans(machine, set(machine.orphans))
-        return gone
+        return released
 
     def add_orphan(
         self, machine: Machine, key: tuple[str, int], job: Job | None, at_us: int
     ) -> None:
-        """An attempt runs that must go: until it has gone, its job's team uses what it takes.
+        """Record an orphan attempt; its resources count as its team's usage until it has ended.
 
-        Its task is not started meanwhile: the kill may be lost on its way.
+        The task is not started meanwhile, because the kill command may be lost.
         """
         if key in machine.orphans:
             return
@@ -130,34 +135,34 @@
             self.usage[job.team].add(job.spec)
 
     def remove_orphans(self, machine: Machine, keys: Iterable[tuple[str, int]]) -> None:
-        """Record that orphans are gone, or are a job's attempts after all."""
+        """Remove orphan attempts that have ended or turned out to be a job's attempts."""
         for key in keys:
             machine.orphans.discard(key)
-            ghost = self.orphans.pop((machine.name, *key), None)
-            if ghost is None:
+            orphan = self.orphans.pop((machine.name, *key), None)
+            if orphan is None:
                 continue
             self._orphan_counts[key[0]] -= 1
             if not self._orphan_counts[key[0]]:
                 del self._orphan_counts[key[0]]
-            if ghost.job is not None:
-                self.usage[ghost.job.team].add(ghost.job.spec, -1)
+            if orphan.job is not None:
+                self.usage[orphan.job.team].add(orphan.job.spec, -1)
 
     def has_orphan(self, task: str) -> bool:
-        """Whether an attempt of a task may run that no job counts."""
+        """Whether an orphan attempt of a task may be running."""
         return self._orphan_counts[task] > 0 if self.orphans else False
 
     def has_orphans_of(self, job: Job) -> bool:
-        """Whether attempts of a job may run that it does not count."""
-        return any(ghost.job is job for ghost in self.orphans.values())
+        """Whether orphan attempts of a job may be running."""
+        return any(orphan.job is job for orphan in self.orphans.values())
 
     def remove_machine(self, machine: Machine) -> list[Attempt]:
-        """Record that a machine is gone, and everything on it."""
-        gone = self.release_all(machine)
+        """Remove a machine and release all attempts on it; return the released attempts."""
+        released = self.release_all(machine)
         self.machines.remove(machine.name)
-        return gone
+        return released
 
     def stop(self, attempt: Attempt, stop: StopRequest, at_us: int, reason: str) -> None:
-        """Ask an attempt to stop; a harder request replaces a softer one."""
+        """Request that an attempt stops; a hard request replaces a soft one."""
         if stop.value <= attempt.stop_request.value:
             return
         if attempt.stop_request is StopRequest.NO:
@@ -168,15 +173,18 @@
             self.stopping[attempt.task, attempt.number] = attempt
 
     def mark_unconfirmed(self, attempt: Attempt, at_us: int) -> None:
-        """A direct request with the attempt's ``run`` may be lost, and may be executed late."""
+        """Record that the attempt's direct ``run`` command may be lost or be executed late."""
         attempt.unconfirmed_since_us = at_us
-        # A request can fail long after its machine is gone, and the attempt with it: entered
-        # then, it would never leave, and the machine watch failed over it.
+        # A command can fail long after its machine was removed along with the attempt. An attempt
+        # added here after that was never removed, and machine monitoring failed on it.
         if attempt.job.active.get(attempt.index) is attempt:
             self.unconfirmed[attempt.task, attempt.number] = attempt
 
     def tasks_within_limit(self, job: Job, reserved: Amount = NOTHING) -> int:
-        """How many more tasks of the job its team's limit allows beside what is reserved."""
+        """Return how many more tasks of a job its team's limit allows.
+
+        ``reserved`` counts as used: CPUs and GPUs that are reserved for other tasks of the team.
+        """
         team = self.teams.get(job.team)
         if team is None:
             return 0
@@ -185,11 +193,11 @@
         return within_limit(team, used, job.spec, job.spec.tasks)
 
     def waiting_jobs(self) -> list[Job]:
-        """Return the jobs with waiting tasks."""
+        """Return the jobs that have waiting tasks and whose end is not being committed."""
         return [job for job in self.jobs.values() if job.waiting > 0 and not job.finishing]
 
     def check_invariants(self) -> None:
-        """Raise AssertionError if the sums disagree with the attempts; for tests."""
+        """Raise AssertionError if usage or indexes disagree with the attempts; for tests."""
         recounted: dict[str, ResourceUsage] = defaultdict(ResourceUsage)
         for machine in self.machines.values():
             used = sum(a.job.spec.cpus for a in machine.attempts.values())
@@ -204,11 +212,11 @@
                 assert attempt.job.active[attempt.index] is attempt, attempt.task
                 assert attempt.job.states[attempt.index] == TaskState.ACTIVE, attempt.task
                 recounted[attempt.job.team].add(attempt.job.spec)
-        for ghost in self.orphans.values():
-            if ghost.job is not None:
-                recounted[ghost.job.team].add(ghost.job.spec)
-        for kept in (*self.stopping.values(), *self.unconfirmed.values()):
-            assert kept.job.active.get(kept.index) is kept, kept.task
+        for orphan in self.orphans.values():
+            if orphan.job is not None:
+                recounted[orphan.job.team].add(orphan.job.spec)
+        for attempt in (*self.stopping.values(), *self.unconfirmed.values()):
+            assert attempt.job.active.get(attempt.index) is attempt, attempt.task
         assert set(self.active_jobs) == {job.id for job in self.jobs.values() if job.active}
         for team, usage in self.usage.items():
             assert usage.units == recounted[team].units, team
--- a/weldhead/cluster_state/dependency_graph.py
+++ b/weldhead/cluster_state/dependency_graph.py
@@ -1,13 +1,14 @@
-"""Job chains: which jobs wait for which, and what follows from an end. No I/O.
+"""The dependency graph of jobs, and the effects of a job's end on its dependents. No I/O.
 
-Nothing here is stored: a submission names the jobs that it needs, records say how those
-ended, and the rest follows. So a new leader rebuilds the graph from the records, and a
-withdrawal that was under way when the last one ended is found to be under way still:
+The graph is not stored. Each submission names the jobs that it needs, and final records say how
+these jobs ended. A new leader rebuilds the graph from these records, and continues a withdrawal
+that was in progress when the previous leader's term ended. Two rules apply:
 
 * a job may start once all jobs that it needs are *committed* as done;
-* a job is withdrawn once a job that it needs is.
+* a job is withdrawn once a job that it needs is withdrawn.
 
-Accepted jobs stay accepted and only accepted ones can be named, so there are no circles.
+A submission can name only jobs that were accepted before, and accepted jobs stay accepted.
+Therefore the graph has no cycles.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -17,23 +18,23 @@
 
 
 class DependencyGraph:
-    """The edges between jobs that are not over; each change costs the edges that it meets."""
+    """The dependencies between unfinished jobs; the cost of a change grows with its edges."""
 
     def __init__(self, jobs: Mapping[str, Job]) -> None:
         self._jobs = jobs
-        #: Who waits for a job that is not known to be done.
+        #: The jobs that wait for each job that is not known to be done, by the id of the latter.
         self._dependents: dict[str, dict[str, Job]] = {}
-        #: Needed jobs of which it is not known yet whether they are over, and how.
+        #: Ids of needed jobs of which it is unknown whether and how they have ended.
         self.unresolved: set[str] = set()
-        #: Jobs that wait for others.
+        #: Jobs that wait for other jobs, by job id.
         self.blocked: dict[str, Job] = {}
-        #: Priority and bounds that a job has from what waits for it in other ways.
+        #: Priority and due times that a job inherits through the gate it acts on, by job id.
         self.gate_inheritance: dict[str, tuple[int, tuple[int, ...]]] = {}
 
-    def add(self, job: Job, open_needs: Iterable[str]) -> None:
-        """Enter a job that waits for these jobs, unless they turn out to be over."""
+    def add(self, job: Job, unmet_needs: Iterable[str]) -> None:
+        """Add a job that waits for other jobs, which may turn out to have ended."""
         self.unresolved.discard(job.id)
-        job.unmet_dependencies = frozenset(open_needs)
+        job.unmet_dependencies = frozenset(unmet_needs)
         for name in job.unmet_dependencies:
             self._dependents.setdefault(name, {})[job.id] = job
             if name not in self._jobs:
@@ -43,76 +44,77 @@
         job.notify_changed()
 
     def remove(self, job: Job) -> None:
-        """Take out a job that is over, or withdrawn: it waits for nothing any more."""
+        """Remove the dependencies of a job that has ended or was withdrawn."""
         self.blocked.pop(job.id, None)
         for name in job.unmet_dependencies:
-            followers = self._dependents.get(name, {})
-            if followers.pop(job.id, None) is not None and not followers:
+            dependents = self._dependents.get(name, {})
+            if dependents.pop(job.id, None) is not None and not dependents:
                 del self._dependents[name]
                 self.unresolved.discard(name)
         job.unmet_dependencies = frozenset()
         job.notify_changed()
 
     def dependents(self, job_id: str) -> list[Job]:
-        """Return the jobs that wait for a job."""
+        """Return the jobs that wait directly for a job."""
         return list(self._dependents.get(job_id, {}).values())
 
     def required_jobs(self) -> list[Job]:
-        """Return the unfinished jobs that others wait for."""
+        """Return the unfinished jobs that other jobs wait for."""
         return [self._jobs[name] for name in self._dependents if name in self._jobs]
 
     def mark_done(self, job_id: str, at_us: int) -> list[Job]:
-        """A job is committed as done since then; return those that wait for nothing more."""
+        """Record that a job was committed as done; return the jobs that wait for none any more."""
         self.unresolved.discard(job_id)
         released = []
-        for follower in self._dependents.pop(job_id, {}).values():
-            follower.unmet_dependencies -= {job_id}
-            # The users' times count from here, whenever and by whomever it is noticed.
-            follower.runnable_since_us = max(follower.runnable_since_us, at_us)
-            follower.notify_changed()
-            if not follower.unmet_dependencies:
-                del self.blocked[follower.id]
-                released.append(follower)
+        for dependent in self._dependents.pop(job_id, {}).values():
+            dependent.unmet_dependencies -= {job_id}
+            # Waiting times that users see count from the commit, and not from the time at which
+            # some leader notices the commit.
+            dependent.runnable_since_us = max(dependent.runnable_since_us, at_us)
+            dependent.notify_changed()
+            if not dependent.unmet_dependencies:
+                del self.blocked[dependent.id]
+                released.append(dependent)
         return released
 
     def mark_withdrawn(self, job_id: str) -> list[Job]:
-        """A job is withdrawn; mark and return all that need it, directly or through others.
+        """Cancel and return all jobs that need a withdrawn job, directly or through other jobs.
 
-        They stay entered until they are removed.
+        The cancelled jobs stay in the graph until they are removed.
         """
         self.unresolved.discard(job_id)
-        found: list[Job] = []
+        withdrawn: list[Job] = []
         names = [job_id]
         while names:
-            for follower in self.dependents(names.pop()):
-                if not follower.cancelled:
-                    follower.cancelled = True
-                    found.append(follower)
-                    names.append(follower.id)
-        return found
+            for dependent in self.dependents(names.pop()):
+                if not dependent.cancelled:
+                    dependent.cancelled = True
+                    withdrawn.append(dependent)
+                    names.append(dependent.id)
+        return withdrawn
 
     def is_resolved(self, job: Job) -> bool:
-        """Whether nothing unknown could already have withdrawn the job."""
+        """Whether no needed job of unknown state can have withdrawn this job already."""
         return not self.depends_on_any(job, self.unresolved)
 
-    def depends_on_any(self, job: Job, among: Collection[str]) -> bool:
-        """Whether a job needs one of these, directly or through others."""
-        if not among or not job.unmet_dependencies:
+    def depends_on_any(self, job: Job, job_ids: Collection[str]) -> bool:
+        """Whether a job needs one of these jobs, directly or through other jobs."""
+        if not job_ids or not job.unmet_dependencies:
             return False
         seen = set(job.unmet_dependencies)
         names = list(seen)
         while names:
             name = names.pop()
-            if name in among:
+            if name in job_ids:
                 return True
             need = self._jobs.get(name)
-            fresh = need.unmet_dependencies - seen if need is not None else set()
-            seen |= fresh
-            names += fresh
+            newly_found = need.unmet_dependencies - seen if need is not None else set()
+            seen |= newly_found
+            names += newly_found
         return False
 
     def upstream(self, jobs: Iterable[Job]) -> list[Job]:
-        """Return these jobs and all unfinished ones that they need, followers first."""
+        """Return these jobs and all unfinished jobs that they need, dependents first."""
         graph: dict[str, frozenset[str]] = {}
         names = [job.id for job in jobs]
         while names:
@@ -125,7 +127,7 @@
         return [self._jobs[name] for name in reversed(order)]
 
     def topological_order(self) -> list[Job]:
-        """Return the jobs that wait for others, those that are needed first."""
+        """Return the jobs that wait for other jobs; each job comes after the jobs that it needs."""
         graph = {job.id: job.unmet_dependencies for job in self.blocked.values()}
         order = TopologicalSorter(graph).static_order()
         return [self.blocked[name] for name in order if name in self.blocked]
--- a/weldhead/cluster_state/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -1,4 +1,4 @@
-"""A job and the attempts of its tasks in memory. No I/O."""
+"""Jobs and the attempts of their tasks in memory. No I/O."""
 
 from collections import Counter
 from collections.abc import Container
@@ -9,13 +9,14 @@
 from weldhead.cluster_state.states import AttemptPhase, GateStatus, StopRequest, TaskState
 from weldhead.protocol.wire import JobSpec
 
-#: By state: 1 if the task is completed, committed or not. Chunks of thousands of tasks are
-#: written again and again: flag by flag that took a thirtieth of a leader's time.
+#: Translates a task state into a flag: 1 if the task is completed, committed or not. Chunks of
+#: thousands of tasks are written repeatedly; converting their flags one by one took a thirtieth
+#: of a leader's time.
 _IS_COMPLETED = bytes(state >= TaskState.COMPLETED for state in range(256))
 
 
 class Attempt:
-    """One attempt of a task, from the decision to start it until it is surely gone."""
+    """One attempt of a task, from the decision to start it until it has certainly ended."""
 
     __slots__ = (
         "adopted",
@@ -38,36 +39,38 @@
     def __init__(self, job: "Job", index: int, number: int, machine: str, at_us: int) -> None:
         self.job = job
         self.index = index
-        #: The task's name.
+        #: The name of the task: job id and task index.
         self.task = f"{job.id}/{index}"
         self.number = number
         self.machine = machine
-        #: An earlier leader started it, nobody knows when.
+        #: Whether an earlier leader started the attempt; the start time is unknown then.
         self.adopted = False
         self.phase = AttemptPhase.ASSIGNED
         self.stop_request = StopRequest.NO
         self.stop_requested_us = 0
         self.running_since_us = 0
-        #: Sequence of the report whose answer carried the ``run``; None: not sent so.
+        #: Sequence number of the heartbeat whose answer carried the ``run`` command; None: no
+        #: answer carried it.
         self.sent_sequence: int | None = None
-        #: A direct request with the ``run`` has been sent and not been answered.
+        #: Whether the ``run`` command was sent to the worker directly and not answered yet.
         self.sent_directly = False
-        #: Since when that request may be lost, and may be executed late (0: it is not).
+        #: The time since which the direct command may be lost or be executed late; 0: no such
+        #: command.
         self.unconfirmed_since_us = 0
-        #: Progress that earlier attempts saved.
+        #: Run time whose progress earlier attempts have saved.
         self.checkpointed_us = job.checkpoints_us.get(index, 0)
         self.stop_reason = ""
 
     def elapsed_us(self, at_us: int) -> int:
-        """Return the run time so far, with what earlier attempts saved."""
+        """Return the run time so far, including the progress that earlier attempts saved."""
         return self.checkpointed_us + (
             at_us - self.running_since_us if self.running_since_us else 0
         )
 
     def remaining_us(self, task_us: int, at_us: int) -> int:
-        """Return what remains of an estimated run time, at least 0.
+        """Return the remaining part of an estimated run time, at least 0.
 
-        A task that an earlier leader started is taken to have been half done when adopted.
+        An attempt that an earlier leader started counts as half done at its adoption.
         """
         if self.adopted:
             task_us //= 2
@@ -78,24 +81,23 @@
 
 
 class Job:
-    """A job that is not over."""
+    """A job that has not ended."""
 
     __slots__ = (
-        "_bound_due_us",
-        "_cancel_asked",
+        "_blocking_gate",
+        "_calendar_due_us",
+        "_cancel_requested",
         "_cancelled",
-        "_chain_due_us",
+        "_effective_level",
         "_finishing",
         "_first_seen_us",
-        "_held",
-        "_level",
+        "_inherited_due_us",
         "_next_new_task",
         "_not_before_us",
-        "_probing",
-        "_ready_us",
+        "_on_probation",
+        "_runnable_since_us",
         "_stranded",
         "active",
-        "broken",
         "calendar_deadline",
         "change_feeds",
         "checkpoints_us",
@@ -104,6 +106,7 @@
         "expected_finish_us",
         "expected_start_us",
         "failed_machines",
+        "fails_everywhere",
         "failures",
         "forecast_made_us",
         "gate_hold",
@@ -123,19 +126,19 @@
         "zones",
     )  # fmt: skip
 
-    #: What decides whether and when its tasks are placed tells of its changes.
+    #: Changes of these attributes are published, as they decide whether and when tasks are placed.
     cancelled = ObservedAttribute[bool]("_cancelled")
-    cancel_requested = ObservedAttribute[bool]("_cancel_asked")
+    cancel_requested = ObservedAttribute[bool]("_cancel_requested")
     finishing = ObservedAttribute[bool]("_finishing")
     first_seen_us = ObservedAttribute[int]("_first_seen_us")
-    runnable_since_us = ObservedAttribute[int]("_ready_us")
+    runnable_since_us = ObservedAttribute[int]("_runnable_since_us")
     not_before_us = ObservedAttribute[int]("_not_before_us")
-    on_probation = ObservedAttribute[bool]("_probing")
+    on_probation = ObservedAttribute[bool]("_on_probation")
     stranded = ObservedAttribute[bool]("_stranded")
-    effective_level = ObservedAttribute[int]("_level")
-    inherited_due_us = ObservedAttribute[tuple[int, ...]]("_chain_due_us")
-    calendar_due_us = ObservedAttribute[int | None]("_bound_due_us")
-    blocking_gate = ObservedAttribute[GateStatus | None]("_held")
+    effective_level = ObservedAttribute[int]("_effective_level")
+    inherited_due_us = ObservedAttribute[tuple[int, ...]]("_inherited_due_us")
+    calendar_due_us = ObservedAttribute[int | None]("_calendar_due_us")
+    blocking_gate = ObservedAttribute[GateStatus | None]("_blocking_gate")
 
     def __init__(self, spec: JobSpec, submitted_us: int, version: int, at_us: int) -> None:
         self.change_feeds: ChangeFeeds[Job] | None = None
@@ -143,36 +146,39 @@
         self.spec = spec
         self.id = spec.id
         self.team = spec.team
-        #: Time of day; ``first_seen_us`` is the same moment on this node's steady clock.
+        #: Time of day of the submission; ``first_seen_us`` is the same on this node's steady clock.
         self.submitted_us = submitted_us
         self._first_seen_us = at_us
         self.version = version
-        #: When its last needed job was done: users' times but the deadline count from then.
-        self._ready_us = at_us
-        #: What documents said of it when it was accepted.
+        #: The time at which the last needed job was done. Waiting times that users see count from
+        #: then; the deadline does not.
+        self._runnable_since_us = at_us
+        #: The deadline that a calendar document set when the job was accepted.
         self.calendar_deadline: CalendarDeadline | None = None
-        #: When that is on this node's steady clock, so early that it is met by every clock.
-        self._bound_due_us: int | None = None
+        #: The calendar deadline on this node's steady clock, early enough to be met by every clock.
+        self._calendar_due_us: int | None = None
         self.gate_hold: GateHold | None = None
-        #: What holds it now; None: nothing does.
-        self._held: GateStatus | None = None
-        #: Needed jobs that are not known to be committed as done.
+        #: The status of the gate that blocks the job now; None: no gate blocks the job.
+        self._blocking_gate: GateStatus | None = None
+        #: Ids of needed jobs that are not known to be committed as done.
         self.unmet_dependencies: frozenset[str] = frozenset()
-        #: Its priority, or that of a job that needs it; and by when it has to be done for
-        #: the jobs that need it to be in time, the nearest bound first (``urgency.py``).
-        self._level = spec.level
-        self._chain_due_us: tuple[int, ...] = ()
-        #: That is committed; and that its user has asked for it, so it may be committed.
+        #: The highest priority among the job and the jobs that need it; and the due times at which
+        #: the job has to be done so that those jobs are in time, the earliest first
+        #: (``scheduling/inherited_priority.py``).
+        self._effective_level = spec.level
+        self._inherited_due_us: tuple[int, ...] = ()
+        #: Whether the cancellation is committed; and whether the user has requested it, so that it
+        #: may be committed already.
         self._cancelled = False
-        self._cancel_asked = False
-        #: Its end or its cancellation is being committed, or its progress.
+        self._cancel_requested = False
+        #: Whether the job's end or cancellation is being committed; and whether its progress is.
         self._finishing = False
         self.saving = False
         self.states = bytearray(spec.tasks)
         self.active: dict[int, Attempt] = {}
         self.done = 0
         self.committed = 0
-        #: Stopped tasks, to be restarted before new ones are started.
+        #: Stopped tasks, which are restarted before new tasks are started.
         self.restart_queue: list[int] = []
         self._next_new_task = 0
         self.zones: Counter[str] = Counter()
@@ -181,30 +187,31 @@
         self.checkpoints_us: dict[int, int] = {}
         self.failed_machines: frozenset[str] = frozenset()
         self.failures = 0
-        #: Its tasks fail and none is known to succeed: it is tried one task at a time, and
-        #: nothing is stopped or rented for it; ``broken`` where it fails on healthy machines.
-        self._probing = False
-        self.broken = False
-        #: It is tried, and there is no machine to try it on: one may be rented.
+        #: Whether tasks fail and none is known to succeed. Such a job is tried one task at a time,
+        #: and no task is stopped and no machine rented for it. ``fails_everywhere``: the job
+        #: fails on healthy machines.
+        self._on_probation = False
+        self.fails_everywhere = False
+        #: Whether the job is on probation without a machine to try it on; one may be rented then.
         self._stranded = False
         self._not_before_us = 0
         self.reported_late = False
-        #: When the jobs that it waits for are expected to be done; None: cannot be told.
+        #: The time at which the jobs that it needs are expected to be done; None: unknown.
         self.expected_start_us: int | None = None
-        #: Expected finish on the steady clock; None: cannot be told.
+        #: The expected finish on the steady clock; None: unknown.
         self.expected_finish_us: int | None = None
-        #: When that was reckoned; 0: never.
+        #: The time at which the expected finish was computed; 0: never.
         self.forecast_made_us = 0
 
     def notify_changed(self) -> None:
-        """Something has changed by which decisions about the job are made."""
+        """Publish a change of the job that may affect decisions about it."""
         if self.change_feeds is not None:
             self.change_feeds.publish(self.id, self)
 
     @property
     def due_us(self) -> int | None:
-        """When it is due by itself: the earlier of its deadline and what binds it."""
-        bound_us = self._bound_due_us
+        """The earlier of the job's own deadline and its calendar deadline; None: it has neither."""
+        bound_us = self._calendar_due_us
         if self.spec.deadline_s is None:
             return bound_us
         deadline_us = self._first_seen_us + seconds_us(self.spec.deadline_s)
@@ -212,26 +219,26 @@
 
     @property
     def waiting(self) -> int:
-        """How many tasks wait for a place; none while the job waits for others, or is held.
+        """The number of tasks to be placed; 0 while other jobs or a gate block the job.
 
-        One that fails wherever it runs took its whole width in room, again and again, and
-        spoiled every machine for others: it waits for one.
+        A job on probation has one such task at most. A job that failed wherever it ran took
+        capacity for all its tasks again and again, and spoiled every machine for other jobs.
         """
-        if self.unwanted or self.unmet_dependencies or self._held is not None:
+        if self.must_stop or self.unmet_dependencies or self._blocking_gate is not None:
             return 0
-        if self._probing and self.active:
+        if self._on_probation and self.active:
             return 0
         waiting = self.spec.tasks - self.done - len(self.active)
-        return min(waiting, 1) if self._probing else waiting
+        return min(waiting, 1) if self._on_probation else waiting
 
     @property
-    def unwanted(self) -> bool:
-        """Whether its tasks have to go: it is cancelled, or is to be and may be already."""
-        return self._cancelled or self._cancel_asked
+    def must_stop(self) -> bool:
+        """Whether its tasks have to stop: the job is cancelled, or a cancellation was requested."""
+        return self._cancelled or self._cancel_requested
 
     @property
     def running(self) -> int:
-        """How many tasks run."""
+        """The number of tasks that run or save their progress."""
         return sum(
             1
             for a in self.active.values()
@@ -240,30 +247,33 @@
 
     @property
     def status(self) -> str:
-        """The status that users see while the job is not over."""
+        """The status that users see until the job has ended."""
         if self.cancelled:
             return "withdrawn"
         return "running" if self.running else "pending"
 
-    def expected_ends_us(self, task_us: int, at_us: int, away: Container[str] = ()) -> list[int]:
-        """Return when its attempts are expected to end, ``remaining_us`` of each from now on.
+    def expected_ends_us(
+        self, task_us: int, at_us: int, excluded_machines: Container[str] = ()
+    ) -> list[int]:
+        """Return the expected end of each attempt that runs on none of the excluded machines.
 
-        Without those on machines that are away. Asked for all attempts of a fleet each second:
-        a call for each of them took a third of a look at its size.
+        An end is the current time plus the attempt's ``remaining_us``, computed inline here. This
+        runs for all attempts of a fleet each second, and calling ``remaining_us`` for each attempt
+        took a third of the time of a pass at fleet size.
         """
         half_us = task_us // 2
         found = []
         for attempt in self.active.values():
-            if away and attempt.machine in away:
+            if excluded_machines and attempt.machine in excluded_machines:
                 continue
-            left_us = (half_us if attempt.adopted else task_us) - attempt.checkpointed_us
+            remaining_us = (half_us if attempt.adopted else task_us) - attempt.checkpointed_us
             if attempt.running_since_us:
-                left_us += attempt.running_since_us - at_us
-            found.append(at_us + left_us if left_us > 0 else at_us)
+                remaining_us += attempt.running_since_us - at_us
+            found.append(at_us + remaining_us if remaining_us > 0 else at_us)
         return found
 
     def peek_waiting(self) -> int | None:
-        """Return the next task to start: a stopped one if there is any."""
+        """Return the next task to start, preferring stopped tasks; None if no task waits."""
         while self.restart_queue and self.states[self.restart_queue[0]] != TaskState.WAITING:
             del self.restart_queue[0]
         if self.restart_queue:
@@ -275,29 +285,29 @@
             self._next_new_task += 1
         return self._next_new_task if self._next_new_task < self.spec.tasks else None
 
-    def waiting_indexes(self, most: int) -> list[int]:
-        """Return up to that many waiting tasks, stopped ones first, without repeats."""
+    def waiting_indexes(self, limit: int) -> list[int]:
+        """Return up to ``limit`` waiting tasks, stopped tasks first, each once."""
         found: list[int] = []
         seen: set[int] = set()
         for index in self.restart_queue:
-            if len(found) >= most:
+            if len(found) >= limit:
                 return found
             if self.states[index] == TaskState.WAITING and index not in seen:
                 seen.add(index)
                 found.append(index)
         self.peek_waiting()
         index = self._next_new_task
-        while index < self.spec.tasks and len(found) < most:
+        while index < self.spec.tasks and len(found) < limit:
             if self.states[index] == TaskState.WAITING and index not in seen:
                 found.append(index)
             index += 1
         return found
 
     def begin(self, attempt: Attempt, zone: str) -> None:
-        """Record that an attempt may exist."""
+        """Record an attempt of a waiting task that exists or is about to start."""
         index = attempt.index
         if self.states[index] != TaskState.WAITING:
-            raise ValueError(f"{attempt.task}: not waiting")
+            raise ValueError(f"cannot start {attempt.task}: the task is not waiting")
         self.states[index] = TaskState.ACTIVE
         self.active[index] = attempt
         self.zones[zone] += 1
@@ -305,10 +315,10 @@
         self.notify_changed()
 
     def end(self, attempt: Attempt, zone: str, *, completed: bool) -> None:
-        """Record that an attempt is surely gone."""
+        """Record that an attempt has certainly ended; an uncompleted task waits again."""
         index = attempt.index
         if self.active.get(index) is not attempt:
-            raise ValueError(f"{attempt.task}: attempt {attempt.number} is not the active one")
+            raise ValueError(f"{attempt.task}: attempt {attempt.number} is not the active attempt")
         del self.active[index]
         self.zones[zone] -= 1
         if completed:
@@ -321,7 +331,7 @@
         self.notify_changed()
 
     def restart_first(self, index: int, machine: str) -> None:
-        """An earlier leader stopped a task: it starts first, and best where it was last."""
+        """Queue a task that an earlier leader stopped, to start first and on its last machine."""
         if self.states[index] == TaskState.WAITING and index not in self.restart_queue:
             self.restart_queue.append(index)
             self.last_machine[index] = machine
@@ -330,7 +340,7 @@
     def complete_waiting(self, index: int) -> None:
         """Record that a task without an active attempt turned out to be completed."""
         if self.states[index] != TaskState.WAITING:
-            raise ValueError(f"{self.id}/{index}: not waiting")
+            raise ValueError(f"cannot complete {self.id}/{index}: the task is not waiting")
         self.states[index] = TaskState.COMPLETED
         self.done += 1
         self.uncommitted_chunks.add(index // CHUNK_TASKS)
@@ -348,39 +358,39 @@
         self.notify_changed()
 
     def snapshot_chunk(self, chunk: int) -> tuple[bytes, list[int]]:
-        """Return a chunk's completed flags, and which of them are not committed yet."""
+        """Return the completed flags of a chunk, and the completed tasks not committed yet."""
         start = chunk * CHUNK_TASKS
         states = bytes(self.states[start : start + CHUNK_TASKS])
         fresh: list[int] = []
-        place = states.find(TaskState.COMPLETED)
-        while place >= 0:
-            fresh.append(start + place)
-            place = states.find(TaskState.COMPLETED, place + 1)
+        position = states.find(TaskState.COMPLETED)
+        while position >= 0:
+            fresh.append(start + position)
+            position = states.find(TaskState.COMPLETED, position + 1)
         return states.translate(_IS_COMPLETED), fresh
 
     def mark_committed(self, indexes: list[int]) -> None:
-        """Record that completions are in the store."""
+        """Record that completions are committed in the store."""
         for index in indexes:
             if self.states[index] == TaskState.COMPLETED:
                 self.states[index] = TaskState.COMMITTED
                 self.committed += 1
 
     @property
-    def complete(self) -> bool:
-        """Whether every task is completed (replicas never complete by design)."""
+    def is_complete(self) -> bool:
+        """Whether every task is completed; replicas never complete by design."""
         return self.done == self.spec.tasks
 
     @property
-    def over(self) -> bool:
-        """Whether nothing more is to come: all completed, or cancelled and all gone."""
-        return self.complete or (self.cancelled and not self.active)
+    def has_ended(self) -> bool:
+        """Whether all tasks are completed, or the job is cancelled and has no active attempt."""
+        return self.is_complete or (self.cancelled and not self.active)
 
     def zone_limit(self) -> int:
-        """How many of the tasks may be in one zone."""
+        """Return how many of the tasks may run in one zone."""
         return -(-self.spec.tasks // 2) if self.spec.spread else self.spec.tasks
 
     def capacity_in_zone(self, zone: str) -> int:
-        """How many more tasks may be placed in a zone, given the others at this moment."""
+        """Return how many more tasks may be placed in a zone beside the active attempts."""
         if self.spec.zone is not None and zone != self.spec.zone:
             return 0
         if self.spec.one_zone and any(n > 0 for z, n in self.zones.items() if z != zone):
--- a/weldhead/cluster_state/machines.py
+++ b/weldhead/cluster_state/machines.py
@@ -1,4 +1,4 @@
-"""Machines in memory. No I/O."""
+"""Machines of the fleet in memory. No I/O."""
 
 import math
 from collections import OrderedDict
@@ -9,28 +9,28 @@
 from weldhead.cluster_state.states import AttemptPhase
 from weldhead.protocol.wire import JobSpec, MachineType, ReportedTask
 
-#: Amounts are decimals on the wire; sums of them are compared with this slack.
+#: Tolerance for comparing sums of amounts, which are decimals on the wire.
 EPSILON = 1e-6
 
 
 def tasks_that_fit(spec: JobSpec, cpus: float, gpus: float, memory_gb: float = math.inf) -> int:
-    """How many of the job's tasks fit into these amounts."""
-    most = spec.tasks
-    # Asked for each machine and job of a pass: a loop over the three takes twice as long.
+    """Return how many of a job's tasks fit into these amounts."""
+    count = spec.tasks
+    # Unrolled: this runs for each machine and job of a pass, and a loop takes twice as long.
     need = spec.cpus
-    if need > 0 and cpus < need * most:
-        most = int((cpus + EPSILON) / need)
+    if need > 0 and cpus < need * count:
+        count = int((cpus + EPSILON) / need)
     need = spec.gpus
-    if need > 0 and gpus < need * most:
-        most = int((gpus + EPSILON) / need)
+    if need > 0 and gpus < need * count:
+        count = int((gpus + EPSILON) / need)
     need = spec.memory_gb
-    if need > 0 and memory_gb < need * most:
-        most = int((memory_gb + EPSILON) / need)
-    return most if most > 0 else 0
+    if need > 0 and memory_gb < need * count:
+        count = int((memory_gb + EPSILON) / need)
+    return count if count > 0 else 0
 
 
 class Machine:
-    """A machine of ours."""
+    """A rented machine, with its capacity, its attempts and the state of its worker."""
 
     __slots__ = (
         "address",
@@ -53,7 +53,7 @@
         "last_heartbeat_us",
         "last_listing",
         "last_message_us",
-        "lease_from_us",
+        "lease_start_us",
         "memory_gb",
         "name",
         "newest_message",
@@ -75,7 +75,7 @@
     )  # fmt: skip
 
     def __init__(
-        self, name: str, machine_type: MachineType, zone: str, spot: bool, hired_us: int
+        self, name: str, machine_type: MachineType, zone: str, spot: bool, rented_us: int
     ) -> None:
         self.change_feeds: ChangeFeeds[Machine] | None = None
         self.serial = 0
@@ -84,94 +84,100 @@
         self.zone = zone
         self.spot = spot
         self.address = ""
-        #: The rental in whose record it stands.
+        #: The name of the rental whose record lists the machine.
         self.rental_name = ""
-        #: Steady clock of this node, estimated for machines that it did not rent.
-        self.rented_us = hired_us
-        #: The store knows that something may run here.
+        #: The time of rental on this node's steady clock; estimated if another node rented the
+        #: machine.
+        self.rented_us = rented_us
+        #: Whether the store records that tasks may run on the machine.
         self.enrolled = False
         self.enrollment_pending = False
-        #: (session, sequence) of the newest message seen; 0: none.
+        #: Session and sequence number of the newest message received; zeros: none.
         self.newest_message = (0, 0)
         self.heartbeat_sequence = 0
         self.token = 0
-        #: When that message came; what has a smaller stamp was sent before.
+        #: The arrival time of the newest message. A message with a smaller session and sequence
+        #: number was sent earlier.
         self.last_message_us = 0
-        #: When the newest report came that showed this term's token and was answered; 0: never.
+        #: The arrival time of the newest heartbeat that showed this term's token and was answered;
+        #: 0: none.
         self.last_heartbeat_us = 0
-        #: When it answered this leader directly for the first time, before any report of it
-        #: came; it may be used from then on, but that renewed no lease.
+        #: The time of the machine's first answer to a direct command of this leader, if it came
+        #: before any heartbeat. The machine may be used from then on, but its lease is not renewed.
         self.first_probe_us = 0
-        #: No later than this was a report sent whose answer may have renewed its lease.
-        self.lease_from_us = 0
-        #: It has reported under the present leader's token.
+        #: The latest possible sending time of a heartbeat whose answer may have renewed the
+        #: worker's lease.
+        self.lease_start_us = 0
+        #: Whether the machine has reported under this leader's token.
         self.reconciled = False
-        #: Reports of an earlier token that this leader has answered since it last showed its own.
+        #: The number of heartbeats with an earlier token that this leader has answered since the
+        #: machine last showed this leader's token.
         self.stale_token_answers = 0
-        #: Its reports come, and what it is told does not arrive: nothing new is placed there.
+        #: Whether heartbeats arrive from the machine while commands do not reach it. No new task is
+        #: placed on the machine then.
         self.not_receiving = False
         self.expired_session = 0
         self.attempts: dict[str, Attempt] = {}
-        #: Exited attempts to be forgotten, by (task, attempt).
+        #: Exited attempts that the worker is to forget, as task and attempt number.
         self.unacknowledged: set[tuple[str, int]] = set()
-        #: Attempts that must go and that no table knows.
+        #: Attempts that have to be stopped and that no job counts, as task and attempt number.
         self.orphans: set[tuple[str, int]] = set()
         self.interruption_us = 0
         self.draining = False
-        #: Filled last, so that it falls idle and can be returned.
+        #: Whether the machine is filled last, so that it becomes idle and can be returned.
         self.scale_in_candidate = False
         self.deleting = False
         self.images: OrderedDict[str, float] = OrderedDict()
-        self.idle_since_us = hired_us
+        self.idle_since_us = rented_us
         self.cpus = machine_type.cpus
         self.gpus = machine_type.gpus
         self.memory_gb = machine_type.memory_gb
-        #: Its reports come through another node: it cannot be reached directly.
+        #: Whether heartbeats arrive through another node, as the machine is not reachable directly.
         self.relayed = False
-        #: A direct request is on its way.
+        #: Whether a direct command is in flight.
         self.command_in_flight = False
         self.in_cloud_list = False
-        #: What its worker listed last, while nothing has been decided since by which the same
-        #: list would mean anything new.
+        #: The worker's last task list, as long as no later decision could make the same list
+        #: mean a change; None: the next list has to be processed.
         self.last_listing: list[ReportedTask] | None = None
-        #: A new leader asked it directly what it runs, and got no answer.
+        #: Whether direct status probes of a new leader got no answer.
         self.probes_failed = False
 
     def notify_changed(self) -> None:
-        """Its room has changed, or whether that may be used."""
+        """Publish that the free capacity, or whether it may be used, has changed."""
         if self.change_feeds is not None:
             self.change_feeds.publish(self.name, self)
 
     def record_heartbeat(self, at_us: int, silence_us: int) -> None:
-        """A report of it was answered."""
+        """Record an answered heartbeat; publish a change if the machine had been silent."""
         if at_us - self.last_heartbeat_us >= silence_us:
             self.notify_changed()
         self.last_heartbeat_us = at_us
 
     @property
     def session(self) -> int:
-        """The worker's session."""
+        """The newest known session of the worker; 0: none."""
         return self.newest_message[0]
 
     @property
     def price(self) -> float:
-        """What it costs per hour, by the catalog's prices."""
+        """The price per hour in the catalog."""
         return self.type.spot_price if self.spot else self.type.price
 
     @property
     def has_unknown_capacity(self) -> bool:
-        """Whether its type left the catalog: no amounts are known of it."""
+        """Whether the machine's type has left the catalog, so that its amounts are unknown."""
         return not self.type.cpus and not self.type.memory_gb
 
     @property
-    def booting(self) -> bool:
-        """Whether its worker has never been heard of."""
+    def is_booting(self) -> bool:
+        """Whether no message of the machine's worker has been received yet."""
         return self.newest_message[0] == 0
 
     def add(self, attempt: Attempt) -> None:
-        """Take an attempt's room."""
+        """Add an attempt and subtract its amounts from the free capacity."""
         if attempt.task in self.attempts:
-            raise ValueError(f"{self.name}: {attempt.task} is here already")
+            raise ValueError(f"machine {self.name} already has an attempt of {attempt.task}")
         self.attempts[attempt.task] = attempt
         spec = attempt.job.spec
         self.cpus -= spec.cpus
@@ -181,9 +187,9 @@
         self.notify_changed()
 
     def remove(self, attempt: Attempt) -> None:
-        """Give an attempt's room back."""
+        """Remove an attempt and return its amounts to the free capacity."""
         if self.attempts.pop(attempt.task, None) is not attempt:
-            raise ValueError(f"{self.name}: {attempt.task} is not here")
+            raise ValueError(f"machine {self.name} does not have this attempt of {attempt.task}")
         spec = attempt.job.spec
         self.cpus += spec.cpus
         self.gpus += spec.gpus
@@ -192,11 +198,11 @@
         self.notify_changed()
 
     def capacity_for(self, job: Job) -> int:
-        """How many more tasks of the job fit by their amounts."""
+        """Return how many more tasks of a job fit into the free capacity."""
         return tasks_that_fit(job.spec, self.cpus, self.gpus, self.memory_gb)
 
     def allows(self, job: Job) -> bool:
-        """Whether the job may be here at all."""
+        """Whether the type, zone and spot rules of a job permit this machine."""
         spec = job.spec
         return (
             (spec.types is None or self.type.name in spec.types)
@@ -205,26 +211,26 @@
         )
 
     def record_image(self, image: str, size_gb: float) -> None:
-        """Remember that an image was used here; the least recently used ones fall out."""
+        """Record the use of an image; drop the least recently used images beyond the cache size."""
         self.images[image] = size_gb
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > self.type.cache_gb:
             self.images.popitem(last=False)
 
     def image_pulls(self) -> int:
-        """How many images are being fetched."""
+        """Return how many images are being pulled."""
         return len(
             {a.job.spec.image for a in self.attempts.values() if a.phase is AttemptPhase.PULLING}
         )
 
     def lease_expired_us(self, lease_us: int, floor_us: int) -> int:
-        """Return when its worker's lease is surely over.
+        """Return the time at which the worker's lease has certainly expired.
 
-        ``floor_us`` is when an earlier leader may last have answered it. That counts until
-        the worker is known to obey this leader only; having synced by a direct command is
-        no report, so the lease that an earlier leader renewed still runs from then.
+        ``floor_us`` is the latest time at which an earlier leader may have answered the worker. It
+        counts until the worker is known to obey this leader only. An answer to a direct command is
+        no heartbeat, so the lease that an earlier leader renewed still runs from ``floor_us``.
         """
-        start_us = self.lease_from_us
+        start_us = self.lease_start_us
         if not self.reconciled:
             start_us = max(start_us, floor_us)
         return surely_over_us(start_us, lease_us)
--- a/weldhead/cluster_state/preemption_history.py
+++ b/weldhead/cluster_state/preemption_history.py
@@ -1,11 +1,13 @@
-"""What was taken: tasks that held cards and were stopped for others. No I/O.
-
-They are to be given back: stopped tasks first, on their last machine, from their checkpoint.
-And none is stopped again and again: a task that was stopped within the last hour is left
-alone until it has run for the least hold, which doubles with each stop in that hour. So
-however claims come and go, no task is stopped more than ``MAX_PREEMPTIONS_PER_HOUR`` times an hour:
-before the n-th stop in an hour it has run for LEAST_HOLD_US times 2 to the power n - 2,
-and 120 + 240 + 480 + 960 + 1,920 seconds are more than an hour.
+"""The history of preempted GPU tasks, and its records in the state service. No I/O.
+
+A preempted task is restarted before new tasks of its job, on its last machine if that has
+capacity, from its checkpoint.
+
+No task is preempted again and again. A task that was preempted within the last hour is protected
+until it has run for ``MIN_UNDISTURBED_RUN_US``, doubled with each further preemption in that hour.
+Before the n-th preemption in an hour it has therefore run for ``MIN_UNDISTURBED_RUN_US`` times 2 to
+the power n - 2. As 120 + 240 + 480 + 960 + 1,920 seconds are more than an hour, no task is
+preempted more than ``MAX_PREEMPTIONS_PER_HOUR`` times an hour, whatever other jobs claim.
 """
 
 import zlib
@@ -18,156 +20,163 @@
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.states import TaskState
 
-#: How long a task that was stopped is let run when it has begun again.
-MIN_UNDISTURBED_US = 120 * SECOND_US
-#: For so long a stop counts.
+#: How long a task has to run after its first preemption within an hour to be preempted again.
+MIN_UNDISTURBED_RUN_US = 120 * SECOND_US
+#: How long a preemption counts for the protection of its task.
 PREEMPTION_MEMORY_US = 3_600 * SECOND_US
-#: How often the same task is stopped for others within an hour at most.
+#: The bound on preemptions of the same task within an hour that follows from the two above.
 MAX_PREEMPTIONS_PER_HOUR = 5
 
 
 @dataclass
 class PreemptedTask:
-    """One task from which cards were taken: its last machine, and when it was stopped."""
+    """A GPU task that was preempted, with its last machine and the times of its preemptions."""
 
     job_id: str
     index: int
     machine: str
-    #: Steady clock; the last one is the latest. No more than MOST_AN_HOUR.
+    #: Preemption times on the steady clock, the latest last; at most ``MAX_PREEMPTIONS_PER_HOUR``.
     preempted_us: list[int]
 
     @property
     def last_preempted_us(self) -> int:
-        """When it was stopped last."""
+        """The time of the latest preemption."""
         return self.preempted_us[-1]
 
 
 class PreemptionHistory:
-    """The loans of all jobs, by job and task."""
+    """The preempted GPU tasks of all jobs."""
 
     def __init__(self) -> None:
         self._tasks: dict[str, dict[int, PreemptedTask]] = {}
 
     def __len__(self) -> int:
-        return sum(len(loans) for loans in self._tasks.values())
+        return sum(len(tasks) for tasks in self._tasks.values())
 
     def clear(self) -> None:
-        """Forget everything, to be read anew."""
+        """Remove all entries, before they are read from the store again."""
         self._tasks.clear()
 
     def entries(self) -> Iterator[PreemptedTask]:
-        """Iterate over all loans."""
-        for loans in self._tasks.values():
-            yield from loans.values()
+        """Iterate over the preempted tasks of all jobs."""
+        for tasks in self._tasks.values():
+            yield from tasks.values()
 
     def of_job(self, job_id: str) -> dict[int, PreemptedTask]:
-        """Return a job's loans by task."""
+        """Return the preempted tasks of a job by task index."""
         return self._tasks.get(job_id, {})
 
     def record_preemption(self, attempt: Attempt, at_us: int) -> None:
-        """Note that a task is stopped for another."""
-        loans = self._tasks.setdefault(attempt.job.id, {})
-        loan = loans.get(attempt.index)
-        if loan is None:
-            loan = loans[attempt.index] = PreemptedTask(attempt.job.id, attempt.index, "", [])
-        loan.machine = attempt.machine
-        loan.preempted_us = [s for s in loan.preempted_us if s > at_us - PREEMPTION_MEMORY_US] + [
-            at_us
-        ]
-
-    def restore(self, loan: PreemptedTask) -> None:
-        """Take up a loan from the records."""
-        self._tasks.setdefault(loan.job_id, {})[loan.index] = loan
-
-    def undisturbed_us(self, job_id: str, index: int, at_us: int) -> int:
-        """Return for how long a task is let run before it may be stopped for another."""
-        loan = self._tasks.get(job_id, {}).get(index)
-        if loan is None:
+        """Record that a GPU task is preempted."""
+        tasks = self._tasks.setdefault(attempt.job.id, {})
+        task = tasks.get(attempt.index)
+        if task is None:
+            task = tasks[attempt.index] = PreemptedTask(attempt.job.id, attempt.index, "", [])
+        task.machine = attempt.machine
+        task.preempted_us = [
+            time_us for time_us in task.preempted_us if time_us > at_us - PREEMPTION_MEMORY_US
+        ] + [at_us]
+
+    def restore(self, task: PreemptedTask) -> None:
+        """Add a preempted task that was read from a record."""
+        self._tasks.setdefault(task.job_id, {})[task.index] = task
+
+    def min_undisturbed_run_us(self, job_id: str, index: int, at_us: int) -> int:
+        """Return how long a task has to run before it may be preempted again; 0: no minimum."""
+        task = self._tasks.get(job_id, {}).get(index)
+        if task is None:
             return 0
-        recent = sum(1 for stop_us in loan.preempted_us if stop_us > at_us - PREEMPTION_MEMORY_US)
-        return MIN_UNDISTURBED_US << (recent - 1) if recent else 0
+        recent_count = sum(
+            1 for time_us in task.preempted_us if time_us > at_us - PREEMPTION_MEMORY_US
+        )
+        return MIN_UNDISTURBED_RUN_US << (recent_count - 1) if recent_count else 0
 
     def is_protected(self, attempt: Attempt, at_us: int) -> bool:
-        """Whether a task is left alone: it was stopped of late and has not run for long since.
+        """Whether a task was preempted recently and has not run for its minimum time since.
 
-        One that has not begun yet has lost nothing; but it is a stop as any other, and the
-        hold would not bound how often such a task is turned away.
+        An attempt that has not begun to run is protected as well. Its preemption would lose no
+        work, but counts as any other, and the minimum run time would not bound the number of such
+        preemptions.
         """
-        hold_us = self.undisturbed_us(attempt.job.id, attempt.index, at_us)
-        if hold_us == 0:
+        min_run_us = self.min_undisturbed_run_us(attempt.job.id, attempt.index, at_us)
+        if min_run_us == 0:
             return False
-        return attempt.running_since_us == 0 or at_us - attempt.running_since_us < hold_us
+        return attempt.running_since_us == 0 or at_us - attempt.running_since_us < min_run_us
 
-    def expire(self, at_us: int, keep: Mapping[str, Job]) -> None:
-        """Drop what nobody asks for any more: of jobs that are over, and what is long past.
+    def expire(self, at_us: int, unfinished_jobs: Mapping[str, Job]) -> None:
+        """Remove the tasks of ended jobs, and tasks whose last preemption no longer counts.
 
-        What still waits to be given back is kept, however long it waits.
+        A task of an unfinished job that still waits to be restarted is kept, however long it
+        waits.
         """
-        for job_id, loans in list(self._tasks.items()):
-            job = keep.get(job_id)
-            for index, loan in list(loans.items()):
-                waits = job is not None and job.states[index] == TaskState.WAITING
+        for job_id, tasks in list(self._tasks.items()):
+            job = unfinished_jobs.get(job_id)
+            for index, task in list(tasks.items()):
+                is_waiting = job is not None and job.states[index] == TaskState.WAITING
                 if job is None or (
-                    loan.last_preempted_us <= at_us - PREEMPTION_MEMORY_US and not waits
+                    task.last_preempted_us <= at_us - PREEMPTION_MEMORY_US and not is_waiting
                 ):
-                    del loans[index]
-            if not loans:
+                    del tasks[index]
+            if not tasks:
                 del self._tasks[job_id]
 
 
 # -- records -------------------------------------------------------------------------------
 
-#: Keys of the records; one holds the loans of many jobs, so that a burst costs few changes.
-PREEMPTED = "t/"
-#: How many records there are at most; a job's loans are always in the same one.
-SHARDS = 16
+#: Prefix of the record keys. Each record holds the tasks of many jobs, so that a burst of
+#: preemptions costs few writes.
+PREEMPTED_PREFIX = "t/"
+#: The number of records; all preempted tasks of a job are in the same record.
+SHARD_COUNT = 16
 
-#: A row: the task's job and index, its last machine, and the times of day of its stops.
+#: A preempted task in a record: job id, task index, last machine, and preemption times of day.
 Row = tuple[str, int, str, tuple[int, ...]]
 
 
 def shard_of(job_id: str) -> int:
-    """Return which record holds a job's loans."""
-    return zlib.crc32(job_id.encode()) % SHARDS
+    """Return the number of the record that holds the preempted tasks of a job."""
+    return zlib.crc32(job_id.encode()) % SHARD_COUNT
 
 
 def preempted_key(shard: int) -> str:
-    """Return the key of a record."""
-    return f"{PREEMPTED}{shard}"
+    """Return the key of the record with this number."""
+    return f"{PREEMPTED_PREFIX}{shard}"
 
 
-def rows_of(taken: PreemptionHistory, shard: int, offset_us: int, limit: int) -> list[Row]:
-    """Return a record's rows, the latest stops first, as many as a value of ``limit`` bytes has.
+def build_rows(history: PreemptionHistory, shard: int, offset_us: int, max_bytes: int) -> list[Row]:
+    """Return the rows of a record, the latest preemptions first, within ``max_bytes``.
 
-    ``offset_us`` makes times of day of the steady clock's. What a full record leaves out is
-    what was stopped longest ago: it is given back in some order then.
+    ``offset_us`` is added to times on the steady clock to get times of day. A full record leaves
+    out the tasks whose preemption is longest ago; these are restarted in no particular order.
     """
-    loans = [loan for loan in taken.entries() if shard_of(loan.job_id) == shard]
-    loans.sort(key=lambda loan: (-loan.last_preempted_us, loan.job_id, loan.index))
+    tasks = [task for task in history.entries() if shard_of(task.job_id) == shard]
+    tasks.sort(key=lambda task: (-task.last_preempted_us, task.job_id, task.index))
     rows: list[Row] = []
     size = 2
-    for loan in loans:
-        stops = tuple(stop_us + offset_us for stop_us in loan.preempted_us)
-        row: Row = (loan.job_id, loan.index, loan.machine, stops)
+    for task in tasks:
+        preempted_us = tuple(time_us + offset_us for time_us in task.preempted_us)
+        row: Row = (task.job_id, task.index, task.machine, preempted_us)
         size += len(msgspec.json.encode(row)) + 1
-        if size > limit:
+        if size > max_bytes:
             break
         rows.append(row)
     return rows
 
 
 def restore_rows(
-    taken: PreemptionHistory, rows: Iterable[Row], jobs: Mapping[str, Job], offset_us: int
+    history: PreemptionHistory, rows: Iterable[Row], jobs: Mapping[str, Job], offset_us: int
 ) -> None:
-    """Take up a record that an earlier leader wrote: who is given back first, and where.
+    """Add the preempted tasks of a record that an earlier leader wrote.
 
-    Stopped tasks are the first of their job to start, the one that was stopped first before
-    the others, each on its last machine if that has room. Tasks that run again already have
-    been found there, or will be: they are not waiting when their turn comes.
+    Preempted tasks are the first of their job to start, in the order of their preemption, each on
+    its last machine if that has capacity. A task that already runs again is reported by its
+    machine sooner or later, and is not waiting when its turn comes.
     """
-    for job_id, index, machine, stops in sorted(rows, key=lambda row: (row[3], row[1])):
+    for job_id, index, machine, preempted_us in sorted(rows, key=lambda row: (row[3], row[1])):
         job = jobs.get(job_id)
-        if job is None or index >= job.spec.tasks or not stops:
+        if job is None or index >= job.spec.tasks or not preempted_us:
             continue
-        taken.restore(PreemptedTask(job_id, index, machine, [stop - offset_us for stop in stops]))
+        history.restore(
+            PreemptedTask(job_id, index, machine, [time_us - offset_us for time_us in preempted_us])
+        )
         job.restart_first(index, machine)
--- a/weldhead/cluster_state/reclaim.py
+++ b/weldhead/cluster_state/reclaim.py
@@ -1,9 +1,9 @@
-"""Reclaim lists: what has been asked to make room, for whom. No I/O.
+"""Reclaim lists: open requests to free capacity by preemption, by waiting job. No I/O.
 
-As in the paper, each waiting job has a list of the requests made on its behalf; a request
-is made only while the waiting tasks outnumber the entries, which keeps a preemptor that
-runs often from asking twice for the same room. An entry leaves when room is granted to
-its job; one that stays too long becomes a hard kill.
+As in the Natjam paper, each waiting job has a list of the requests made on its behalf. A request
+is made only while the job's waiting tasks outnumber its entries, so that a preemptor that runs
+often does not request the same capacity twice. An entry is removed when its job is granted
+capacity. The victims of an entry that stays too long are killed.
 """
 
 from collections.abc import Iterable
@@ -15,33 +15,36 @@
 
 @dataclass
 class Reclaim:
-    """A request for the room of one task."""
+    """A request for the capacity that one task of a job needs on a machine."""
 
     job_id: str
     machine: str
     victims: list[Attempt]
     requested_us: int
-    hard_kill_us: int = 0
+    #: The time at which the victims were requested to be killed; 0: they were not.
+    hard_kill_requested_us: int = 0
 
 
 class ReclaimLists:
-    """The lists of all waiting jobs."""
+    """The reclaim lists of all waiting jobs."""
 
-    def __init__(self, taken: PreemptionHistory | None = None) -> None:
+    def __init__(self, preemption_history: PreemptionHistory | None = None) -> None:
         self._lists: dict[str, list[Reclaim]] = {}
-        #: Tasks that were stopped for others while they held cards.
-        self.preemption_history = taken if taken is not None else PreemptionHistory()
+        #: GPU tasks that were preempted.
+        self.preemption_history = (
+            preemption_history if preemption_history is not None else PreemptionHistory()
+        )
 
     def add(self, reclaim: Reclaim) -> None:
-        """Enter a request."""
+        """Add a request to the list of its job."""
         self._lists.setdefault(reclaim.job_id, []).append(reclaim)
 
     def count(self, job_id: str) -> int:
-        """How many requests are open on behalf of a job."""
+        """Return how many requests are open on behalf of a job."""
         return len(self._lists.get(job_id, ()))
 
-    def granted(self, job_id: str, machine: str) -> None:
-        """Capacity was granted to a job: its entry leaves, the one for that machine first."""
+    def record_grant(self, job_id: str, machine: str) -> None:
+        """Remove one entry of a job that was granted capacity, preferably one for that machine."""
         entries = self._lists.get(job_id)
         if not entries:
             return
@@ -51,7 +54,7 @@
             del self._lists[job_id]
 
     def trim(self, job_id: str, waiting: int) -> None:
-        """A job waits for less than it did: its newest surplus entries leave."""
+        """Remove the newest entries of a job beyond the number of its waiting tasks."""
         entries = self._lists.get(job_id)
         if entries is None:
             return
@@ -60,18 +63,18 @@
             del self._lists[job_id]
 
     def remove(self, reclaim: Reclaim) -> None:
-        """Remove an entry."""
+        """Remove a request from the list of its job."""
         entries = self._lists.get(reclaim.job_id)
         if entries and reclaim in entries:
             entries.remove(reclaim)
             if not entries:
                 del self._lists[reclaim.job_id]
 
-    def jobs(self) -> list[str]:
-        """The jobs that have entries."""
+    def job_ids(self) -> list[str]:
+        """Return the ids of the jobs that have open requests."""
         return list(self._lists)
 
     def entries(self) -> Iterable[Reclaim]:
-        """All entries."""
+        """Iterate over the open requests of all jobs."""
         for entries in list(self._lists.values()):
             yield from list(entries)
--- a/weldhead/cluster_state/records.py
+++ b/weldhead/cluster_state/records.py
@@ -1,20 +1,20 @@
-"""Records in the state service.
+"""The records that controllers keep in the state service, and their keys.
 
 =========  =========================================================================
 key        value
 =========  =========================================================================
 leader     LeaderRecord, attached to the leader's lease; its revision is the token
-unsettled  UnsettledRecord, while tasks may be left that the leader would not know to kill
-j/ID       JobRecord: a job that is not over, or whose tasks may still be somewhere
+unsettled  UnsettledRecord, while tasks may run that the leader would not know to kill
+j/ID       JobRecord: a job that has not ended, or whose tasks may still run somewhere
 p/ID/N     the completed tasks of a job, N-th chunk of a bitmap
-f/ID       FinalRecord: how a job ended, kept for good
-h/NAME     RentalRecord: a rental that may have been asked for, and its machines
-t/N        tasks that were stopped for others while they held cards (``taken.py``)
+f/ID       FinalRecord: how a job ended, kept permanently
+h/NAME     RentalRecord: a rental that may have been requested, and its machines
+t/N        preempted GPU tasks, see ``cluster_state/preemption_history.py``
 d/...      documents, see ``documents/records.py``
 =========  =========================================================================
 
-Only the leader writes anything but ``leader`` and new ``j/`` keys, and each of its
-transactions is conditional on the version of ``leader``.
+Any controller may write ``leader`` and create ``j/`` keys. Only the leader writes anything else,
+and each of its transactions is conditional on the version of ``leader``.
 """
 
 import base64
@@ -31,18 +31,19 @@
 FINAL = "f/"
 RENTALS = "h/"
 
-#: Tasks in one chunk of progress: 1 KiB of bits, well inside any value limit.
+#: Tasks in one chunk of progress: 1 KiB of bits, well within any limit of a value.
 CHUNK_TASKS = 8192
 
-#: Bytes of a machine's address, "255.255.255.255:65535", with what stands around it.
+#: Encoded size of the longest machine address, "255.255.255.255:65535", with its punctuation.
 ADDRESS_BYTES = 25
 
 
 class LeaderRecord(msgspec.Struct):
-    """Who leads; the nonce tells a leader its own record after an unanswered write.
+    """The current leader.
 
-    ``ttl_us`` bounds how long its holder may believe in it after it is gone. ``earlier_us``
-    bounds for how long after this record was written the holders before may have gone on.
+    ``nonce`` lets a leader recognize its own record after an unanswered write. ``ttl_us`` bounds
+    how long the leader may rely on the record after its deletion. ``earlier_us`` bounds how long
+    after the write of this record previous leaders may have continued to lead.
     """
 
     name: str
@@ -52,17 +53,18 @@
 
 
 class UnsettledRecord(msgspec.Struct):
-    """Written with each leader's record, deleted once that term has seen to what it found.
+    """States that tasks of cancelled jobs may still run without the leader's knowledge.
 
-    ``from_us``: the earliest cancellation (time of day) of which tasks may still be somewhere
-    without the next leader's knowing, however many terms have ended since before they could.
+    The record is written with each leader's record. It is deleted once no task can be left of the
+    jobs that were cancelled before that term. ``from_us`` is the time of day of the earliest
+    cancellation that may be affected, however many terms have ended since without a deletion.
     """
 
     from_us: int
 
 
 class CalendarDeadline(msgspec.Struct, omit_defaults=True, frozen=True):
-    """The instant that a calendar binds a job to (time of day, UTC)."""
+    """The due time that a calendar sets for a job (time of day, UTC)."""
 
     calendar: str
     edition: int
@@ -70,16 +72,17 @@
 
 
 class GateHold(msgspec.Struct, omit_defaults=True, frozen=True):
-    """The gate that holds a job, and the edition of what it waits for."""
+    """The gate that blocks a job, and the edition that the job waits for."""
 
     gate: str
     edition: int
 
 
 class GateAction(msgspec.Struct, omit_defaults=True, frozen=True):
-    """What a job does to a gate: the act, and the edition that it is of if it names none.
+    """The act that a job performs on a gate.
 
-    ``round``: how many approvals had been withdrawn when the job was accepted.
+    ``edition`` is the edition that the act applies to if the job names none. ``round`` is the
+    number of approvals that had been withdrawn when the job was accepted.
     """
 
     gate: str
@@ -88,13 +91,14 @@
     round: int = 0
 
 
-#: Stands among what a job needs that a gate holds or that works on one, before the gate's
-#: name. No job has such an id: whoever knows chains and no gates waits for it for ever.
+#: Prefix of a gate's name among the needs of a job that the gate blocks or that acts on the gate.
+#: No job has such an id. A version that supports job chains but no gates therefore waits for this
+#: need forever and never starts the job.
 GATE_NEED = "gate/"
 
 
 class AdmissionBinding(msgspec.Struct, frozen=True):
-    """What documents say of a job at its acceptance, and on which marks that rests."""
+    """The effect of documents on a job at its acceptance, and the key versions that it rests on."""
 
     deadline: CalendarDeadline | None = None
     gate_hold: GateHold | None = None
@@ -102,13 +106,13 @@
     conditions: tuple[Condition, ...] = ()
 
     def merged(self, other: "AdmissionBinding") -> "AdmissionBinding":
-        """Return both; of two instants the earlier binds."""
+        """Return the combination of two bindings; the earlier of two deadlines applies."""
         bounds = [bound for bound in (self.deadline, other.deadline) if bound is not None]
         return AdmissionBinding(
             min(bounds, key=lambda bound: bound.due_us, default=None),
             self.gate_hold or other.gate_hold,
             self.gate_action or other.gate_action,
-            # Several may rest on the same marks; a condition is stated once.
+            # Both bindings may rest on the same key versions; each condition is listed once.
             (*self.conditions, *(c for c in other.conditions if c not in self.conditions)),
         )
 
@@ -118,7 +122,7 @@
     omit_defaults=True,
     rename={"deadline": "bound", "gate_hold": "hold", "gate_action": "deed"},
 ):
-    """A job that is not over.
+    """A job that has not ended.
 
     The last three fields came with documents (see ``protocol/versions.py``).
     """
@@ -132,7 +136,7 @@
 
 
 def admitted_record(spec: JobSpec, submitted_us: int, binding: AdmissionBinding) -> JobRecord:
-    """Return a new job's record; what concerns a gate has a need that only older versions see."""
+    """Return the record of a new job; with a gate it gets a need that only older versions see."""
     gate = binding.gate_hold or binding.gate_action
     if gate is not None:
         spec = msgspec.structs.replace(spec, needs=(*(spec.needs or ()), GATE_NEED + gate.gate))
@@ -146,7 +150,7 @@
 
 
 def without_gate(spec: JobSpec) -> JobSpec:
-    """Return a job as its user submitted it."""
+    """Return the job specification without the need that stands for a gate."""
     if not spec.needs or not any(name.startswith(GATE_NEED) for name in spec.needs):
         return spec
     needs = tuple(name for name in spec.needs if not name.startswith(GATE_NEED))
@@ -161,17 +165,17 @@
 
     status: Literal["done", "withdrawn"]
     done: int
-    #: Time of day of its end; 0: an earlier version did not say, so it was long ago.
+    #: Time of day of the end; 0: an earlier version wrote the record without it, long ago.
     ended_us: int = 0
     service: bool = False
 
 
 class RentalRecord(msgspec.Struct, omit_defaults=True, rename={"rented_us": "hired_us"}):
-    """A rental: asked for under the name in its key, and the machines that came of it.
+    """A rental that is requested under the name in its key, and the machines that it provided.
 
-    One record holds many machines, so that hundreds of them can be entered and marked
-    within the store's rate of changes. A machine maps to the address at which it reported,
-    or to null: until the address is entered, nothing was ever started on it.
+    One record holds many machines, so that hundreds of machines can be recorded and enrolled
+    within the store's limit on the rate of changes. Each machine maps to the address that it
+    reported, or to null. No task is ever started on a machine before its address is recorded.
     """
 
     type: str
@@ -179,36 +183,36 @@
     spot: bool
     count: int
     rented_us: int
-    #: What came of the request is known.
+    #: Whether the outcome of the request is known.
     settled: bool = False
     machines: dict[str, str | None] = {}
 
 
-def divide_machines(record: RentalRecord, limit: int) -> list[dict[str, str | None]]:
-    """Divide a rental's machines so that a record holds each part, with their addresses."""
+def divide_machines(record: RentalRecord, max_bytes: int) -> list[dict[str, str | None]]:
+    """Divide a rental's machines into parts that fit into a record each, with their addresses."""
     head = msgspec.structs.replace(record, settled=True, machines={"": None})
-    room = limit - len(msgspec.json.encode(head))
+    available_bytes = max_bytes - len(msgspec.json.encode(head))
     parts: list[dict[str, str | None]] = [{}]
-    left = room
+    remaining_bytes = available_bytes
     for name, address in record.machines.items():
         size = len(msgspec.json.encode(name)) + max(ADDRESS_BYTES, len(address or "") + 4)
-        if parts[-1] and size > left:
+        if parts[-1] and size > remaining_bytes:
             parts.append({})
-            left = room
+            remaining_bytes = available_bytes
         parts[-1][name] = address
-        left -= size
+        remaining_bytes -= size
     return parts
 
 
-def cancelled_record(spec: JobSpec, submitted_us: int, limit: int) -> JobRecord:
-    """Return the record of a cancelled job; it fits the limit even if it did not before.
+def cancelled_record(spec: JobSpec, submitted_us: int, max_bytes: int) -> JobRecord:
+    """Return the record of a cancelled job, shortened if it exceeds ``max_bytes``.
 
-    Nothing of a cancelled job is started any more, so what only says where it may start can
-    go: an earlier version accepted submissions under a larger limit, and to cancel such a
-    job its record has to be written once more. Every version reads the shorter one.
+    An earlier version accepted submissions under a larger limit, and the cancellation of such a job
+    writes its record once more. No task of a cancelled job is started, so the fields that only say
+    where tasks may start can be cleared. Every version can read the shortened record.
     """
     record = JobRecord(spec, submitted_us, cancelled=True)
-    if len(msgspec.json.encode(record)) > limit:
+    if len(msgspec.json.encode(record)) > max_bytes:
         record.spec = msgspec.structs.replace(
             spec, job_class="-", image="-", types=None, zone=None, needs=None
         )
@@ -216,31 +220,31 @@
 
 
 def job_key(job_id: str) -> str:
-    """Return the key of a job that is not over."""
+    """Return the key of the record of an unfinished job."""
     return JOBS + job_id
 
 
 def final_key(job_id: str) -> str:
-    """Return the key of a job that is over."""
+    """Return the key of the final record of an ended job."""
     return FINAL + job_id
 
 
 def progress_key(job_id: str, chunk: int) -> str:
-    """Return the key of a chunk of progress."""
+    """Return the key of a chunk of a job's progress."""
     return f"{PROGRESS}{job_id}/{chunk}"
 
 
-#: By flag: the digit that says the same.
+#: Translates a completed flag (a byte, 0 or not) into the digit "0" or "1".
 _DIGITS = b"0" + b"1" * 255
 
 
 def encode_progress(done: bytes | bytearray) -> str:
-    """Encode one chunk; ``done`` has one byte a task, non-zero when completed."""
+    """Encode one chunk; ``done`` has one byte for each task, non-zero if it is completed."""
     bits = int(done[::-1].translate(_DIGITS) or b"0", 2)
     return base64.b64encode(bits.to_bytes(-(-len(done) // 8) or 1, "little")).decode()
 
 
 def decode_progress(text: str, tasks: int) -> list[int]:
-    """Return the indexes completed in a chunk of that many tasks."""
+    """Return the indexes of the completed tasks in a chunk of ``tasks`` tasks."""
     bits = int.from_bytes(base64.b64decode(text, validate=True), "little")
     return [index for index in range(tasks) if bits >> index & 1]
--- a/weldhead/cluster_state/state_writer.py
+++ b/weldhead/cluster_state/state_writer.py
@@ -1,13 +1,14 @@
-"""The leader's writes: batched transactions, each conditional on the leader's key.
+"""The leader's writes to the state service: batched transactions, conditional on the leader's key.
 
-One transaction is under way at a time, and each is also conditional on the last known
-version of every key that it changes. So a transaction that was given up and is applied
-late either comes before the next one, which then fails and learns the new versions, or
-fails itself: a late one can never put an older value over a newer.
+One transaction is in progress at a time, and each is also conditional on the last known version of
+every key that it changes. A transaction that timed out may be applied late. If it is applied before
+the next transaction, the next one fails and reads the new versions. Otherwise the late transaction
+fails. A late transaction therefore never replaces a newer value by an older one.
 
-Versions never come back, but absence does: a key that was created by the repetition of an
-unanswered transaction and deleted since is as absent as before, and the unanswered one may
-bring it back. Whoever cannot bear that asks ``in_doubt`` before deleting a key.
+Versions are never reused, but a key can become absent again. When a creation is not answered, is
+repeated, and the key is deleted afterwards, the condition of the first creation holds once more,
+and its late execution restores the key. A caller that must not have a deleted key restored calls
+``StateWriter.is_creation_unconfirmed`` before it deletes the key.
 """
 
 import asyncio
@@ -33,10 +34,10 @@
 
 
 class LeadershipLostError(Exception):
-    """Another leader has taken over, or this one's key is gone.
+    """Another leader has replaced this one, or the leader's key was deleted.
 
-    ``seen_token`` is the version of the leader's key that was read; 0: it is gone; None: it was
-    not read, as the term was over already.
+    ``seen_token`` is the version of the leader's key that was read; 0: the key does not exist;
+    None: the key was not read, because the term had ended already.
     """
 
     def __init__(self, own_token: int, seen_token: int | None = None) -> None:
@@ -59,16 +60,19 @@
     ) -> None:
         self.changes = changes
         self.future = future
-        #: Whoever wants the only key's newest value shares this write.
+        #: Whether the write has a single key, and later requests for its newest value share it.
         self.latest = latest
 
     def values(self) -> dict[str, Any]:
-        """Return the changes, with values made now where they are made in turn."""
-        return {key: made() if callable(made) else made for key, made in self.changes.items()}
+        """Return the changes; values given as a callable are built now."""
+        return {key: value() if callable(value) else value for key, value in self.changes.items()}
 
 
 class StateWriter:
-    """A queue of changes; a value of None deletes a key, a callable makes the value in turn."""
+    """A queue of writes to the state service.
+
+    A value of None deletes the key. A callable builds the value when the write's turn comes.
+    """
 
     def __init__(self, state: StateClient, token: int) -> None:
         self._state = state
@@ -76,21 +80,22 @@
         self._versions: dict[str, int] = {}
         self._urgent: deque[_QueuedWrite] = deque()
         self._queue: deque[_QueuedWrite] = deque()
-        #: Writes of newest values whose turn has not come, by key.
+        #: Queued writes of newest values, by key.
         self._latest: dict[str, _QueuedWrite] = {}
         self._wake = asyncio.Event()
         self._closed = False
-        #: Keys of which a creation was not answered: it may yet be applied, in this term.
+        #: Keys with an unanswered creation, which may still be applied during this term.
         self._unconfirmed_creations: set[str] = set()
-        #: The latest moment at which the leader's key was surely still ours: when a request
-        #: was sent whose answer showed it (steady clock, 0: never).
+        #: The latest time at which this leader certainly held the leader's key: the sending time of
+        #: a request whose answer confirmed it (steady clock; 0: never).
         self.leadership_verified_us = 0
-        #: Keys of the transaction under way, once it may have been carried out, and since when.
+        #: Keys of the current transaction while it may have been applied without this node having
+        #: processed the answer; and the time since which that holds.
         self.unanswered_keys: frozenset[str] = frozenset()
         self.unanswered_since_us = 0
 
     async def verify_leadership(self) -> None:
-        """Show that the leader's key is still ours; LeadershipLostError if it is not."""
+        """Check that this leader holds the leader's key; raise LeadershipLostError if not."""
         sent_us = now_us()
         leader = await self._state.get(LEADER_KEY, urgent=True)
         if leader is None or leader.version != self._token:
@@ -101,38 +106,43 @@
         return LeadershipLostError(self._token, 0 if leader is None else leader.version)
 
     def record_version(self, key: str, version: int) -> None:
-        """Note a key's version, read from the store or its watch."""
+        """Record a key's version that was read from the store or its change feed."""
         if version > self._versions.get(key, 0):
             self._versions[key] = version
 
     def forget_version(self, key: str) -> None:
-        """A key was committed and is never written again: its version is not needed.
+        """Forget the version of a key that is never written again.
 
-        Kept for the whole term, the versions of ended jobs' records grew with every job.
+        If the versions of ended jobs' records were kept for the whole term, they would grow with
+        every job.
         """
         self._versions.pop(key, None)
         self._unconfirmed_creations.discard(key)
 
     def version(self, key: str) -> int:
-        """Return a key's last known version; 0: it does not exist."""
+        """Return the last known version of a key; 0: the key does not exist."""
         return self._versions.get(key, 0)
 
-    def creation_unconfirmed(self, key: str) -> bool:
-        """Whether a creation of the key may still be under way: deleted, it could come back.
+    def is_creation_unconfirmed(self, key: str) -> bool:
+        """Whether an unanswered creation of a key may still be applied and restore a deleted key.
 
-        With the term that ends: whatever a transaction does is conditional on its token.
+        That is possible only until the term ends, because each transaction is conditional on the
+        term's token.
         """
         return key in self._unconfirmed_creations
 
     async def write(self, changes: dict[str, Any], *, urgent: bool = False) -> int:
-        """Commit changes that belong together; return the revision.
+        """Commit changes in one transaction; return the revision.
 
-        LeadershipLostError if we are, TransactionRejectedError if the store will never take them.
+        Raises LeadershipLostError if this node no longer leads, and TransactionRejectedError if
+        the store can never accept the changes.
         """
         if self._closed:
             raise LeadershipLostError(self._token)
         if len(changes) > self._state.max_writes:
-            raise ValueError(f"{len(changes)} changes in one transaction")
+            raise ValueError(
+                f"{len(changes)} changes in one transaction, allowed: {self._state.max_writes}"
+            )
         write = _QueuedWrite(changes, asyncio.get_running_loop().create_future())
         (self._urgent if urgent else self._queue).append(write)
         self._wake.set()
@@ -141,10 +151,10 @@
     async def write_latest(
         self, key: str, build: Callable[[], Any], *, urgent: bool = False
     ) -> int:
-        """Commit the newest value of a key, made when the write's turn comes.
+        """Commit the newest value of a key, built when the write's turn comes.
 
-        Whoever asks before that shares the write: a record that changes often costs one
-        change a turn, however many changes it has seen.
+        Calls for the same key before that share the write, so that a record that changes often
+        costs one write a turn, however often it has changed.
         """
         if self._closed:
             raise LeadershipLostError(self._token)
@@ -161,17 +171,20 @@
         return await asyncio.shield(write.future)
 
     def prioritize(self, key: str) -> None:
-        """Let a newest value's write that waits for its turn overtake the others."""
+        """Move a queued write of a key's newest value to the urgent queue."""
         write = self._latest.get(key)
         if write is not None and write in self._queue:
             self._queue.remove(write)
             self._urgent.append(write)
 
-    def _batch(self) -> list[tuple[_QueuedWrite, dict[str, Any]]]:
-        """Take writes from the queue, with their values: urgent ones first, no key twice."""
+    def _take_batch(self) -> list[tuple[_QueuedWrite, dict[str, Any]]]:
+        """Take queued writes, with their values, for one transaction.
+
+        Urgent writes come first, and no key is written twice.
+        """
         batch: list[tuple[_QueuedWrite, dict[str, Any]]] = []
         keys: set[str] = set()
-        size = 0
+        batch_bytes = 0
         for queue in (self._urgent, self._queue):
             while queue:
                 write = queue[0]
@@ -180,20 +193,20 @@
                 if not keys.isdisjoint(write.changes):
                     return batch
                 values = write.values()
-                added = len(msgspec.json.encode(values))
-                if batch and size + added > 48 * 1024:
+                added_bytes = len(msgspec.json.encode(values))
+                if batch and batch_bytes + added_bytes > 48 * 1024:
                     return batch
                 keys |= write.changes.keys()
-                size += added
+                batch_bytes += added_bytes
                 batch.append((queue.popleft(), values))
                 if write.latest:
                     del self._latest[next(iter(write.changes))]
         return batch
 
     async def run(self) -> None:
-        """Write until closed or deposed; a background task of the leader's term."""
+        """Commit queued writes until closed or leadership is lost; a task of the leader's term."""
         while not self._closed:
-            batch = self._batch()
+            batch = self._take_batch()
             if not batch:
                 self._wake.clear()
                 await self._wake.wait()
@@ -207,7 +220,7 @@
                 raise
 
     def _mark_unanswered(self, keys: Iterable[str]) -> None:
-        """Others may read from now on what a transaction writes to these keys."""
+        """Record that other nodes may read the values that a transaction writes to these keys."""
         if not self.unanswered_keys:
             self.unanswered_since_us = now_us()
         self.unanswered_keys = frozenset(keys)
@@ -216,31 +229,32 @@
     def _fail(write: _QueuedWrite, cause: Exception) -> None:
         if not write.future.done():
             write.future.set_exception(cause)
-            # Whoever asked may be gone; that it failed has been logged.
+            # The caller may no longer wait. Reading the exception keeps asyncio from logging a
+            # failure that is logged already.
             write.future.exception()
 
     async def _commit_batch(self, batch: list[tuple[_QueuedWrite, dict[str, Any]]]) -> None:
-        """Commit writes together; if the store takes them not, each by itself.
+        """Commit writes together, or each by itself if the store rejects them together.
 
-        A write that it will never take fails alone. Retried unchanged, as any other failure
-        is, one value over the limit stopped the whole queue for good.
+        A write that the store can never accept fails alone. When such writes were retried unchanged
+        like other failures, one value over the size limit blocked the whole queue permanently.
         """
         try:
             revision = await self._commit({k: v for _, values in batch for k, v in values.items()})
         except TransactionRejectedError as error:
             self.unanswered_keys = frozenset()
             if len(batch) > 1:
-                for one in batch:
-                    await self._commit_batch([one])
+                for entry in batch:
+                    await self._commit_batch([entry])
                 return
             write, values = batch[0]
-            log.exception("write rejected for good: %s", ", ".join(values))
+            log.exception("state write rejected permanently: keys %s", ", ".join(values))
             self._fail(write, error)
             return
         for write, _ in batch:
             if not write.future.done():
                 write.future.set_result(revision)
-        # It counts as in doubt until whoever waited has taken it up.
+        # The keys count as unanswered until the waiting callers have processed the result.
         await asyncio.sleep(0)
         self.unanswered_keys = frozenset()
 
@@ -265,17 +279,17 @@
                         self._versions[key] = revision
                 return revision
             except ConflictError as conflict:
-                log.info("write conflict: %s", conflict)
-                if await self._refresh(changes):
+                log.info("conditions of a state write do not hold: %s", conflict)
+                if await self._refresh_versions(changes):
                     return max(self.version(key) for key in changes)
             except RequestRefusedError as refused:
-                log.debug("write refused: %s", refused)
+                log.debug("state write refused: %s", refused)
                 if not unanswered:
                     self.unanswered_keys = frozenset()
             except TransactionRejectedError:
                 raise
             except CallError as failure:
-                log.info("write unanswered: %s", failure)
+                log.info("state write not answered: %s", failure)
                 self._unconfirmed_creations.update(
                     key for key, value in changes.items()
                     if value is not None and not self.version(key)
@@ -284,8 +298,8 @@
             await asyncio.sleep(pause_s)
             pause_s = min(0.5, pause_s * 1.5)
 
-    async def _refresh(self, changes: dict[str, Any]) -> bool:
-        """Learn the versions anew; true if the changes turn out to be there already."""
+    async def _refresh_versions(self, changes: dict[str, Any]) -> bool:
+        """Read the current versions; return whether the changes are already applied."""
         while True:
             try:
                 leader = await self._state.get(LEADER_KEY, urgent=True)
@@ -299,16 +313,16 @@
                         applied = applied and value is None
                     else:
                         self._versions[key] = entry.version
-                        wanted = msgspec.json.decode(msgspec.json.encode(value))
+                        written = msgspec.json.decode(msgspec.json.encode(value))
                         stored = msgspec.json.decode(entry.value)
-                        applied = applied and value is not None and wanted == stored
+                        applied = applied and value is not None and written == stored
                 return applied
             except CallError as failure:
-                log.info("versions unknown: %s", failure)
+                log.info("reading versions from the state service failed: %s", failure)
                 await asyncio.sleep(0.2)
 
     def close(self) -> None:
-        """Fail everything that is still waiting."""
+        """Fail all queued writes."""
         self._closed = True
         for write in (*self._urgent, *self._queue):
             if not write.future.done():
--- a/weldhead/cluster_state/states.py
+++ b/weldhead/cluster_state/states.py
@@ -4,9 +4,9 @@
 
 
 class AttemptPhase(enum.Enum):
-    """Where an attempt stands, as far as the leader knows."""
+    """The phase of an attempt, as far as the leader knows."""
 
-    #: Promised a place; the worker has not reported it yet.
+    #: The attempt is assigned to a machine whose worker has not reported it yet.
     ASSIGNED = "assigned"
     PULLING = "pulling"
     RUNNING = "running"
@@ -14,11 +14,12 @@
 
 
 class StopRequest(enum.Enum):
-    """Whether an attempt was asked to stop, and how."""
+    """Whether an attempt was requested to stop, and whether it may save its progress first."""
 
     NO = 0
-    #: May save first.
+    #: The attempt may save its progress before it stops.
     SOFT = 1
+    #: The attempt is killed without saving.
     HARD = 2
 
 
@@ -26,25 +27,26 @@
     """A task's state."""
 
     WAITING = 0
-    #: An attempt may exist somewhere.
+    #: An attempt of the task may exist on some machine.
     ACTIVE = 1
-    #: Completed, not yet committed.
+    #: The task has completed, but its completion is not committed to the state service yet.
     COMPLETED = 2
     COMMITTED = 3
 
 
 class GateStatus:
-    """What holds jobs that wait for the same; shared by all of them."""
+    """The gate that blocks a group of jobs; one instance is shared by all of these jobs."""
 
     __slots__ = ("expected_open_us", "name", "reason")
 
     def __init__(self, name: str = "") -> None:
-        #: The gate, and what it waits for in words, as far as is known.
+        #: The gate's name, and a text that says what the gate waits for, if that is known.
         self.name = name
         self.reason = ""
-        #: When they are expected to wait no more, on the steady clock; None: cannot be told.
+        #: The expected time at which the jobs may start, on the steady clock; None: unknown.
         self.expected_open_us: int | None = None
 
 
-#: Nobody knows yet whether a job is held, or by what: closed when in doubt.
+#: The status of a job while it is unknown whether a gate blocks the job. Until that is known, the
+#: job counts as blocked.
 UNKNOWN_GATE_STATUS = GateStatus()
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -185,7 +185,7 @@
     def _scale_in(self, settings: FleetSettings, boots: BootExpectations, at_us: int) -> None:
         """Return idle machines, and those that never came up."""
         returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
-        hopeless = [machine.name for machine in returned if machine.booting]
+        hopeless = [machine.name for machine in returned if machine.is_booting]
         if hopeless:
             log.info("%d machines never came up: %s", len(hopeless), ", ".join(hopeless))
         self._rental_manager.return_machines({m.name: m for m in returned})
@@ -219,7 +219,7 @@
         cost = 0.0
         for machine in self._term.cluster.machines.values():
             cost += machine.price
-            cpus["booting" if machine.booting else "free"] += machine.cpus
+            cpus["booting" if machine.is_booting else "free"] += machine.cpus
             for attempt in machine.attempts.values():
                 cpus[attempt.phase.value] += attempt.job.spec.cpus
         waiting = sum(job.waiting * job.spec.cpus for job in self._term.cluster.jobs.values())
@@ -241,7 +241,7 @@
         names = ("booting", "free", "bare", "assigned", "pulling", "running", "saving")
         gpus = dict.fromkeys(names, 0.0)
         for machine in machines:
-            state = "booting" if machine.booting else "free" if machine.cpus >= 1.0 else "bare"
+            state = "booting" if machine.is_booting else "free" if machine.cpus >= 1.0 else "bare"
             gpus[state] += machine.gpus
             for attempt in machine.attempts.values():
                 gpus[attempt.phase.value] += attempt.job.spec.gpus
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -291,7 +291,7 @@
         """Whether a rental's record holds nothing more, and can be deleted for good."""
         record = self._records.get(name)
         empty = record is not None and record.settled and not record.machines
-        return empty and not self._term.state_writer.creation_unconfirmed(RENTALS + name)
+        return empty and not self._term.state_writer.is_creation_unconfirmed(RENTALS + name)
 
     def _drop_if_empty(self, name: str) -> None:
         if self._is_dropped(name):
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -270,7 +270,7 @@
     def _nothing_cancelled_left(self) -> bool:
         """Whether no machine is known to hold what must end."""
         cluster = self._term.cluster
-        return not any(a.job.unwanted for a in cluster.stopping.values()) and not any(
+        return not any(a.job.must_stop for a in cluster.stopping.values()) and not any(
             machine.orphans for machine in cluster.machines.values()
         )
 
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -124,7 +124,7 @@
             self._over = {
                 job.id: job
                 for job in self._over.values()
-                if job.over and term.cluster.jobs.get(job.id) is job
+                if job.has_ended and term.cluster.jobs.get(job.id) is job
             }
             over = [job for job in self._over.values() if not job.finishing]
             for job in over:
@@ -180,7 +180,9 @@
             self._unsaved = {
                 job.id: job
                 for job in self._unsaved.values()
-                if job.uncommitted_chunks and not job.over and term.cluster.jobs.get(job.id) is job
+                if job.uncommitted_chunks
+                and not job.has_ended
+                and term.cluster.jobs.get(job.id) is job
             }
             dirty = [job for job in self._unsaved.values() if not job.finishing]
             await asyncio.gather(*(self._save(job) for job in dirty))
@@ -195,7 +197,7 @@
             pass
         finally:
             job.saving = False
-            if job.over:
+            if job.has_ended:
                 self._term.commit_wanted.set()
 
     async def _save_chunk(self, job: Job, chunk: int) -> None:
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -157,7 +157,7 @@
         job.reported_late = job.reported_late or notes is None
         forecast_us = job.expected_finish_us
         expected = "no end in observation"
-        if forecast_us is not None and not job.broken:
+        if forecast_us is not None and not job.fails_everywhere:
             expected = f"expected {span(max(0, forecast_us - due_us))} after that"
         boots = self._current_forecasts().boot_forecast()
         why = lateness.explain_lateness(self._term.cluster, job, boots, at_us, self.hold_reason)
--- a/weldhead/controller/scheduling_loop/preemption_recorder.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -13,11 +13,11 @@
 from weldhead.clock import SECOND_US, now_us, wall_us
 from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.preemption_history import (
-    PREEMPTED,
+    PREEMPTED_PREFIX,
     Row,
+    build_rows,
     preempted_key,
     restore_rows,
-    rows_of,
     shard_of,
 )
 from weldhead.cluster_state.state_writer import LeadershipLostError
@@ -38,7 +38,7 @@
 async def load_preemption_history(term: Term, at_us: int, wall: int) -> None:
     """Read what earlier leaders took and did not see given back; as often as it takes."""
     term.preemption_history.clear()
-    async for entries, _ in term.state.pages(PREEMPTED):
+    async for entries, _ in term.state.pages(PREEMPTED_PREFIX):
         for entry in entries:
             term.state_writer.record_version(entry.key, entry.version)
             record = decode(bytes(entry.value), PreemptedRecord)
@@ -63,7 +63,7 @@
     def inherit(self, at_us: int) -> None:
         """Note what an earlier leader stopped last, and may not have written down."""
         for attempt in list(self._term.cluster.stopping.values()):
-            if attempt.job.spec.gpus <= 0 or attempt.job.unwanted or not attempt.adopted:
+            if attempt.job.spec.gpus <= 0 or attempt.job.must_stop or not attempt.adopted:
                 continue
             known = self._term.preemption_history.of_job(attempt.job.id).get(attempt.index)
             if attempt.phase is AttemptPhase.SAVING and known is None:
@@ -88,5 +88,5 @@
         self._term.preemption_history.expire(at_us, self._term.cluster.jobs)
         limit = self._term.settings.facts.state.tightest().value_bytes - 32
         return PreemptedRecord(
-            rows_of(self._term.preemption_history, shard, wall_us() - at_us, limit)
+            build_rows(self._term.preemption_history, shard, wall_us() - at_us, limit)
         )
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -152,7 +152,7 @@
                 # An attempt that no job counts may still run: its kill may be lost.
                 continue
             self._term.cluster.start(start.job, start.index, start.machine, at_us)
-            self.reclaims.granted(start.job.id, start.machine.name)
+            self.reclaims.record_grant(start.job.id, start.machine.name)
             touched[start.machine.name] = start.machine
         if plan.starts:
             log.debug("placed %d tasks on %d machines", len(plan.starts), len(touched))
@@ -208,7 +208,7 @@
         for entry in expired:
             self.reclaims.remove(entry)
         for entry in hard:
-            entry.hard_kill_us = at_us
+            entry.hard_kill_requested_us = at_us
             for victim in entry.victims:
                 if victim.job.active.get(victim.index) is victim:
                     self.stop(victim, StopRequest.HARD, at_us, "room, overdue")
@@ -233,7 +233,7 @@
 
     def _trim_reclaims(self) -> None:
         """Drop requests on behalf of jobs that wait for less than they did."""
-        for job_id in self.reclaims.jobs():
+        for job_id in self.reclaims.job_ids():
             job = self._term.cluster.jobs.get(job_id)
             waiting = 0
             if job is not None and self.current_input is not None:
--- a/weldhead/controller/workers/heartbeat_handler.py
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -86,7 +86,7 @@
         """Answer a heartbeat that a newer message has superseded, without applying it."""
         if not can_answer(machine):
             return None
-        machine.lease_from_us = max(machine.lease_from_us, machine.last_message_us)
+        machine.lease_start_us = max(machine.lease_start_us, machine.last_message_us)
         # Every answer that renews a lease carries the kills. Unlike a run, a kill may be repeated.
         return HeartbeatAnswer(self._term.token, pending_kills(machine))
 
@@ -99,7 +99,7 @@
             return False
         # The answer may renew the lease, although the heartbeat does not prove its machine alive.
         machine.stale_token_answers += 1
-        machine.lease_from_us = max(machine.lease_from_us, at_us)
+        machine.lease_start_us = max(machine.lease_start_us, at_us)
         return True
 
     def _handle_unrecorded_machine(self, heartbeat: Heartbeat) -> None:
@@ -121,12 +121,12 @@
         freshness = self._reachability.freshness(machine, buffered.heartbeat)
         self.apply(machine, buffered.heartbeat, buffered.source)
         if buffered.answered_us:
-            previous_lease_from_us = machine.lease_from_us
+            previous_lease_from_us = machine.lease_start_us
             self._record_lease_renewal(machine, freshness, buffered.answered_us)
             if buffered.source is MessageSource.COMMAND_ANSWER:
                 # The worker showed the token after the answer to its heartbeat, which may have been
                 # lost. The previous leader may have renewed its lease in between.
-                machine.lease_from_us = max(machine.lease_from_us, previous_lease_from_us)
+                machine.lease_start_us = max(machine.lease_start_us, previous_lease_from_us)
             machine.relayed = buffered.relayed
             if buffered.answered:
                 self._reachability.record_answer(
@@ -138,7 +138,7 @@
         if not is_newer(machine, heartbeat):
             return
         at_us = now_us()
-        if machine.booting and not machine.enrolled and machine.rented_us > self._term.loaded_us:
+        if machine.is_booting and not machine.enrolled and machine.rented_us > self._term.loaded_us:
             # Machines that an earlier term rented are left out: they may have booted long ago.
             self._term.boot_history.record_boot(machine, at_us)
         had_notice = machine.interruption_us
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -96,14 +96,14 @@
     machine.heartbeat_sequence = 0
     # The new session began before this message was sent, and its lease starts with it. Counted
     # from the previous session, the lease would look expired while tasks started since then run.
-    machine.lease_from_us = max(machine.lease_from_us, at_us)
+    machine.lease_start_us = max(machine.lease_start_us, at_us)
     for attempt in cluster.release_all(machine):
         effect.lost.append((attempt, "its worker started a new session"))
 
 
 def _record_contact(cluster: Cluster, machine: Machine, heartbeat: Heartbeat, at_us: int) -> None:
     """Record the fields that every message carries, whatever tasks it lists."""
-    if machine.booting:
+    if machine.is_booting:
         machine.notify_changed()
     machine.newest_message = (heartbeat.session, heartbeat.sequence)
     machine.last_message_us = at_us
@@ -216,7 +216,7 @@
         """Record that the worker knows this term, so that its task list is current from now on."""
         machine = self._machine
         machine.reconciled = True
-        machine.lease_from_us = max(machine.lease_from_us, self._at_us)
+        machine.lease_start_us = max(machine.lease_start_us, self._at_us)
         if self._source is MessageSource.COMMAND_ANSWER:
             machine.first_probe_us = self._at_us
 
@@ -295,7 +295,7 @@
             return None
         verdict = classify_attempt(cluster, machine, task)
         job, index = find_job(cluster, task)
-        must_stop = job is not None and job.unwanted
+        must_stop = job is not None and job.must_stop
         if (
             verdict in _VERDICTS_NEEDING_CURRENT_TOKEN
             and not self._has_current_token
@@ -355,7 +355,7 @@
             attempt.running_since_us = self._at_us
             self._machine.record_image(job.spec.image, job.spec.image_gb)
         self._cluster.adopt(attempt, self._machine)
-        if job.unwanted:
+        if job.must_stop:
             self._cluster.stop(attempt, StopRequest.HARD, self._at_us, "cancelled")
         elif attempt.phase is AttemptPhase.SAVING:
             # An earlier leader has stopped the attempt, so its capacity is being freed. Counted as
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -67,7 +67,7 @@
     def record_heartbeat(self, machine: Machine, at_us: int) -> None:
         """Record that a heartbeat with this term's token is answered, which renews the lease."""
         machine.record_heartbeat(at_us, self._term.silence_us)
-        machine.lease_from_us = at_us
+        machine.lease_start_us = at_us
         self.by_last_heartbeat.pop(machine.name, None)
         self.by_last_heartbeat[machine.name] = machine
 
@@ -330,7 +330,7 @@
                 "machine %s quarantined: tasks that failed on it succeed elsewhere", machine.name
             )
         for job, health in review.changed:
-            job.broken = health is JobHealth.BROKEN
+            job.fails_everywhere = health is JobHealth.BROKEN
             job.on_probation = health is not JobHealth.SOUND
             job.notify_changed()
             log.info("job %s is %s: failed %d times, on %d machines", job.id, health.value,
--- a/weldhead/emulator/events.py
+++ b/weldhead/emulator/events.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from weldhead.cluster_state.preemption_history import PREEMPTED
+from weldhead.cluster_state.preemption_history import PREEMPTED_PREFIX
 from weldhead.cluster_state.records import (
     FINAL,
     JOBS,
@@ -38,7 +38,7 @@
     FINAL: "completion",
     PROGRESS: "progress",
     RENTALS: "rental",
-    PREEMPTED: "taken",
+    PREEMPTED_PREFIX: "taken",
     DOCUMENTS: "document",
 }
 
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -73,12 +73,12 @@
 def _attempt_used_twice() -> Iterator[Any]:
     """Attempt numbers count within a term only."""
 
-    unique = Cluster.next_attempt
+    unique = Cluster.next_attempt_number
 
-    def next_attempt(self: Cluster, job_id: str, index: int) -> int:
+    def next_attempt_number(self: Cluster, job_id: str, index: int) -> int:
         return unique(self, job_id, index) - (self.token << 20)
 
-    yield patch.object(Cluster, "next_attempt", next_attempt)
+    yield patch.object(Cluster, "next_attempt_number", next_attempt_number)
 
 
 def _told_before_committed() -> Iterator[Any]:
@@ -87,7 +87,7 @@
 
     def early(self: JobStatusReporter, job: Job) -> JobStatus:
         answer = status_of(self, job)
-        return JobStatus(job.id, "done", job.done, 0) if job.complete else answer
+        return JobStatus(job.id, "done", job.done, 0) if job.is_complete else answer
 
     yield patch.object(JobStatusReporter, "_status_of", early)
 
@@ -344,7 +344,7 @@
         cluster, silence_us = self._term.cluster, self._term.silence_us
         for attempt in list(cluster.stopping.values()):
             machine = cluster.machines[attempt.machine]
-            if attempt.job.unwanted and at_us - machine.last_heartbeat_us > silence_us:
+            if attempt.job.must_stop and at_us - machine.last_heartbeat_us > silence_us:
                 cluster.release(attempt)
         return in_trouble(self, at_us)
 
--- a/weldhead/provisioning/boot_times.py
+++ b/weldhead/provisioning/boot_times.py
@@ -99,12 +99,12 @@
 
     def is_late(self, machine: Machine, at_us: int) -> bool:
         """Whether a machine is not to be counted on any more."""
-        return machine.booting and self._over(machine, self.of(machine).late, at_us)
+        return machine.is_booting and self._over(machine, self.of(machine).late, at_us)
 
     def is_given_up(self, machine: Machine, at_us: int) -> bool:
         """Whether a machine is to be returned; what it costs anyhow it may stay for."""
         return (
-            machine.booting
+            machine.is_booting
             and self._over(machine, self.of(machine).give_up, at_us)
             and at_us - machine.rented_us >= self._minimum_charge_us
         )
@@ -137,7 +137,7 @@
         """Return what is expected of the machines that boot now."""
         waiting: dict[str, list[Machine]] = defaultdict(list)
         for machine in machines:
-            if machine.booting and not machine.deleting and machine.type.boot_s > 0:
+            if machine.is_booting and not machine.deleting and machine.type.boot_s > 0:
                 waiting[machine.zone].append(machine)
         found: dict[str, BootExpectation] = {}
         for zone, booting in waiting.items():
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -91,7 +91,7 @@
     # A machine type that left the catalog has no amounts. Its running attempts fit by definition.
     if machine.capacity_for(job) < 1 and not machine.has_unknown_capacity:
         return AttemptVerdict.NO_CAPACITY
-    if job.unwanted:
+    if job.must_stop:
         return AttemptVerdict.CANCELLED
     if cluster.tasks_within_limit(job) < 1 or job.team not in cluster.teams:
         return AttemptVerdict.OVER_LIMIT
--- a/weldhead/reconciliation/command_queue.py
+++ b/weldhead/reconciliation/command_queue.py
@@ -38,7 +38,7 @@
     job = attempt.job
     if attempt.stop_request is not StopRequest.NO:
         return (
-            CommandPriority.REQUIRED_STOP if job.unwanted else CommandPriority.FREES_CAPACITY
+            CommandPriority.REQUIRED_STOP if job.must_stop else CommandPriority.FREES_CAPACITY
         ), 0
     if attempt.phase is not AttemptPhase.ASSIGNED:
         return CommandPriority.OTHER, _NO_DEADLINE_US
--- a/weldhead/scheduling/autoscaling/capacity_forecast.py
+++ b/weldhead/scheduling/autoscaling/capacity_forecast.py
@@ -39,7 +39,7 @@
             elsewhere = zone is not None and machine.zone != zone
             if machine.deleting or machine.draining or elsewhere or machine.name in away:
                 away.add(machine.name)
-            elif machine.booting:
+            elif machine.is_booting:
                 if not boots.is_late(machine, at_us):
                     amount = machine.gpus if gpus else machine.cpus
                     pools[boots.ready_us(machine, at_us)] += amount
--- a/weldhead/scheduling/autoscaling/scale_in.py
+++ b/weldhead/scheduling/autoscaling/scale_in.py
@@ -66,7 +66,7 @@
         if boots.is_given_up(machine, at_us):
             found.append(machine)
             continue
-        if machine.booting or machine.attempts or machine.orphans or not machine.reconciled:
+        if machine.is_booting or machine.attempts or machine.orphans or not machine.reconciled:
             continue
         if _lists_unsaved(cluster, machine):
             continue
--- a/weldhead/scheduling/forecast/completion_times.py
+++ b/weldhead/scheduling/forecast/completion_times.py
@@ -25,14 +25,14 @@
 def forecast_boots(machines: Iterable[Machine]) -> BootForecast:
     """Compute the boot forecast from all machines of a cluster."""
     machines = list(machines)
-    ready_us = [m.rented_us + seconds_us(m.type.boot_s) for m in machines if m.booting]
+    ready_us = [m.rented_us + seconds_us(m.type.boot_s) for m in machines if m.is_booting]
     longest_boot_us = max((seconds_us(m.type.boot_s) for m in machines), default=0)
     return BootForecast(min(ready_us, default=None), longest_boot_us)
 
 
 def is_failing_everywhere(job: Job) -> bool:
     """Return whether a job's tasks fail on every machine, so that its finish is unknown."""
-    return job.broken
+    return job.fails_everywhere
 
 
 def forecast_finish_us(
--- a/weldhead/scheduling/forecast/deadline_lateness.py
+++ b/weldhead/scheduling/forecast/deadline_lateness.py
@@ -39,9 +39,9 @@
     late if an immediate release would already be too late.
     """
     due_us = job.calendar_due_us
-    if due_us is None or job.complete:
+    if due_us is None or job.is_complete:
         return DeadlineStatus.ON_TRACK
-    if at_us > due_us or job.broken:
+    if at_us > due_us or job.fails_everywhere:
         return DeadlineStatus.LATE
     if not has_history:
         return DeadlineStatus.UNKNOWN
@@ -79,11 +79,11 @@
     describe_gate: Callable[[Job], str],
 ) -> str:
     """Return what currently delays a job without unmet dependencies."""
-    if job.blocking_gate is not None and not job.active and not job.complete:
+    if job.blocking_gate is not None and not job.active and not job.is_complete:
         # A closed gate keeps all tasks from starting, even if machines have free capacity.
         return f"held by {describe_gate(job) or 'a gate of which nothing is known yet'}"
     progress = f"{job.done} of {job.spec.tasks} tasks done"
-    if job.broken:
+    if job.fails_everywhere:
         return f"its tasks fail everywhere; {progress}"
     waiting = job.waiting
     if not waiting:
@@ -133,7 +133,7 @@
     summary = LatenessSummary()
     for job, status in assessed_jobs:
         due_us = job.calendar_due_us
-        if due_us is None or job.cancelled or job.complete:
+        if due_us is None or job.cancelled or job.is_complete:
             continue
         summary.job_count += 1
         if summary.first_due_job is None or due_us < (summary.first_due_job.calendar_due_us or 0):
--- a/weldhead/scheduling/forecast/job_forecasts.py
+++ b/weldhead/scheduling/forecast/job_forecasts.py
@@ -64,7 +64,7 @@
             return
         self._boot_s_by_machine[name] = machine.type.boot_s
         self._boot_time_counts[machine.type.boot_s] += 1
-        if machine.booting:
+        if machine.is_booting:
             ready_us = machine.rented_us + seconds_us(machine.type.boot_s)
             self._boot_ends.set(name, machine.serial, ready_us)
 
@@ -187,7 +187,7 @@
     @staticmethod
     def _needs_no_forecast(job: Job) -> bool:
         """Return whether a job is cancelled, complete, or a service, which never finishes."""
-        return job.cancelled or job.spec.is_service or job.complete
+        return job.cancelled or job.spec.is_service or job.is_complete
 
     def _next_refresh_us(self, job: Job, due_us: int, at_us: int) -> int:
         """Return when a job with a due time is refreshed next, if it does not change before."""
--- a/weldhead/scheduling/preemption/victim_rules.py
+++ b/weldhead/scheduling/preemption/victim_rules.py
@@ -88,11 +88,13 @@
     to_kill = [
         entry
         for entry in lists.entries()
-        if not entry.hard_kill_us and at_us - entry.requested_us >= settings.kill_timeout_us
+        if not entry.hard_kill_requested_us
+        and at_us - entry.requested_us >= settings.kill_timeout_us
     ]
     expired = [
         entry
         for entry in lists.entries()
-        if entry.hard_kill_us and at_us - entry.hard_kill_us >= settings.expiry_us
+        if entry.hard_kill_requested_us
+        and at_us - entry.hard_kill_requested_us >= settings.expiry_us
     ]
     return to_kill, expired
--- a/weldhead/scheduling/reservations/capacity_reserver.py
+++ b/weldhead/scheduling/reservations/capacity_reserver.py
@@ -220,7 +220,7 @@
         The result is None if running tasks don't end by themselves, or if this update has used up
         its number of estimates.
         """
-        if machine.booting:
+        if machine.is_booting:
             return max(at_us, machine.rented_us + seconds_us(machine.type.boot_s))
         cached_estimates = self._available_us.setdefault(machine.name, {})
         key = TaskShape.of(job), job.effective_level
@@ -364,7 +364,7 @@
         This is not so for a machine that boots, that has capacity for the job already, or that
         mostly runs wide tasks, which the job's task directly succeeds.
         """
-        if machine.booting or machine.capacity_for(job):
+        if machine.is_booting or machine.capacity_for(job):
             return False
         wide_cpus = sum(
             a.job.spec.cpus for a in machine.attempts.values() if self._reserver.is_wide(a.job)
@@ -437,7 +437,7 @@
         if machine.draining or machine.deleting or not machine.allows(job):
             return False
         if machine.name in job.failed_machines or not (
-            machine.booting or self._is_schedulable(machine)
+            machine.is_booting or self._is_schedulable(machine)
         ):
             return False
         zone = machine.zone
--- a/weldhead/scheduling/reservations/wide_tasks.py
+++ b/weldhead/scheduling/reservations/wide_tasks.py
@@ -56,7 +56,7 @@
             self._types[machine.type.name] = machine.type
             reserving_job_id = reservations.machines.get(machine.name)
             available_us, _ = reservations.fill_deadlines.get(machine.name, (0, 0))
-            if machine.booting or (reserving_job_id is not None and available_us <= up_us):
+            if machine.is_booting or (reserving_job_id is not None and available_us <= up_us):
                 self._empty_machines.append(
                     (machine, machine.type, _resources_of(machine.type), reserving_job_id)
                 )
