--- a/tests/controller/requests/test_cancellations_across_leaders.py
+++ b/tests/controller/requests/test_cancellations_across_leaders.py
@@ -177,7 +177,7 @@
     assert not report(leader, worker, clock())
     asyncio.run(leader.recovery.load())
     machine = leader.cluster.machines["vm-000001"]
-    assert machine.lease_from_us == answered_us and set(machine.attempts) == set(worker.tasks)
+    assert machine.lease_start_us == answered_us and set(machine.attempts) == set(worker.tasks)
 
 
 def test_tasks_on_an_unrecorded_machine_are_killed(clock: Clock) -> None:
--- a/weldhead/controller/fleet/autoscaler.py
+++ b/weldhead/controller/fleet/autoscaler.py
@@ -200,7 +200,7 @@
     def _scale_in(self, settings: FleetSettings, boots: BootExpectations, at_us: int) -> None:
         """Return idle machines, and machines that never came up."""
         returned = plan_scale_in(self._term.cluster, at_us, settings, boots)
-        failed_boots = [machine.name for machine in returned if machine.booting]
+        failed_boots = [machine.name for machine in returned if machine.is_booting]
         if failed_boots:
             log.info(
                 "returning %d machines that never came up: %s",
@@ -245,7 +245,7 @@
         cost = 0.0
         for machine in self._term.cluster.machines.values():
             cost += machine.price
-            cpus["booting" if machine.booting else "free"] += machine.cpus
+            cpus["booting" if machine.is_booting else "free"] += machine.cpus
             for attempt in machine.attempts.values():
                 cpus[attempt.phase.value] += attempt.job.spec.cpus
         waiting = sum(job.waiting * job.spec.cpus for job in self._term.cluster.jobs.values())
@@ -270,7 +270,7 @@
         names = ("booting", "free", "bare", "assigned", "pulling", "running", "saving")
         gpus = dict.fromkeys(names, 0.0)
         for machine in machines:
-            state = "booting" if machine.booting else "free" if machine.cpus >= 1.0 else "bare"
+            state = "booting" if machine.is_booting else "free" if machine.cpus >= 1.0 else "bare"
             gpus[state] += machine.gpus
             for attempt in machine.attempts.values():
                 gpus[attempt.phase.value] += attempt.job.spec.gpus
--- a/weldhead/controller/fleet/rental_manager.py
+++ b/weldhead/controller/fleet/rental_manager.py
@@ -301,7 +301,7 @@
         """Whether a rental's record is settled and empty, and can be deleted for good."""
         record = self._records.get(name)
         is_empty = record is not None and record.settled and not record.machines
-        return is_empty and not self._term.state_writer.creation_unconfirmed(RENTALS + name)
+        return is_empty and not self._term.state_writer.is_creation_unconfirmed(RENTALS + name)
 
     def _drop_if_empty(self, name: str) -> None:
         """Forget a rental whose record can be deleted for good."""
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -289,7 +289,7 @@
     def _are_cancelled_tasks_stopped(self) -> bool:
         """Return whether no machine is known to run a task that has to be stopped."""
         cluster = self._term.cluster
-        return not any(attempt.job.unwanted for attempt in cluster.stopping.values()) and not any(
+        return not any(attempt.job.must_stop for attempt in cluster.stopping.values()) and not any(
             machine.orphans for machine in cluster.machines.values()
         )
 
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -137,7 +137,7 @@
             self._jobs_to_finish = {
                 job.id: job
                 for job in self._jobs_to_finish.values()
-                if job.over and term.cluster.jobs.get(job.id) is job
+                if job.has_ended and term.cluster.jobs.get(job.id) is job
             }
             ready = [job for job in self._jobs_to_finish.values() if not job.finishing]
             for job in ready:
@@ -199,7 +199,9 @@
             self._jobs_to_save = {
                 job.id: job
                 for job in self._jobs_to_save.values()
-                if job.uncommitted_chunks and not job.over and term.cluster.jobs.get(job.id) is job
+                if job.uncommitted_chunks
+                and not job.has_ended
+                and term.cluster.jobs.get(job.id) is job
             }
             unsaved = [job for job in self._jobs_to_save.values() if not job.finishing]
             await asyncio.gather(*(self._save_progress(job) for job in unsaved))
@@ -214,7 +216,7 @@
             pass
         finally:
             job.saving = False
-            if job.over:
+            if job.has_ended:
                 self._term.commit_wanted.set()
 
     async def _save_chunk(self, job: Job, chunk: int) -> None:
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -169,7 +169,7 @@
         job.reported_late = job.reported_late or notices is None
         finish_us = job.expected_finish_us
         expected = "no end can be forecast"
-        if finish_us is not None and not job.broken:
+        if finish_us is not None and not job.fails_everywhere:
             expected = f"expected {format_duration(max(0, finish_us - deadline_us))} after that"
         boot_forecast = self._current_forecasts().boot_forecast()
         reason = lateness.explain_lateness(
--- a/weldhead/controller/scheduling_loop/preemption_recorder.py
+++ b/weldhead/controller/scheduling_loop/preemption_recorder.py
@@ -13,11 +13,11 @@
 from weldhead.clock import SECOND_US, now_us, wall_us
 from weldhead.cluster_state.jobs import Attempt
 from weldhead.cluster_state.preemption_history import (
-    PREEMPTED,
+    PREEMPTED_PREFIX,
     Row,
+    build_rows,
     preempted_key,
     restore_rows,
-    rows_of,
     shard_of,
 )
 from weldhead.cluster_state.state_writer import LeadershipLostError
@@ -42,7 +42,7 @@
     ``at_us`` and ``wall_now_us`` are the same moment on the steady clock and as time of day.
     """
     term.preemption_history.clear()
-    async for entries, _ in term.state.pages(PREEMPTED):
+    async for entries, _ in term.state.pages(PREEMPTED_PREFIX):
         for entry in entries:
             term.state_writer.record_version(entry.key, entry.version)
             record = decode(bytes(entry.value), PreemptedRecord)
@@ -69,7 +69,7 @@
     def record_inherited(self, at_us: int) -> None:
         """Record the last preemptions of an earlier leader, which may not have recorded them."""
         for attempt in list(self._term.cluster.stopping.values()):
-            if attempt.job.spec.gpus <= 0 or attempt.job.unwanted or not attempt.adopted:
+            if attempt.job.spec.gpus <= 0 or attempt.job.must_stop or not attempt.adopted:
                 continue
             recorded = self._term.preemption_history.of_job(attempt.job.id).get(attempt.index)
             if attempt.phase is AttemptPhase.SAVING and recorded is None:
@@ -94,5 +94,5 @@
         self._term.preemption_history.expire(at_us, self._term.cluster.jobs)
         max_bytes = self._term.settings.facts.state.tightest().value_bytes - 32
         return PreemptedRecord(
-            rows_of(self._term.preemption_history, shard, wall_us() - at_us, max_bytes)
+            build_rows(self._term.preemption_history, shard, wall_us() - at_us, max_bytes)
         )
--- a/weldhead/scheduling/autoscaling/capacity_forecast.py
+++ b/weldhead/scheduling/autoscaling/capacity_forecast.py
@@ -48,7 +48,7 @@
                 or machine.name in excluded_machines
             ):
                 excluded_machines.add(machine.name)
-            elif machine.booting:
+            elif machine.is_booting:
                 if not boots.is_late(machine, at_us):
                     amount = machine.gpus if gpus else machine.cpus
                     released[boots.ready_us(machine, at_us)] += amount
--- a/weldhead/scheduling/autoscaling/scale_in.py
+++ b/weldhead/scheduling/autoscaling/scale_in.py
@@ -70,7 +70,7 @@
         if boots.is_given_up(machine, at_us):
             machines_to_return.append(machine)
             continue
-        if machine.booting or machine.attempts or machine.orphans or not machine.reconciled:
+        if machine.is_booting or machine.attempts or machine.orphans or not machine.reconciled:
             continue
         if _reports_uncommitted_completion(cluster, machine):
             continue
