--- a/tests/calendars/test_calendars.py
+++ b/tests/calendars/test_calendars.py
@@ -36,11 +36,11 @@
 from weldhead.cluster_state.records import CalendarDeadline, JobRecord, job_key
 from weldhead.cluster_state.states import GateStatus
 from weldhead.controller.configuration.calendar_keeper import CalendarKeeper
-from weldhead.controller.configuration.document_file import parse_source
-from weldhead.controller.configuration.run_time_history import KEY, RunTimeHistory
+from weldhead.controller.configuration.document_file import parse_documents
+from weldhead.controller.configuration.run_time_history import HISTORY_KEY, RunTimeHistory
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.cache import DocumentCache
-from weldhead.documents.editions import steps
+from weldhead.documents.editions import plan_publication
 from weldhead.documents.records import HEAD_KEY, DocumentSet, state_key
 from weldhead.scheduling.forecast.deadline_lateness import DeadlineStatus, assess_deadline
 from weldhead.scheduling.forecast.job_forecasts import MAX_REFRESH_INTERVAL_US, JobForecasts
@@ -127,8 +127,8 @@
 
 def test_the_example_that_operators_start_from_is_good() -> None:
     text = (ROOT / "deploy" / "documents.toml").read_text()
-    assert CalendarKeeper.validate(parse_source("documents.toml", text, 8_000)) is None
-    wrong = parse_source("documents.toml", text.replace("FREQ=WEEKLY", "FREQ=HOURLY"), 8_000)
+    assert CalendarKeeper.validate(parse_documents("documents.toml", text, 8_000)) is None
+    wrong = parse_documents("documents.toml", text.replace("FREQ=WEEKLY", "FREQ=HOURLY"), 8_000)
     assert str(CalendarKeeper.validate(wrong)).startswith("calendar/counters: rule: FREQ is one of")
 
 
@@ -207,7 +207,7 @@
     body = msgspec.json.encode(found)
     offer = DocumentSet(edition, {f"{KIND}/{found.name}": msgspec.Raw(body)})
     mark = 4
-    for step in steps(offer, [], 9):
+    for step in plan_publication(offer, [], 9):
         for key, value in step.items():
             mark += 1
             cache.put(key, msgspec.json.encode(value), mark)
@@ -251,7 +251,7 @@
     node = StandInNode()
     node.documents = documents_of(state)
     assert run(desk(state, node).submit(submission()))[0] == 503  # nothing is known yet
-    asyncio.run(node.documents._read())
+    asyncio.run(node.documents._read_all())
     assert run(desk(state, node).submit(submission())) == (
         201,
         {"uid": "run-000001", "status": "pending", "due_at": "2099-01-01T00:00:00Z"},
@@ -261,7 +261,7 @@
     assert run(desk(state, node).submit(submission(2)))[0] == 503
     assert job_key("run-000002") not in state.keys
     # The next edition is known, its instants are not: nobody is bound by the former ones.
-    asyncio.run(node.documents._read())
+    asyncio.run(node.documents._read_all())
     assert run(desk(state, node).submit(submission(2)))[0] == 503
 
 
@@ -332,13 +332,13 @@
 
     def renew(self, leader: Leader) -> None:
         assert leader.calendar_keeper is not None
-        self.act(leader, leader.calendar_keeper._renew)
+        self.act(leader, leader.calendar_keeper._update_instants)
 
     def look(self, leader: Leader) -> None:
         assert leader.calendar_keeper is not None
         notes = leader.calendar_keeper.late_notifications
         leader.forecaster.refresh_due(self.clock())
-        while notes._waiting:
+        while notes._pending:
             self.act(leader, notes.commit)
 
 
@@ -498,13 +498,13 @@
 def test_a_successor_knows_what_its_predecessors_saw(terms: Terms) -> None:
     name = bound_job(terms, 1, terms.clock() + 9 * H)
     first = terms.lead()
-    assert history_of(first)._changes() is None
+    assert history_of(first)._collect_history() is None
     for _ in range(5):
         first.term.estimates.observe(first.cluster.jobs[name], 300 * S)
-    record = history_of(first)._changes()
+    record = history_of(first)._collect_history()
     assert first.publisher is not None and record is not None
-    terms.act(first, lambda: first.publisher.write({KEY: record}))
-    assert history_of(first)._changes() is None
+    terms.act(first, lambda: first.publisher.write({HISTORY_KEY: record}))
+    assert history_of(first)._collect_history() is None
     second = terms.lead()
     job = second.cluster.jobs[name]
     assert not second.term.estimates.has_observations(job)
@@ -512,7 +512,10 @@
     assert second.term.estimates.task_us(job) == pytest.approx(
         first.term.estimates.task_us(job), rel=0.4
     )
-    assert second.term.estimates.has_observations(job) and history_of(second)._changes() is None
+    assert (
+        second.term.estimates.has_observations(job)
+        and history_of(second)._collect_history() is None
+    )
 
 
 class Lines(logging.Handler):
--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -444,7 +444,7 @@
         node = StandInNode()
         node.documents = self.documents()
         assert node.documents is not None
-        await node.documents._read()
+        await node.documents._read_all()
         spec = job_spec(number, job_class=job_class)
         body = msgspec.json.encode(spec)
         assert (await desk(self.state, node).submit(body)).status == 201
@@ -602,7 +602,7 @@
 
     async def write(self) -> None:
         assert self.leader.calendar_keeper is not None
-        await self.leader.calendar_keeper._renew()
+        await self.leader.calendar_keeper._update_instants()
 
     async def meanwhile(self) -> None:
         self.bound = (await self.accepted(9, "balance")).deadline
--- a/tests/gates/test_gates.py
+++ b/tests/gates/test_gates.py
@@ -28,7 +28,7 @@
     job_key,
 )
 from weldhead.cluster_state.states import AttemptPhase, StopRequest
-from weldhead.controller.configuration.document_file import parse_source
+from weldhead.controller.configuration.document_file import parse_documents
 from weldhead.controller.configuration.document_replica import DocumentReplica
 from weldhead.controller.configuration.gate_binder import GateBinder
 from weldhead.controller.configuration.gate_keeper import GateKeeper
@@ -211,7 +211,7 @@
 
     def check(*gates: tuple[str, str, str, str]) -> None:
         text = "edition = 1\n" + "".join(one.format(*g, g[0]) for g in gates)
-        parse_source("days.toml", text, 8_000)
+        parse_documents("days.toml", text, 8_000)
 
     check(("a", "quotes", "prices", "sign"), ("b", "cuts", "stock", "agree"))
     for wrong, word in [
@@ -256,7 +256,7 @@
 
         documents = DocumentReplica(cast(StateClient, self.state), None, nobody)
         documents.binders.append(GateBinder(documents.cache))
-        self.run(documents._read())
+        self.run(documents._read_all())
         return documents
 
     def take_over(self, *, with_documents: bool = True) -> None:
@@ -522,7 +522,10 @@
         task = asyncio.create_task(world.gates._enter_actions())
         await asyncio.sleep(0.02)
         world.gates._update_quiescence()
-        assert world.job(10).waiting == 0 and world.gates.held_by(world.job(10)) is None
+        assert (
+            world.job(10).waiting == 0
+            and world.gates.describe_confirmed_hold(world.job(10)) is None
+        )
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
--- a/tests/protocol/test_golden_bytes.py
+++ b/tests/protocol/test_golden_bytes.py
@@ -42,7 +42,7 @@
     "record: PreemptedRecord": lending.PreemptedRecord,
     "record: HeadRecord": document_records.HeadRecord,
     "record: DocumentSet": document_records.DocumentSet,
-    "documents file: Source": source.Source,
+    "documents file: Source": source.DocumentFile,
     "document: Gate": gate_document.Gate,
     "record: GateState": gate_state.GateState,
     "peer: Hello": peer.Hello,
@@ -96,7 +96,7 @@
     "site store log: Base": store.Base,
     "site: Work": worker.Work,
     "record: late jobs": late_notifications.Chunk,
-    "record: class history": run_time_history.Record,
+    "record: class history": run_time_history.ClassHistory,
     "record: progress": str,
 }
 #: Written only: nobody reads one back.
@@ -147,7 +147,7 @@
         document_records.state_key(calendars.KIND, "c"),
         document_records.state_key(gate_binder.KIND, "g"),
         document_records.state_key(late_notifications.KIND, "0"),
-        run_time_history.KEY,
+        run_time_history.HISTORY_KEY,
     ]
     assert keys == [
         "leader",
--- a/tests/support/calendars.py
+++ b/tests/support/calendars.py
@@ -10,7 +10,7 @@
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.controller.configuration.calendar_binder import CalendarBinder
 from weldhead.controller.configuration.document_replica import DocumentReplica
-from weldhead.documents.editions import steps
+from weldhead.documents.editions import plan_publication
 from weldhead.documents.records import DocumentSet
 from weldhead.transport.state_client import StateClient
 
@@ -40,6 +40,6 @@
 
 def put_edition(state: StandInState, found: Calendar, edition: int) -> None:
     offer = DocumentSet(edition, {f"{KIND}/{found.name}": msgspec.Raw(msgspec.json.encode(found))})
-    for step in steps(offer, [], 9):
+    for step in plan_publication(offer, [], 9):
         for key, value in step.items():
             state.put(key, value)
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -99,13 +99,13 @@
 
         async def play() -> None:
             running = asyncio.create_task(leader.state_writer.run())
-            await calendars._renew()
+            await calendars._update_instants()
             put_edition(state, calendar(hour="06:25"), 2)
             assert leader.publisher is not None
             await leader.publisher.load()
             before = state.requests, state.changes
             began = time.process_time()
-            await calendars._renew()
+            await calendars._update_instants()
             spent_ms = (time.process_time() - began) * 1000
             click.echo(f"{count} bound anew: {state.requests - before[0]} requests, "
                 f"{state.changes - before[1]} writes, {spent_ms:.0f} ms")  # fmt: skip
@@ -114,7 +114,7 @@
                 leader.term.estimates.observe(job, 600 * S)
             before_all = state.requests, state.changes, state.bytes
             leader.forecaster.refresh_due(clock())
-            while notes._waiting:
+            while notes._pending:
                 await notes.commit()
             now = state.requests, state.changes, state.bytes
             told = [b - a for a, b in zip(before_all, now, strict=True)]
--- a/weldhead/calendars/binding.py
+++ b/weldhead/calendars/binding.py
@@ -55,7 +55,7 @@
     conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
     first: CalendarDeadline | None = None
     head = cache.head
-    for calendar in cache.in_force(KIND, Calendar):
+    for calendar in cache.documents_in_force(KIND, Calendar):
         if head is None or not calendar.value.binds(spec.job_class, spec.team):
             continue
         name = calendar.value.name
--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -35,11 +35,11 @@
 
 def _check_documents(file: Path) -> None:
     """Check calendars and gates; what a record takes is the least that PROTOCOL's sites give."""
-    from weldhead.controller.configuration.document_file import read_source
+    from weldhead.controller.configuration.document_file import read_documents
     from weldhead.tomlfiles import FileProblemError
 
     try:
-        offer = read_source(file, VALUE_BYTES)
+        offer = read_documents(file, VALUE_BYTES)
         _compute(file, offer)
     except FileProblemError as error:
         click.echo(str(error), err=True)
--- a/weldhead/controller/configuration/__init__.py
+++ b/weldhead/controller/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' documents: editions in force, calendars and gates."""
+"""Operators' documents on controllers: their editions, deadline calendars and release gates."""
--- a/weldhead/controller/configuration/calendar_binder.py
+++ b/weldhead/controller/configuration/calendar_binder.py
@@ -1,4 +1,4 @@
-"""Binds jobs to deadline calendars at admission, on every controller."""
+"""Binds jobs to deadline calendars at admission; runs on every controller."""
 
 import logging
 
@@ -19,31 +19,34 @@
 
 
 class CalendarBinder:
-    """Binds jobs at their acceptance; ``error_us`` is how far any time of day may be off."""
+    """Binds accepted jobs to calendar deadlines; ``error_us`` bounds wall clock errors."""
 
     def __init__(self, documents: DocumentReplica, error_us: int) -> None:
         self._documents = documents
         self._error_us = error_us
         documents.binders.append(self)
-        documents.on_accepted.append(self.accepted)
+        documents.acceptance_listeners.append(self.on_job_accepted)
 
     def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return the instant that binds a job; DocumentsNotLoadedError if it is not known yet."""
+        """Return the calendar deadline of a job.
+
+        Raises DocumentsNotLoadedError if the deadline cannot be determined yet.
+        """
         try:
             return bind(self._documents.cache, spec, wall_us, self._error_us)
         except InstantsNotComputedError as error:
-            log.info("%s cannot be bound yet: no instants of calendar %s", spec.id, error)
+            log.info("job %s not bound yet: instants of calendar %s not computed", spec.id, error)
             raise DocumentsNotLoadedError from error
 
-    def accepted(self, record: JobRecord) -> None:
-        """Take up a job that this controller has accepted."""
-        bound = record.deadline
-        if bound is None:
+    def on_job_accepted(self, record: JobRecord) -> None:
+        """Add a job that this controller has accepted to the deadline table."""
+        deadline = record.deadline
+        if deadline is None:
             return
-        self._documents.deadline_table.put(record.spec.id, bound)
-        past_us = passed_us(self._documents.cache, bound, record.submitted_us, self._error_us)
+        self._documents.deadline_table.put(record.spec.id, deadline)
+        past_us = passed_us(self._documents.cache, deadline, record.submitted_us, self._error_us)
         if past_us is not None:
             log.info(
-                "%s came too late for %s of calendar %s; the next instant binds it: %s",
-                record.spec.id, utc(past_us), bound.calendar, utc(bound.due_us),
+                "job %s was submitted too late for %s of calendar %s; bound to the next instant %s",
+                record.spec.id, utc(past_us), deadline.calendar, utc(deadline.due_us),
             )  # fmt: skip
--- a/weldhead/controller/configuration/calendar_keeper.py
+++ b/weldhead/controller/configuration/calendar_keeper.py
@@ -1,4 +1,4 @@
-"""A term's deadline calendars: the leader computes and commits their instants."""
+"""Deadline calendars of a leader term: computes and commits the calendars' instants."""
 
 import asyncio
 import logging
@@ -37,26 +37,29 @@
 
 log = logging.getLogger(__name__)
 
-#: Between two looks whether a calendar's instants run out.
-RENEW_US = 600 * SECOND_US
+#: Interval between checks whether the stored instants of a calendar run out.
+INSTANT_CHECK_INTERVAL_US = 600 * SECOND_US
 
 
-#: After a failure, or when the clocks say something else.
-AGAIN_US = 2 * SECOND_US
+#: Delay before the next attempt after a failed commit.
+COMMIT_RETRY_DELAY_US = 2 * SECOND_US
 
 
 class CalendarKeeper:
-    """A term's part: it computes the instants, commits them, and follows their changes.
+    """Computes and commits the instants of calendars, and rebinds jobs when the instants change.
 
-    ``refresh`` is told of jobs that are due at another moment.
+    ``refresh_jobs`` is called with the jobs whose due time has changed.
     """
 
     def __init__(
-        self, term: Term, publisher: DocumentPublisher, refresh: Callable[[Iterable[Job]], None]
+        self,
+        term: Term,
+        publisher: DocumentPublisher,
+        refresh_jobs: Callable[[Iterable[Job]], None],
     ) -> None:
         self._term = term
         self._publisher = publisher
-        self._refresh = refresh
+        self._refresh_jobs = refresh_jobs
         self._changed = asyncio.Event()
         publisher.cache.listeners.append(self._on_change)
         publisher.validators.append(self.validate)
@@ -65,7 +68,7 @@
         self.run_time_history = RunTimeHistory(term, publisher)
 
     def start(self, background_tasks: BackgroundTasks) -> None:
-        """Begin, once the term is loaded."""
+        """Start the background tasks after the term has been loaded."""
         self.run_time_history.load()
         background_tasks.start("calendars", self.run)
         background_tasks.start("history", self.run_time_history.run)
@@ -77,11 +80,12 @@
 
     @staticmethod
     def validate(offer: DocumentSet) -> str | None:
-        """Say why an edition's calendars cannot be used; None: they can."""
+        """Return why the calendars of an edition cannot be used, or None if they can."""
         for name, body in offer.documents.items():
             if not name.startswith(KIND + "/"):
                 continue
-            # Only here, and below: the libraries are the leader's alone.
+            # Imported here and in ``_update_state``, because only the leader is to load the
+            # libraries for recurrences and time zones.
             from weldhead.calendars.recurrence import UnusableCalendarError, check
 
             try:
@@ -91,79 +95,82 @@
         return None
 
     async def run(self) -> None:
-        """Keep the instants of the calendars in force; a background task."""
+        """Keep the instants of the calendars in force up to date; runs as a background task."""
         while True:
             self._changed.clear()
-            done = await self._renew()
-            pause_us = RENEW_US if done else AGAIN_US
+            committed = await self._update_instants()
+            pause_us = INSTANT_CHECK_INTERVAL_US if committed else COMMIT_RETRY_DELAY_US
             try:
                 await asyncio.wait_for(self._changed.wait(), to_seconds(pause_us))
             except asyncio.TimeoutError:
                 continue
 
-    async def _renew(self) -> bool:
-        """Bring all calendars' records up to date; false if one could not be committed."""
+    async def _update_instants(self) -> bool:
+        """Update the records of all calendars; return False if a commit failed."""
         cache = self._publisher.cache
         head = cache.head
         if head is None:
             return True
-        for kept in list(cache.in_force(KIND, Calendar)):
-            calendar = kept.value
+        for entry in list(cache.documents_in_force(KIND, Calendar)):
+            calendar = entry.value
             body = cache.get(document_key(head.edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
             if body is None:
                 continue
-            former = state_of(cache, calendar.name)
-            fresh = self._state(
-                former.value if former else None, head.edition, calendar, bytes(body.value)
+            stored = state_of(cache, calendar.name)
+            updated = self._update_state(
+                stored.value if stored else None, head.edition, calendar, bytes(body.value)
             )
-            if fresh is None:
+            if updated is None:
                 continue
-            fresh = fitting(fresh, self._publisher.value_bytes)
-            if former is not None and fresh == former.value:
+            updated = fitting(updated, self._publisher.max_value_bytes)
+            if stored is not None and updated == stored.value:
                 continue
             try:
-                await self._publisher.write({state_key(KIND, calendar.name): fresh}, urgent=True)
+                await self._publisher.write({state_key(KIND, calendar.name): updated}, urgent=True)
             except (LeadershipLostError, TransactionRejectedError, CallError) as error:
                 log.info("calendar %s: instants not committed: %s", calendar.name, error)
                 return False
-            await self._announce(calendar.name, fresh)
+            await self._rebind_jobs(calendar.name, updated)
         return True
 
-    def _state(
-        self, former: CalendarState | None, edition: int, calendar: Calendar, body: bytes
+    def _update_state(
+        self, stored: CalendarState | None, edition: int, calendar: Calendar, body: bytes
     ) -> CalendarState | None:
-        """Return a calendar's record as it has to be from now on; None: as it is."""
-        at_us, error_us = wall_us(), self._term.job_deadlines.error_us
-        same = former is not None and former.digest == digest_of(body)
-        if same and former is not None and not former.runs_out(at_us):
+        """Return the updated record of a calendar, or None if the stored record is up to date."""
+        time_of_day_us, error_us = wall_us(), self._term.job_deadlines.error_us
+        is_same = stored is not None and stored.digest == digest_of(body)
+        if is_same and stored is not None and not stored.runs_out(time_of_day_us):
             return None
         from weldhead.calendars.recurrence import UnusableCalendarError, compute
 
-        # With what is just past: who comes after it is told so.
-        begin_us = max(0, at_us - JUST_PAST_US - 3 * error_us)
+        # Instants that have just passed are included, because a job that is submitted shortly
+        # after an instant is logged as too late for it.
+        begin_us = max(0, time_of_day_us - JUST_PAST_US - 3 * error_us)
         problem = ""
         try:
             instants, until_us = compute(calendar, begin_us, KEPT_INSTANTS)
         except UnusableCalendarError as error:
-            # It was usable for who brought it into force: other releases of the zones' rules.
+            # The calendar was usable for the leader that brought its edition into force. That
+            # leader may have had another release of the time zone rules.
             problem, instants, until_us = str(error), (), None
-            log.exception("calendar %s binds nothing", calendar.name)
-        if same and former is not None:
-            return None if problem else continued(former, instants, until_us, at_us)
-        fresh = CalendarState(digest_of(body), edition, instants, until_us, problem=problem)
-        return replaced(former, fresh, at_us, error_us, rebinds=calendar.rebinds)
-
-    async def _announce(self, name: str, state: CalendarState) -> None:
-        at_us = wall_us()
-        due_us = state.after(at_us)
+            log.exception("calendar %s is unusable and binds no job", calendar.name)
+        if is_same and stored is not None:
+            return None if problem else continued(stored, instants, until_us, time_of_day_us)
+        changed = CalendarState(digest_of(body), edition, instants, until_us, problem=problem)
+        return replaced(stored, changed, time_of_day_us, error_us, rebinds=calendar.rebinds)
+
+    async def _rebind_jobs(self, name: str, state: CalendarState) -> None:
+        """Bind the jobs of a calendar to its committed instants, and log the changes."""
+        time_of_day_us = wall_us()
+        due_us = state.after(time_of_day_us)
         log.info(
-            "calendar %s, edition %d: the next instant is %s, %d are known",
+            "calendar %s, edition %d: next instant %s, %d instants stored",
             name, state.edition, utc(due_us) if due_us is not None else "none", len(state.instants),
         )  # fmt: skip
-        # Thousands at a time would keep the loop from its leases.
+        # Jobs are rebound in batches: thousands at once would delay lease renewals on this loop.
         for jobs in batches(list(self._term.cluster.jobs.values())):
             changed = self._term.job_deadlines.rebind(jobs, name)
-            for job, was_us in changed:
+            for job, previous_due_us in changed:
                 assert job.calendar_deadline is not None
                 log.info(
                     "%s is bound anew by calendar %s, edition %d: due by %s, before by %s",
@@ -171,17 +178,20 @@
                     name,
                     job.calendar_deadline.edition,
                     utc(job.calendar_deadline.due_us),
-                    utc(was_us),
+                    utc(previous_due_us),
                 )
             if changed:
-                self._refresh([job for job, _ in changed])
+                self._refresh_jobs([job for job, _ in changed])
                 await asyncio.sleep(0)
 
     def follow_clock(self, at_us: int, time_of_day_us: int) -> None:
-        """Follow a step of the clocks."""
+        """Recompute due times of jobs if the wall clock was stepped against the steady clock."""
         changed = self._term.job_deadlines.follow_clock(
             self._term.cluster.jobs.values(), at_us, time_of_day_us
         )
         if changed:
-            log.info("the clocks have moved: %d bound jobs are due at another moment", len(changed))
-            self._refresh(changed)
+            log.info(
+                "wall clock and steady clock have diverged: due times of %d bound jobs recomputed",
+                len(changed),
+            )
+            self._refresh_jobs(changed)
--- a/weldhead/controller/configuration/deadline_table_follower.py
+++ b/weldhead/controller/configuration/deadline_table_follower.py
@@ -1,4 +1,4 @@
-"""Keeps each controller's table of deadlines, for when nobody leads and the store is down."""
+"""Keeps each controller's table of job deadlines, for times without a leader or state service."""
 
 import asyncio
 import logging
@@ -20,16 +20,16 @@
 
 log = logging.getLogger(__name__)
 
-#: Between two readings of what was accepted and is over: no controller asks more often.
-TABLE_PAUSE_S = 2.0
+#: Minimum interval between two reads of the job records by one controller.
+MIN_READ_INTERVAL_S = 2.0
 
 
-#: How often it is said what has to be finished while the store is out of reach.
-SAID_US = 60 * SECOND_US
+#: Interval between log lines with the deadlines while the state service is unreachable.
+DEADLINE_LOG_INTERVAL_US = 60 * SECOND_US
 
 
 class DeadlineTableFollower:
-    """Follows what has to be finished by when, for when nobody leads and the store is down."""
+    """Follows the job records, and logs the deadlines while the state service is unreachable."""
 
     def __init__(self, documents: DocumentReplica, state: StateClient) -> None:
         self._documents = documents
@@ -37,12 +37,12 @@
         self._logged_us = 0
 
     async def follow(self) -> None:
-        """Keep the table; a background task."""
+        """Keep the deadline table up to date; runs as a background task."""
         table, cache = self._documents.deadline_table, self._documents.cache
-        while not any(True for _ in cache.in_force(KIND, Calendar)):  # noqa: ASYNC110
-            await asyncio.sleep(TABLE_PAUSE_S)
-        followed = follow_prefix(self._state, JOBS, None, self._read, self._on_failure)
-        async for batch in followed:
+        while not any(True for _ in cache.documents_in_force(KIND, Calendar)):  # noqa: ASYNC110
+            await asyncio.sleep(MIN_READ_INTERVAL_S)
+        batches = follow_prefix(self._state, JOBS, None, self._read_all, self._on_failure)
+        async for batch in batches:
             for event in batch.events:
                 if event.put is not None:
                     table.read_record(event.put.removeprefix(JOBS), bytes(event.value))
@@ -50,30 +50,33 @@
                     table.drop(event.delete.removeprefix(JOBS))
             table.as_of_us = max(table.as_of_us, batch.sent_us)
             self._logged_us = 0
-            await asyncio.sleep(TABLE_PAUSE_S)
+            await asyncio.sleep(MIN_READ_INTERVAL_S)
 
     async def _on_failure(self, _: CallError) -> None:
         self._log_deadlines(now_us())
-        await asyncio.sleep(TABLE_PAUSE_S)
+        await asyncio.sleep(MIN_READ_INTERVAL_S)
 
-    async def _read(self) -> int:
+    async def _read_all(self) -> int:
+        """Read all job records into the table, and return their revision."""
         table, sent_us, revision = self._documents.deadline_table, now_us(), 0
-        seen: set[str] = set()
+        recorded_ids: set[str] = set()
         async for page, revision in self._state.pages(JOBS):  # noqa: B007
             for entry in page:
                 job_id = entry.key.removeprefix(JOBS)
-                seen.add(job_id)
+                recorded_ids.add(job_id)
                 table.read_record(job_id, bytes(entry.value))
             await asyncio.sleep(0)
-        table.keep_only(seen)
+        table.keep_only(recorded_ids)
         table.as_of_us = max(table.as_of_us, sent_us)
         return revision
 
     def _log_deadlines(self, at_us: int) -> None:
-        """Log what has to be finished while the store cannot be asked."""
+        """Log a summary of the deadlines, at most once per ``DEADLINE_LOG_INTERVAL_US``."""
         table = self._documents.deadline_table
-        if not len(table) or (self._logged_us and at_us - self._logged_us < SAID_US):
+        if not len(table) or (
+            self._logged_us and at_us - self._logged_us < DEADLINE_LOG_INTERVAL_US
+        ):
             return
         self._logged_us = at_us
-        line = table.summary(self._documents.cache, wall_us(), at_us)
-        log.warning("the state service is out of reach; %s", line)
+        summary = table.summary(self._documents.cache, wall_us(), at_us)
+        log.warning("state service unreachable; %s", summary)
--- a/weldhead/controller/configuration/document_file.py
+++ b/weldhead/controller/configuration/document_file.py
@@ -1,6 +1,6 @@
-"""The file that operators write: an edition of calendars and gates, in TOML.
+"""Reads the TOML file in which operators write an edition of calendars and gates.
 
-Only the command line and a controller that is given such a file load this.
+A controller that is given no such file does not load this module.
 """
 
 import re
@@ -16,54 +16,57 @@
 from weldhead.tomlfiles import parse, problem_at, read_text
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
-#: All of an edition passes from one controller to another in one message.
-EDITION_BYTES = 192 * 1024
+#: Size limit of an edition; controllers send a whole edition in one message.
+MAX_EDITION_BYTES = 192 * 1024
 
 
-class Source(msgspec.Struct, forbid_unknown_fields=True, rename="kebab"):
-    """One edition."""
+class DocumentFile(msgspec.Struct, forbid_unknown_fields=True, rename="kebab"):
+    """The contents of a document file: one edition."""
 
     edition: int
     calendar: list[Calendar] = []
     gate: list[Gate] = []
 
     def documents(self) -> Iterator[tuple[str, int, Calendar | Gate]]:
-        """Iterate over the documents: kind, place in the file, content."""
+        """Iterate over the documents: kind, position among those of the kind, content."""
         for number, calendar in enumerate(self.calendar):
             yield "calendar", number, calendar
         for number, gate in enumerate(self.gate):
             yield "gate", number, gate
 
 
-def read_source(path: Path, value_bytes: int) -> DocumentSet:
-    """Read and check a file; FileProblem names the line and the field of what is wrong."""
-    return parse_source(str(path), read_text(path), value_bytes)
+def read_documents(path: Path, max_value_bytes: int) -> DocumentSet:
+    """Read and check a file; FileProblemError names the line and field of the first error."""
+    return parse_documents(str(path), read_text(path), max_value_bytes)
 
 
-def parse_source(name: str, text: str, value_bytes: int) -> DocumentSet:
-    """Read an edition from its text; ``value_bytes`` is the most that a document may take."""
-    source = parse(name, text, Source)
-    if not 0 < source.edition < 1 << 53:
+def parse_documents(name: str, text: str, max_value_bytes: int) -> DocumentSet:
+    """Read and check an edition from its TOML text, which errors refer to as ``name``.
+
+    ``max_value_bytes`` limits the size of one encoded document.
+    """
+    file = parse(name, text, DocumentFile)
+    if not 0 < file.edition < 1 << 53:
         raise problem_at(name, text, ["edition"], "an edition is a number from 1 on")
-    found: dict[str, msgspec.Raw] = {}
-    for kind, number, document in source.documents():
+    documents: dict[str, msgspec.Raw] = {}
+    for kind, number, document in file.documents():
         path: list[str | int] = [kind, number]
         key = f"{kind}/{document.name}"
         if not _NAME.fullmatch(document.name):
             reason = "a name is 1 to 40 small letters, digits and dashes"
             raise problem_at(name, text, [*path, "name"], reason)
-        if key in found:
+        if key in documents:
             raise problem_at(name, text, [*path, "name"], f"there are two {key}")
-        wrong: tuple[list[Any], str] | None = next(document.problems(), None)
-        if wrong is not None:
-            raise problem_at(name, text, [*path, *wrong[0]], wrong[1])
+        problem: tuple[list[Any], str] | None = next(document.problems(), None)
+        if problem is not None:
+            raise problem_at(name, text, [*path, *problem[0]], problem[1])
         body = msgspec.json.encode(document)
-        if len(body) > value_bytes:
-            reason = f"{len(body)} bytes, and a record takes {value_bytes} at most"
+        if len(body) > max_value_bytes:
+            reason = f"{len(body)} bytes, and a record takes {max_value_bytes} at most"
             raise problem_at(name, text, path, reason)
-        found[key] = msgspec.Raw(body)
-    for number, field, reason in clashes(source.gate):
+        documents[key] = msgspec.Raw(body)
+    for number, field, reason in clashes(file.gate):
         raise problem_at(name, text, ["gate", number, *field], reason)
-    if sum(len(bytes(body)) for body in found.values()) > EDITION_BYTES:
-        raise problem_at(name, text, [], f"an edition takes {EDITION_BYTES} bytes at most")
-    return DocumentSet(source.edition, found)
+    if sum(len(bytes(body)) for body in documents.values()) > MAX_EDITION_BYTES:
+        raise problem_at(name, text, [], f"an edition takes {MAX_EDITION_BYTES} bytes at most")
+    return DocumentSet(file.edition, documents)
--- a/weldhead/controller/configuration/gate_binder.py
+++ b/weldhead/controller/configuration/gate_binder.py
@@ -1,4 +1,4 @@
-"""Binds jobs to release gates at admission, by a controller's replica of the documents."""
+"""Binds jobs to release gates at admission, based on a controller's replica of the documents."""
 
 from weldhead.cluster_state.records import (
     AdmissionBinding,
@@ -15,59 +15,60 @@
 KIND = "gate"
 
 
-def _documents(cache: DocumentCache, head: HeadRecord | None) -> list[tuple[str, Gate | None]]:
-    """Return an edition's gates by name; None where the document cannot be read."""
+def read_gates(cache: DocumentCache, head: HeadRecord | None) -> list[tuple[str, Gate | None]]:
+    """Return names and documents of an edition's gates; None for an unreadable document."""
     if head is None:
         return []
-    found: list[tuple[str, Gate | None]] = []
-    for name in head.documents:
-        kind, _, gate = name.partition("/")
+    gates: list[tuple[str, Gate | None]] = []
+    for document_name in head.documents:
+        kind, _, gate_name = document_name.partition("/")
         if kind == KIND:
-            kept = cache.get(document_key(head.edition, name), Gate)
-            found.append((gate, kept.value if kept is not None else None))
-    return found
+            entry = cache.get(document_key(head.edition, document_name), Gate)
+            gates.append((gate_name, entry.value if entry is not None else None))
+    return gates
 
 
-def _state(cache: DocumentCache, name: str) -> GateState | None:
-    """Return what is kept of a gate; None: it cannot be read."""
+def read_gate_state(cache: DocumentCache, name: str) -> GateState | None:
+    """Return a gate's state, empty if none is recorded; None if the record is unreadable."""
     key = state_key(KIND, name)
     if not cache.version(key):
         return GateState()
-    kept = cache.get(key, GateState)
-    return kept.value if kept is not None else None
+    entry = cache.get(key, GateState)
+    return entry.value if entry is not None else None
 
 
 class GateBinder:
-    """Binds jobs to gates at acceptance, by a controller's copy of the documents."""
+    """Binds jobs to gates at their acceptance, based on a controller's copy of the documents."""
 
     def __init__(self, cache: DocumentCache) -> None:
         self._cache = cache
 
     def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
-        """Return what a gate says of a job; DocumentsNotLoadedError if its document cannot be
-        read.
+        """Return the gate that a job is bound to, or the action that the job performs on a gate.
+
+        Raises DocumentsNotLoadedError if a gate's document or state is unreadable.
         """
         cache = self._cache
-        # Whoever finds no gate for a job does so by this edition of the documents.
+        # That no gate concerns a job also depends on the edition, so the head is a condition.
         conditions = [Condition(HEAD_KEY, cache.version(HEAD_KEY))]
         hold: GateHold | None = None
         recorded_action: GateAction | None = None
-        for name, gate in _documents(cache, cache.head):
+        for name, gate in read_gates(cache, cache.head):
             if gate is None:
                 raise DocumentsNotLoadedError
-            reservations = gate.holds_job(spec.job_class, spec.team)
-            act = gate.act_of(spec.job_class, spec.team)
-            if not reservations and not act:
+            is_held = gate.holds_job(spec.job_class, spec.team)
+            action = gate.act_of(spec.job_class, spec.team)
+            if not is_held and not action:
                 continue
-            state = _state(cache, name)
+            state = read_gate_state(cache, name)
             if state is None:
                 raise DocumentsNotLoadedError
             key = state_key(KIND, name)
             conditions.append(Condition(key, cache.version(key)))
-            if reservations:
+            if is_held:
                 hold = GateHold(name, needed_now(state))
             else:
-                recorded_action = gate_action(gate, state, act)
+                recorded_action = gate_action(gate, state, action)
         return AdmissionBinding(
             gate_hold=hold, gate_action=recorded_action, conditions=tuple(conditions)
         )
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -1,4 +1,4 @@
-"""What is expected of gates: when they open, what their acts inherit, whom to rent for."""
+"""Forecasts for gates: opening times, inheritance by action jobs, and expected demand."""
 
 from collections.abc import Iterator, Mapping
 from heapq import nsmallest
@@ -11,107 +11,117 @@
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
 from weldhead.scheduling.inherited_priority import MAX_INHERITED_DEADLINES
 
-#: Between two looks at what is expected of the acts under way.
-EXPECT_US = SECOND_US
-#: Between two looks whether what lent the most to an act is gone.
-LENT_US = 10 * SECOND_US
-#: For how many jobs of a gate machines are rented ahead at most.
-MOST_FORESEEN = 200
+#: Minimum interval between refreshes of the forecasts while no gate's state changes.
+REFRESH_INTERVAL_US = SECOND_US
+#: Minimum interval between full recomputations of inheritance after held jobs have left.
+INHERITANCE_RECOMPUTE_INTERVAL_US = 10 * SECOND_US
+#: Machines are rented ahead for at most this many held jobs of a gate.
+MAX_PRERENTED_JOBS = 200
 
 
 class GateForecast:
-    """Looks ahead of a term's gates."""
+    """Forecasts when the gates of a leader term open, and the demand that they then release."""
 
     def __init__(
         self, term: Term, job_dependencies: JobDependencies, trackers: Mapping[str, GateTracker]
     ) -> None:
         self._term = term
-        self._linking = job_dependencies
+        self._job_dependencies = job_dependencies
         self._trackers = trackers
-        #: Held since the last look at what they lend.
-        self.newly_held: list[Job] = []
-        #: When it was looked last; 0: something has changed since.
+        #: Jobs held since the last update of what action jobs inherit.
+        self.newly_held_jobs: list[Job] = []
+        #: When the forecasts were last refreshed; 0 if a gate's state has changed since.
         self.refreshed_us = 0
 
     def refresh(self, at_us: int) -> None:
-        """Expect openings from the acts under way, and lend these what waits for them."""
-        if at_us < self.refreshed_us + EXPECT_US:
+        """Update the expected openings, and what action jobs inherit from the held jobs."""
+        if at_us < self.refreshed_us + REFRESH_INTERVAL_US:
             return
         self.refreshed_us = at_us
         for tracker in self._trackers.values():
             if tracker.state is None or not (tracker.jobs or tracker.state.pending):
                 continue
             jobs = self._term.cluster.jobs
-            acts = [jobs[p.job] for p in tracker.state.pending if p.job in jobs]
+            action_jobs = [jobs[p.job] for p in tracker.state.pending if p.job in jobs]
             tracker.status.reason = tracker.waiting_reason()
             tracker.status.expected_open_us = opens_us(
-                tracker, {a.id: self._end_us(a, at_us) for a in acts}
+                tracker, {a.id: self._expected_end_us(a, at_us) for a in action_jobs}
             )
-            self._inherit(tracker, acts, at_us)
-        self.newly_held.clear()
+            self._update_inheritance(tracker, action_jobs, at_us)
+        self.newly_held_jobs.clear()
 
-    def _end_us(self, job: Job, at_us: int) -> int | None:
-        """Return when an act's job is expected to be done; None: it cannot be told."""
+    def _expected_end_us(self, job: Job, at_us: int) -> int | None:
+        """Return when an action job is expected to end, or None if that is unknown."""
         if job.unmet_dependencies:
             return (
                 None
                 if job.expected_start_us is None
-                else job.expected_start_us + self._linking.stage_us(job)
+                else job.expected_start_us + self._job_dependencies.stage_us(job)
             )
         if job.active and not job.waiting:
             task_us = self._term.estimates.task_us(job)
             return at_us + max(a.remaining_us(task_us, at_us) for a in job.active.values())
-        return at_us + self._linking.stage_us(job)
+        return at_us + self._job_dependencies.stage_us(job)
 
-    def _inherit(self, tracker: GateTracker, acts: list[Job], at_us: int) -> None:
-        """Let acts count with the priority and the deadlines of what waits for them."""
+    def _update_inheritance(self, tracker: GateTracker, action_jobs: list[Job], at_us: int) -> None:
+        """Let action jobs inherit the priority and the deadlines of the jobs held by the gate."""
         dependency_graph, objectives = self._term.dependency_graph, self._term.objectives
-        if tracker.jobs_left and at_us > tracker.inheritance_checked_us + LENT_US:
-            # Some may have gone that lent the most.
+        if (
+            tracker.jobs_left
+            and at_us > tracker.inheritance_checked_us + INHERITANCE_RECOMPUTE_INTERVAL_US
+        ):
+            # A job that left may have had the highest priority or the earliest deadline.
             tracker.jobs_left, tracker.inheritance_checked_us = False, at_us
-            for act in acts:
-                dependency_graph.gate_inheritance.pop(act.id, None)
-        for act in acts:
-            before = dependency_graph.gate_inheritance.get(act.id)
-            bounds: list[tuple[int, list[int]]] = []
-            if before is not None:
-                bounds.append((before[0], list(before[1])))
-                fresh = [
-                    j for j in self.newly_held if j.gate_hold and j.gate_hold.gate == tracker.name
+            for action_job in action_jobs:
+                dependency_graph.gate_inheritance.pop(action_job.id, None)
+        for action_job in action_jobs:
+            previous = dependency_graph.gate_inheritance.get(action_job.id)
+            contributions: list[tuple[int, list[int]]] = []
+            if previous is not None:
+                contributions.append((previous[0], list(previous[1])))
+                added_jobs = [
+                    j
+                    for j in self.newly_held_jobs
+                    if j.gate_hold and j.gate_hold.gate == tracker.name
                 ]
             else:
-                fresh = list(held(tracker))
-            for job in fresh:
-                ends = (*objectives.deadlines_us(job), *job.inherited_due_us)
-                path_us = self._linking.stage_us(job) if ends else 0
-                bounds.append((job.effective_level, [end_us - path_us for end_us in ends]))
-            now = lent(bounds, MAX_INHERITED_DEADLINES, at_us)
-            if now != before:
-                dependency_graph.gate_inheritance[act.id] = now
-                self._linking.refresh_inherited([act])
+                added_jobs = list(held_jobs(tracker))
+            for job in added_jobs:
+                deadlines_us = (*objectives.deadlines_us(job), *job.inherited_due_us)
+                path_us = self._job_dependencies.stage_us(job) if deadlines_us else 0
+                contributions.append(
+                    (job.effective_level, [due_us - path_us for due_us in deadlines_us])
+                )
+            inherited = lent(contributions, MAX_INHERITED_DEADLINES, at_us)
+            if inherited != previous:
+                dependency_graph.gate_inheritance[action_job.id] = inherited
+                self._job_dependencies.refresh_inherited([action_job])
 
     def expected_demand(self, at_us: int, until_us: int) -> list[ExpectedDemand]:
-        """Return held work that is expected to be released by then; machines may be rented.
+        """Return the held jobs that are expected to be released by ``until_us``.
 
-        An act that takes longer than expected must not keep machines for ever: they are
-        rented ahead for twice the time of foresight at most, until something changes.
+        Machines may be rented ahead for these jobs. An action job that takes longer than expected
+        must not keep machines forever. Machines are therefore rented ahead for a gate during at
+        most twice the span from ``at_us`` to ``until_us``, which starts again when the state of the
+        gate changes.
         """
-        found: list[ExpectedDemand] = []
+        demand: list[ExpectedDemand] = []
         for tracker in self._trackers.values():
-            starts_us = tracker.status.expected_open_us
-            if starts_us is None or starts_us > until_us:
+            opens_at_us = tracker.status.expected_open_us
+            if opens_at_us is None or opens_at_us > until_us:
                 continue
             tracker.prerented_since_us = tracker.prerented_since_us or at_us
             if at_us - tracker.prerented_since_us > 2 * (until_us - at_us):
                 continue
             teams = self._term.cluster.teams
-            ready = (j for j in held(tracker) if j.team in teams and not j.unmet_dependencies)
-            found += [
-                ExpectedDemand(j, starts_us) for j in nsmallest(MOST_FORESEEN, ready, key=urgency)
+            ready = (j for j in held_jobs(tracker) if j.team in teams and not j.unmet_dependencies)
+            demand += [
+                ExpectedDemand(j, opens_at_us)
+                for j in nsmallest(MAX_PRERENTED_JOBS, ready, key=urgency)
             ]
-        return found
+        return demand
 
 
-def held(tracker: GateTracker) -> Iterator[Job]:
+def held_jobs(tracker: GateTracker) -> Iterator[Job]:
     """Iterate over the jobs that a gate holds."""
     return (job for job in tracker.jobs.values() if job.blocking_gate is not None)
--- a/weldhead/controller/configuration/run_time_history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -1,7 +1,7 @@
-"""How long tasks of bound classes take, from one term to the next.
+"""Carries the observed run times of job classes with calendar deadlines from term to term.
 
-Without it each successor knew nothing of any class until its first tasks ended, and had to
-call every bound job unknown.
+Without this history, a new leader would know nothing about a class until the first tasks of the
+class ended, and would classify every bound job as unknown, neither on track nor late.
 """
 
 import asyncio
@@ -15,56 +15,66 @@
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import TransactionRejectedError
 
-KEY = state_key("history", "classes")
-#: Between two writes, if there is anything new.
-PAUSE_S = 20.0
+HISTORY_KEY = state_key("history", "classes")
+#: Interval between checks for new observations to write.
+WRITE_INTERVAL_S = 20.0
 
-#: By class: the sum of the logarithms of observed to estimated times, and their weight.
-Record = dict[str, tuple[float, float]]
+#: By job class: weighted sum of the logarithms of observed to estimated run time, and its weight.
+ClassHistory = dict[str, tuple[float, float]]
 
 
 class RunTimeHistory:
-    """A term's part: it reads what its predecessors saw, and notes what it sees."""
+    """Loads the observations of earlier terms, and records those of this term."""
 
     def __init__(self, term: Term, publisher: DocumentPublisher) -> None:
         self._term = term
         self._publisher = publisher
-        self._written: dict[str, int] = {}
+        self._written_versions: dict[str, int] = {}
 
     def load(self) -> None:
-        """Take up what was seen in earlier terms."""
-        kept = self._publisher.cache.get(KEY, Record)
-        if kept is not None:
-            for name, (total, weight) in kept.value.items():
-                self._term.estimates.restore(name, total, weight)
-        self._written = dict(self._term.estimates.versions)
+        """Restore the observations of earlier terms."""
+        stored = self._publisher.cache.get(HISTORY_KEY, ClassHistory)
+        if stored is not None:
+            for class_name, (total, weight) in stored.value.items():
+                self._term.estimates.restore(class_name, total, weight)
+        self._written_versions = dict(self._term.estimates.versions)
 
     async def run(self) -> None:
-        """Note what is seen of bound classes, where it has moved clearly; a background task."""
+        """Record significant changes for classes with bound jobs; runs as a background task."""
         while True:
-            await asyncio.sleep(PAUSE_S)
-            record = self._changes()
-            if record is None:
+            await asyncio.sleep(WRITE_INTERVAL_S)
+            history = self._collect_history()
+            if history is None:
                 continue
             try:
-                await self._publisher.write({KEY: record})
+                await self._publisher.write({HISTORY_KEY: history})
             except (LeadershipLostError, TransactionRejectedError, CallError):
                 continue
 
-    def _changes(self) -> Record | None:
-        """Return the record as it has to be; None: nothing is new."""
+    def _collect_history(self) -> ClassHistory | None:
+        """Return the history with the new observations, or None if there are none."""
         estimates = self._term.estimates
         jobs = self._term.cluster.jobs.values()
-        bound = {job.spec.job_class for job in jobs if job.calendar_deadline is not None}
-        fresh = [n for n in bound if estimates.versions.get(n, 0) != self._written.get(n, 0)]
-        if not fresh:
+        bound_classes = {job.spec.job_class for job in jobs if job.calendar_deadline is not None}
+        changed = [
+            class_name
+            for class_name in bound_classes
+            if estimates.versions.get(class_name, 0) != self._written_versions.get(class_name, 0)
+        ]
+        if not changed:
             return None
-        self._written = dict(estimates.versions)
-        kept = self._publisher.cache.get(KEY, Record)
-        record = dict(kept.value) if kept is not None else {}
-        record |= {name: seen for name in fresh if (seen := estimates.export(name)) is not None}
-        while len(msgspec.json.encode(record)) > self._publisher.value_bytes:
-            # More classes than a record takes: those that nobody waits for go first.
-            gone = next((name for name in record if name not in bound), next(iter(record)))
-            del record[gone]
-        return record
+        self._written_versions = dict(estimates.versions)
+        stored = self._publisher.cache.get(HISTORY_KEY, ClassHistory)
+        history = dict(stored.value) if stored is not None else {}
+        history |= {
+            class_name: observations
+            for class_name in changed
+            if (observations := estimates.export(class_name)) is not None
+        }
+        while len(msgspec.json.encode(history)) > self._publisher.max_value_bytes:
+            # The history exceeds the value size limit. Classes without a bound job go first.
+            dropped = next(
+                (name for name in history if name not in bound_classes), next(iter(history))
+            )
+            del history[dropped]
+        return history
--- a/weldhead/controller/leadership/leader.py
+++ b/weldhead/controller/leadership/leader.py
@@ -86,7 +86,7 @@
         self.gate_keeper: GateKeeper | None = None
         if self.publisher is not None:
             self.gate_keeper = self._open_gates(self.publisher)
-            self.completions.commit_gate_end = self.gate_keeper.commit_end
+            self.completions.commit_gate_end = self.gate_keeper.commit_job_end
         self.reachability = ReachabilityMonitor(
             term,
             self._dispatcher,
@@ -129,7 +129,7 @@
             self.forecaster.late_notices = self.calendar_keeper.late_notifications
             self.forecaster.follow_clock = self.calendar_keeper.follow_clock
         if self.gate_keeper is not None:
-            self.forecaster.hold_reason = self.gate_keeper.hold_reason
+            self.forecaster.hold_reason = self.gate_keeper.describe_blocking_gate
         self.statuses = JobStatusReporter(term, self.completions, self.forecaster, self.gate_keeper)
 
     def _open_gates(self, publisher: DocumentPublisher) -> "GateKeeper":
@@ -214,7 +214,7 @@
         background_tasks.start("forecasts", self.forecaster.run)
         background_tasks.start("loop watch", self.loop_budget.watch_lag)
         if self.publisher is not None:
-            background_tasks.start("documents", self.publisher.publish)
+            background_tasks.start("documents", self.publisher.publish_offers)
         if self.calendar_keeper is not None:
             self.calendar_keeper.start(background_tasks)
         background_tasks.spawn("account", self._log_lateness())
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -242,7 +242,7 @@
             case "report":
                 return await self._handle_heartbeat(ask.body, relayed=True)
             case "documents" if self.leader is not None and self.leader.publisher is not None:
-                return self.leader.publisher.accept_offer(ask.body)
+                return self.leader.publisher.handle_offer(ask.body)
             case _:
                 return unavailable("unknown kind")
 
--- a/weldhead/controller/requests/job_status.py
+++ b/weldhead/controller/requests/job_status.py
@@ -60,7 +60,7 @@
                 utc(job.calendar_deadline.due_us) if job.calendar_deadline is not None else None
             )
         if self._gate_keeper is not None:
-            answer.held_by = self._gate_keeper.held_by(job)
+            answer.held_by = self._gate_keeper.describe_confirmed_hold(job)
         if job.cancelled or job.expected_finish_us is None:
             return answer
         answer.forecast_s = round(to_seconds(job.expected_finish_us - job.first_seen_us), 1)
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -215,7 +215,7 @@
             leader.job_created(record, version)
         log.debug("%s accepted", spec.id)
         if self._controller.documents is not None and (record.deadline or record.gate_hold):
-            for tell in self._controller.documents.on_accepted:
+            for tell in self._controller.documents.acceptance_listeners:
                 tell(record)
         return Response(
             http_status.CREATED,
--- a/weldhead/documents/__init__.py
+++ b/weldhead/documents/__init__.py
@@ -1,1 +1,1 @@
-"""Documents that all controllers share: editions, and what is in memory of them. No I/O."""
+"""Operators' documents that all controllers share: records, editions and a cache. No I/O."""
--- a/weldhead/documents/cache.py
+++ b/weldhead/documents/cache.py
@@ -1,8 +1,8 @@
-"""What a controller has in memory of the documents. No I/O.
+"""A controller's in-memory copy of the documents. No I/O.
 
-Everything is kept with its mark (the revision of its last change) and with the moment as of
-which it was current, so that whoever decides by it can say by what it decided: a job is bound
-on the condition of these marks.
+Each value has a version (the revision of the store at its last change), and the cache knows as of
+when it was current. A decision can thus state the versions that it is based on: a job is bound on
+the condition that these versions still hold.
 """
 
 from collections.abc import Callable, Iterator
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from weldhead.documents.records import DOCUMENTS, HEAD_KEY, HeadRecord, document_key
+from weldhead.documents.records import DOCUMENT_PREFIX, HEAD_KEY, HeadRecord, document_key
 
 T = TypeVar("T")
 
 
 @dataclass(frozen=True)
 class CacheEntry(Generic[T]):
-    """A value, its mark (0: there is none in the store), and as of when it was current."""
+    """A decoded value, its version, and as of when the cache was current (steady clock)."""
 
     value: T
     version: int
@@ -26,90 +26,91 @@
 
 
 class DocumentCache:
-    """The keys under ``d/``, decoded once a change."""
+    """The keys under ``d/`` with their values; a value is decoded once per change."""
 
     def __init__(self) -> None:
         self._entries: dict[str, tuple[bytes, int]] = {}
         self._decoded: dict[tuple[str, type[Any]], Any] = {}
-        #: Called with the key of each change.
+        #: Functions that are called with the key of each change.
         self.listeners: list[Callable[[str], None]] = []
-        #: Steady clock of this node; 0: never read.
+        #: When the copy was last current, on this node's steady clock; 0 before the first read.
         self.as_of_us = 0
 
     @property
-    def loaded(self) -> bool:
-        """Whether the store has been read."""
+    def is_loaded(self) -> bool:
+        """Whether the documents have been read from the store at least once."""
         return self.as_of_us > 0
 
     def keys(self) -> list[str]:
-        """Return the keys that are there."""
+        """Return all cached keys."""
         return list(self._entries)
 
-    def put(self, key: str, body: bytes, mark: int) -> None:
-        """Take up a change; one that is older than what is known is no news."""
-        known = self._entries.get(key)
-        if known is not None and known[1] >= mark:
+    def put(self, key: str, body: bytes, version: int) -> None:
+        """Store a changed value; a change that is not newer than the cached version is ignored."""
+        cached = self._entries.get(key)
+        if cached is not None and cached[1] >= version:
             return
-        self._entries[key] = body, mark
-        self._forget(key)
+        self._entries[key] = body, version
+        self._on_change(key)
 
-    def drop(self, key: str, mark: int) -> None:
-        """Take up that a key was deleted at a revision."""
-        known = self._entries.get(key)
-        if known is None or known[1] > mark:
+    def drop(self, key: str, version: int) -> None:
+        """Remove a key that was deleted at a revision, unless the cached value is newer."""
+        cached = self._entries.get(key)
+        if cached is None or cached[1] > version:
             return
         del self._entries[key]
-        self._forget(key)
+        self._on_change(key)
 
     def replace(self, entries: dict[str, tuple[bytes, int]], revision: int) -> None:
-        """Take up all that the store had at a revision."""
+        """Replace the contents by those of the store at a revision; newer changes are kept."""
         for key in list(self._entries.keys() - entries.keys()):
             self.drop(key, revision)
-        for key, (body, mark) in entries.items():
-            self.put(key, body, mark)
+        for key, (body, version) in entries.items():
+            self.put(key, body, version)
 
-    def _forget(self, key: str) -> None:
-        for known in [pair for pair in self._decoded if pair[0] == key]:
-            del self._decoded[known]
+    def _on_change(self, key: str) -> None:
+        """Discard the decoded values of a changed key, and call the listeners."""
+        for stale in [pair for pair in self._decoded if pair[0] == key]:
+            del self._decoded[stale]
         for listener in self.listeners:
             listener(key)
 
-    def get(self, key: str, kind: type[T]) -> CacheEntry[T] | None:
-        """Return a key's value, decoded; None: it is not there, or cannot be read."""
+    def get(self, key: str, value_type: type[T]) -> CacheEntry[T] | None:
+        """Return a key's decoded value, or None if the key is missing or cannot be decoded."""
         entry = self._entries.get(key)
         if entry is None:
             return None
-        if (key, kind) not in self._decoded:
+        if (key, value_type) not in self._decoded:
             try:
-                self._decoded[key, kind] = msgspec.json.decode(entry[0], type=kind)
+                self._decoded[key, value_type] = msgspec.json.decode(entry[0], type=value_type)
             except (msgspec.DecodeError, UnicodeDecodeError):
-                # Written by a version with another format: as good as not there.
-                self._decoded[key, kind] = None
-        value = self._decoded[key, kind]
+                # Another version wrote the value in another format, so it counts as missing.
+                self._decoded[key, value_type] = None
+        value = self._decoded[key, value_type]
         return None if value is None else CacheEntry(value, entry[1], self.as_of_us)
 
     def version(self, key: str) -> int:
-        """Return a key's mark; 0: it is not there."""
+        """Return a key's version, or 0 if the key is missing."""
         entry = self._entries.get(key)
         return entry[1] if entry is not None else 0
 
     @property
     def head(self) -> HeadRecord | None:
-        """The edition in force; None: there is none."""
-        kept = self.get(HEAD_KEY, HeadRecord)
-        return kept.value if kept is not None else None
+        """The head record of the edition in force, or None if there is no edition."""
+        entry = self.get(HEAD_KEY, HeadRecord)
+        return entry.value if entry is not None else None
 
-    def in_force(self, kind: str, structure: type[T]) -> Iterator[CacheEntry[T]]:
-        """Iterate over the documents of a kind of the edition in force."""
+    def documents_in_force(self, kind: str, document_type: type[T]) -> Iterator[CacheEntry[T]]:
+        """Iterate over the documents of one kind in the edition in force."""
         head = self.head
         if head is None:
             return
         for name in head.documents:
             if name.startswith(kind + "/"):
-                kept = self.get(document_key(head.edition, name), structure)
-                if kept is not None:
-                    yield kept
+                entry = self.get(document_key(head.edition, name), document_type)
+                if entry is not None:
+                    yield entry
 
-    def documents(self) -> list[str]:
-        """Return the keys of documents that are there, of whichever edition."""
-        return [key for key in self._entries if key.startswith(DOCUMENTS)]
+    def document_keys(self) -> list[str]:
+        """Return the cached document keys of all editions."""
+        return [key for key in self._entries if key.startswith(DOCUMENT_PREFIX)]
--- a/weldhead/documents/editions.py
+++ b/weldhead/documents/editions.py
@@ -1,7 +1,8 @@
-"""Which edition comes into force, and by which changes. Pure.
+"""Decides which edition comes into force, and by which transactions. Pure.
 
-The highest number that any controller brings wins. The same number with other content is a
-mistake of the operators, which nobody can resolve for them: it is refused.
+The edition with the highest number that any controller offers comes into force. An edition with
+the number of the one in force but other content is a mistake of the operators that the software
+cannot resolve, so that edition is refused.
 """
 
 import enum
@@ -13,55 +14,65 @@
     DocumentSet,
     HeadRecord,
     document_key,
-    edition_of,
+    parse_edition,
 )
 
 
 class EditionVerdict(enum.Enum):
-    """What becomes of an edition that is brought."""
+    """The result of comparing an offered edition with the edition in force."""
 
-    TAKEN = "taken"
-    #: It is in force already.
-    SAME = "same"
-    #: One with a higher number is in force.
+    #: The offered edition comes into force.
+    ACCEPTED = "taken"
+    #: The offered edition is already in force.
+    IN_FORCE = "same"
+    #: An edition with a higher number is in force.
     OLDER = "older"
-    #: One with this number and other content is in force.
-    CONTRADICTS = "contradicts"
-    #: A document of it is larger than the store's values may be.
+    #: An edition with the same number and other content is in force.
+    CONFLICTING = "contradicts"
+    #: A document of the offered edition exceeds the value size limit of the state service.
     TOO_LARGE = "too large"
 
 
-def judge_edition(head: HeadRecord | None, offer: DocumentSet, value_bytes: int) -> EditionVerdict:
-    """Say what becomes of an edition, given the one in force."""
-    if any(len(bytes(body)) > value_bytes for body in offer.documents.values()):
+def classify_edition(
+    head: HeadRecord | None, offer: DocumentSet, max_value_bytes: int
+) -> EditionVerdict:
+    """Compare an offered edition with the edition in force."""
+    if any(len(bytes(body)) > max_value_bytes for body in offer.documents.values()):
         return EditionVerdict.TOO_LARGE
     if head is None or offer.edition > head.edition:
-        return EditionVerdict.TAKEN
+        return EditionVerdict.ACCEPTED
     if offer.edition < head.edition:
         return EditionVerdict.OLDER
-    return EditionVerdict.SAME if offer.digest == head.digest else EditionVerdict.CONTRADICTS
+    return EditionVerdict.IN_FORCE if offer.digest == head.digest else EditionVerdict.CONFLICTING
 
 
-def steps(offer: DocumentSet, present: Collection[str], most: int) -> list[dict[str, Any]]:
-    """Return the transactions that bring an edition into force; the head is the last.
+def plan_publication(
+    offer: DocumentSet, stored_keys: Collection[str], max_changes: int
+) -> list[dict[str, Any]]:
+    """Return the transactions that bring an edition into force; the last one writes the head.
 
-    ``present`` are the keys that are there: what an earlier leader left of this edition when
-    it ended in the midst of it is written over, as it may be of another content.
+    Each transaction changes at most ``max_changes`` keys. ``stored_keys`` are the document keys in
+    the store. An earlier leader may have written part of an edition with the same number and other
+    content before its term ended: those documents are overwritten, and surplus ones are deleted.
     """
     bodies = {document_key(offer.edition, n): body for n, body in offer.documents.items()}
-    names = sorted(bodies)
-    found: list[dict[str, Any]] = [
-        {k: bodies[k] for k in names[i : i + most]} for i in range(0, len(names), most)
+    keys = sorted(bodies)
+    transactions: list[dict[str, Any]] = [
+        {k: bodies[k] for k in keys[i : i + max_changes]} for i in range(0, len(keys), max_changes)
     ]
     head = HeadRecord(offer.edition, offer.digest, tuple(sorted(offer.documents)))
-    stray = [key for key in present if edition_of(key) == offer.edition and key not in bodies]
-    found += [dict.fromkeys(stray[i : i + most]) for i in range(0, len(stray), most)]
-    return [*found, {HEAD_KEY: head}]
+    surplus = [
+        key for key in stored_keys if parse_edition(key) == offer.edition and key not in bodies
+    ]
+    transactions += [
+        dict.fromkeys(surplus[i : i + max_changes]) for i in range(0, len(surplus), max_changes)
+    ]
+    return [*transactions, {HEAD_KEY: head}]
 
 
-def leftovers(head: HeadRecord | None, present: Collection[str]) -> list[str]:
-    """Return the keys of documents of editions that are over."""
+def find_outdated_documents(head: HeadRecord | None, stored_keys: Collection[str]) -> list[str]:
+    """Return the keys of documents of editions older than the one in force."""
     if head is None:
         return []
-    return sorted(k for k in present if (number := edition_of(k)) is not None
+    return sorted(k for k in stored_keys if (number := parse_edition(k)) is not None
                   and number < head.edition)  # fmt: skip
--- a/weldhead/documents/records.py
+++ b/weldhead/documents/records.py
@@ -1,31 +1,32 @@
-"""What the state service holds of documents.
+"""Records of the operators' documents in the state service.
 
 =======================  ==========================================================
 key                      value
 =======================  ==========================================================
-d/head                   HeadRecord: the edition that is in force
-d/doc/EDITION/KIND/NAME  one document of an edition, as its kind's structure
-d/state/KIND/NAME        what the kind's package keeps of it, across editions
+d/head                   HeadRecord: the edition in force
+d/doc/EDITION/KIND/NAME  one document of an edition, in the format of its kind
+d/state/KIND/NAME        state of a document that is kept across editions
 =======================  ==========================================================
 
-A document is written once and never changed. An edition comes into force with its head, in
-one change, after all of its documents are there: so nobody ever sees half of one, however
-many there are. Only the leader writes these keys, each time on the condition of its token and
-of the key's version (``cluster_state/state_writer.py``); every controller watches them.
+A document is never changed once its edition is in force. All documents of an edition are written
+before the head record, and a single write of the head brings the edition into force, so no reader
+ever sees part of an edition, however many documents it has. Only the leader writes these keys.
+Each write is conditional on the leader's token and on the key's version
+(``weldhead/cluster_state/state_writer.py``). Every controller watches the keys.
 """
 
 import hashlib
 
 import msgspec
 
-PREFIX = "d/"
+KEY_PREFIX = "d/"
 HEAD_KEY = "d/head"
-DOCUMENTS = "d/doc/"
-STATES = "d/state/"
+DOCUMENT_PREFIX = "d/doc/"
+STATE_PREFIX = "d/state/"
 
 
 class HeadRecord(msgspec.Struct, omit_defaults=True):
-    """The edition in force: its digest, and its documents as ``KIND/NAME``."""
+    """The edition in force, with its digest and the names (``KIND/NAME``) of its documents."""
 
     edition: int
     digest: str
@@ -33,35 +34,35 @@
 
 
 class DocumentSet(msgspec.Struct, frozen=True):
-    """An edition that a controller brings: documents as JSON, by ``KIND/NAME``."""
+    """An edition that a controller offers: its documents as JSON, by name (``KIND/NAME``)."""
 
     edition: int
     documents: dict[str, msgspec.Raw]
 
     @property
     def digest(self) -> str:
-        """Tell its content from any other; the order of the documents does not count."""
-        whole = hashlib.sha256()
+        """A hash of the names and contents of the documents, independent of their order."""
+        hasher = hashlib.sha256()
         for name in sorted(self.documents):
             body = bytes(self.documents[name])
-            whole.update(f"{name} {len(body)}\n".encode())
-            whole.update(body)
-        return whole.hexdigest()[:16]
+            hasher.update(f"{name} {len(body)}\n".encode())
+            hasher.update(body)
+        return hasher.hexdigest()[:16]
 
 
 def document_key(edition: int, name: str) -> str:
     """Return the key of a document; ``name`` is ``KIND/NAME``."""
-    return f"{DOCUMENTS}{edition}/{name}"
+    return f"{DOCUMENT_PREFIX}{edition}/{name}"
 
 
 def state_key(kind: str, name: str) -> str:
-    """Return the key of what is kept of a document across editions."""
-    return f"{STATES}{kind}/{name}"
+    """Return the key of the state that is kept of a document across editions."""
+    return f"{STATE_PREFIX}{kind}/{name}"
 
 
-def edition_of(key: str) -> int | None:
-    """Return the edition of a document's key; None: it is no such key."""
-    if not key.startswith(DOCUMENTS):
+def parse_edition(key: str) -> int | None:
+    """Return the edition number in a document's key, or None if the key is not a document's."""
+    if not key.startswith(DOCUMENT_PREFIX):
         return None
-    number = key.removeprefix(DOCUMENTS).partition("/")[0]
+    number = key.removeprefix(DOCUMENT_PREFIX).partition("/")[0]
     return int(number) if number.isdigit() else None
--- a/weldhead/emulator/events.py
+++ b/weldhead/emulator/events.py
@@ -20,7 +20,7 @@
     RENTALS,
     LeaderRecord,
 )
-from weldhead.documents.records import PREFIX as DOCUMENTS
+from weldhead.documents.records import KEY_PREFIX as DOCUMENTS
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.controller import SimulatedController
 from weldhead.emulator.loop import VirtualLoop
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -10,7 +10,7 @@
 
 from weldhead.clock import SECOND_US, now_us
 from weldhead.controller.configuration import late_notifications as lateness
-from weldhead.controller.configuration.document_file import parse_source
+from weldhead.controller.configuration.document_file import parse_documents
 from weldhead.controller.leadership.leader import Leader
 from weldhead.documents.records import DocumentSet
 from weldhead.emulator.calendar_rules import CalendarRules
@@ -130,7 +130,7 @@
         )  # fmt: skip
         self.offer: DocumentSet | None = None
         if scenario.documents:
-            self.offer = parse_source(scenario.name, scenario.documents, limits.value_bytes)
+            self.offer = parse_documents(scenario.name, scenario.documents, limits.value_bytes)
         self.controllers = self._make_controllers(teams, limits)
         self.addresses = {c.name: c.settings.listen for c in self.controllers}
         self.users = Users(loop, self.network, self.checker, scenario, self.jobs, self.addresses,
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -172,7 +172,7 @@
 
 def _gate_from_memory() -> Iterator[Any]:
     """A term takes a gate for open as somebody knew it last, whatever is on record now."""
-    read, memory = gate_binder._state, dict[str, GateState]()
+    read, memory = gate_binder.read_gate_state, dict[str, GateState]()
 
     def remembered(cache: DocumentCache, name: str) -> GateState | None:
         state = read(cache, name)
@@ -180,8 +180,8 @@
             memory[name] = state
         return memory.get(name, state)
 
-    yield patch.object(gate_binder, "_state", remembered)
-    yield patch.object(gate_keeper, "_state", remembered)
+    yield patch.object(gate_binder, "read_gate_state", remembered)
+    yield patch.object(gate_keeper, "read_gate_state", remembered)
 
 
 def _gate_opened_by_a_late_write() -> Iterator[Any]:
--- a/weldhead/serving.py
+++ b/weldhead/serving.py
@@ -85,11 +85,11 @@
 
     offer = None
     if documents_file is not None:
-        from weldhead.controller.configuration.document_file import read_source
+        from weldhead.controller.configuration.document_file import read_documents
         from weldhead.tomlfiles import FileProblemError
 
         try:
-            offer = read_source(documents_file, settings.facts.state.tightest().value_bytes)
+            offer = read_documents(documents_file, settings.facts.state.tightest().value_bytes)
         except FileProblemError as error:
             raise StartError(str(error)) from error
 
