--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -441,7 +441,8 @@
     async def commit_job_end(self, job: Job, final: FinalRecord, changes: dict[str, Any]) -> bool:
         """Commit an action job's end together with its effect on the gate.
 
-        Returns False, without a commit, if the job has no effect on any gate.
+        Returns False, without a commit, if the job is no action job or its gate's state is
+        unreadable.
         """
         unentered = self._unentered_actions.get(job.id)
         tracker = self.trackers.get(unentered[1]) if unentered is not None else None
