--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -453,7 +453,7 @@
         node = StandInNode()
         node.documents = self.documents()
         assert node.documents is not None
-        await node.documents._read()
+        await node.documents._read_all()
         spec = job_spec(number, job_class=job_class)
         body = msgspec.json.encode(spec)
         assert (await desk(self.state, node).submit(body)).status == 201
@@ -614,7 +614,7 @@
 
     async def write(self) -> None:
         assert self.leader.calendar_keeper is not None
-        await self.leader.calendar_keeper._renew()
+        await self.leader.calendar_keeper._update_instants()
 
     async def check_before_answer(self) -> None:
         self.bound = (await self.accepted(9, "balance")).deadline
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -265,7 +265,7 @@
             case "report":
                 return await self._handle_heartbeat(request.body, relayed=True)
             case "documents" if self.leader is not None and self.leader.publisher is not None:
-                return self.leader.publisher.accept_offer(request.body)
+                return self.leader.publisher.handle_offer(request.body)
             case _:
                 return unavailable("unknown kind")
 
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -241,7 +241,7 @@
             leader.job_created(record, version)
         log.debug("job %s accepted", spec.id)
         if self._controller.documents is not None and (record.deadline or record.gate_hold):
-            for on_accepted in self._controller.documents.on_accepted:
+            for on_accepted in self._controller.documents.acceptance_listeners:
                 on_accepted(record)
         return Response(
             http_status.CREATED,
