--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -112,7 +112,7 @@
     def commit_withdrawals(self, max_jobs: int) -> None:
         """Commit the ends of up to ``max_jobs`` cancelled jobs."""
         ready_to_end = [
-            job for job in self.leader.cluster.jobs.values() if job.cancelled and job.over
+            job for job in self.leader.cluster.jobs.values() if job.cancelled and job.has_ended
         ]
         for job in ready_to_end[:max_jobs]:
             self.run(self.leader.completions._try_finish_job(job))
