--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -14,9 +14,9 @@
 import pytest
 
 from tests.support.builders import job_spec, machine_type
-from tests.support.calendars import calendar, documents_of, put_edition, us
+from tests.support.calendars import calendar, open_replica, put_edition, utc_us
 from tests.support.fleets import StandInCloud
-from tests.support.gates import CLASSES, KEY, gate
+from tests.support.gates import GATE_STATE_KEY, JOB_CLASSES, gate
 from tests.support.handing_back import Site
 from tests.support.handing_back import play as play_site
 from tests.support.leaders import Clock, leader_of, put_job, put_machine
@@ -47,7 +47,7 @@
 from weldhead.emulator.experiment import play_observed
 from weldhead.emulator.lost_answers import LostAnswerObserver
 from weldhead.emulator.scenario import read_scenario
-from weldhead.gates.gate_state import GateState, ended, enter
+from weldhead.gates.gate_state import GateState, apply_job_end, enter_action
 from weldhead.protocol.wire import Command
 from weldhead.scheduling.autoscaling.rental_offers import RentalOffer
 from weldhead.transport.state_client import StateClient
@@ -463,7 +463,7 @@
         assert record.gate_hold == GateHold("book", 1)
         assert self.job(9).blocking_gate is not None
         # Who performs an act waits until it is entered.
-        assert (await self.accepted(8, CLASSES["rebuild"])).gate_action is not None
+        assert (await self.accepted(8, JOB_CLASSES["rebuild"])).gate_action is not None
         assert self.job(8).blocking_gate is not None
 
     def succeeded(self, successor: Leader) -> None:
@@ -496,13 +496,13 @@
 class Act(Edition):
     """A rebuild closes a gate that is open: followers hold jobs by it before the leader knows."""
 
-    key = KEY
+    key = GATE_STATE_KEY
 
     def prepare(self) -> None:
         super().prepare()
         self.state.put(document_key(1, "gate/book"), gate())
         self.state.put(HEAD_KEY, HeadRecord(1, "1", ("gate/book",)))
-        self.state.put(KEY, self.opened())
+        self.state.put(GATE_STATE_KEY, self.opened())
 
     def opened(self) -> GateState:
         return self.after_acts("rebuild", "approval", "publication")
@@ -511,8 +511,8 @@
         state = GateState()
         for number, act in enumerate(acts, 3):
             deed = GateAction("book", act, 0 if act == "rebuild" else 1)
-            state, _ = enter(state, act, f"run-{number:06}", (), deed, self.clock())
-            state = ended(state, f"run-{number:06}", self.clock(), done=True)
+            state, _ = enter_action(state, act, f"run-{number:06}", (), deed, self.clock())
+            state = apply_job_end(state, f"run-{number:06}", self.clock(), done=True)
         return state
 
     async def begin(self) -> None:
@@ -525,7 +525,7 @@
         assert self.job(7).blocking_gate is None
 
     async def write(self) -> None:
-        await self.accepted(8, CLASSES["rebuild"])
+        await self.accepted(8, JOB_CLASSES["rebuild"])
         await self.gates._process_changes([])
 
     async def meanwhile(self) -> None:
@@ -540,7 +540,7 @@
         assert successor.cluster.jobs["run-000009"].blocking_gate is not None
 
     def kept(self) -> GateState:
-        return msgspec.convert(self.state.keys[KEY][0], GateState)
+        return msgspec.convert(self.state.keys[GATE_STATE_KEY][0], GateState)
 
     async def answered(self) -> None:
         assert self.gates.trackers["book"].state == self.kept()
@@ -563,15 +563,15 @@
         assert self.leader.gate_keeper is not None
         self.gates = self.leader.gate_keeper
         await self.accepted(7, "quotes")
-        await self.accepted(8, CLASSES["publication"])
+        await self.accepted(8, JOB_CLASSES["publication"])
         await self.gates._process_changes([])
-        assert not self.kept().editions[0].open
+        assert not self.kept().editions[0].is_open
 
     async def write(self) -> None:
         await self.end_job(8)
 
     async def meanwhile(self) -> None:
-        assert KEY in self.state.lost and self.kept().editions[0].open
+        assert GATE_STATE_KEY in self.state.lost and self.kept().editions[0].is_open
         assert await self.told_by_both("run-000008") == ["done"] * 2
         await self.gates._process_changes([])
         assert self.job(7).blocking_gate is not None
@@ -590,7 +590,7 @@
     key = "d/state/calendar/"
 
     def __init__(self, clock: Clock) -> None:
-        clock.us = us("2026-03-02 01:00")
+        clock.us = utc_us("2026-03-02 01:00")
         super().__init__(clock)
 
     def prepare(self) -> None:
@@ -598,7 +598,7 @@
         put_edition(self.state, calendar(), 1)
 
     def documents(self) -> DocumentReplica:
-        return documents_of(self.state)
+        return open_replica(self.state)
 
     async def write(self) -> None:
         assert self.leader.calendar_keeper is not None
@@ -606,7 +606,7 @@
 
     async def meanwhile(self) -> None:
         self.bound = (await self.accepted(9, "balance")).deadline
-        assert self.bound is not None and self.bound.due_us == us("2026-03-02 05:30")
+        assert self.bound is not None and self.bound.due_us == utc_us("2026-03-02 05:30")
         assert self.job(9).calendar_deadline == self.bound
 
     def succeeded(self, successor: Leader) -> None:
--- a/tests/protocol/test_golden_bytes.py
+++ b/tests/protocol/test_golden_bytes.py
@@ -144,7 +144,7 @@
         preemption_history.preempted_key(preemption_history.shard_of("run-1")),
         document_records.HEAD_KEY,
         document_records.document_key(7, "gate/g"),
-        document_records.state_key(calendars.KIND, "c"),
+        document_records.state_key(calendars.CALENDAR_KIND, "c"),
         document_records.state_key(gate_binder.KIND, "g"),
         document_records.state_key(late_notifications.KIND, "0"),
         run_time_history.KEY,
--- a/tests/support/calendars.py
+++ b/tests/support/calendars.py
@@ -1,4 +1,4 @@
-"""Calendars, their documents and terms."""
+"""Calendars and replicas of the documents for tests."""
 
 from datetime import UTC, date, datetime
 from typing import Any, cast
@@ -6,7 +6,7 @@
 import msgspec
 
 from tests.support.stand_ins import StandInState
-from weldhead.calendars.binding import KIND
+from weldhead.calendars.binding import CALENDAR_KIND
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.controller.configuration.calendar_binder import CalendarBinder
 from weldhead.controller.configuration.document_replica import DocumentReplica
@@ -18,6 +18,7 @@
 
 
 def calendar(**changes: Any) -> Calendar:
+    """Return a calendar that binds jobs of class "balance" to 06:30 of each day in Zagreb."""
     values: dict[str, Any] = {
         "name": "morning", "zone": "Europe/Zagreb", "rule": "FREQ=DAILY",
         "first_day": date(2026, 1, 1), "hour": "06:30", "classes": ["balance"],
@@ -25,21 +26,27 @@
     return Calendar(**(values | changes))
 
 
-def us(text: str) -> int:
+def utc_us(text: str) -> int:
+    """Return a time in UTC, given in the format of ISO 8601, as microseconds."""
     return round(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp()) * S
 
 
-def documents_of(state: StandInState, offer: DocumentSet | None = None) -> DocumentReplica:
-    async def nobody(kind: str, job_id: str, body: bytes) -> None:
+def open_replica(state: StandInState, offer: DocumentSet | None = None) -> DocumentReplica:
+    """Return a controller's replica of the documents in a store, with a calendar binder."""
+
+    async def send_nothing(kind: str, job_id: str, body: bytes) -> None:
         return None
 
-    documents = DocumentReplica(cast(StateClient, state), offer, nobody)
+    documents = DocumentReplica(cast(StateClient, state), offer, send_nothing)
     CalendarBinder(documents, S)
     return documents
 
 
-def put_edition(state: StandInState, found: Calendar, edition: int) -> None:
-    offer = DocumentSet(edition, {f"{KIND}/{found.name}": msgspec.Raw(msgspec.json.encode(found))})
+def put_edition(state: StandInState, document: Calendar, edition: int) -> None:
+    """Write an edition of the documents that consists of one calendar."""
+    offer = DocumentSet(
+        edition, {f"{CALENDAR_KIND}/{document.name}": msgspec.Raw(msgspec.json.encode(document))}
+    )
     for step in steps(offer, [], 9):
         for key, value in step.items():
             state.put(key, value)
--- a/tools/measure_calendars.py
+++ b/tools/measure_calendars.py
@@ -20,11 +20,11 @@
 import msgspec  # noqa: E402
 
 from tests.support.builders import job_spec  # noqa: E402
-from tests.support.calendars import H, S, calendar, documents_of, put_edition, submission, us  # noqa: E402
+from tests.support.calendars import H, S, calendar, open_replica, put_edition, submission, utc_us  # noqa: E402
 from tests.support.leaders import fixed_clock, new_leader  # noqa: E402
 from tests.support.stand_ins import StandInState  # noqa: E402
 from tests.support.users import StandInNode, desk  # noqa: E402
-from weldhead.calendars.calendar_state import CalendarState, digest_of  # noqa: E402
+from weldhead.calendars.calendar_state import CalendarState, content_digest  # noqa: E402
 from weldhead.calendars.deadline_table import DeadlineTable  # noqa: E402
 from weldhead.cluster_state.cluster import Cluster  # noqa: E402
 from weldhead.cluster_state.dependency_graph import DependencyGraph  # noqa: E402
@@ -59,10 +59,10 @@
     """Count what accepting and asking costs, bound and not."""
     state = CountingState()
     put_edition(state, calendar(), 1)
-    due = CalendarState(digest_of(msgspec.json.encode(calendar())), 1, (us("2099-01-01"),))
+    due = CalendarState(content_digest(msgspec.json.encode(calendar())), 1, (utc_us("2099-01-01"),))
     state.put(state_key("calendar", "morning"), due)
     node = StandInNode()
-    node.documents = documents_of(state)
+    node.documents = open_replica(state)
     asyncio.run(node.documents._read())
     front = desk(state, node)
 
@@ -84,14 +84,14 @@
     """Count what it costs to tell all of them late at once, and to bind all anew."""
     logging.disable(logging.CRITICAL)
     with fixed_clock() as clock:
-        clock.us = us("2026-03-02 05:20")
+        clock.us = utc_us("2026-03-02 05:20")
         state = CountingState()
         put_edition(state, calendar(), 1)
-        bound = CalendarDeadline("morning", 1, us("2026-03-02 05:30"))
+        bound = CalendarDeadline("morning", 1, utc_us("2026-03-02 05:30"))
         for number in range(count):
             spec = job_spec(number, job_class="balance")
             state.put(job_key(spec.id), JobRecord(spec, clock() - S, deadline=bound))
-        leader = new_leader(state, clock(), documents=documents_of(state))
+        leader = new_leader(state, clock(), documents=open_replica(state))
         leader.term.ready = True
         calendars = leader.calendar_keeper
         assert calendars is not None
@@ -165,7 +165,7 @@
     def table() -> DeadlineTable:
         made = DeadlineTable()
         for number, record in enumerate(bounds):
-            made.read_record(f"run-{number:06}", record)
+            made.put_record(f"run-{number:06}", record)
         return made
 
     def jobs(records: list[bytes]) -> list[Job]:
--- a/weldhead/calendars/__init__.py
+++ b/weldhead/calendars/__init__.py
@@ -1,1 +1,1 @@
-"""Deadline calendars: which instant binds a job, and what is told of it. No I/O."""
+"""Deadline calendars: which instant a job is bound to as its deadline. No I/O."""
--- a/weldhead/calendars/calendar_document.py
+++ b/weldhead/calendars/calendar_document.py
@@ -1,4 +1,4 @@
-"""A calendar as its document states it."""
+"""The document that configures a deadline calendar."""
 
 import re
 from collections.abc import Iterator
@@ -11,13 +11,16 @@
 
 
 class Calendar(msgspec.Struct, forbid_unknown_fields=True, rename="kebab", omit_defaults=True):
-    """When the output of a class of jobs is first needed.
+    """Defines the instants at which the output of some jobs is needed.
 
-    ``rule`` says on which days (RFC 5545, ``FREQ=...``), from ``first_day`` on; ``hour`` is
-    the time of day there, in ``zone``. On the days of ``never_on`` nothing is needed;
-    ``moved`` names another day for some. ``margin_s`` before that hour work has to be done. It
-    binds jobs of these classes and teams (none named: of all). ``rebinds``: jobs accepted
-    under an earlier edition are bound anew even to a later instant.
+    ``rule`` is a recurrence rule (RFC 5545, ``FREQ=...``) that selects days from ``first_day`` on.
+    ``hour`` is the time of day, in the time zone ``zone``, at which the output is needed. No output
+    is needed on the days in ``never_on``, and ``moved`` maps days to the days that replace them.
+    The work has to be done ``margin_s`` seconds before the hour.
+
+    The calendar binds the jobs of these ``classes`` and ``teams``; an empty list matches all.
+    ``rebinds`` allows a new edition to move the deadlines of jobs that were accepted under an
+    earlier edition to a later instant as well.
     """
 
     name: str
@@ -33,7 +36,7 @@
     rebinds: bool = False
 
     def problems(self) -> Iterator[tuple[list[Any], str]]:
-        """Iterate over what is wrong with it: field, and why."""
+        """Iterate over the errors in the document: the path of the field, and the reason."""
         if not _HOUR.fullmatch(self.hour):
             yield ["hour"], "a time of day is HH:MM"
         for day in self.moved:
@@ -47,7 +50,7 @@
             yield ["name"], "it binds no class and no team"
 
     def binds(self, job_class: str, team: str) -> bool:
-        """Whether it binds jobs of a class and a team."""
+        """Return whether the calendar binds jobs of a class and a team."""
         return (not self.classes or job_class in self.classes) and (
             not self.teams or team in self.teams
         )
--- a/weldhead/calendars/deadline_table.py
+++ b/weldhead/calendars/deadline_table.py
@@ -1,27 +1,28 @@
-"""What has to be finished by when, in any controller's memory. No I/O.
+"""A controller's in-memory table of the calendar deadlines of unfinished jobs. No I/O.
 
-A line a job: its id and its instant. Thousands are bound to the same few instants, so these
-are shared. It is as new as ``as_of_us`` and only tells; nothing is decided by it.
+The table has one entry per job: the id and the deadline. Thousands of jobs are bound to the same
+few deadlines, so equal deadlines share one object. The table was last updated at ``as_of_us``. It
+serves only to inform; no decision depends on it.
 """
 
 from collections.abc import Iterator
 
 import msgspec
 
-from weldhead.calendars.binding import moved
-from weldhead.calendars.formatting import due, span, utc
+from weldhead.calendars.binding import current_deadline
+from weldhead.calendars.formatting import format_deadline, format_duration, format_utc
 from weldhead.clock import SECOND_US
 from weldhead.cluster_state.records import CalendarDeadline
 from weldhead.documents.cache import DocumentCache
 
-#: Deadlines within so long are near.
-SOON_US = 3600 * SECOND_US
+#: A job is due soon if its deadline is at most this far in the future, or has passed.
+DUE_SOON_WINDOW_US = 3600 * SECOND_US
 
 
-class _JobRecordPart(msgspec.Struct):
-    """The part of a job's record that counts here."""
+class _JobRecordPart(msgspec.Struct, rename={"deadline": "bound"}):
+    """The fields of a job's record that the table uses."""
 
-    bound: CalendarDeadline | None = None
+    deadline: CalendarDeadline | None = None
     cancelled: bool = False
 
 
@@ -29,64 +30,71 @@
 
 
 class DeadlineTable:
-    """The bound jobs that are not over."""
+    """The unfinished jobs with calendar deadlines, by id."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, CalendarDeadline] = {}
         self._shared: dict[CalendarDeadline, CalendarDeadline] = {}
-        #: Steady clock of this node; 0: never read.
+        #: When the table was last updated, on this node's steady clock; 0: never.
         self.as_of_us = 0
 
     def __len__(self) -> int:
         return len(self._jobs)
 
-    def put(self, job_id: str, bound: CalendarDeadline) -> None:
-        """Enter what binds a job."""
-        self._jobs[job_id] = self._shared.setdefault(bound, bound)
+    def put(self, job_id: str, deadline: CalendarDeadline) -> None:
+        """Add a job, or replace its deadline."""
+        self._jobs[job_id] = self._shared.setdefault(deadline, deadline)
 
-    def read_record(self, job_id: str, record: bytes) -> None:
-        """Enter a job by its record."""
+    def put_record(self, job_id: str, record: bytes) -> None:
+        """Add a job by its encoded record; drop it if it is cancelled or has no deadline."""
         part = _decoder.decode(record)
-        if part.bound is None or part.cancelled:
+        if part.deadline is None or part.cancelled:
             self.drop(job_id)
         else:
-            self.put(job_id, part.bound)
+            self.put(job_id, part.deadline)
 
     def drop(self, job_id: str) -> None:
-        """A job is over."""
+        """Remove a job, if the table has it."""
         self._jobs.pop(job_id, None)
         if not self._jobs:
             self._shared.clear()
 
     def keep_only(self, job_ids: set[str]) -> None:
-        """Forget all other jobs."""
+        """Remove all jobs except these."""
         for job_id in self._jobs.keys() - job_ids:
             self.drop(job_id)
 
-    def deadline(self, job_id: str, cache: DocumentCache) -> CalendarDeadline | None:
-        """Return what binds a job now, as far as is known here."""
-        found = self._jobs.get(job_id)
-        return moved(cache, found) if found is not None else None
-
-    def soon(self, cache: DocumentCache, wall_us: int) -> Iterator[tuple[str, CalendarDeadline]]:
-        """Iterate over the jobs due within the hour, or past it."""
-        now = {one: moved(cache, one) for one in self._shared}
-        for job_id, one in self._jobs.items():
-            bound = now[one]
-            if bound.due_us <= wall_us + SOON_US:
-                yield job_id, bound
-
-    def describe(self, job_id: str, cache: DocumentCache) -> str:
-        """Say by when a job has to be finished; empty: nothing is known."""
-        bound = self.deadline(job_id, cache)
-        return f"; {due(bound)}" if bound is not None else ""
-
-    def summary(self, cache: DocumentCache, wall_us: int, at_us: int) -> str:
-        """Say what has to be finished soon, for when nobody can be asked."""
-        soon = sorted(self.soon(cache, wall_us), key=lambda found: (found[1].due_us, found[0]))
-        past = sum(1 for _, bound in soon if bound.due_us < wall_us)
-        text = f"{len(self)} jobs are bound; due within the hour: {len(soon) - past}, past: {past}"
-        if soon:
-            job_id, bound = soon[0]
-            text += f"; first {job_id}, by {utc(bound.due_us)} ({bound.calendar})"
-        return text + f"; as of {span(at_us - self.as_of_us)} ago"
+    def current_deadline(self, job_id: str, cache: DocumentCache) -> CalendarDeadline | None:
+        """Return a job's current deadline as far as the cached documents tell; None: unknown."""
+        deadline = self._jobs.get(job_id)
+        return current_deadline(cache, deadline) if deadline is not None else None
+
+    def jobs_due_soon(
+        self, cache: DocumentCache, wall_us: int
+    ) -> Iterator[tuple[str, CalendarDeadline]]:
+        """Iterate over the jobs that are due within the hour or overdue, with their deadlines."""
+        current = {recorded: current_deadline(cache, recorded) for recorded in self._shared}
+        for job_id, recorded in self._jobs.items():
+            deadline = current[recorded]
+            if deadline.due_us <= wall_us + DUE_SOON_WINDOW_US:
+                yield job_id, deadline
+
+    def describe_deadline(self, job_id: str, cache: DocumentCache) -> str:
+        """Return a job's deadline as a suffix for a message; empty if the deadline is unknown."""
+        deadline = self.current_deadline(job_id, cache)
+        return f"; {format_deadline(deadline)}" if deadline is not None else ""
+
+    def format_summary(self, cache: DocumentCache, wall_us: int, at_us: int) -> str:
+        """Return a line about the jobs due soon, to be logged while the store is unreachable."""
+        due_soon = sorted(
+            self.jobs_due_soon(cache, wall_us), key=lambda entry: (entry[1].due_us, entry[0])
+        )
+        overdue = sum(1 for _, deadline in due_soon if deadline.due_us < wall_us)
+        text = (
+            f"{len(self)} jobs are bound; "
+            f"due within the hour: {len(due_soon) - overdue}, past: {overdue}"
+        )
+        if due_soon:
+            job_id, deadline = due_soon[0]
+            text += f"; first {job_id}, by {format_utc(deadline.due_us)} ({deadline.calendar})"
+        return text + f"; as of {format_duration(at_us - self.as_of_us)} ago"
--- a/weldhead/calendars/formatting.py
+++ b/weldhead/calendars/formatting.py
@@ -1,4 +1,4 @@
-"""Instants and lateness in words. Pure."""
+"""Formats times of day, deadlines and durations for messages. No I/O."""
 
 import time
 
@@ -6,18 +6,18 @@
 from weldhead.cluster_state.records import CalendarDeadline
 
 
-def utc(wall_us: int) -> str:
-    """Return a time of day as RFC 3339 has it, in UTC."""
+def format_utc(wall_us: int) -> str:
+    """Return a time of day in UTC, in the format of RFC 3339."""
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(wall_us // SECOND_US))
 
 
-def due(bound: CalendarDeadline) -> str:
-    """Say by when a bound job has to be finished."""
-    return f"due by {utc(bound.due_us)} ({bound.calendar}, edition {bound.edition})"
+def format_deadline(deadline: CalendarDeadline) -> str:
+    """Return a calendar deadline as text: the time, the calendar and its edition."""
+    return f"due by {format_utc(deadline.due_us)} ({deadline.calendar}, edition {deadline.edition})"
 
 
-def span(duration_us: int) -> str:
-    """Say how long something takes, as roughly as that matters."""
+def format_duration(duration_us: int) -> str:
+    """Return the absolute value of a duration in a suitable unit: seconds, minutes or hours."""
     seconds = to_seconds(abs(duration_us))
     if seconds < 120:
         return f"{seconds:.0f} s"
--- a/weldhead/calendars/job_deadlines.py
+++ b/weldhead/calendars/job_deadlines.py
@@ -1,41 +1,46 @@
-"""Calendar deadlines of jobs in a leader's memory: their instants on its steady clock. No I/O.
+"""Converts the calendar deadlines of jobs to the steady clock of the leader's node. No I/O.
 
-An instant is met only if it is by every clock: this node's time of day may be off by
-``error_us``, so the job is due that much earlier here. The time of day may also be set while
-a term lasts, or the steady clock stand still with the machine: then all are converted anew.
+A job meets its deadline only if it does so according to every clock. The time of day of this node
+may be off by ``error_us``, so the job is due that much earlier on the steady clock.
+
+During a term, the time of day may be set, or the steady clock may stop while the machine is
+suspended. All deadlines are then converted again.
 """
 
 from collections.abc import Iterable
 
-from weldhead.calendars.binding import moved
+from weldhead.calendars.binding import current_deadline
 from weldhead.clock import MILLISECOND_US
 from weldhead.cluster_state.jobs import Job
 from weldhead.documents.cache import DocumentCache
 
-#: Clocks wander: by less nothing is converted anew.
-STEP_US = 250 * MILLISECOND_US
+#: Clocks drift. Deadlines are converted again only if the clocks have diverged by this much.
+MIN_CLOCK_STEP_US = 250 * MILLISECOND_US
 
 
 class JobDeadlines:
-    """What a term needs to know when bound jobs are due."""
+    """Maintains ``Job.calendar_deadline`` and ``Job.calendar_due_us`` during a leader's term."""
 
     def __init__(self, error_us: int) -> None:
         self._error_us = error_us
-        #: The term's own reading of the documents; None: this node is given none.
+        #: The term's copy of the documents; None: this node has no documents configured.
         self.cache: DocumentCache | None = None
-        #: The time of day less the steady clock, by which jobs are converted.
+        #: Difference of the time of day and the steady clock that all conversions use.
         self._offset_us: int | None = None
 
     @property
     def error_us(self) -> int:
-        """How far any time of day may be off."""
+        """The maximum error of a node's time of day."""
         return self._error_us
 
     def add(self, job: Job, at_us: int, wall_us: int) -> None:
-        """Enter the instant of a job that its record binds."""
+        """Set the deadline of a job whose record has one.
+
+        ``at_us`` and ``wall_us`` are the current time on the steady clock and the time of day.
+        """
         if job.calendar_deadline is None:
             return
-        job.calendar_deadline = moved(self.cache, job.calendar_deadline)
+        job.calendar_deadline = current_deadline(self.cache, job.calendar_deadline)
         if self._offset_us is None:
             self._offset_us = wall_us - at_us
         self._convert(job)
@@ -45,9 +50,9 @@
             job.calendar_due_us = job.calendar_deadline.due_us - self._offset_us - self._error_us
 
     def follow_clock(self, jobs: Iterable[Job], at_us: int, wall_us: int) -> list[Job]:
-        """Follow a step of the clocks; return the jobs that are due at another moment."""
+        """Convert all deadlines again if a clock was stepped; return the jobs with deadlines."""
         offset_us = wall_us - at_us
-        if self._offset_us is None or abs(offset_us - self._offset_us) < STEP_US:
+        if self._offset_us is None or abs(offset_us - self._offset_us) < MIN_CLOCK_STEP_US:
             return []
         self._offset_us = offset_us
         changed = [job for job in jobs if job.calendar_deadline is not None]
@@ -56,14 +61,17 @@
         return changed
 
     def rebind(self, jobs: Iterable[Job], calendar: str) -> list[tuple[Job, int]]:
-        """Follow a calendar's change; return jobs bound anew, with their earlier instants."""
+        """Update the deadlines after a change of a calendar.
+
+        Return the jobs with a new deadline, each with its earlier deadline as a time of day.
+        """
         changed: list[tuple[Job, int]] = []
         for job in jobs:
             if job.calendar_deadline is None or job.calendar_deadline.calendar != calendar:
                 continue
-            bound = moved(self.cache, job.calendar_deadline)
-            if bound != job.calendar_deadline:
+            deadline = current_deadline(self.cache, job.calendar_deadline)
+            if deadline != job.calendar_deadline:
                 changed.append((job, job.calendar_deadline.due_us))
-                job.calendar_deadline = bound
+                job.calendar_deadline = deadline
                 self._convert(job)
         return changed
--- a/weldhead/calendars/recurrence.py
+++ b/weldhead/calendars/recurrence.py
@@ -1,14 +1,14 @@
-"""Which instants a calendar names, by its days, its hour and its zone. Pure.
+"""Computes the instants of a calendar from its days, its hour and its time zone. No I/O.
 
-Only the leader of the moment loads this: the libraries of recurrences and zones are nothing
-that every controller should carry. Times are microseconds of the time of day, UTC.
+Only the leader loads this module, so that other controllers don't load the libraries for
+recurrence rules and time zones. Times are microseconds of the time of day, UTC.
 
-The hour in its zone, on days on which the zone's clocks change:
+On days on which the clocks of the zone change, the calendar's hour may be:
 
-* skipped (clocks go forward over it): the first moment after the gap;
-* repeated (clocks go back over it): the earlier of the two.
+* skipped (the clocks go forward over it): the instant is the first moment after the gap;
+* repeated (the clocks go back over it): the instant is the earlier of the two.
 
-So work is never bound to a moment at which those who need it have begun already.
+So a deadline is never later than the moment at which the users of the output begin their work.
 """
 
 from collections.abc import Iterator
@@ -23,15 +23,15 @@
 
 _DAY = timedelta(days=1)
 _EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
-_PARTS = ("FREQ", "INTERVAL", "COUNT", "UNTIL", "WKST", "BYDAY", "BYMONTHDAY", "BYYEARDAY",
-          "BYWEEKNO", "BYMONTH", "BYSETPOS")  # fmt: skip
+_RULE_PARTS = ("FREQ", "INTERVAL", "COUNT", "UNTIL", "WKST", "BYDAY", "BYMONTHDAY", "BYYEARDAY",
+               "BYWEEKNO", "BYMONTH", "BYSETPOS")  # fmt: skip
 _FREQUENCIES = ("DAILY", "WEEKLY", "MONTHLY", "YEARLY")
-#: So far is looked ahead: a rule without a day until then has none.
-_FAR_DAYS = 366 * 9
+#: A rule that selects no day within this time is taken to have no further days.
+_MAX_LOOKAHEAD_DAYS = 366 * 9
 
 
 class UnusableCalendarError(ValueError):
-    """A calendar of which no instant can be computed; ``field`` says where it is wrong."""
+    """The instants of a calendar can't be computed; ``field`` is the calendar's invalid field."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -39,41 +39,47 @@
         self.reason = reason
 
 
-def check(calendar: Calendar) -> None:
-    """Compute a calendar's first days; Unusable if that is not possible."""
-    found = islice(instants(calendar, 0), 3)
-    if not list(found):
+def validate_calendar(calendar: Calendar) -> None:
+    """Compute a calendar's first instants; UnusableCalendarError if there are none."""
+    first_instants = islice(iterate_instants(calendar, 0), 3)
+    if not list(first_instants):
         raise UnusableCalendarError("rule", "it names no day")
 
 
-def compute(calendar: Calendar, after_us: int, most: int) -> tuple[tuple[int, ...], int | None]:
-    """Return the next instants after a time, and the last of them if there are more.
+def compute_instants(
+    calendar: Calendar, after_us: int, max_count: int
+) -> tuple[tuple[int, ...], int | None]:
+    """Return the next instants after a time, and the last of them if there are more, else None.
 
-    Unusable if there can be none.
+    UnusableCalendarError if the calendar is invalid.
     """
-    found = tuple(islice(instants(calendar, after_us), most + 1))
-    return found[:most], found[most - 1] if len(found) > most else None
+    found_us = tuple(islice(iterate_instants(calendar, after_us), max_count + 1))
+    return found_us[:max_count], found_us[max_count - 1] if len(found_us) > max_count else None
 
 
-def instants(calendar: Calendar, after_us: int) -> Iterator[int]:
-    """Iterate over the instants after a time, in order; Unusable if there can be none."""
-    zone = _zone(calendar)
-    at = time.fromisoformat(calendar.hour)
+def iterate_instants(calendar: Calendar, after_us: int) -> Iterator[int]:
+    """Iterate over the instants after a time, in ascending order.
+
+    UnusableCalendarError if the calendar is invalid.
+    """
+    zone = _time_zone(calendar)
+    hour = time.fromisoformat(calendar.hour)
     margin_us = seconds_us(calendar.margin_s)
-    # A day here may begin a day earlier or later than there, and a margin is a day at most.
+    # A day may begin up to a day earlier or later in the zone than in UTC, and the margin is at
+    # most a day.
     begin = (_EPOCH + timedelta(microseconds=max(0, after_us))).date() - 2 * _DAY
-    # A rule whose first day is far ahead is looked at from there on.
+    # If the first day is far in the future, the lookahead begins there.
     begin = max(begin, calendar.first_day - 2 * _DAY)
-    last = 0
+    previous_us = 0
     for day in _days(calendar, begin):
-        found_us = hour_us(day, at, zone) - margin_us
-        # Moved days may name the same moment twice.
-        if found_us > after_us and found_us != last:
-            last = found_us
-            yield found_us
+        instant_us = local_time_us(day, hour, zone) - margin_us
+        # Because of moved days, the same instant may occur twice.
+        if instant_us > after_us and instant_us != previous_us:
+            previous_us = instant_us
+            yield instant_us
 
 
-def _zone(calendar: Calendar) -> ZoneInfo:
+def _time_zone(calendar: Calendar) -> ZoneInfo:
     try:
         return ZoneInfo(calendar.zone)
     except (ZoneInfoNotFoundError, ValueError, OSError) as error:
@@ -81,12 +87,12 @@
 
 
 def _days(calendar: Calendar, begin: date) -> Iterator[date]:
-    """Iterate over the days on which output is needed, from ``begin`` on, in order."""
-    given = [part.partition("=")[0].upper() for part in calendar.rule.split(";")]
-    wrong = next((part for part in given if part not in _PARTS), None)
-    if wrong is not None:
-        raise UnusableCalendarError("rule", f"{wrong!r} is no part of a rule of days")
-    if len(set(given)) < len(given):
+    """Iterate over the days on which output is needed, from ``begin`` on, in ascending order."""
+    part_names = [part.partition("=")[0].upper() for part in calendar.rule.split(";")]
+    unknown_part = next((part for part in part_names if part not in _RULE_PARTS), None)
+    if unknown_part is not None:
+        raise UnusableCalendarError("rule", f"{unknown_part!r} is no part of a rule of days")
+    if len(set(part_names)) < len(part_names):
         raise UnusableCalendarError("rule", "a part is given twice")
     parts = dict(part.upper().split("=", 1) for part in calendar.rule.split(";") if "=" in part)
     if parts.get("FREQ") not in _FREQUENCIES:
@@ -94,43 +100,44 @@
     try:
         start = datetime.combine(calendar.first_day, time())
         rule = rrulestr(calendar.rule, dtstart=start)
-        moved = {date.fromisoformat(day): to for day, to in calendar.moved.items()}
+        moved = {date.fromisoformat(day): new_day for day, new_day in calendar.moved.items()}
     except (ValueError, TypeError, KeyError, IndexError) as error:
         raise UnusableCalendarError("rule", str(error)) from error
-    # A day may be moved to before others: what is moved is put in its place beforehand.
-    never = {*calendar.never_on, *moved}
-    extra = sorted({to for to in moved.values() if to >= begin})
-    end = datetime.combine(begin, time()) + timedelta(days=_FAR_DAYS)
+    # A day may move to before other days, so the new days are sorted and merged with the rule's.
+    excluded = {*calendar.never_on, *moved}
+    new_days = sorted({new_day for new_day in moved.values() if new_day >= begin})
+    end = datetime.combine(begin, time()) + timedelta(days=_MAX_LOOKAHEAD_DAYS)
     for stamp in rule.xafter(datetime.combine(begin, time()), inc=True):
         if stamp > end:
             break
-        while extra and extra[0] <= stamp.date():
-            yield extra.pop(0)
-        if stamp.date() not in never:
+        while new_days and new_days[0] <= stamp.date():
+            yield new_days.pop(0)
+        if stamp.date() not in excluded:
             yield stamp.date()
-    yield from extra
+    yield from new_days
 
 
-def hour_us(day: date, at: time, zone: ZoneInfo) -> int:
-    """Return when it is that hour of a day in a zone, by the rules above."""
-    local = datetime.combine(day, at)
-    before = local.replace(tzinfo=zone)
-    after = before.replace(fold=1)
-    first_us, second_us = _utc_us(before), _utc_us(after)
+def local_time_us(day: date, hour: time, zone: ZoneInfo) -> int:
+    """Return the instant of a local time; see the module's docstring for clock changes."""
+    local = datetime.combine(day, hour)
+    first_fold = local.replace(tzinfo=zone)
+    second_fold = first_fold.replace(fold=1)
+    first_us, second_us = _utc_us(first_fold), _utc_us(second_fold)
     if first_us <= second_us:
-        # There once, or twice: fold 0 is the earlier.
+        # The local time occurs once or twice; fold 0 is the earlier occurrence.
         return first_us
-    # Skipped. With the offset after the change it is read as a moment before the change, and
-    # the other way round: the change lies in between.
-    low, high = second_us // SECOND_US, first_us // SECOND_US
-    while high - low > 1:
-        middle = (low + high) // 2
-        there = datetime.fromtimestamp(middle, UTC).astimezone(zone)
-        if there.utcoffset() == before.utcoffset():
-            low = middle
+    # The local time is skipped. With the offset before the change (fold 0), it converts to a moment
+    # after the change, and with the offset after the change (fold 1) to a moment before it. So the
+    # change lies between the two.
+    low_s, high_s = second_us // SECOND_US, first_us // SECOND_US
+    while high_s - low_s > 1:
+        middle_s = (low_s + high_s) // 2
+        middle = datetime.fromtimestamp(middle_s, UTC).astimezone(zone)
+        if middle.utcoffset() == first_fold.utcoffset():
+            low_s = middle_s
         else:
-            high = middle
-    return high * SECOND_US
+            high_s = middle_s
+    return high_s * SECOND_US
 
 
 def _utc_us(local: datetime) -> int:
--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -52,21 +52,27 @@
 
 def _compute(file: Path, offer: DocumentSet) -> None:
     """Say each calendar's next instant; FileProblem where the leader could compute none."""
-    from weldhead.calendars.binding import KIND
+    from weldhead.calendars.binding import CALENDAR_KIND
     from weldhead.calendars.calendar_document import Calendar
-    from weldhead.calendars.formatting import utc
-    from weldhead.calendars.recurrence import UnusableCalendarError, check, instants
+    from weldhead.calendars.formatting import format_utc
+    from weldhead.calendars.recurrence import (
+        UnusableCalendarError,
+        iterate_instants,
+        validate_calendar,
+    )
     from weldhead.tomlfiles import problem_at
 
     # They are there in the file's order.
-    bodies = [body for name, body in offer.documents.items() if name.startswith(KIND + "/")]
+    bodies = [
+        body for name, body in offer.documents.items() if name.startswith(CALENDAR_KIND + "/")
+    ]
     for number, body in enumerate(bodies):
         calendar = msgspec.json.decode(bytes(body), type=Calendar)
         try:
-            check(calendar)
+            validate_calendar(calendar)
         except UnusableCalendarError as error:
-            path: list[str | int] = [KIND, number, error.field]
+            path: list[str | int] = [CALENDAR_KIND, number, error.field]
             raise problem_at(str(file), read_text(file), path, error.reason) from error
-        first_us = next(instants(calendar, wall_us()), None)
-        when = utc(first_us) if first_us is not None else "none"
-        click.echo(f"{KIND} {calendar.name}: the next instant is {when}")
+        first_us = next(iterate_instants(calendar, wall_us()), None)
+        when = format_utc(first_us) if first_us is not None else "none"
+        click.echo(f"{CALENDAR_KIND} {calendar.name}: the next instant is {when}")
--- a/weldhead/controller/configuration/calendar_binder.py
+++ b/weldhead/controller/configuration/calendar_binder.py
@@ -4,10 +4,10 @@
 
 from weldhead.calendars.binding import (
     InstantsNotComputedError,
-    bind,
-    passed_us,
+    bind_to_calendars,
+    missed_instant_us,
 )
-from weldhead.calendars.formatting import utc
+from weldhead.calendars.formatting import format_utc
 from weldhead.cluster_state.records import AdmissionBinding, JobRecord
 from weldhead.controller.configuration.document_replica import (
     DocumentReplica,
@@ -30,7 +30,7 @@
     def __call__(self, spec: JobSpec, wall_us: int) -> AdmissionBinding:
         """Return the instant that binds a job; DocumentsNotLoadedError if it is not known yet."""
         try:
-            return bind(self._documents.cache, spec, wall_us, self._error_us)
+            return bind_to_calendars(self._documents.cache, spec, wall_us, self._error_us)
         except InstantsNotComputedError as error:
             log.info("%s cannot be bound yet: no instants of calendar %s", spec.id, error)
             raise DocumentsNotLoadedError from error
@@ -41,9 +41,11 @@
         if bound is None:
             return
         self._documents.deadline_table.put(record.spec.id, bound)
-        past_us = passed_us(self._documents.cache, bound, record.submitted_us, self._error_us)
+        past_us = missed_instant_us(
+            self._documents.cache, bound, record.submitted_us, self._error_us
+        )
         if past_us is not None:
             log.info(
                 "%s came too late for %s of calendar %s; the next instant binds it: %s",
-                record.spec.id, utc(past_us), bound.calendar, utc(bound.due_us),
+                record.spec.id, format_utc(past_us), bound.calendar, format_utc(bound.due_us),
             )  # fmt: skip
--- a/weldhead/controller/configuration/calendar_keeper.py
+++ b/weldhead/controller/configuration/calendar_keeper.py
@@ -7,20 +7,20 @@
 import msgspec
 
 from weldhead.calendars.binding import (
-    JUST_PAST_US,
-    KIND,
-    state_of,
+    CALENDAR_KIND,
+    MISSED_INSTANT_WINDOW_US,
+    read_calendar_state,
 )
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.calendars.calendar_state import (
-    KEPT_INSTANTS,
+    MAX_COMPUTED_INSTANTS,
     CalendarState,
-    continued,
-    digest_of,
-    fitting,
-    replaced,
+    content_digest,
+    extend_instants,
+    supersede_state,
+    trim_to_size,
 )
-from weldhead.calendars.formatting import utc
+from weldhead.calendars.formatting import format_utc
 from weldhead.clock import SECOND_US, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.state_writer import LeadershipLostError
@@ -79,13 +79,13 @@
     def validate(offer: DocumentSet) -> str | None:
         """Say why an edition's calendars cannot be used; None: they can."""
         for name, body in offer.documents.items():
-            if not name.startswith(KIND + "/"):
+            if not name.startswith(CALENDAR_KIND + "/"):
                 continue
             # Only here, and below: the libraries are the leader's alone.
-            from weldhead.calendars.recurrence import UnusableCalendarError, check
+            from weldhead.calendars.recurrence import UnusableCalendarError, validate_calendar
 
             try:
-                check(msgspec.json.decode(bytes(body), type=Calendar))
+                validate_calendar(msgspec.json.decode(bytes(body), type=Calendar))
             except (UnusableCalendarError, msgspec.DecodeError) as error:
                 return f"{name}: {error}"
         return None
@@ -107,22 +107,26 @@
         head = cache.head
         if head is None:
             return True
-        for kept in list(cache.in_force(KIND, Calendar)):
+        for kept in list(cache.in_force(CALENDAR_KIND, Calendar)):
             calendar = kept.value
-            body = cache.get(document_key(head.edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
+            body = cache.get(
+                document_key(head.edition, f"{CALENDAR_KIND}/{calendar.name}"), msgspec.Raw
+            )
             if body is None:
                 continue
-            former = state_of(cache, calendar.name)
+            former = read_calendar_state(cache, calendar.name)
             fresh = self._state(
                 former.value if former else None, head.edition, calendar, bytes(body.value)
             )
             if fresh is None:
                 continue
-            fresh = fitting(fresh, self._publisher.value_bytes)
+            fresh = trim_to_size(fresh, self._publisher.value_bytes)
             if former is not None and fresh == former.value:
                 continue
             try:
-                await self._publisher.write({state_key(KIND, calendar.name): fresh}, urgent=True)
+                await self._publisher.write(
+                    {state_key(CALENDAR_KIND, calendar.name): fresh}, urgent=True
+                )
             except (LeadershipLostError, TransactionRejectedError, CallError) as error:
                 log.info("calendar %s: instants not committed: %s", calendar.name, error)
                 return False
@@ -134,31 +138,32 @@
     ) -> CalendarState | None:
         """Return a calendar's record as it has to be from now on; None: as it is."""
         at_us, error_us = wall_us(), self._term.job_deadlines.error_us
-        same = former is not None and former.digest == digest_of(body)
-        if same and former is not None and not former.runs_out(at_us):
+        same = former is not None and former.digest == content_digest(body)
+        if same and former is not None and not former.is_running_out(at_us):
             return None
-        from weldhead.calendars.recurrence import UnusableCalendarError, compute
+        from weldhead.calendars.recurrence import UnusableCalendarError, compute_instants
 
         # With what is just past: who comes after it is told so.
-        begin_us = max(0, at_us - JUST_PAST_US - 3 * error_us)
+        begin_us = max(0, at_us - MISSED_INSTANT_WINDOW_US - 3 * error_us)
         problem = ""
         try:
-            instants, until_us = compute(calendar, begin_us, KEPT_INSTANTS)
+            instants, until_us = compute_instants(calendar, begin_us, MAX_COMPUTED_INSTANTS)
         except UnusableCalendarError as error:
             # It was usable for who brought it into force: other releases of the zones' rules.
             problem, instants, until_us = str(error), (), None
             log.exception("calendar %s binds nothing", calendar.name)
         if same and former is not None:
-            return None if problem else continued(former, instants, until_us, at_us)
-        fresh = CalendarState(digest_of(body), edition, instants, until_us, problem=problem)
-        return replaced(former, fresh, at_us, error_us, rebinds=calendar.rebinds)
+            return None if problem else extend_instants(former, instants, until_us, at_us)
+        fresh = CalendarState(content_digest(body), edition, instants, until_us, problem=problem)
+        return supersede_state(former, fresh, at_us, error_us, rebinds=calendar.rebinds)
 
     async def _announce(self, name: str, state: CalendarState) -> None:
         at_us = wall_us()
-        due_us = state.after(at_us)
+        due_us = state.first_after(at_us)
         log.info(
             "calendar %s, edition %d: the next instant is %s, %d are known",
-            name, state.edition, utc(due_us) if due_us is not None else "none", len(state.instants),
+            name, state.edition, format_utc(due_us) if due_us is not None else "none",
+            len(state.instants),
         )  # fmt: skip
         # Thousands at a time would keep the loop from its leases.
         for jobs in batches(list(self._term.cluster.jobs.values())):
@@ -170,8 +175,8 @@
                     job.id,
                     name,
                     job.calendar_deadline.edition,
-                    utc(job.calendar_deadline.due_us),
-                    utc(was_us),
+                    format_utc(job.calendar_deadline.due_us),
+                    format_utc(was_us),
                 )
             if changed:
                 self._refresh([job for job, _ in changed])
--- a/weldhead/controller/configuration/deadline_table_follower.py
+++ b/weldhead/controller/configuration/deadline_table_follower.py
@@ -4,7 +4,7 @@
 import logging
 
 from weldhead.calendars.binding import (
-    KIND,
+    CALENDAR_KIND,
 )
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.clock import SECOND_US, now_us, wall_us
@@ -39,13 +39,13 @@
     async def follow(self) -> None:
         """Keep the table; a background task."""
         table, cache = self._documents.deadline_table, self._documents.cache
-        while not any(True for _ in cache.in_force(KIND, Calendar)):  # noqa: ASYNC110
+        while not any(True for _ in cache.in_force(CALENDAR_KIND, Calendar)):  # noqa: ASYNC110
             await asyncio.sleep(TABLE_PAUSE_S)
         followed = follow_prefix(self._state, JOBS, None, self._read, self._on_failure)
         async for batch in followed:
             for event in batch.events:
                 if event.put is not None:
-                    table.read_record(event.put.removeprefix(JOBS), bytes(event.value))
+                    table.put_record(event.put.removeprefix(JOBS), bytes(event.value))
                 elif event.delete is not None:
                     table.drop(event.delete.removeprefix(JOBS))
             table.as_of_us = max(table.as_of_us, batch.sent_us)
@@ -63,7 +63,7 @@
             for entry in page:
                 job_id = entry.key.removeprefix(JOBS)
                 seen.add(job_id)
-                table.read_record(job_id, bytes(entry.value))
+                table.put_record(job_id, bytes(entry.value))
             await asyncio.sleep(0)
         table.keep_only(seen)
         table.as_of_us = max(table.as_of_us, sent_us)
@@ -75,5 +75,5 @@
         if not len(table) or (self._logged_us and at_us - self._logged_us < SAID_US):
             return
         self._logged_us = at_us
-        line = table.summary(self._documents.cache, wall_us(), at_us)
+        line = table.format_summary(self._documents.cache, wall_us(), at_us)
         log.warning("the state service is out of reach; %s", line)
--- a/weldhead/controller/configuration/document_file.py
+++ b/weldhead/controller/configuration/document_file.py
@@ -12,7 +12,7 @@
 
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.documents.records import DocumentSet
-from weldhead.gates.gate_document import Gate, clashes
+from weldhead.gates.gate_document import Gate, find_conflicts
 from weldhead.tomlfiles import parse, problem_at, read_text
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
@@ -62,7 +62,7 @@
             reason = f"{len(body)} bytes, and a record takes {value_bytes} at most"
             raise problem_at(name, text, path, reason)
         found[key] = msgspec.Raw(body)
-    for number, field, reason in clashes(source.gate):
+    for number, field, reason in find_conflicts(source.gate):
         raise problem_at(name, text, ["gate", number, *field], reason)
     if sum(len(bytes(body)) for body in found.values()) > EDITION_BYTES:
         raise problem_at(name, text, [], f"an edition takes {EDITION_BYTES} bytes at most")
--- a/weldhead/controller/configuration/gate_binder.py
+++ b/weldhead/controller/configuration/gate_binder.py
@@ -9,7 +9,7 @@
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.records import HEAD_KEY, HeadRecord, document_key, state_key
 from weldhead.gates.gate_document import Gate
-from weldhead.gates.gate_state import GateState, gate_action, needed_now
+from weldhead.gates.gate_state import GateState, build_gate_action, required_edition
 from weldhead.protocol.wire import Condition, JobSpec
 
 KIND = "gate"
@@ -56,7 +56,7 @@
             if gate is None:
                 raise DocumentsNotLoadedError
             reservations = gate.holds_job(spec.job_class, spec.team)
-            act = gate.act_of(spec.job_class, spec.team)
+            act = gate.action_of(spec.job_class, spec.team)
             if not reservations and not act:
                 continue
             state = _state(cache, name)
@@ -65,9 +65,9 @@
             key = state_key(KIND, name)
             conditions.append(Condition(key, cache.version(key)))
             if reservations:
-                hold = GateHold(name, needed_now(state))
+                hold = GateHold(name, required_edition(state))
             else:
-                recorded_action = gate_action(gate, state, act)
+                recorded_action = build_gate_action(gate, state, act)
         return AdmissionBinding(
             gate_hold=hold, gate_action=recorded_action, conditions=tuple(conditions)
         )
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -7,7 +7,12 @@
 from weldhead.cluster_state.jobs import Job
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.term import Term
-from weldhead.gates.gate_tracker import GateTracker, lent, opens_us, urgency
+from weldhead.gates.gate_tracker import (
+    GateTracker,
+    combine_inheritance,
+    estimate_opening_us,
+    urgency_key,
+)
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
 from weldhead.scheduling.inherited_priority import MAX_INHERITED_DEADLINES
 
@@ -44,7 +49,7 @@
             jobs = self._term.cluster.jobs
             acts = [jobs[p.job] for p in tracker.state.pending if p.job in jobs]
             tracker.status.reason = tracker.waiting_reason()
-            tracker.status.expected_open_us = opens_us(
+            tracker.status.expected_open_us = estimate_opening_us(
                 tracker, {a.id: self._end_us(a, at_us) for a in acts}
             )
             self._inherit(tracker, acts, at_us)
@@ -66,9 +71,9 @@
     def _inherit(self, tracker: GateTracker, acts: list[Job], at_us: int) -> None:
         """Let acts count with the priority and the deadlines of what waits for them."""
         dependency_graph, objectives = self._term.dependency_graph, self._term.objectives
-        if tracker.jobs_left and at_us > tracker.inheritance_checked_us + LENT_US:
+        if tracker.has_departed_jobs and at_us > tracker.inheritance_checked_us + LENT_US:
             # Some may have gone that lent the most.
-            tracker.jobs_left, tracker.inheritance_checked_us = False, at_us
+            tracker.has_departed_jobs, tracker.inheritance_checked_us = False, at_us
             for act in acts:
                 dependency_graph.gate_inheritance.pop(act.id, None)
         for act in acts:
@@ -85,7 +90,7 @@
                 ends = (*objectives.deadlines_us(job), *job.inherited_due_us)
                 path_us = self._linking.stage_us(job) if ends else 0
                 bounds.append((job.effective_level, [end_us - path_us for end_us in ends]))
-            now = lent(bounds, MAX_INHERITED_DEADLINES, at_us)
+            now = combine_inheritance(bounds, MAX_INHERITED_DEADLINES, at_us)
             if now != before:
                 dependency_graph.gate_inheritance[act.id] = now
                 self._linking.refresh_inherited([act])
@@ -107,7 +112,8 @@
             teams = self._term.cluster.teams
             ready = (j for j in held(tracker) if j.team in teams and not j.unmet_dependencies)
             found += [
-                ExpectedDemand(j, starts_us) for j in nsmallest(MOST_FORESEEN, ready, key=urgency)
+                ExpectedDemand(j, starts_us)
+                for j in nsmallest(MOST_FORESEEN, ready, key=urgency_key)
             ]
         return found
 
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -31,8 +31,8 @@
 from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.documents.records import state_key
 from weldhead.gates.gate_document import Gate
-from weldhead.gates.gate_state import ActionEntry, GateState, ended, enter
-from weldhead.gates.gate_tracker import GateTracker, unbegun
+from weldhead.gates.gate_state import ActionEntry, GateState, apply_job_end, enter_action
+from weldhead.gates.gate_tracker import GateTracker, has_starting_attempts
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import decode
 
@@ -149,7 +149,7 @@
             if tracker.document.holds_job(job.spec.job_class, job.team):
                 self._hold(tracker, job)
                 return
-            act = tracker.document.act_of(job.spec.job_class, job.team)
+            act = tracker.document.action_of(job.spec.job_class, job.team)
             if act:
                 self._register_action(job, tracker.name, act, None)
                 return
@@ -218,7 +218,9 @@
             return
         tracker.last_logged = said
         if why:
-            log.info("gate %s is closed, %d jobs wait: %s", tracker.name, tracker.held_count(), why)
+            log.info(
+                "gate %s is closed, %d jobs wait: %s", tracker.name, tracker.count_held_jobs(), why
+            )
         else:
             log.info("gate %s is open for edition %d", tracker.name, tracker.state.edition)
 
@@ -298,7 +300,7 @@
                     assert tracker.state is not None
                     done = final is not None and final.status == "done"
                     await self._change(
-                        tracker, ended(tracker.state, entry.job, wall_us(), done=done)
+                        tracker, apply_job_end(tracker.state, entry.job, wall_us(), done=done)
                     )
 
     async def _read_final(self, job_id: str) -> FinalRecord | None:
@@ -317,7 +319,9 @@
         if job.gate_hold is not None:
             tracker = self.trackers.get(job.gate_hold.gate)
             if gone and tracker is not None:
-                tracker.jobs_left = tracker.jobs.pop(job.id, None) is not None or tracker.jobs_left
+                tracker.has_departed_jobs = (
+                    tracker.jobs.pop(job.id, None) is not None or tracker.has_departed_jobs
+                )
                 self._draining.pop(job.id, None)
             elif job.blocking_gate is not None and job.active:
                 self._draining[job.id] = job
@@ -369,11 +373,11 @@
         if before is None or not unresolved.isdisjoint(job.unmet_dependencies):
             return None
         after, entry = self._entry(before, job, action, recorded)
-        if entry is ActionEntry.FULL:
+        if entry is ActionEntry.TOO_MANY_PENDING:
             return None
         if after is not before:
             changed[gate] = after
-        if entry is ActionEntry.NOTHING:
+        if entry is ActionEntry.NO_EFFECT:
             log.warning("gate %s: %s %s %s", gate, action, job.id, entry.value)
             return ""
         return action
@@ -382,7 +386,7 @@
     def _entry(
         state: GateState, job: Job, act: str, recorded_action: GateAction | None
     ) -> tuple[GateState, ActionEntry]:
-        return enter(state, act, job.id, job.spec.needs or (), recorded_action, wall_us())
+        return enter_action(state, act, job.id, job.spec.needs or (), recorded_action, wall_us())
 
     async def _change(
         self, tracker: GateTracker, state: GateState, also: dict[str, Any] | None = None
@@ -426,7 +430,7 @@
             if known is not None and final.status == "done":
                 # Done without having been entered: by a version that knew of no gate.
                 state, _ = self._entry(state, job, known[2], known[3])
-            state = ended(state, job.id, wall_us(), done=final.status == "done")
+            state = apply_job_end(state, job.id, wall_us(), done=final.status == "done")
             await self._change(tracker, state, changes)
         self._term.dependency_graph.gate_inheritance.pop(job.id, None)
         return True
@@ -454,7 +458,9 @@
         about = {
             job.gate_hold.gate
             for job in self._draining.values()
-            if job.gate_hold is not None and job.blocking_gate is not None and unbegun(job)
+            if job.gate_hold is not None
+            and job.blocking_gate is not None
+            and has_starting_attempts(job)
         }
         for tracker in self.trackers.values():
             # Before every machine is known, an earlier leader's command may start a task.
@@ -483,11 +489,11 @@
         """Release the jobs for which a gate is open, in slices, most urgent first."""
         for tracker in [tracker for tracker in self.trackers.values() if tracker.needs_release]:
             tracker.needs_release = False
-            found = tracker.releasable()
+            found = tracker.find_releasable_jobs()
             for some in batches(found, RELEASED_AT_ONCE):
                 for job in some:
                     # It may have been closed, and the job be gone, since the last slice.
-                    if tracker.jobs.get(job.id) is job and tracker.may_start(job):
+                    if tracker.jobs.get(job.id) is job and tracker.can_start(job):
                         self._count_from_opening(tracker, job)
                         self._release_job(job)
                 await asyncio.sleep(RELEASE_PAUSE_S)
--- a/weldhead/controller/requests/job_status.py
+++ b/weldhead/controller/requests/job_status.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from weldhead.calendars.formatting import utc
+from weldhead.calendars.formatting import format_utc
 from weldhead.clock import now_us, to_seconds
 from weldhead.cluster_state.jobs import Job
 from weldhead.controller.requests.completions import Completions
@@ -57,7 +57,9 @@
         if not job.cancelled:
             self._forecaster.refresh(job)
             answer.due_at = (
-                utc(job.calendar_deadline.due_us) if job.calendar_deadline is not None else None
+                format_utc(job.calendar_deadline.due_us)
+                if job.calendar_deadline is not None
+                else None
             )
         if self._gate_keeper is not None:
             answer.held_by = self._gate_keeper.held_by(job)
--- a/weldhead/controller/requests/job_status_reader.py
+++ b/weldhead/controller/requests/job_status_reader.py
@@ -10,8 +10,8 @@
 from typing import TypeVar
 
 from weldhead.admission.fair_rate_limiter import FairRateLimiter
-from weldhead.calendars.binding import moved
-from weldhead.calendars.formatting import utc
+from weldhead.calendars.binding import current_deadline
+from weldhead.calendars.formatting import format_utc
 from weldhead.clock import SECOND_US, now_us, to_seconds
 from weldhead.cluster_state.records import (
     FinalRecord,
@@ -182,13 +182,13 @@
         documents = self._controller.documents
         if documents is None or record.deadline is None or record.cancelled:
             return None
-        return utc(moved(documents.cache, record.deadline).due_us)
+        return format_utc(current_deadline(documents.cache, record.deadline).due_us)
 
     def describe_deadline(self, job_id: str) -> str:
         """Say in a refusal by when a job is due, as far as this node knows."""
         documents = self._controller.documents
         return (
-            documents.deadline_table.describe(job_id, documents.cache)
+            documents.deadline_table.describe_deadline(job_id, documents.cache)
             if documents is not None
             else ""
         )
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -4,9 +4,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from weldhead.calendars.deadline_table import SOON_US
-from weldhead.calendars.formatting import due as due_words
-from weldhead.calendars.formatting import span
+from weldhead.calendars.deadline_table import DUE_SOON_WINDOW_US
+from weldhead.calendars.formatting import format_deadline, format_duration
 from weldhead.clock import now_us, seconds_us, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
 from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
@@ -158,12 +157,12 @@
         forecast_us = job.expected_finish_us
         expected = "no end in observation"
         if forecast_us is not None and not job.broken:
-            expected = f"expected {span(max(0, forecast_us - due_us))} after that"
+            expected = f"expected {format_duration(max(0, forecast_us - due_us))} after that"
         boots = self._current_forecasts().boot_forecast()
         why = lateness.explain_lateness(self._term.cluster, job, boots, at_us, self.hold_reason)
         state = "is late" if at_us > due_us else "will be late"
         assert job.calendar_deadline is not None
-        words = f"{job.id} {state}: {due_words(job.calendar_deadline)}, {expected}: {why}"
+        words = f"{job.id} {state}: {format_deadline(job.calendar_deadline)}, {expected}: {why}"
         if notes is not None:
             notes.notify(job, words)
         else:
@@ -177,7 +176,10 @@
         if self.late_notices is None and not jobs:
             return
         for job in jobs:
-            if job.calendar_due_us is not None and job.calendar_due_us - at_us <= SOON_US:
+            if (
+                job.calendar_due_us is not None
+                and job.calendar_due_us - at_us <= DUE_SOON_WINDOW_US
+            ):
                 self.refresh(job)
         found = lateness.summarize_lateness(
             ((job, self.deadline_standing(job, at_us)) for job in jobs), at_us
--- a/weldhead/emulator/gate_actors.py
+++ b/weldhead/emulator/gate_actors.py
@@ -112,6 +112,6 @@
             self._checker.breaks("gate_reopened", f"edition {state.edition} after {self._newest}")
         self._newest = max(self._newest, state.edition)
         for kept in state.editions:
-            known = next((e for e in self._editions if e.rebuild == kept.rebuild), None)
-            if kept.open and (known is None or not self._may_be_open(known)):
+            known = next((e for e in self._editions if e.rebuild == kept.rebuild_job), None)
+            if kept.is_open and (known is None or not self._may_be_open(known)):
                 self._checker.breaks("gate_reopened", f"edition {kept.number} is open")
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -12,7 +12,7 @@
 
 from msgspec import structs
 
-from weldhead.calendars.binding import state_of
+from weldhead.calendars.binding import read_calendar_state
 from weldhead.calendars.job_deadlines import JobDeadlines
 from weldhead.clock import SECOND_US, now_us
 from weldhead.cluster_state.cluster import Cluster
@@ -156,11 +156,11 @@
 
     def anew(self: JobDeadlines, job: Job, at_us: int, wall_us: int) -> None:
         kept = (
-            state_of(self.cache, job.calendar_deadline.calendar)
+            read_calendar_state(self.cache, job.calendar_deadline.calendar)
             if self.cache and job.calendar_deadline
             else None
         )
-        due_us = kept.value.after(wall_us) if kept is not None else None
+        due_us = kept.value.first_after(wall_us) if kept is not None else None
         if job.calendar_deadline is not None and due_us is not None:
             job.calendar_deadline = CalendarDeadline(
                 job.calendar_deadline.calendar, job.calendar_deadline.edition, due_us
@@ -176,7 +176,7 @@
 
     def remembered(cache: DocumentCache, name: str) -> GateState | None:
         state = read(cache, name)
-        if state is not None and state.newest is not None and state.newest.open:
+        if state is not None and state.newest is not None and state.newest.is_open:
             memory[name] = state
         return memory.get(name, state)
 
--- a/weldhead/gates/__init__.py
+++ b/weldhead/gates/__init__.py
@@ -1,1 +1,1 @@
-"""Release gates: what holds a job until an edition is approved and published. No I/O."""
+"""Release gates: hold jobs until an edition of their input is approved and published. No I/O."""
--- a/weldhead/scheduling/forecast/deadline_lateness.py
+++ b/weldhead/scheduling/forecast/deadline_lateness.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from weldhead.calendars.deadline_table import SOON_US
-from weldhead.calendars.formatting import span, utc
+from weldhead.calendars.deadline_table import DUE_SOON_WINDOW_US
+from weldhead.calendars.formatting import format_duration, format_utc
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Job
 from weldhead.scheduling.forecast.completion_times import BootForecast, find_blocking_job
@@ -91,7 +91,10 @@
     if cluster.tasks_within_limit(job) < 1:
         return f"no room within the limit of team {job.team} for {waiting} tasks; {progress}"
     if boots.next_ready_us is not None and not job.active:
-        return f"a machine boots, up in {span(max(0, boots.next_ready_us - at_us))}; {progress}"
+        return (
+            f"a machine boots, up in {format_duration(max(0, boots.next_ready_us - at_us))}; "
+            f"{progress}"
+        )
     if not job.active:
         return f"no machine has room for its tasks yet; {progress}"
     return f"{waiting} tasks wait for room beside {len(job.active)} that run; {progress}"
@@ -122,7 +125,7 @@
             text += f" and {unnamed} more)" if unnamed > 0 else ")"
         if self.first_due_job is not None and self.first_due_job.calendar_deadline is not None:
             due = self.first_due_job.calendar_deadline
-            text += f"; first {self.first_due_job.id}, by {utc(due.due_us)} ({due.calendar})"
+            text += f"; first {self.first_due_job.id}, by {format_utc(due.due_us)} ({due.calendar})"
         return text
 
 
@@ -138,7 +141,7 @@
         summary.job_count += 1
         if summary.first_due_job is None or due_us < (summary.first_due_job.calendar_due_us or 0):
             summary.first_due_job = job
-        if due_us - at_us <= SOON_US:
+        if due_us - at_us <= DUE_SOON_WINDOW_US:
             summary.due_soon[status] += 1
             if status is DeadlineStatus.LATE:
                 summary.late_job_ids.append(job.id)
