--- a/tests/cluster_state/test_lost_answers.py
+++ b/tests/cluster_state/test_lost_answers.py
@@ -15,9 +15,9 @@
 import pytest
 
 from tests.support.builders import job_spec, machine_type
-from tests.support.calendars import calendar, documents_of, put_edition, us
+from tests.support.calendars import calendar, open_replica, put_edition, utc_us
 from tests.support.fleets import StandInCloud
-from tests.support.gates import CLASSES, KEY, gate
+from tests.support.gates import GATE_STATE_KEY, JOB_CLASSES, gate
 from tests.support.handing_back import Site
 from tests.support.handing_back import play as play_site
 from tests.support.leaders import Clock, leader_of, put_job, put_machine
@@ -48,7 +48,7 @@
 from weldhead.emulator.experiment import play_observed
 from weldhead.emulator.lost_answers import LostAnswerObserver
 from weldhead.emulator.scenario import read_scenario
-from weldhead.gates.gate_state import GateState, ended, enter
+from weldhead.gates.gate_state import GateState, apply_job_end, enter_action
 from weldhead.protocol.wire import Command
 from weldhead.scheduling.autoscaling.rental_offers import RentalOffer
 from weldhead.transport.state_client import StateClient
@@ -472,7 +472,7 @@
         assert record.gate_hold == GateHold("book", 1)
         assert self.job(9).blocking_gate is not None
         # A job that performs an act waits until the act is recorded.
-        assert (await self.accepted(8, CLASSES["rebuild"])).gate_action is not None
+        assert (await self.accepted(8, JOB_CLASSES["rebuild"])).gate_action is not None
         assert self.job(8).blocking_gate is not None
 
     def check_successor(self, successor: Leader) -> None:
@@ -505,13 +505,13 @@
 class GateAct(Edition):
     """A rebuild closes an open gate, and followers hold jobs by it before the leader knows."""
 
-    key = KEY
+    key = GATE_STATE_KEY
 
     def prepare(self) -> None:
         super().prepare()
         self.state.put(document_key(1, "gate/book"), gate())
         self.state.put(HEAD_KEY, HeadRecord(1, "1", ("gate/book",)))
-        self.state.put(KEY, self.opened())
+        self.state.put(GATE_STATE_KEY, self.opened())
 
     def opened(self) -> GateState:
         return self.after_acts("rebuild", "approval", "publication")
@@ -520,8 +520,8 @@
         state = GateState()
         for number, act in enumerate(acts, 3):
             deed = GateAction("book", act, 0 if act == "rebuild" else 1)
-            state, _ = enter(state, act, f"run-{number:06}", (), deed, self.clock())
-            state = ended(state, f"run-{number:06}", self.clock(), done=True)
+            state, _ = enter_action(state, act, f"run-{number:06}", (), deed, self.clock())
+            state = apply_job_end(state, f"run-{number:06}", self.clock(), done=True)
         return state
 
     async def begin(self) -> None:
@@ -534,7 +534,7 @@
         assert self.job(7).blocking_gate is None
 
     async def write(self) -> None:
-        await self.accepted(8, CLASSES["rebuild"])
+        await self.accepted(8, JOB_CLASSES["rebuild"])
         await self.gates._process_changes([])
 
     async def check_before_answer(self) -> None:
@@ -549,7 +549,7 @@
         assert successor.cluster.jobs["run-000009"].blocking_gate is not None
 
     def stored_value(self) -> GateState:
-        return msgspec.convert(self.state.keys[KEY][0], GateState)
+        return msgspec.convert(self.state.keys[GATE_STATE_KEY][0], GateState)
 
     async def check_after_answer(self) -> None:
         assert self.gates.trackers["book"].state == self.stored_value()
@@ -575,15 +575,15 @@
         assert self.leader.gate_keeper is not None
         self.gates = self.leader.gate_keeper
         await self.accepted(7, "quotes")
-        await self.accepted(8, CLASSES["publication"])
+        await self.accepted(8, JOB_CLASSES["publication"])
         await self.gates._process_changes([])
-        assert not self.stored_value().editions[0].open
+        assert not self.stored_value().editions[0].is_open
 
     async def write(self) -> None:
         await self.end_job(8)
 
     async def check_before_answer(self) -> None:
-        assert KEY in self.state.lost and self.stored_value().editions[0].open
+        assert GATE_STATE_KEY in self.state.lost and self.stored_value().editions[0].is_open
         assert await self.poll_both("run-000008") == ["done"] * 2
         await self.gates._process_changes([])
         assert self.job(7).blocking_gate is not None
@@ -602,7 +602,7 @@
     key = "d/state/calendar/"
 
     def __init__(self, clock: Clock) -> None:
-        clock.us = us("2026-03-02 01:00")
+        clock.us = utc_us("2026-03-02 01:00")
         super().__init__(clock)
 
     def prepare(self) -> None:
@@ -610,7 +610,7 @@
         put_edition(self.state, calendar(), 1)
 
     def documents(self) -> DocumentReplica:
-        return documents_of(self.state)
+        return open_replica(self.state)
 
     async def write(self) -> None:
         assert self.leader.calendar_keeper is not None
@@ -618,7 +618,7 @@
 
     async def check_before_answer(self) -> None:
         self.bound = (await self.accepted(9, "balance")).deadline
-        assert self.bound is not None and self.bound.due_us == us("2026-03-02 05:30")
+        assert self.bound is not None and self.bound.due_us == utc_us("2026-03-02 05:30")
         assert self.job(9).calendar_deadline == self.bound
 
     def check_successor(self, successor: Leader) -> None:
--- a/weldhead/controller/configuration/calendar_binder.py
+++ b/weldhead/controller/configuration/calendar_binder.py
@@ -4,10 +4,10 @@
 
 from weldhead.calendars.binding import (
     InstantsNotComputedError,
-    bind,
-    passed_us,
+    bind_to_calendars,
+    missed_instant_us,
 )
-from weldhead.calendars.formatting import utc
+from weldhead.calendars.formatting import format_utc
 from weldhead.cluster_state.records import AdmissionBinding, JobRecord
 from weldhead.controller.configuration.document_replica import (
     DocumentReplica,
@@ -33,7 +33,7 @@
         Raises DocumentsNotLoadedError if the deadline cannot be determined yet.
         """
         try:
-            return bind(self._documents.cache, spec, wall_us, self._error_us)
+            return bind_to_calendars(self._documents.cache, spec, wall_us, self._error_us)
         except InstantsNotComputedError as error:
             log.info("job %s not bound yet: instants of calendar %s not computed", spec.id, error)
             raise DocumentsNotLoadedError from error
@@ -44,9 +44,11 @@
         if deadline is None:
             return
         self._documents.deadline_table.put(record.spec.id, deadline)
-        past_us = passed_us(self._documents.cache, deadline, record.submitted_us, self._error_us)
+        past_us = missed_instant_us(
+            self._documents.cache, deadline, record.submitted_us, self._error_us
+        )
         if past_us is not None:
             log.info(
                 "job %s was submitted too late for %s of calendar %s; bound to the next instant %s",
-                record.spec.id, utc(past_us), deadline.calendar, utc(deadline.due_us),
+                record.spec.id, format_utc(past_us), deadline.calendar, format_utc(deadline.due_us),
             )  # fmt: skip
--- a/weldhead/controller/configuration/calendar_keeper.py
+++ b/weldhead/controller/configuration/calendar_keeper.py
@@ -7,20 +7,20 @@
 import msgspec
 
 from weldhead.calendars.binding import (
-    JUST_PAST_US,
-    KIND,
-    state_of,
+    CALENDAR_KIND,
+    MISSED_INSTANT_WINDOW_US,
+    read_calendar_state,
 )
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.calendars.calendar_state import (
-    KEPT_INSTANTS,
+    MAX_COMPUTED_INSTANTS,
     CalendarState,
-    continued,
-    digest_of,
-    fitting,
-    replaced,
+    content_digest,
+    extend_instants,
+    supersede_state,
+    trim_to_size,
 )
-from weldhead.calendars.formatting import utc
+from weldhead.calendars.formatting import format_utc
 from weldhead.clock import SECOND_US, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.state_writer import LeadershipLostError
@@ -82,14 +82,14 @@
     def validate(offer: DocumentSet) -> str | None:
         """Return why the calendars of an edition cannot be used, or None if they can."""
         for name, body in offer.documents.items():
-            if not name.startswith(KIND + "/"):
+            if not name.startswith(CALENDAR_KIND + "/"):
                 continue
             # Imported here and in ``_update_state``, because only the leader is to load the
             # libraries for recurrences and time zones.
-            from weldhead.calendars.recurrence import UnusableCalendarError, check
+            from weldhead.calendars.recurrence import UnusableCalendarError, validate_calendar
 
             try:
-                check(msgspec.json.decode(bytes(body), type=Calendar))
+                validate_calendar(msgspec.json.decode(bytes(body), type=Calendar))
             except (UnusableCalendarError, msgspec.DecodeError) as error:
                 return f"{name}: {error}"
         return None
@@ -111,22 +111,26 @@
         head = cache.head
         if head is None:
             return True
-        for entry in list(cache.documents_in_force(KIND, Calendar)):
+        for entry in list(cache.documents_in_force(CALENDAR_KIND, Calendar)):
             calendar = entry.value
-            body = cache.get(document_key(head.edition, f"{KIND}/{calendar.name}"), msgspec.Raw)
+            body = cache.get(
+                document_key(head.edition, f"{CALENDAR_KIND}/{calendar.name}"), msgspec.Raw
+            )
             if body is None:
                 continue
-            stored = state_of(cache, calendar.name)
+            stored = read_calendar_state(cache, calendar.name)
             updated = self._update_state(
                 stored.value if stored else None, head.edition, calendar, bytes(body.value)
             )
             if updated is None:
                 continue
-            updated = fitting(updated, self._publisher.max_value_bytes)
+            updated = trim_to_size(updated, self._publisher.max_value_bytes)
             if stored is not None and updated == stored.value:
                 continue
             try:
-                await self._publisher.write({state_key(KIND, calendar.name): updated}, urgent=True)
+                await self._publisher.write(
+                    {state_key(CALENDAR_KIND, calendar.name): updated}, urgent=True
+                )
             except (LeadershipLostError, TransactionRejectedError, CallError) as error:
                 log.info("calendar %s: instants not committed: %s", calendar.name, error)
                 return False
@@ -138,34 +142,35 @@
     ) -> CalendarState | None:
         """Return the updated record of a calendar, or None if the stored record is up to date."""
         time_of_day_us, error_us = wall_us(), self._term.job_deadlines.error_us
-        is_same = stored is not None and stored.digest == digest_of(body)
-        if is_same and stored is not None and not stored.runs_out(time_of_day_us):
+        is_same = stored is not None and stored.digest == content_digest(body)
+        if is_same and stored is not None and not stored.is_running_out(time_of_day_us):
             return None
-        from weldhead.calendars.recurrence import UnusableCalendarError, compute
+        from weldhead.calendars.recurrence import UnusableCalendarError, compute_instants
 
         # Instants that have just passed are included, because a job that is submitted shortly
         # after an instant is logged as too late for it.
-        begin_us = max(0, time_of_day_us - JUST_PAST_US - 3 * error_us)
+        begin_us = max(0, time_of_day_us - MISSED_INSTANT_WINDOW_US - 3 * error_us)
         problem = ""
         try:
-            instants, until_us = compute(calendar, begin_us, KEPT_INSTANTS)
+            instants, until_us = compute_instants(calendar, begin_us, MAX_COMPUTED_INSTANTS)
         except UnusableCalendarError as error:
             # The calendar was usable for the leader that brought its edition into force. That
             # leader may have had another release of the time zone rules.
             problem, instants, until_us = str(error), (), None
             log.exception("calendar %s is unusable and binds no job", calendar.name)
         if is_same and stored is not None:
-            return None if problem else continued(stored, instants, until_us, time_of_day_us)
-        changed = CalendarState(digest_of(body), edition, instants, until_us, problem=problem)
-        return replaced(stored, changed, time_of_day_us, error_us, rebinds=calendar.rebinds)
+            return None if problem else extend_instants(stored, instants, until_us, time_of_day_us)
+        changed = CalendarState(content_digest(body), edition, instants, until_us, problem=problem)
+        return supersede_state(stored, changed, time_of_day_us, error_us, rebinds=calendar.rebinds)
 
     async def _rebind_jobs(self, name: str, state: CalendarState) -> None:
         """Bind the jobs of a calendar to its committed instants, and log the changes."""
         time_of_day_us = wall_us()
-        due_us = state.after(time_of_day_us)
+        due_us = state.first_after(time_of_day_us)
         log.info(
             "calendar %s, edition %d: next instant %s, %d instants stored",
-            name, state.edition, utc(due_us) if due_us is not None else "none", len(state.instants),
+            name, state.edition, format_utc(due_us) if due_us is not None else "none",
+            len(state.instants),
         )  # fmt: skip
         # Jobs are rebound in batches: thousands at once would delay lease renewals on this loop.
         for jobs in batches(list(self._term.cluster.jobs.values())):
@@ -177,8 +182,8 @@
                     job.id,
                     name,
                     job.calendar_deadline.edition,
-                    utc(job.calendar_deadline.due_us),
-                    utc(previous_due_us),
+                    format_utc(job.calendar_deadline.due_us),
+                    format_utc(previous_due_us),
                 )
             if changed:
                 self._refresh_jobs([job for job, _ in changed])
--- a/weldhead/controller/configuration/deadline_table_follower.py
+++ b/weldhead/controller/configuration/deadline_table_follower.py
@@ -4,7 +4,7 @@
 import logging
 
 from weldhead.calendars.binding import (
-    KIND,
+    CALENDAR_KIND,
 )
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.clock import SECOND_US, now_us, wall_us
@@ -39,13 +39,13 @@
     async def follow(self) -> None:
         """Keep the deadline table up to date; runs as a background task."""
         table, cache = self._documents.deadline_table, self._documents.cache
-        while not any(True for _ in cache.documents_in_force(KIND, Calendar)):  # noqa: ASYNC110
+        while not any(True for _ in cache.documents_in_force(CALENDAR_KIND, Calendar)):  # noqa: ASYNC110
             await asyncio.sleep(MIN_READ_INTERVAL_S)
         batches = follow_prefix(self._state, JOBS, None, self._read_all, self._on_failure)
         async for batch in batches:
             for event in batch.events:
                 if event.put is not None:
-                    table.read_record(event.put.removeprefix(JOBS), bytes(event.value))
+                    table.put_record(event.put.removeprefix(JOBS), bytes(event.value))
                 elif event.delete is not None:
                     table.drop(event.delete.removeprefix(JOBS))
             table.as_of_us = max(table.as_of_us, batch.sent_us)
@@ -64,7 +64,7 @@
             for entry in page:
                 job_id = entry.key.removeprefix(JOBS)
                 recorded_ids.add(job_id)
-                table.read_record(job_id, bytes(entry.value))
+                table.put_record(job_id, bytes(entry.value))
             await asyncio.sleep(0)
         table.keep_only(recorded_ids)
         table.as_of_us = max(table.as_of_us, sent_us)
@@ -78,5 +78,5 @@
         ):
             return
         self._logged_us = at_us
-        summary = table.summary(self._documents.cache, wall_us(), at_us)
+        summary = table.format_summary(self._documents.cache, wall_us(), at_us)
         log.warning("state service unreachable; %s", summary)
--- a/weldhead/controller/configuration/document_file.py
+++ b/weldhead/controller/configuration/document_file.py
@@ -12,7 +12,7 @@
 
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.documents.records import DocumentSet
-from weldhead.gates.gate_document import Gate, clashes
+from weldhead.gates.gate_document import Gate, find_conflicts
 from weldhead.tomlfiles import parse, problem_at, read_text
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
@@ -65,7 +65,7 @@
             reason = f"{len(body)} bytes, and a record takes {max_value_bytes} at most"
             raise problem_at(name, text, path, reason)
         documents[key] = msgspec.Raw(body)
-    for number, field, reason in clashes(file.gate):
+    for number, field, reason in find_conflicts(file.gate):
         raise problem_at(name, text, ["gate", number, *field], reason)
     if sum(len(bytes(body)) for body in documents.values()) > MAX_EDITION_BYTES:
         raise problem_at(name, text, [], f"an edition takes {MAX_EDITION_BYTES} bytes at most")
--- a/weldhead/controller/configuration/gate_binder.py
+++ b/weldhead/controller/configuration/gate_binder.py
@@ -9,7 +9,7 @@
 from weldhead.documents.cache import DocumentCache
 from weldhead.documents.records import HEAD_KEY, HeadRecord, document_key, state_key
 from weldhead.gates.gate_document import Gate
-from weldhead.gates.gate_state import GateState, gate_action, needed_now
+from weldhead.gates.gate_state import GateState, build_gate_action, required_edition
 from weldhead.protocol.wire import Condition, JobSpec
 
 KIND = "gate"
@@ -57,7 +57,7 @@
             if gate is None:
                 raise DocumentsNotLoadedError
             is_held = gate.holds_job(spec.job_class, spec.team)
-            action = gate.act_of(spec.job_class, spec.team)
+            action = gate.action_of(spec.job_class, spec.team)
             if not is_held and not action:
                 continue
             state = read_gate_state(cache, name)
@@ -66,9 +66,9 @@
             key = state_key(KIND, name)
             conditions.append(Condition(key, cache.version(key)))
             if is_held:
-                hold = GateHold(name, needed_now(state))
+                hold = GateHold(name, required_edition(state))
             else:
-                recorded_action = gate_action(gate, state, action)
+                recorded_action = build_gate_action(gate, state, action)
         return AdmissionBinding(
             gate_hold=hold, gate_action=recorded_action, conditions=tuple(conditions)
         )
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -7,7 +7,12 @@
 from weldhead.cluster_state.jobs import Job
 from weldhead.controller.requests.job_dependencies import JobDependencies
 from weldhead.controller.term import Term
-from weldhead.gates.gate_tracker import GateTracker, lent, opens_us, urgency
+from weldhead.gates.gate_tracker import (
+    GateTracker,
+    combine_inheritance,
+    estimate_opening_us,
+    urgency_key,
+)
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
 from weldhead.scheduling.inherited_priority import MAX_INHERITED_DEADLINES
 
@@ -44,7 +49,7 @@
             jobs = self._term.cluster.jobs
             action_jobs = [jobs[p.job] for p in tracker.state.pending if p.job in jobs]
             tracker.status.reason = tracker.waiting_reason()
-            tracker.status.expected_open_us = opens_us(
+            tracker.status.expected_open_us = estimate_opening_us(
                 tracker, {a.id: self._expected_end_us(a, at_us) for a in action_jobs}
             )
             self._update_inheritance(tracker, action_jobs, at_us)
@@ -71,7 +76,7 @@
             and at_us > tracker.inheritance_checked_us + INHERITANCE_RECOMPUTE_INTERVAL_US
         ):
             # A job that left may have had the highest priority or the earliest deadline.
-            tracker.jobs_left, tracker.inheritance_checked_us = False, at_us
+            tracker.has_departed_jobs, tracker.inheritance_checked_us = False, at_us
             for action_job in action_jobs:
                 dependency_graph.gate_inheritance.pop(action_job.id, None)
         for action_job in action_jobs:
@@ -92,7 +97,7 @@
                 contributions.append(
                     (job.effective_level, [due_us - path_us for due_us in deadlines_us])
                 )
-            inherited = lent(contributions, MAX_INHERITED_DEADLINES, at_us)
+            inherited = combine_inheritance(contributions, MAX_INHERITED_DEADLINES, at_us)
             if inherited != previous:
                 dependency_graph.gate_inheritance[action_job.id] = inherited
                 self._job_dependencies.refresh_inherited_priorities([action_job])
@@ -117,7 +122,7 @@
             ready = (j for j in held_jobs(tracker) if j.team in teams and not j.unmet_dependencies)
             demand += [
                 ExpectedDemand(j, opens_at_us)
-                for j in nsmallest(MAX_PRERENTED_JOBS, ready, key=urgency)
+                for j in nsmallest(MAX_PRERENTED_JOBS, ready, key=urgency_key)
             ]
         return demand
 
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -33,8 +33,8 @@
 from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.documents.records import state_key
 from weldhead.gates.gate_document import Gate
-from weldhead.gates.gate_state import ActionEntry, GateState, ended, enter
-from weldhead.gates.gate_tracker import GateTracker, unbegun
+from weldhead.gates.gate_state import ActionEntry, GateState, apply_job_end, enter_action
+from weldhead.gates.gate_tracker import GateTracker, has_starting_attempts
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import decode
 
@@ -156,7 +156,7 @@
             if tracker.document.holds_job(job.spec.job_class, job.team):
                 self._bind_job(tracker, job)
                 return
-            action = tracker.document.act_of(job.spec.job_class, job.team)
+            action = tracker.document.action_of(job.spec.job_class, job.team)
             if action:
                 self._register_action(job, tracker.name, action, None)
                 return
@@ -237,7 +237,7 @@
         tracker.last_logged = current
         if reason:
             log.info(
-                "gate %s is closed, %d jobs held: %s", tracker.name, tracker.held_count(), reason
+                "gate %s is closed, %d jobs held: %s", tracker.name, tracker.count_held_jobs(), reason
             )
         else:
             log.info("gate %s is open for edition %d", tracker.name, tracker.state.edition)
@@ -318,7 +318,7 @@
                     assert tracker.state is not None
                     done = final is not None and final.status == "done"
                     await self._commit_state(
-                        tracker, ended(tracker.state, entry.job, wall_us(), done=done)
+                        tracker, apply_job_end(tracker.state, entry.job, wall_us(), done=done)
                     )
 
     async def _read_final(self, job_id: str) -> FinalRecord | None:
@@ -340,7 +340,9 @@
         if job.gate_hold is not None:
             tracker = self.trackers.get(job.gate_hold.gate)
             if has_left and tracker is not None:
-                tracker.jobs_left = tracker.jobs.pop(job.id, None) is not None or tracker.jobs_left
+                tracker.has_departed_jobs = (
+                    tracker.jobs.pop(job.id, None) is not None or tracker.has_departed_jobs
+                )
                 self._draining.pop(job.id, None)
             elif job.blocking_gate is not None and job.active:
                 self._draining[job.id] = job
@@ -392,11 +394,11 @@
         if before is None or not unresolved.isdisjoint(job.unmet_dependencies):
             return None
         after, entry = self._enter_action(before, job, action, recorded)
-        if entry is ActionEntry.FULL:
+        if entry is ActionEntry.TOO_MANY_PENDING:
             return None
         if after is not before:
             changed[gate] = after
-        if entry is ActionEntry.NOTHING:
+        if entry is ActionEntry.NO_EFFECT:
             log.warning("gate %s: the %s by job %s %s", gate, action, job.id, entry.value)
             return ""
         return action
@@ -405,7 +407,7 @@
     def _enter_action(
         state: GateState, job: Job, action: str, recorded_action: GateAction | None
     ) -> tuple[GateState, ActionEntry]:
-        return enter(state, action, job.id, job.spec.needs or (), recorded_action, wall_us())
+        return enter_action(state, action, job.id, job.spec.needs or (), recorded_action, wall_us())
 
     async def _commit_state(
         self, tracker: GateTracker, state: GateState, other_changes: dict[str, Any] | None = None
@@ -458,7 +460,7 @@
                 # The job completed before its action was entered, under a controller version that
                 # knew of no gate.
                 state, _ = self._enter_action(state, job, unentered[2], unentered[3])
-            state = ended(state, job.id, wall_us(), done=final.status == "done")
+            state = apply_job_end(state, job.id, wall_us(), done=final.status == "done")
             await self._commit_state(tracker, state, changes)
         self._term.dependency_graph.gate_inheritance.pop(job.id, None)
         return True
@@ -489,7 +491,9 @@
         gates_with_unstarted_tasks = {
             job.gate_hold.gate
             for job in self._draining.values()
-            if job.gate_hold is not None and job.blocking_gate is not None and unbegun(job)
+            if job.gate_hold is not None
+            and job.blocking_gate is not None
+            and has_starting_attempts(job)
         }
         for tracker in self.trackers.values():
             # Until all machines are known, a command of an earlier leader may still start a task.
@@ -520,11 +524,11 @@
         """Release the held jobs whose gate is open for them, in batches, the most urgent first."""
         for tracker in [tracker for tracker in self.trackers.values() if tracker.needs_release]:
             tracker.needs_release = False
-            releasable = tracker.releasable()
+            releasable = tracker.find_releasable_jobs()
             for batch in batches(releasable, RELEASE_BATCH_SIZE):
                 for job in batch:
                     # Since the previous batch the gate may have closed, or the job have ended.
-                    if tracker.jobs.get(job.id) is job and tracker.may_start(job):
+                    if tracker.jobs.get(job.id) is job and tracker.can_start(job):
                         self._count_time_from_opening(tracker, job)
                         self._release_job(job)
                 await asyncio.sleep(RELEASE_PAUSE_S)
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from weldhead.calendars.deadline_table import SOON_US
+from weldhead.calendars.deadline_table import DUE_SOON_WINDOW_US
 from weldhead.calendars.formatting import due as format_deadline
 from weldhead.calendars.formatting import span as format_duration
 from weldhead.clock import now_us, seconds_us, to_seconds, wall_us
@@ -193,7 +193,10 @@
         if self.late_notices is None and not jobs:
             return
         for job in jobs:
-            if job.calendar_due_us is not None and job.calendar_due_us - at_us <= SOON_US:
+            if (
+                job.calendar_due_us is not None
+                and job.calendar_due_us - at_us <= DUE_SOON_WINDOW_US
+            ):
                 self.refresh(job)
         summary = lateness.summarize_lateness(
             ((job, self.deadline_standing(job, at_us)) for job in jobs), at_us
