--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -72,7 +72,7 @@
         """Let action jobs inherit the priority and the deadlines of the jobs held by the gate."""
         dependency_graph, objectives = self._term.dependency_graph, self._term.objectives
         if (
-            tracker.jobs_left
+            tracker.has_departed_jobs
             and at_us > tracker.inheritance_checked_us + INHERITANCE_RECOMPUTE_INTERVAL_US
         ):
             # A job that left may have had the highest priority or the earliest deadline.
--- a/weldhead/controller/configuration/gate_keeper.py
+++ b/weldhead/controller/configuration/gate_keeper.py
@@ -237,7 +237,10 @@
         tracker.last_logged = current
         if reason:
             log.info(
-                "gate %s is closed, %d jobs held: %s", tracker.name, tracker.count_held_jobs(), reason
+                "gate %s is closed, %d jobs held: %s",
+                tracker.name,
+                tracker.count_held_jobs(),
+                reason,
             )
         else:
             log.info("gate %s is open for edition %d", tracker.name, tracker.state.edition)
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -5,8 +5,7 @@
 from typing import Protocol
 
 from weldhead.calendars.deadline_table import DUE_SOON_WINDOW_US
-from weldhead.calendars.formatting import due as format_deadline
-from weldhead.calendars.formatting import span as format_duration
+from weldhead.calendars.formatting import format_deadline, format_duration
 from weldhead.clock import now_us, seconds_us, to_seconds, wall_us
 from weldhead.cluster_state.jobs import Job
 from weldhead.controller.loop_budget import EventLoopBudget, LoopPriority
