--- a/tests/cli/test_text_files.py
+++ b/tests/cli/test_text_files.py
@@ -11,11 +11,11 @@
 
 from tests.support.paths import ROOT
 from weldhead.cli import HIDDEN, VERBS, main
-from weldhead.client.config import ConfigProblem, client_settings, servers_of
+from weldhead.client.config import ConfigProblem, client_settings, parse_servers
 from weldhead.client.decisions import FailedCall, MissingAnswer, RefusedAnswer, StatusAnswer, Step
 from weldhead.client.job import SAMPLE_ID, Job, JobProblem, check_job, parse_job
 from weldhead.client.policy import Policy, parse_policies
-from weldhead.client.transport import understand
+from weldhead.client.transport import interpret_answer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import MAX_BODY_BYTES
 from weldhead.site.description import controller_settings, parse_description, read_description
@@ -196,7 +196,10 @@
     ],
 )
 def test_what_answers_mean(step: Step, status: int, body: bytes, meaning: object) -> None:
-    assert understand(step, SAMPLE_ID, status, body.replace(b"%s", SAMPLE_ID.encode())) == meaning
+    assert (
+        interpret_answer(step, SAMPLE_ID, status, body.replace(b"%s", SAMPLE_ID.encode()))
+        == meaning
+    )
 
 
 @given(
@@ -215,7 +218,7 @@
     ),
 )
 def test_nonsense_is_never_an_answer(step: Step, status: int, body: bytes) -> None:
-    reply = understand(step, SAMPLE_ID, status, body)
+    reply = interpret_answer(step, SAMPLE_ID, status, body)
     if step is Step.SUBMIT and status in (400, 422):
         assert isinstance(reply, RefusedAnswer)
     elif status == 404 and step is not Step.SUBMIT:
@@ -258,7 +261,7 @@
     assert client_settings(None, None, None).servers == ["c:3", "d:4"]
     assert client_settings("e:5", None, None).servers == ["e:5"]
     with pytest.raises(ConfigProblem, match="--server"):
-        servers_of("nowhere", "--server")
+        parse_servers("nowhere", "--server")
     path.write_text('serve = "a:1"\n')
     with pytest.raises(FileProblemError, match=r"config\.toml:1: serve"):
         client_settings(None, None, None)
--- a/tests/client/test_decisions.py
+++ b/tests/client/test_decisions.py
@@ -1,7 +1,7 @@
-"""The client's decisions against a service, a network that delivers late, and crashes.
+"""The client's decisions in a simulation with lost and late requests and crashed processes.
 
-Two processes share one journal. Whatever is lost, held back or repeated: there is one final
-answer, it is true, and never are two jobs of one submission under way.
+Two processes share one journal. Whichever requests are lost, delayed or repeated, a submission
+gets one final answer, the answer is true, and at most one job of the submission is active.
 """
 
 import random
@@ -11,8 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from weldhead.client.decisions import (
-    RETRY_US,
-    WATCH_US,
+    LATE_TRY_WATCH_US,
+    MIN_RETRY_PAUSE_US,
     FailedCall,
     MissingAnswer,
     RefusedAnswer,
@@ -23,47 +23,48 @@
     StatusAnswer,
     Step,
     advance,
-    before_send,
-    learn,
     next_step,
-    repeats,
     retry_pause_us,
+    should_repeat,
+    update_before_send,
+    update_from_reply,
 )
 from weldhead.client.policy import Policy
 from weldhead.clock import SECOND_US
 
-#: What becomes of a request: answered, lost on its way, its answer lost, or held back.
+#: The fates of a request: answered (``ok``), lost on its way, executed without an answer
+#: (``mute``), held back until later, or never sent. The repetition makes ``ok`` more frequent.
 FATES = ["ok", "ok", "ok", "lost", "mute", "held", "unsent"]
 
 
 class Submission(RuleBasedStateMachine):
-    """One submission, driven by two processes."""
+    """One submission that two processes work on, with a simulated service and journal."""
 
     @initialize(
         repeat=st.integers(0, 2),
         undecided=st.sampled_from(["keep", "withdraw"]),
-        has_work=st.booleans(),
+        needs_upload=st.booleans(),
     )
-    def begin(self, repeat: int, undecided: str, has_work: bool) -> None:
+    def begin(self, repeat: int, undecided: str, needs_upload: bool) -> None:
         self.policy = Policy(
             repeat=repeat,
             on=("failed", "withdrawn"),
             undecided="withdraw" if undecided == "withdraw" else "keep",
         )
-        self.has_work = has_work
+        self.needs_upload = needs_upload
         self.now = SECOND_US
         self.runs = [Run("run-1", 1)]
         self.cancelled = False
         self.answer: RunPhase | None = None
-        self.missed = [False, False]
+        self.cancel_not_found = [False, False]
         self.under_way: list[tuple[Step, Run, Reply] | None] = [None, None]
-        # The service
+        # The state of the service
         self.jobs: dict[str, str] = {}
         self.asked_to_cancel: set[str] = set()
         self.held: list[tuple[Step, str]] = []
         self.refusing = False
 
-    # The service
+    # Events at the service
 
     def _execute(self, step: Step, job_id: str) -> Reply:
         if step is Step.UPLOAD:
@@ -103,49 +104,53 @@
             self._execute(step, job_id)
         self.held.clear()
 
-    # The processes
+    # Events at the processes
 
-    def _change(self, job_id: str, news: RunUpdate) -> Run:
-        """Change the journal, as one transaction."""
+    def _change(self, job_id: str, update: RunUpdate) -> Run:
+        """Apply an update to a run's record in the simulated journal, as one transaction."""
         for index, run in enumerate(self.runs):
             if run.id == job_id:
-                self.runs[index] = advance(run, news)
+                self.runs[index] = advance(run, update)
                 assert self.runs[index].phase >= run.phase
                 assert not run.phase.final or self.runs[index].phase is run.phase
                 return self.runs[index]
         raise KeyError(job_id)
 
-    @rule(who=st.integers(0, 1), fate=st.sampled_from(FATES))
-    def acts(self, who: int, fate: str) -> None:
-        """A process decides and sends; the answer is on its way to it."""
-        if self.under_way[who] is not None:
+    @rule(process=st.integers(0, 1), fate=st.sampled_from(FATES))
+    def acts(self, process: int, fate: str) -> None:
+        """A process carries out its next step; it learns of the reply in a later event."""
+        if self.under_way[process] is not None:
             return
         run = self.runs[-1]
         if run.phase.final and self.answer is None:
-            if repeats(self.policy, self.runs, cancelled=self.cancelled):
+            if should_repeat(self.policy, self.runs, cancelled=self.cancelled):
                 self.runs.append(Run(f"run-{run.number + 1}", run.number + 1))
             else:
                 self.answer = run.phase
             return
         step = next_step(
-            run, self.policy, self.now, has_work=self.has_work, missed=self.missed[who]
+            run,
+            self.policy,
+            self.now,
+            needs_upload=self.needs_upload,
+            cancel_not_found=self.cancel_not_found[process],
         )
         if step is Step.END:
             return
         if step is Step.CLOSE:
             self._change(run.id, RunUpdate(RunPhase.WITHDRAWN, cancel=True, unsent=True))
             return
-        if step is Step.CANCEL and not run.cancel and not run.stray:
+        if step is Step.CANCEL and not run.cancel and not run.accepted_late:
             self._change(run.id, RunUpdate(cancel=True))
         if step is Step.SUBMIT:
             before = run.cancel
-            run = self._change(run.id, before_send(self.now))
+            run = self._change(run.id, update_before_send(self.now))
             if run.phase.final or run.cancel != before:
                 self._change(run.id, RunUpdate(settled=1))
                 return
         if step is Step.CANCEL and fate != "unsent":
             self.asked_to_cancel.add(run.id)
-        self.now += RETRY_US
+        self.now += MIN_RETRY_PAUSE_US
         reply: Reply = FailedCall("no answer")
         if fate == "unsent":
             reply = FailedCall("not connected", sent=False)
@@ -155,22 +160,22 @@
             self._execute(step, run.id)
         elif fate == "held":
             self.held.append((step, run.id))
-        self.under_way[who] = (step, run, reply)
+        self.under_way[process] = (step, run, reply)
 
-    @rule(who=st.integers(0, 1))
-    def learns(self, who: int) -> None:
-        under_way = self.under_way[who]
+    @rule(process=st.integers(0, 1))
+    def learns(self, process: int) -> None:
+        under_way = self.under_way[process]
         if under_way is None:
             return
-        self.under_way[who] = None
+        self.under_way[process] = None
         step, run, reply = under_way
-        self._change(run.id, learn(run, step, reply, self.now, 1))
-        self.missed[who] = step is Step.CANCEL and isinstance(reply, MissingAnswer)
+        self._change(run.id, update_from_reply(run, step, reply, self.now, 1))
+        self.cancel_not_found[process] = step is Step.CANCEL and isinstance(reply, MissingAnswer)
 
-    @rule(who=st.integers(0, 1))
-    def is_killed_and_started_again(self, who: int) -> None:
-        self.under_way[who] = None
-        self.missed[who] = False
+    @rule(process=st.integers(0, 1))
+    def is_killed_and_started_again(self, process: int) -> None:
+        self.under_way[process] = None
+        self.cancel_not_found[process] = False
 
     @precondition(lambda self: not self.cancelled and self.answer is None)
     @rule()
@@ -187,7 +192,7 @@
     def time_passes(self, step: int) -> None:
         self.now += step * SECOND_US
 
-    # What must hold
+    # Invariants
 
     @invariant()
     def one_job_and_one_true_answer(self) -> None:
@@ -205,21 +210,22 @@
             assert states[self.runs[-1].id] == "done"
             assert not live
         if self.answer is RunPhase.WITHDRAWN:
-            # For good: neither what is held back nor what is under way starts anything.
-            for _, job_id in [*self.held, *self._flying()]:
+            # The withdrawal is permanent: no delayed request and no request under way starts a
+            # job.
+            for _, job_id in [*self.held, *self._requests_under_way()]:
                 assert self.jobs.get(job_id) != "pending"
                 assert job_id in self.jobs or not self._could_arrive(job_id)
             assert not live
         assert self.answer is not RunPhase.FOREIGN
 
-    def _flying(self) -> list[tuple[Step, str]]:
-        return [(one[0], one[1].id) for one in self.under_way if one is not None]
+    def _requests_under_way(self) -> list[tuple[Step, str]]:
+        return [(request[0], request[1].id) for request in self.under_way if request is not None]
 
     def _could_arrive(self, job_id: str) -> bool:
         return any(step is Step.SUBMIT and name == job_id for step, name in self.held)
 
     def teardown(self) -> None:
-        """With a network that works again everything comes to its end, and stays there."""
+        """Let the network work again: the submission ends, and its answer stays true."""
         if not hasattr(self, "jobs"):
             return
         self.refusing = False
@@ -230,115 +236,140 @@
         assert self.answer is not None
         self.what_was_held_back_arrives()
         self.one_job_and_one_true_answer()
-        if self.now < self.runs[-1].refused_us + WATCH_US - 30 * SECOND_US:
+        if self.now < self.runs[-1].refused_us + LATE_TRY_WATCH_US - 30 * SECOND_US:
             for _ in range(4):
                 self.both_act()
-            assert "pending" not in self.jobs.values(), "a stray is withdrawn"
+            assert "pending" not in self.jobs.values(), (
+                "a job accepted after the refusal is withdrawn"
+            )
 
     def both_act(self) -> None:
-        for who in (0, 1):
-            self.learns(who)
-            self.acts(who, "ok")
+        for process in (0, 1):
+            self.learns(process)
+            self.acts(process, "ok")
 
 
 Submission.TestCase.settings = settings(max_examples=300, stateful_step_count=40)
 TestSubmission = Submission.TestCase
 
 
-def test_only_a_run_that_was_never_sent_is_withdrawn_without_the_service() -> None:
+def test_only_unsent_runs_are_withdrawn_without_the_service() -> None:
     policy = Policy()
     run = Run("run-1", 1, cancel=True)
-    assert next_step(run, policy, 0, has_work=True) is Step.CLOSE
-    run = advance(run, before_send(5))
+    assert next_step(run, policy, 0, needs_upload=True) is Step.CLOSE
+    run = advance(run, update_before_send(5))
     assert advance(run, RunUpdate(RunPhase.WITHDRAWN, unsent=True)) == run
-    # 404 proves nothing: it is made accepted first, and withdrawn then.
-    assert next_step(run, policy, 0, has_work=False) is Step.CANCEL
-    assert learn(run, Step.CANCEL, MissingAnswer(), 0, 1) == RunUpdate()
-    assert next_step(run, policy, 0, has_work=False, missed=True) is Step.SUBMIT
-    run = advance(run, learn(run, Step.SUBMIT, StatusAnswer("pending", fresh=True), 0, 1))
-    assert next_step(run, policy, 0, has_work=False, missed=True) is Step.CANCEL
+    # A 404 proves nothing: the client submits the run until the service accepts it, and then
+    # withdraws the run.
+    assert next_step(run, policy, 0, needs_upload=False) is Step.CANCEL
+    assert update_from_reply(run, Step.CANCEL, MissingAnswer(), 0, 1) == RunUpdate()
+    assert next_step(run, policy, 0, needs_upload=False, cancel_not_found=True) is Step.SUBMIT
+    run = advance(
+        run, update_from_reply(run, Step.SUBMIT, StatusAnswer("pending", fresh=True), 0, 1)
+    )
+    assert next_step(run, policy, 0, needs_upload=False, cancel_not_found=True) is Step.CANCEL
 
 
-def test_undecided_for_too_long_is_the_callers_choice() -> None:
-    run = advance(Run("run-1", 1), before_send(SECOND_US))
+def test_policy_decides_whether_undecided_runs_are_withdrawn() -> None:
+    run = advance(Run("run-1", 1), update_before_send(SECOND_US))
     late = 61 * SECOND_US
-    assert next_step(run, Policy(), late, has_work=False) is Step.SUBMIT
+    assert next_step(run, Policy(), late, needs_upload=False) is Step.SUBMIT
     withdraw = Policy(undecided="withdraw")
-    assert next_step(run, withdraw, late - 1, has_work=False) is Step.SUBMIT
-    assert next_step(run, withdraw, late, has_work=False) is Step.CANCEL
-
-
-def test_a_job_of_somebody_else_is_told_as_far_as_can_be() -> None:
-    """A 200 on the first try may be our own try, repeated inside the service."""
-    first = advance(Run("run-1", 1), before_send(1))
-    news = learn(first, Step.SUBMIT, StatusAnswer("pending"), 1, 1)
-    assert (news.phase, news.suspect) == (RunPhase.ACCEPTED, True)
-    # Nobody knew the id before, so nobody can have withdrawn our job.
-    assert learn(first, Step.SUBMIT, StatusAnswer("withdrawn"), 1, 1).phase is RunPhase.FOREIGN
-    second = advance(first, before_send(2))
-    assert learn(second, Step.SUBMIT, StatusAnswer("withdrawn"), 1, 1).phase is RunPhase.WITHDRAWN
-    assert learn(second, Step.SUBMIT, StatusAnswer("pending"), 1, 1).suspect is False
-    # More tasks than ours has, or another description: it is not ours.
-    assert learn(second, Step.POLL, StatusAnswer("running", done=3), 1, 2).phase is RunPhase.FOREIGN
+    assert next_step(run, withdraw, late - 1, needs_upload=False) is Step.SUBMIT
+    assert next_step(run, withdraw, late, needs_upload=False) is Step.CANCEL
+
+
+def test_jobs_of_other_clients_under_the_same_id_are_detected() -> None:
+    """The client detects most jobs of other clients that have the id of one of its runs.
+
+    A 200 on the first try may also come from the client's own try, repeated inside the service.
+    """
+    first = advance(Run("run-1", 1), update_before_send(1))
+    update = update_from_reply(first, Step.SUBMIT, StatusAnswer("pending"), 1, 1)
+    assert (update.phase, update.suspect) == (RunPhase.ACCEPTED, True)
+    # No other client knew the id before the first try, so a withdrawn job under this id is not
+    # this client's.
+    assert (
+        update_from_reply(first, Step.SUBMIT, StatusAnswer("withdrawn"), 1, 1).phase
+        is RunPhase.FOREIGN
+    )
+    second = advance(first, update_before_send(2))
+    assert (
+        update_from_reply(second, Step.SUBMIT, StatusAnswer("withdrawn"), 1, 1).phase
+        is RunPhase.WITHDRAWN
+    )
+    assert update_from_reply(second, Step.SUBMIT, StatusAnswer("pending"), 1, 1).suspect is False
+    # A job with more tasks or a different description is not this client's.
+    assert (
+        update_from_reply(second, Step.POLL, StatusAnswer("running", done=3), 1, 2).phase
+        is RunPhase.FOREIGN
+    )
     conflict = RefusedAnswer(409, "this job has another description")
-    assert learn(Run("run-1", 1), Step.UPLOAD, conflict, 1, 2).phase is RunPhase.FOREIGN
+    assert update_from_reply(Run("run-1", 1), Step.UPLOAD, conflict, 1, 2).phase is RunPhase.FOREIGN
     foreign = [Run("run-1", 1, phase=RunPhase.FOREIGN)]
-    assert repeats(Policy(), foreign, cancelled=False)
+    assert should_repeat(Policy(), foreign, cancelled=False)
 
 
-def test_repeats_follow_the_policy() -> None:
+def test_runs_are_repeated_only_as_the_policy_allows() -> None:
     def over(number: int, **changes: object) -> Run:
         return Run(f"run-{number}", number, RunPhase.WITHDRAWN, **changes)  # type: ignore[arg-type]
 
     failed = over(1, cancel=True, failed="exit code 1")
-    assert not repeats(Policy(), [failed], cancelled=False)
+    assert not should_repeat(Policy(), [failed], cancelled=False)
     twice = Policy(repeat=2)
-    assert repeats(twice, [failed], cancelled=False)
-    assert not repeats(twice, [failed], cancelled=True)
-    assert not repeats(twice, [over(1)], cancelled=False), "only what the policy names"
-    assert repeats(Policy(repeat=1, on=("withdrawn",)), [over(1)], cancelled=False)
-    assert not repeats(Policy(repeat=1, on=("withdrawn",)), [over(1, cancel=True)], cancelled=False)
+    assert should_repeat(twice, [failed], cancelled=False)
+    assert not should_repeat(twice, [failed], cancelled=True)
+    assert not should_repeat(twice, [over(1)], cancelled=False), (
+        "the policy does not name this outcome"
+    )
+    assert should_repeat(Policy(repeat=1, on=("withdrawn",)), [over(1)], cancelled=False)
+    assert not should_repeat(
+        Policy(repeat=1, on=("withdrawn",)), [over(1, cancel=True)], cancelled=False
+    )
     three = [over(number, cancel=True, failed="x") for number in (1, 2, 3)]
-    assert repeats(twice, three[:2], cancelled=False)
-    assert not repeats(twice, three, cancelled=False)
+    assert should_repeat(twice, three[:2], cancelled=False)
+    assert not should_repeat(twice, three, cancelled=False)
     done = Run("run-1", 1, RunPhase.DONE)
-    assert not repeats(twice, [done], cancelled=False)
+    assert not should_repeat(twice, [done], cancelled=False)
 
 
 @given(seed=st.integers(0, 50))
 def test_a_minute_of_503_costs_few_tries_and_is_survived(seed: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     run, now, tries = Run("run-1", 1), 0, 0
     while run.phase < RunPhase.ACCEPTED:
-        assert next_step(run, Policy(), now, has_work=False) is Step.SUBMIT
-        run = advance(run, before_send(now))
+        assert next_step(run, Policy(), now, needs_upload=False) is Step.SUBMIT
+        run = advance(run, update_before_send(now))
         tries += 1
         reply: Reply = FailedCall("503", retry_after_us=SECOND_US)
         if now > 60 * SECOND_US:
             reply = StatusAnswer("pending", fresh=True)
-        run = advance(run, learn(run, Step.SUBMIT, reply, now, 1))
-        now += retry_pause_us(tries, reply, chance)
+        run = advance(run, update_from_reply(run, Step.SUBMIT, reply, now, 1))
+        now += retry_pause_us(tries, reply, rng)
     assert tries <= 10
     assert now < 120 * SECOND_US
-    assert run.loose == tries - 1, "a 503 may still be carried out"
+    assert run.unsettled_tries == tries - 1, "a 503 may still be carried out"
+
 
+def test_crossing_refusal_and_acceptance_leave_one_outcome() -> None:
+    """A refusal and an acceptance of the same run must leave one true outcome.
 
-def test_a_refusal_and_an_acceptance_that_cross() -> None:
-    """Two processes try at once while the service changes its mind."""
-    both = advance(advance(Run("run-1", 1), before_send(1)), before_send(1))
-    accepted = learn(both, Step.SUBMIT, StatusAnswer("pending", fresh=True), 1, 1)
-    refused = learn(both, Step.SUBMIT, RefusedAnswer(422, "no"), 1, 1)
-    # Accepted is for good, whatever was said before that to another try.
+    Two processes submit the run at once, and the service accepts one try and refuses the other.
+    """
+    both = advance(advance(Run("run-1", 1), update_before_send(1)), update_before_send(1))
+    accepted = update_from_reply(both, Step.SUBMIT, StatusAnswer("pending", fresh=True), 1, 1)
+    refused = update_from_reply(both, Step.SUBMIT, RefusedAnswer(422, "no"), 1, 1)
+    # An acceptance in the journal stays, also if another try was refused.
     assert advance(advance(both, accepted), refused).phase is RunPhase.ACCEPTED
-    # Told as refused: then the job that was accepted must not run.
+    # If the caller was told of the refusal first, the accepted job must not run.
     told = advance(advance(both, refused), accepted)
-    assert (told.phase, told.stray) == (RunPhase.REFUSED, True)
-    assert next_step(told, Policy(), 1, has_work=False) is Step.CANCEL
-    gone = advance(told, learn(told, Step.CANCEL, StatusAnswer("withdrawn"), 1, 1))
-    assert next_step(gone, Policy(), 1, has_work=False) is Step.END
+    assert (told.phase, told.accepted_late) == (RunPhase.REFUSED, True)
+    assert next_step(told, Policy(), 1, needs_upload=False) is Step.CANCEL
+    gone = advance(told, update_from_reply(told, Step.CANCEL, StatusAnswer("withdrawn"), 1, 1))
+    assert next_step(gone, Policy(), 1, needs_upload=False) is Step.END
 
 
-def test_the_first_final_state_stays() -> None:
+def test_final_phase_of_a_run_never_changes() -> None:
     done = advance(Run("run-1", 1), RunUpdate(RunPhase.DONE))
     for phase in RunPhase:
         assert advance(done, RunUpdate(phase, failed="x", reason="x")) == done
--- a/tests/client/test_loopback.py
+++ b/tests/client/test_loopback.py
@@ -1,4 +1,8 @@
-"""The client on loopback: connections cut anywhere, callers killed anywhere, late requests."""
+"""The client over loopback connections.
+
+The tests cut connections at every byte, kill calling processes at every commit of the journal,
+and deliver requests late.
+"""
 
 import asyncio
 import json
@@ -27,7 +31,7 @@
 from weldhead.client.client import Client, ClientSettings
 from weldhead.client.decisions import RunPhase, RunUpdate
 from weldhead.client.job import Job, JobProblem
-from weldhead.client.journal import FORMAT, Journal, JournalError, KeyConflict
+from weldhead.client.journal import JOURNAL_FORMAT, Journal, JournalError, KeyConflict
 from weldhead.client.policy import Policies, Policy
 from weldhead.client.sync import SyncClient
 from weldhead.clock import wall_us
@@ -36,7 +40,7 @@
 JOB = Job(tasks=1, memory_gb=0.5)
 
 
-def client(
+def make_client(
     tmp_path: Path, *servers: str, budget: bool = False, policy: Policy | None = None
 ) -> Client:
     settings = ClientSettings(
@@ -48,20 +52,25 @@
     return Client(settings)
 
 
-def test_connections_cut_at_every_byte_lose_and_repeat_nothing(tmp_path: Path) -> None:
-    """Accepted, repeated, lost: each cut point of each verb has a submission of its own."""
+def test_connection_cut_at_any_byte_loses_and_repeats_no_job(tmp_path: Path) -> None:
+    """A connection that breaks anywhere must neither lose nor duplicate a job.
+
+    For each kind of request, one submission meets a connection that is cut after each number
+    of bytes, in the request and in the answer.
+    """
 
     async def run() -> None:
         service = StandInService()
         async with served(service.handle) as target:
             proxy = CuttingProxy(target)
-            async with proxy.serve() as address, client(tmp_path, address) as one:
-                # The lengths first: ids have one length, so all messages of a verb do.
+            async with proxy.serve() as address, make_client(tmp_path, address) as client:
+                # Measure the lengths first. All ids have the same length, and so have all
+                # messages of one kind.
                 service.done_after = -1
-                key = await one.submit(JOB)
-                await one.accepted(key, 10)
-                await one.poll(key)
-                await one.cancel(key, 10)
+                key = await client.submit(JOB)
+                await client.accepted(key, 10)
+                await client.poll(key)
+                await client.cancel(key, 10)
                 cuts = {
                     verb: [("request", n) for n in range(request)]
                     + [("answer", n) for n in range(answer)]
@@ -69,55 +78,55 @@
                 }
                 assert set(cuts) == {"submit", "poll", "cancel"}
                 service.accepted.clear()
-                await submits(service, proxy, one, cuts["submit"])
-                await cancels(service, proxy, one, cuts["cancel"])
+                await check_submissions(service, proxy, client, cuts["submit"])
+                await check_cancellations(service, proxy, client, cuts["cancel"])
                 service.done_after = 1
-                await polls(service, proxy, one, cuts["poll"])
+                await check_polls(service, proxy, client, cuts["poll"])
 
-    async def submits(
-        service: StandInService, proxy: CuttingProxy, one: Client, cuts: list[tuple[str, int]]
+    async def check_submissions(
+        service: StandInService, proxy: CuttingProxy, client: Client, cuts: list[tuple[str, int]]
     ) -> None:
         count = len(cuts)
         assert count > 500
         proxy.made, proxy.cuts["submit"] = 0, list(cuts)
-        keys = await one.submit_many((f"cut-{n}", JOB) for n in range(count))
-        answers = [answer async for answer in wait_accepted(one, keys)]
+        keys = await client.submit_many((f"cut-{n}", JOB) for n in range(count))
+        answers = [answer async for answer in wait_accepted(client, keys)]
         assert proxy.made == count
         assert all(answer.accepted for answer in answers), "lost"
         assert sorted(service.accepted) == sorted(answer.id for answer in answers), "repeated"
-        # What was cut in the answer had been accepted by its first try.
+        # If only the answer was cut, the first try had created the job, and the second finds it.
         tries = Counter(answer.runs[0].tries for answer in answers)
         assert tries[2] == count and set(tries) == {2}
 
-    async def cancels(
-        service: StandInService, proxy: CuttingProxy, one: Client, cuts: list[tuple[str, int]]
+    async def check_cancellations(
+        service: StandInService, proxy: CuttingProxy, client: Client, cuts: list[tuple[str, int]]
     ) -> None:
         proxy.made, proxy.cuts["cancel"] = 0, list(cuts)
         keys = [f"cut-{n}" for n in range(len(cuts))]
-        answers = await asyncio.gather(*(one.cancel(key, 30) for key in keys))
+        answers = await asyncio.gather(*(client.cancel(key, 30) for key in keys))
         assert proxy.made == len(cuts)
         assert {answer.outcome for answer in answers} == {Outcome.WITHDRAWN}
         assert {service.jobs[answer.id] for answer in answers} == {"withdrawn"}
 
-    async def polls(
-        service: StandInService, proxy: CuttingProxy, one: Client, cuts: list[tuple[str, int]]
+    async def check_polls(
+        service: StandInService, proxy: CuttingProxy, client: Client, cuts: list[tuple[str, int]]
     ) -> None:
         accepted = len(service.accepted)
         proxy.made, proxy.cuts["poll"] = 0, list(cuts)
-        keys = await one.submit_many((f"poll-{n}", JOB) for n in range(len(cuts)))
-        answers = [answer async for answer in one.wait_many(keys, 60)]
+        keys = await client.submit_many((f"poll-{n}", JOB) for n in range(len(cuts)))
+        answers = [answer async for answer in client.wait_many(keys, 60)]
         assert proxy.made == len(cuts)
         assert {answer.outcome for answer in answers} == {Outcome.DONE}
         assert len(service.accepted) == accepted + len(cuts)
 
-    async def wait_accepted(one: Client, keys: list[str]):  # type: ignore[no-untyped-def]
-        for next_one in asyncio.as_completed([one.accepted(key, 60) for key in keys]):
-            yield await next_one
+    async def wait_accepted(client: Client, keys: list[str]):  # type: ignore[no-untyped-def]
+        for next_answer in asyncio.as_completed([client.accepted(key, 60) for key in keys]):
+            yield await next_answer
 
     asyncio.run(asyncio.wait_for(run(), 120))
 
 
-# Callers that are killed
+# Calling processes that are killed
 
 CALLER = """
 import asyncio, json, os, sys
@@ -149,59 +158,63 @@
 """
 
 
-def call(
+def run_caller(
     server: str, journal: Path, key: str, kill_at: int, verb: str
 ) -> tuple[int, list[str | int]]:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", CALLER.format(root=str(ROOT)), server, str(journal), key,
          str(kill_at), verb],
         capture_output=True, text=True, timeout=60,
     )  # fmt: skip
-    assert done.returncode in (0, 9), done.stderr
-    return done.returncode, json.loads(done.stdout) if done.returncode == 0 else []
+    assert process.returncode in (0, 9), process.stderr
+    return process.returncode, json.loads(process.stdout) if process.returncode == 0 else []
 
 
 @pytest.mark.parametrize("verb", ["wait", "cancel"])
-def test_a_caller_killed_at_any_step_of_the_journal_gets_the_same_job(
-    tmp_path: Path, verb: str
-) -> None:
+def test_caller_killed_at_any_commit_gets_the_same_job_again(tmp_path: Path, verb: str) -> None:
+    """A crash before or after any commit must neither lose nor duplicate a job.
+
+    A process is killed at one step of its journal, and a second one repeats the call with the
+    same key. There is one job and one answer.
+    """
     service = StandInService()
     if verb == "cancel":
         service.done_after = -1
     with in_a_thread(service) as server:
 
-        def case(kill_at: int) -> tuple[int, str, list[str | int], list[str | int]]:
+        def run_case(kill_at: int) -> tuple[int, str, list[str | int], list[str | int]]:
             journal, key = tmp_path / f"{verb}-{kill_at}.db", f"{verb}-{kill_at}"
-            code, answer = call(server, journal, key, kill_at, verb)
-            again = call(server, journal, key, 0, verb)[1]
+            code, answer = run_caller(server, journal, key, kill_at, verb)
+            again = run_caller(server, journal, key, 0, verb)[1]
             return code, key, answer, again
 
         with ThreadPoolExecutor(6) as pool:
-            cases = list(pool.map(case, range(1, 19)))
-    killed = [one for one in cases if one[0] == 9]
-    assert killed, "nobody was killed"
+            cases = list(pool.map(run_case, range(1, 19)))
+    killed = [case for case in cases if case[0] == 9]
+    assert killed, "no process was killed"
     assert len(killed) < len(cases), "the last steps were not reached"
     final = {"wait": {"done"}, "cancel": {"withdrawn"}}[verb]
-    assert {one[3][0] for one in cases} == final
+    assert {case[3][0] for case in cases} == final
     for _, _, answer, again in cases:
-        # The same key is the same job, and its answer stays.
+        # The same key leads to the same job, whose answer does not change.
         assert not answer or answer[:2] == again[:2]
     ids = Counter(service.accepted)
     assert set(ids.values()) <= {1}
-    assert set(ids) <= {one[3][1] for one in cases}, "a job that no answer tells of"
+    assert set(ids) <= {case[3][1] for case in cases}, "a job that no answer names"
     if verb == "wait":
         assert len(ids) == len(cases)
     assert "pending" not in service.jobs.values()
 
 
-def test_two_processes_that_send_the_same_at_once_get_one_job(tmp_path: Path) -> None:
+def test_processes_submitting_one_key_at_once_get_one_job(tmp_path: Path) -> None:
+    """Processes that share a journal must not each create a job for the same key."""
     service = StandInService()
     service.done_after = 3
     with in_a_thread(service) as server:
         journal = tmp_path / "journal.db"
         with ThreadPoolExecutor(4) as pool:
-            calls = [pool.submit(call, server, journal, "same", 0, "wait") for _ in range(4)]
-            answers = [one.result()[1] for one in calls]
+            calls = [pool.submit(run_caller, server, journal, "same", 0, "wait") for _ in range(4)]
+            answers = [pending_call.result()[1] for pending_call in calls]
     assert {tuple(answer[:2]) for answer in answers} == {("done", service.accepted[0])}
     assert len(service.accepted) == 1
 
@@ -209,22 +222,26 @@
 # Requests that arrive late
 
 
-def test_a_request_that_was_given_up_arrives_after_the_withdrawal(tmp_path: Path) -> None:
-    """Answered 404 meanwhile: the job is made accepted and withdrawn before it is final."""
+def test_late_submission_after_withdrawal_starts_no_job(tmp_path: Path) -> None:
+    """A try that arrives after the withdrawal must not start a job.
+
+    The service answers the cancellation with 404 while the try is under way. The client then
+    submits the job until it is accepted, and withdraws it before the answer is final.
+    """
 
     async def run() -> None:
         service = StandInService()
         service.done_after = -1
-        async with served(service.handle) as address, client(tmp_path, address) as one:
+        async with served(service.handle) as address, make_client(tmp_path, address) as client:
             service.fates = ["held"]
-            key = await one.submit(JOB)
+            key = await client.submit(JOB)
             await eventually(lambda: service.calls["submit"] == 1)
-            known = await one.poll(key)
+            known = await client.poll(key)
             assert known.outcome is Outcome.UNKNOWN
             assert "not known yet" in known.known
-            answer = await one.cancel(key, 20)
+            answer = await client.cancel(key, 20)
             assert answer.outcome is Outcome.WITHDRAWN
-            assert service.calls["cancel"] >= 2, "the first was answered 404"
+            assert service.calls["cancel"] >= 2, "the first cancellation is answered with 404"
             service.release()
             assert service.jobs == {answer.id: "withdrawn"}
             assert service.accepted == [answer.id]
@@ -232,17 +249,19 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_undecided_submissions_are_withdrawn_where_the_caller_wants_that(tmp_path: Path) -> None:
+def test_undecided_submission_is_withdrawn_if_policy_says_so(tmp_path: Path) -> None:
+    """A try without an answer must not start a job after the policy's patience has passed."""
+
     async def run() -> None:
         service = StandInService()
         service.done_after = -1
         policy = Policy(undecided="withdraw", patience_s=0.3)
         async with (
             served(service.handle) as address,
-            client(tmp_path, address, policy=policy) as one,
+            make_client(tmp_path, address, policy=policy) as client,
         ):
             service.fates = ["held"]
-            answer = await one.wait(await one.submit(JOB), 30)
+            answer = await client.wait(await client.submit(JOB), 30)
             assert answer.outcome is Outcome.WITHDRAWN
             service.release()
             assert set(service.jobs.values()) == {"withdrawn"}
@@ -250,37 +269,43 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_a_try_that_is_accepted_after_a_refusal_is_withdrawn(
+def test_try_accepted_after_a_refusal_is_withdrawn(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_module, "WATCH_PERIOD_US", 50_000)
+    """A job must not run after its caller was told of a refusal.
+
+    The first try is held back, the second is refused; then the service carries out the first.
+    """
+    monkeypatch.setattr(client_module, "LATE_TRY_POLL_INTERVAL_US", 50_000)
 
     async def run() -> None:
         service = StandInService()
         service.done_after = -1
-        async with served(service.handle) as address, client(tmp_path, address) as one:
+        async with served(service.handle) as address, make_client(tmp_path, address) as client:
             service.fates = ["held", "422"]
-            answer = await one.wait(await one.submit(JOB), 30)
+            answer = await client.wait(await client.submit(JOB), 30)
             assert (answer.outcome, answer.status, answer.field) == (Outcome.REFUSED, 422, "cpus")
             assert "watched" in answer.known
             service.release()
             await eventually(lambda: service.jobs[answer.id] == "withdrawn")
-            assert (await one.wait(answer.key)).outcome is Outcome.REFUSED
+            assert (await client.wait(answer.key)).outcome is Outcome.REFUSED
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-# Services in trouble
+# Services that fail
+
 
+def test_invalid_answers_and_503_are_retried_after_the_pause(tmp_path: Path) -> None:
+    """An answer that violates the protocol must not count, and ``Retry-After`` is respected."""
 
-def test_nonsense_and_503_are_failed_tries_and_retry_after_is_kept(tmp_path: Path) -> None:
     async def run() -> None:
         service = StandInService()
         service.retry_after_s = 2
-        async with served(service.handle) as address, client(tmp_path, address) as one:
+        async with served(service.handle) as address, make_client(tmp_path, address) as client:
             service.fates = ["nonsense", "503", "ok", "nonsense", "missing", "503"]
             began = time.monotonic()
-            answer = await one.wait(await one.submit(JOB), 40)
+            answer = await client.wait(await client.submit(JOB), 40)
             assert answer.outcome is Outcome.DONE
             assert time.monotonic() - began >= 1 + 2 + 1 + 2
             assert service.accepted == [answer.id]
@@ -289,93 +314,95 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_with_half_of_the_addresses_dead_all_goes_on(tmp_path: Path) -> None:
+def test_jobs_finish_while_half_of_the_addresses_are_dead(tmp_path: Path) -> None:
     async def run() -> None:
         service = StandInService()
         async with served(service.handle) as alive, served(service.handle) as other:
             async with served(service.handle) as dead, served(service.handle) as gone:
                 pass
-            async with client(tmp_path, dead, alive, gone, other, budget=True) as one:
+            async with make_client(tmp_path, dead, alive, gone, other, budget=True) as client:
                 began = time.monotonic()
-                keys = await one.submit_many((None, JOB) for _ in range(50))
-                outcomes = Counter([a.outcome async for a in one.wait_many(keys, 30)])
+                keys = await client.submit_many((None, JOB) for _ in range(50))
+                outcomes = Counter([answer.outcome async for answer in client.wait_many(keys, 30)])
                 assert outcomes == {Outcome.DONE: 50}
                 assert time.monotonic() - began < 10
-                # What is over is not kept: neither memory nor the polls' pace grow by it.
-                await eventually(lambda: not one._active)
+                # The client drops finished submissions: otherwise its memory and the pauses
+                # between its polls would grow with their number.
+                await eventually(lambda: not client._submissions)
         assert len(service.accepted) == 50
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_a_service_that_is_not_there_is_said_in_time_and_nothing_is_final(tmp_path: Path) -> None:
+def test_unreachable_service_yields_unknown_after_the_timeout(tmp_path: Path) -> None:
     async def run() -> None:
-        async with client(tmp_path, "127.0.0.1:1", budget=True) as one:
-            key = await one.submit(JOB)
+        async with make_client(tmp_path, "127.0.0.1:1", budget=True) as client:
+            key = await client.submit(JOB)
             began = time.monotonic()
-            answer = await one.wait(key, 1.0)
+            answer = await client.wait(key, 1.0)
             assert time.monotonic() - began < 2.0
             assert not answer.final
             assert "not sent yet" in answer.known
-            # Nothing was sent, so nobody needs to be asked.
-            assert (await one.cancel(key, 5)).outcome is Outcome.WITHDRAWN
+            # Nothing was sent, so the withdrawal needs no answer of the service.
+            assert (await client.cancel(key, 5)).outcome is Outcome.WITHDRAWN
 
     asyncio.run(asyncio.wait_for(run(), 30))
 
 
-def test_the_synchronous_client_does_the_same(tmp_path: Path) -> None:
+def test_synchronous_client_offers_the_same_operations(tmp_path: Path) -> None:
     service = StandInService()
-    settings_path = tmp_path / "journal.db"
+    journal_path = tmp_path / "journal.db"
     with in_a_thread(service) as server:
-        with SyncClient(ClientSettings([server], settings_path)) as one:
-            keys = one.submit_many([("a", JOB), ("b", JOB)])
+        with SyncClient(ClientSettings([server], journal_path)) as client:
+            keys = client.submit_many([("a", JOB), ("b", JOB)])
             assert keys == ["a", "b"]
-            assert {answer.outcome for answer in one.wait_many(keys, 20)} == {Outcome.DONE}
+            assert {answer.outcome for answer in client.wait_many(keys, 20)} == {Outcome.DONE}
             service.done_after = -1
-            one.submit(JOB, "c")
-            assert one.accepted("c", 20).accepted
-            assert one.poll("c").outcome is Outcome.UNKNOWN
-            assert one.cancel("c", 20).outcome is Outcome.WITHDRAWN
-        with SyncClient(ClientSettings([server], settings_path)) as again:
-            assert again.resume() == []
-            assert again.wait("a").outcome is Outcome.DONE
+            client.submit(JOB, "c")
+            assert client.accepted("c", 20).accepted
+            assert client.poll("c").outcome is Outcome.UNKNOWN
+            assert client.cancel("c", 20).outcome is Outcome.WITHDRAWN
+        with SyncClient(ClientSettings([server], journal_path)) as second_client:
+            assert second_client.resume() == []
+            assert second_client.wait("a").outcome is Outcome.DONE
     assert len(service.accepted) == 3
 
 
-def test_a_final_answer_is_given_at_once(tmp_path: Path) -> None:
+def test_final_answer_is_given_without_a_poll_pause(tmp_path: Path) -> None:
     async def run() -> None:
         service = StandInService()
         service.done_after = 6
-        told = 0.0
+        last_request_s = 0.0
 
-        def before(verb: str) -> None:
-            nonlocal told
-            told = time.monotonic()
+        def record_request(verb: str) -> None:
+            nonlocal last_request_s
+            last_request_s = time.monotonic()
 
-        service.before = before
-        async with served(service.handle) as address, client(tmp_path, address) as one:
-            assert (await one.wait(await one.submit(JOB), 30)).outcome is Outcome.DONE
-            # The poll that said so was the last; a pause would have been 0.6 s and more.
-            assert time.monotonic() - told < 0.7
+        service.before = record_request
+        async with served(service.handle) as address, make_client(tmp_path, address) as client:
+            assert (await client.wait(await client.submit(JOB), 30)).outcome is Outcome.DONE
+            # The last poll reported the end of the job. A pause after it would have taken at
+            # least 0.6 s.
+            assert time.monotonic() - last_request_s < 0.7
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_a_class_that_may_be_repeated_gets_a_new_job_and_one_answer(tmp_path: Path) -> None:
+def test_withdrawn_job_is_repeated_and_has_one_final_answer(tmp_path: Path) -> None:
     async def run() -> None:
         service = StandInService()
         service.done_after = -1
         policy = Policy(repeat=1, on=("withdrawn",), pause_s=0.0)
         async with (
             served(service.handle) as address,
-            client(tmp_path, address, policy=policy) as one,
+            make_client(tmp_path, address, policy=policy) as client,
         ):
-            key = await one.submit(JOB)
-            first = (await one.accepted(key, 10)).id
+            key = await client.submit(JOB)
+            first = (await client.accepted(key, 10)).id
             service.jobs[first] = "withdrawn"
             await eventually(lambda: len(service.accepted) == 2)
             service.done_after = 1
-            answer = await one.wait(key, 20)
+            answer = await client.wait(key, 20)
             assert answer.outcome is Outcome.DONE
             assert [(run.id, run.outcome) for run in answer.runs] == [
                 (first, Outcome.WITHDRAWN),
@@ -385,36 +412,39 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_an_id_of_somebody_else_is_left_alone(tmp_path: Path) -> None:
+def test_job_of_another_client_under_the_same_id_is_untouched(tmp_path: Path) -> None:
+    """If a job of another client has the run's id, the client submits again under a new id."""
+
     async def run() -> None:
         service = StandInService()
         execute = service.execute
 
-        def taken(verb: str, job_id: str, body: bytes) -> Reply:
+        def execute_with_foreign_job(verb: str, job_id: str, body: bytes) -> Reply:
             if verb == "submit" and not service.jobs:
                 service.jobs[msgspec.json.decode(body)["uid"]] = "withdrawn"
             return execute(verb, job_id, body)
 
-        service.execute = taken  # type: ignore[method-assign]
-        async with served(service.handle) as address, client(tmp_path, address) as one:
-            answer = await one.wait(await one.submit(JOB, "k"), 20)
+        service.execute = execute_with_foreign_job  # type: ignore[method-assign]
+        async with served(service.handle) as address, make_client(tmp_path, address) as client:
+            answer = await client.wait(await client.submit(JOB, "k"), 20)
             assert answer.outcome is Outcome.DONE
             assert service.accepted == [answer.id]
             assert [run.id for run in answer.runs] == list(service.jobs)
-            # Cancelled at that moment, it is over, and over is final.
-            book = one._journal
-            await book.begin("late", JOB, Policy(), "run-7")
-            await book.change(
+            # A submission that is cancelled after its id proved to be taken gets no further run
+            # and is final.
+            journal = client._journal
+            await journal.begin("late", JOB, Policy(), "run-7")
+            await journal.change(
                 "run-7", RunUpdate(RunPhase.FOREIGN, sends=1, settled=1, reason="not ours")
             )
-            await book.cancel("late")
-            assert (await one.wait("late", 20)).outcome is Outcome.WITHDRAWN
+            await journal.cancel("late")
+            assert (await client.wait("late", 20)).outcome is Outcome.WITHDRAWN
             assert "run-7" not in service.jobs
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_a_submission_is_a_span_and_each_try_an_event(tmp_path: Path) -> None:
+def test_submission_is_traced_as_a_span_with_events_for_tries(tmp_path: Path) -> None:
     exporter = InMemorySpanExporter()
     provider = TracerProvider()
     provider.add_span_processor(SimpleSpanProcessor(exporter))
@@ -422,13 +452,13 @@
 
     async def run() -> None:
         service = StandInService()
-        async with served(service.handle) as address, client(tmp_path, address) as one:
+        async with served(service.handle) as address, make_client(tmp_path, address) as client:
             service.fates = ["503"]
-            await one.wait(await one.submit(JOB, "k"), 20)
+            await client.wait(await client.submit(JOB, "k"), 20)
             await eventually(lambda: exporter.get_finished_spans())
-            counts = one.telemetry.counts
+            counts = client.telemetry.counts
             assert (counts["tries submit"], counts["retries"], counts["final done"]) == (2, 1, 1)
-            quantiles = one.telemetry.quantiles_ms("submit", 0.5, 1.0)
+            quantiles = client.telemetry.quantiles_ms("submit", 0.5, 1.0)
             assert quantiles is not None and 1 <= quantiles[0] <= quantiles[1] < 5000
 
     asyncio.run(asyncio.wait_for(run(), 60))
@@ -442,63 +472,65 @@
 # The journal
 
 
-def test_what_cannot_be_written_down_is_not_sent(tmp_path: Path) -> None:
+def test_job_that_the_journal_cannot_store_is_not_sent(tmp_path: Path) -> None:
     async def run() -> None:
         service = StandInService()
         async with served(service.handle) as address:
             path = tmp_path / "journal.db"
             journal = Journal(path, most_pages=20)
-            async with Client(ClientSettings([address], path), journal) as one:
-                written: set[str] = set()
+            async with Client(ClientSettings([address], path), journal) as client:
+                stored_classes: set[str] = set()
                 for number in range(40):
                     big = Job(
                         memory_gb=0.5, job_class=f"c{number}", environment={"X": "x" * 20_000}
                     )
                     try:
-                        await one.submit(big)
-                    except JournalError as full:
-                        assert "full" in str(full)
+                        await client.submit(big)
+                    except JournalError as error:
+                        assert "full" in str(error)
                     else:
-                        written.add(big.job_class)
-                assert 0 < len(written) < 40
+                        stored_classes.add(big.job_class)
+                assert 0 < len(stored_classes) < 40
                 await asyncio.sleep(0.2)
-                sent = {msgspec.json.decode(body)["jobclass"] for body in service.bodies.values()}
-                assert sent <= written
+                sent_classes = {
+                    msgspec.json.decode(body)["jobclass"] for body in service.bodies.values()
+                }
+                assert sent_classes <= stored_classes
             await asyncio.to_thread(journal.close)
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_a_torn_journal_and_one_of_a_newer_format_are_refused(tmp_path: Path) -> None:
-    torn, newer = tmp_path / "torn.db", tmp_path / "newer.db"
-    torn.write_bytes(b"SQLite format 3\0" + os.urandom(3000))
+def test_damaged_journal_and_newer_format_are_refused(tmp_path: Path) -> None:
+    damaged, newer = tmp_path / "torn.db", tmp_path / "newer.db"
+    damaged.write_bytes(b"SQLite format 3\0" + os.urandom(3000))
     with pytest.raises(JournalError):
-        Journal(torn)
+        Journal(damaged)
     connection = sqlite3.connect(newer)
-    connection.execute(f"PRAGMA user_version={FORMAT + 1}")
+    connection.execute(f"PRAGMA user_version={JOURNAL_FORMAT + 1}")
     connection.close()
     with pytest.raises(JournalError, match="format"):
         Journal(newer)
 
 
-def test_the_same_key_with_another_job_says_what_differs(tmp_path: Path) -> None:
+def test_reused_key_with_another_job_reports_the_differences(tmp_path: Path) -> None:
     async def run() -> None:
-        async with client(tmp_path, "127.0.0.1:1") as one:
-            await one.submit(Job(tasks=2, memory_gb=0.5, command=("true",)), "k")
-            assert await one.submit(Job(tasks=2, memory_gb=0.5, command=("true",)), "k") == "k"
+        async with make_client(tmp_path, "127.0.0.1:1") as client:
+            await client.submit(Job(tasks=2, memory_gb=0.5, command=("true",)), "k")
+            assert await client.submit(Job(tasks=2, memory_gb=0.5, command=("true",)), "k") == "k"
             with pytest.raises(KeyConflict) as conflict:
-                await one.submit(Job(tasks=3, memory_gb=0.5, command=("false",)), "k")
+                await client.submit(Job(tasks=3, memory_gb=0.5, command=("false",)), "k")
             assert conflict.value.differences == [
                 "command: ['true'] before, ['false'] now",
                 "tasks: 2 before, 3 now",
             ]
             with pytest.raises(JobProblem, match="tasks"):
-                await one.submit(Job(tasks=0))
+                await client.submit(Job(tasks=0))
 
     asyncio.run(asyncio.wait_for(run(), 30))
 
 
-def test_compaction_keeps_the_answer_and_forgets_it_at_last(tmp_path: Path) -> None:
+def test_compaction_keeps_the_answer_until_it_is_forgotten(tmp_path: Path) -> None:
     async def run() -> None:
         journal = Journal(tmp_path / "journal.db")
         policy = Policy()
@@ -517,19 +549,19 @@
         assert (await journal.begin("k", JOB, policy, "run-3")).answer == answer
         await journal.compact(keep_us=-1, forget_us=-1)
         assert await journal.find("k") is None
-        assert [one.key for one in await journal.entries()] == ["open"]
+        assert [entry.key for entry in await journal.entries()] == ["open"]
         await asyncio.to_thread(journal.close)
 
     asyncio.run(asyncio.wait_for(run(), 30))
 
 
-def test_the_body_is_the_protocols(tmp_path: Path) -> None:
+def test_submitted_body_uses_the_protocols_field_names(tmp_path: Path) -> None:
     async def run() -> None:
         service = StandInService()
-        async with served(service.handle) as address, client(tmp_path, address) as one:
+        async with served(service.handle) as address, make_client(tmp_path, address) as client:
             job = Job(tasks=2, cpus=0.5, memory_gb=0.5, deadline_s=9.0, waits_on=("run-7",))
-            key = await one.submit(job)
-            await one.accepted(key, 10)
+            key = await client.submit(job)
+            await client.accepted(key, 10)
             body = msgspec.json.decode(service.bodies[service.accepted[0]])
             assert len(body["uid"]) == 28
             assert (body["pieces"], body["cores"], body["due_s"]) == (2, 0.5, 9.0)
@@ -538,25 +570,29 @@
     asyncio.run(asyncio.wait_for(run(), 30))
 
 
-def test_a_caller_that_stops_waiting_does_not_end_the_journal(tmp_path: Path) -> None:
-    """Told of its work all the same, the thread ended, and every later call waited for ever."""
+def test_cancelled_caller_does_not_stop_the_journals_thread(tmp_path: Path) -> None:
+    """A caller that cancels its future must not stop the journal's thread.
+
+    The thread once set the result of a cancelled future. The error ended the thread, and every
+    later call waited for ever.
+    """
     journal = Journal(tmp_path / "journal.db")
-    in_work, go_on = threading.Event(), threading.Event()
+    work_started, may_finish = threading.Event(), threading.Event()
 
-    def slow(connection: sqlite3.Connection) -> str:
-        in_work.set()
-        go_on.wait(10)
+    def slow_work(connection: sqlite3.Connection) -> str:
+        work_started.set()
+        may_finish.wait(10)
         return "done"
 
-    taken = journal.call(slow)
-    assert in_work.wait(10)
-    # One is at work and cannot be cancelled any more; one is cancelled before its turn.
-    assert not taken.cancel()
+    running = journal.call(slow_work)
+    assert work_started.wait(10)
+    # The running change cannot be cancelled any more; the waiting one is cancelled first.
+    assert not running.cancel()
     done: list[str] = []
     waiting = journal.call(lambda connection: done.append("work"))
     assert waiting.cancel()
-    go_on.set()
-    assert taken.result(10) == "done"
+    may_finish.set()
+    assert running.result(10) == "done"
     assert journal.call(lambda connection: "alive").result(10) == "alive"
     assert done == ["work"]
     journal.close()
--- a/weldhead/client/__init__.py
+++ b/weldhead/client/__init__.py
@@ -1,7 +1,8 @@
-"""The client: exactly one final answer for every submission, whatever breaks in between.
+"""The client library: submits jobs and gives each submission exactly one final answer.
 
-``Client`` is asynchronous, ``SyncClient`` the same for everybody else; ``docs/client.md``
-tells how they are used.
+The answer stays the same when connections, servers or the calling process fail in between.
+``Client`` is for asynchronous code, ``SyncClient`` offers the same methods as blocking calls;
+``docs/client.md`` describes their use.
 """
 
 from weldhead.client.answers import Answer, Outcome
--- a/weldhead/client/answers.py
+++ b/weldhead/client/answers.py
@@ -1,4 +1,4 @@
-"""What a caller is told about a submission."""
+"""The answers that a client returns to its caller about a submission."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.Enum):
-    """``done``, ``withdrawn`` and ``refused`` are final; ``unknown`` never is."""
+    """How a submission ended: ``unknown`` is not final, all other outcomes are."""
 
     DONE = "done"
     WITHDRAWN = "withdrawn"
@@ -15,11 +15,12 @@
 
 
 class RunAnswer(msgspec.Struct, omit_defaults=True):
-    """One of a submission's runs, each under an id of its own.
+    """The outcome of one run of a submission; each run has its own job id.
 
-    ``failed`` says how its command failed, where that is why it was withdrawn. ``tries`` is
-    how often the submission was sent. ``suspect``: the server knew the id when it got our
-    first try; that can be a repeat inside the service, or a job of somebody else.
+    ``failed`` describes the failure of the run's command if the client withdrew the run for
+    that reason. ``tries`` counts how often the client sent the run. ``suspect`` is true if the
+    server already knew the id at the client's first try: either the service repeated the
+    request internally, or another client's job has the same id.
     """
 
     id: str
@@ -30,13 +31,14 @@
 
 
 class Answer(msgspec.Struct, omit_defaults=True):
-    """What is known about a submission.
+    """The client's knowledge about a submission, final or not.
 
-    ``known`` says it in words. ``status``, ``field`` and ``reason`` are those of a refusal;
-    ``done`` of ``tasks`` tasks were complete when the server last said so; ``late_by_s`` is
-    by how much the server expects the deadline to be missed. ``due_at`` (RFC 3339, UTC) is when a
-    calendar has it finished, ``late`` whether that is expected to be missed (None: nobody can
-    tell), ``held_by`` the gate that holds it.
+    ``known`` describes the submission's state for people. ``status``, ``field`` and ``reason``
+    are set if the server refused the job: the HTTP status, the invalid field and the reason.
+    At the server's last answer, ``done`` of ``tasks`` tasks were complete; ``late_by_s`` is the
+    delay past the deadline that the server expects. ``due_at`` (RFC 3339, UTC) is the time by
+    which a calendar requires the job to be finished, ``late`` whether the server expects the
+    job to miss that time (None: unknown), ``held_by`` the gate that holds the job back.
     """
 
     key: str
@@ -59,10 +61,10 @@
 
     @property
     def final(self) -> bool:
-        """Whether this is the one final answer."""
+        """Whether this is the submission's final answer."""
         return self.outcome is not Outcome.UNKNOWN
 
     @property
     def failed(self) -> str | None:
-        """How the last run's command failed, if it was given up for that."""
+        """How the last run's command failed, if the client withdrew the run for that reason."""
         return self.runs[-1].failed if self.runs else None
--- a/weldhead/client/config.py
+++ b/weldhead/client/config.py
@@ -1,4 +1,7 @@
-"""Where a client's settings come from: flags, then the environment, then the config file."""
+"""Resolves a client's settings from flags, the environment and the config file.
+
+A flag overrides an environment variable, and that overrides the config file.
+"""
 
 import os
 from pathlib import Path
@@ -13,7 +16,7 @@
 
 
 class ConfigFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The config file: addresses, paths, and defaults for the jobs that are submitted."""
+    """The contents of the config file: server addresses, paths, and default fields of jobs."""
 
     server: str | list[str] | None = None
     journal: str | None = None
@@ -22,11 +25,11 @@
 
 
 class ConfigProblem(Exception):
-    """There is no usable configuration."""
+    """The configuration names no server, or a server address is invalid."""
 
 
 def config_path() -> Path:
-    """Return where the config file is looked for."""
+    """Return the path of the config file, which need not exist."""
     named = os.environ.get("WELDHEAD_CONFIG")
     if named:
         return Path(named)
@@ -35,15 +38,19 @@
 
 
 def read_config() -> ConfigFile:
-    """Read the config file; one that was named must be there."""
+    """Read the config file.
+
+    A missing file is an error if ``WELDHEAD_CONFIG`` names it; otherwise all settings keep their
+    defaults.
+    """
     path = config_path()
     if not path.exists() and not os.environ.get("WELDHEAD_CONFIG"):
         return ConfigFile()
     return read(path, ConfigFile)
 
 
-def servers_of(text: str | list[str], source: str) -> list[str]:
-    """Split addresses at commas, and check them."""
+def parse_servers(text: str | list[str], source: str) -> list[str]:
+    """Split a text of addresses at commas, and check each address; ``source`` names its origin."""
     parts = text.split(",") if isinstance(text, str) else text
     addresses = [part.strip().removeprefix("http://").rstrip("/") for part in parts]
     for address in addresses:
@@ -57,14 +64,18 @@
 def client_settings(
     server: str | None, journal: Path | None, policies: Path | None
 ) -> ClientSettings:
-    """Put a client's settings together; ConfigProblem or FileProblem if that fails."""
+    """Return a client's settings from flags, environment and config file.
+
+    Raises ConfigProblem if no server is configured or an address is invalid, and FileProblemError
+    if a file cannot be read or decoded.
+    """
     config = read_config()
     if server:
-        servers = servers_of(server, "--server")
+        servers = parse_servers(server, "--server")
     elif named := os.environ.get("WELDHEAD_SERVER"):
-        servers = servers_of(named, "WELDHEAD_SERVER")
+        servers = parse_servers(named, "WELDHEAD_SERVER")
     elif config.server:
-        servers = servers_of(config.server, str(config_path()))
+        servers = parse_servers(config.server, str(config_path()))
     else:
         raise ConfigProblem(
             f"no server: give --server, set WELDHEAD_SERVER, or write it in {config_path()}"
@@ -78,7 +89,7 @@
 
 
 def journal_path(config: ConfigFile) -> Path:
-    """Return where the journal is, if no flag says so."""
+    """Return the journal's path from the environment, the config file or the default."""
     named = os.environ.get("WELDHEAD_JOURNAL") or config.journal
     if named:
         return Path(named).expanduser()
--- a/weldhead/client/endpoints.py
+++ b/weldhead/client/endpoints.py
@@ -1,56 +1,66 @@
-"""Which address is tried next: the ones that answered last, then the ones long not tried."""
+"""The order in which a client tries a service's addresses: failed addresses come last."""
 
 from dataclasses import dataclass, field
 
 from weldhead.clock import SECOND_US
 
-_FIRST_US = SECOND_US
-_MOST_US = 30 * SECOND_US
+_MIN_REST_US = SECOND_US
+_MAX_REST_US = 30 * SECOND_US
 
 
 @dataclass
-class _Address:
-    text: str
+class _AddressState:
+    """An address with its failures in a row and the time at which its rest ends."""
+
+    address: str
     failures: int = 0
     rest_until_us: int = 0
 
 
 @dataclass
 class Endpoints:
-    """Addresses of one service, each with what is known of it (pure: given the time)."""
+    """The addresses of one service and their recent failures.
+
+    ``next_first`` is the index of the address that the next order starts with. The class reads
+    no clock: the caller passes the time.
+    """
 
     addresses: list[str]
-    first: int = 0
-    _known: list[_Address] = field(init=False)
+    next_first: int = 0
+    _states: list[_AddressState] = field(init=False)
 
     def __post_init__(self) -> None:
         if not self.addresses:
             raise ValueError("no server address")
-        self._known = [_Address(text) for text in dict.fromkeys(self.addresses)]
-        self.first %= len(self._known)
+        self._states = [_AddressState(address) for address in dict.fromkeys(self.addresses)]
+        self.next_first %= len(self._states)
 
-    def order(self, now_us: int) -> list[str]:
-        """Return all addresses, best first.
+    def ordered_addresses(self, now_us: int) -> list[str]:
+        """Return all addresses, those to be tried first at the front.
 
-        An address that rests comes last: it is tried only when nothing else connects, or
-        when its rest is over, and then by whoever comes first.
+        The order rotates with each call. After a failure an address rests; a resting address
+        comes last and is used only if no other address connects. As soon as its rest is over,
+        the next request may try the address again.
         """
-        turned = self._known[self.first :] + self._known[: self.first]
-        self.first = (self.first + 1) % len(self._known)
+        rotated = self._states[self.next_first :] + self._states[: self.next_first]
+        self.next_first = (self.next_first + 1) % len(self._states)
         return [
-            one.text for one in sorted(turned, key=lambda one: max(0, one.rest_until_us - now_us))
+            state.address
+            for state in sorted(rotated, key=lambda state: max(0, state.rest_until_us - now_us))
         ]
 
-    def reached(self, text: str) -> None:
-        """The address took a connection."""
-        one = self._find(text)
-        one.failures = one.rest_until_us = 0
+    def record_success(self, address: str) -> None:
+        """Record that the address answered: its rest ends."""
+        state = self._find(address)
+        state.failures = state.rest_until_us = 0
 
-    def missed(self, text: str, now_us: int) -> None:
-        """The address took none, or said nothing: it rests for a while."""
-        one = self._find(text)
-        one.failures += 1
-        one.rest_until_us = now_us + min(_MOST_US, _FIRST_US << min(one.failures - 1, 10))
+    def record_failure(self, address: str, now_us: int) -> None:
+        """Record that a request to the address failed, and let the address rest."""
+        state = self._find(address)
+        state.failures += 1
+        state.rest_until_us = now_us + min(
+            _MAX_REST_US, _MIN_REST_US << min(state.failures - 1, 10)
+        )
 
-    def _find(self, text: str) -> _Address:
-        return next(one for one in self._known if one.text == text)
+    def _find(self, address: str) -> _AddressState:
+        return next(state for state in self._states if state.address == address)
--- a/weldhead/client/ids.py
+++ b/weldhead/client/ids.py
@@ -1,15 +1,15 @@
-"""Job ids that the client chooses.
+"""Random job ids, chosen by the client.
 
-PROTOCOL's form leaves 24 digits. Drawn evenly from all of them by the system's source of
-randomness, n ids of any number of clients hold a pair of equal ones with probability of
-about n² / (2 · 10^24): for a thousand million jobs 5 · 10^-7.
+The protocol's form of a job id has room for 24 digits. The ids are drawn uniformly from the
+system's source of randomness. Among n ids, from any number of clients, two are equal with a
+probability of about n² / (2 · 10^24): 5 · 10^-7 for 10^9 jobs.
 """
 
 import secrets
 
-DIGITS = 24
+ID_DIGITS = 24
 
 
 def new_id() -> str:
-    """Return an id that no other client has."""
-    return f"run-{secrets.randbelow(10**DIGITS):0{DIGITS}}"
+    """Return a random job id, unique but for the probability given above."""
+    return f"run-{secrets.randbelow(10**ID_DIGITS):0{ID_DIGITS}}"
--- a/weldhead/client/job.py
+++ b/weldhead/client/job.py
@@ -1,4 +1,4 @@
-"""What a user submits, in the field's own words, and what it becomes on the wire."""
+"""The job that a user submits, its checks, and its conversion to the wire format."""
 
 from pathlib import Path
 from typing import Annotated, Literal
@@ -11,12 +11,13 @@
 
 Priority = Literal["production", "high", "normal", "idle"]
 
-#: An id that stands for the one a job will get, as long as any: bodies do not grow by it.
+#: A placeholder for a job's id, as long as every real id, so that a body encoded with the
+#: placeholder has its final size.
 SAMPLE_ID = "run-" + "0" * 24
 
 
 class JobProblem(Exception):
-    """A job that is refused before anything is sent; ``field`` is its own name for it."""
+    """The client refuses a job before sending it; ``field`` is the name of the invalid field."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}" if field else reason)
@@ -31,11 +32,12 @@
     omit_defaults=True,
     rename={"job_class": "class"},
 ):
-    """A job: ``tasks`` tasks that each run ``command`` (or what the server knows they run).
+    """A job of ``tasks`` tasks that each run ``command``.
 
-    Amounts are per task, in CPUs, GPUs and GB; times are seconds. ``deadline_s`` counts from
-    the submission. ``waits_on`` names ids of jobs that have to be done before. A task can
-    tell itself from the others by ``WELDHEAD_TASK`` in its environment.
+    Without a command, the server has to know what the tasks run. Resource amounts are per task,
+    in CPUs, GPUs and GB; times are in seconds. ``deadline_s`` counts from the submission.
+    ``waits_on`` lists the ids of jobs that have to be done before this job starts. The
+    environment variable ``WELDHEAD_TASK`` tells each task its number.
     """
 
     command: tuple[str, ...] = ()
@@ -63,7 +65,7 @@
     image_gb: float = 0.0
 
     def spec(self, job_id: str) -> JobSpec:
-        """Return the submission under an id."""
+        """Return the job as the protocol's job specification with the given id."""
         return JobSpec(
             id=job_id,
             job_class=self.job_class,
@@ -89,11 +91,11 @@
         )
 
     def body(self, job_id: str) -> bytes:
-        """Return the submission's body."""
+        """Return the body of the HTTP request that submits the job with the given id."""
         return msgspec.json.encode(self.spec(job_id))
 
     def description(self) -> bytes | None:
-        """Return what is uploaded of it; None where there is no command."""
+        """Return the description that is uploaded before the submission; None without a command."""
         if not self.command:
             return None
         return msgspec.json.encode(
@@ -111,27 +113,30 @@
         )
 
     def content(self) -> bytes:
-        """Return the job in one form, for comparing: equal jobs have equal contents."""
+        """Return a canonical encoding of the job: equal jobs have equal encodings."""
         return msgspec.json.encode(self, order="sorted")
 
 
-_OWN_NAMES = {
+_JOB_FIELD_NAMES = {
     wire: {"id": "", "kind": "service", "needs": "waits_on", "job_class": "class"}.get(name, name)
     for name, wire in zip(JobSpec.__struct_fields__, JobSpec.__struct_encode_fields__, strict=True)
 }
 
 
-def own_name(wire_field: str | None) -> str:
-    """Return a job's own name of a field that the server names."""
-    return _OWN_NAMES.get(wire_field or "", wire_field or "")
+def job_field_name(wire_field: str | None) -> str:
+    """Return the name in ``Job`` of a field that the server names as on the wire."""
+    return _JOB_FIELD_NAMES.get(wire_field or "", wire_field or "")
 
 
 def check_job(job: Job) -> None:
-    """JobProblem if no server would take the job: what can be known here is not sent."""
+    """Raise JobProblem if every server would refuse the job.
+
+    Errors that the client can detect itself cost no request.
+    """
     try:
         parse_submission(job.body(SAMPLE_ID))
     except SubmissionRefusedError as refusal:
-        field = own_name(refusal.field)
+        field = job_field_name(refusal.field)
         reason = refusal.reason.removeprefix(f"{refusal.field}: ")
         raise JobProblem(field, reason) from refusal
     if any(not part for part in job.command[:1]) or any("\0" in part for part in job.command):
@@ -141,22 +146,22 @@
             raise JobProblem("environment", f"{key!r} cannot be set")
     if job.directory is not None and not Path(job.directory).is_absolute():
         raise JobProblem("directory", "must be absolute")
-    for what, body in (("job", job.body(SAMPLE_ID)), ("command", job.description() or b"")):
+    for part, body in (("job", job.body(SAMPLE_ID)), ("command", job.description() or b"")):
         if len(body) > MAX_BODY_BYTES:
             size = f"{len(body)} bytes, and {MAX_BODY_BYTES} is the most that can be sent"
-            raise JobProblem(what, size)
+            raise JobProblem(part, size)
 
 
 class JobFile(Job, frozen=True, forbid_unknown_fields=True, rename={"job_class": "class"}):
-    """A job as a file has it: besides the job its key, if it has one."""
+    """A job file: the fields of a job, and optionally the submission's key."""
 
     key: Annotated[str, msgspec.Meta(min_length=1, max_length=200)] | None = None
 
 
 def parse_job(source: str, text: str) -> tuple[Job, str | None]:
-    """Read a job file: the job and its key; FileProblem names line and field."""
-    made = parse(source, text, JobFile)
-    values = {name: getattr(made, name) for name in Job.__struct_fields__}
+    """Return the job and the key of a job file; FileProblemError names line and field."""
+    job_file = parse(source, text, JobFile)
+    values = {name: getattr(job_file, name) for name in Job.__struct_fields__}
     job = Job(**values)
     try:
         check_job(job)
@@ -164,17 +169,19 @@
         raise problem_at(
             source, text, [problem.field] if problem.field else [], problem.reason
         ) from problem
-    return job, made.key
+    return job, job_file.key
 
 
-def differences(old: bytes, new: bytes) -> list[str]:
-    """Say in which fields two contents differ."""
-    before = msgspec.json.decode(old)
-    after = msgspec.json.decode(new)
-    shown = dict(zip(Job.__struct_encode_fields__, Job.__struct_defaults__, strict=True))
+def describe_differences(old: bytes, new: bytes) -> list[str]:
+    """Return a line for each field in which two encoded jobs differ."""
+    old_values = msgspec.json.decode(old)
+    new_values = msgspec.json.decode(new)
+    defaults = dict(zip(Job.__struct_encode_fields__, Job.__struct_defaults__, strict=True))
     lines = []
     for name in Job.__struct_encode_fields__:
-        was, now = (values.get(name, shown[name]) for values in (before, after))
-        if was != now and not (was in ((), []) and now in ((), [])):
-            lines.append(f"{name}: {was!r} before, {now!r} now")
+        old_value, new_value = (
+            values.get(name, defaults[name]) for values in (old_values, new_values)
+        )
+        if old_value != new_value and not (old_value in ((), []) and new_value in ((), [])):
+            lines.append(f"{name}: {old_value!r} before, {new_value!r} now")
     return lines
--- a/weldhead/client/journal.py
+++ b/weldhead/client/journal.py
@@ -1,12 +1,13 @@
-"""The journal of intents: what a caller wanted, and how far it has come, in SQLite.
+"""The client's journal: a SQLite database of submissions, their runs and final answers.
 
-An intent is on disk before the first byte of it is sent, under the caller's key, with the
-id that its job will have for ever. Several processes may use one journal at once: records
-only move forward (``decisions.advance``), the first final answer stays, and each run of a
-submission is begun once, whoever begins it.
+A submission is on disk before the first byte of its job is sent, under the caller's key and with
+the id of its first run; the id of a run never changes. Several processes may use one journal at
+once: the records of runs only move forward (:func:`weldhead.client.decisions.advance`), the first
+final answer stays, and only one process begins each run of a submission.
 
-One thread does all the work of a process; what waits for it meanwhile is committed together
-(group commit), so that thousands of submissions at once do not cost thousands of syncs.
+One thread executes all changes of a process. Changes that arrive while the thread is busy are
+committed together (group commit), so that thousands of simultaneous submissions do not cost
+thousands of disk syncs.
 """
 
 import asyncio
@@ -23,16 +24,16 @@
 
 from weldhead.client.answers import Answer
 from weldhead.client.decisions import Run, RunUpdate, advance
-from weldhead.client.job import Job, differences
+from weldhead.client.job import Job, describe_differences
 from weldhead.client.policy import Policy
 from weldhead.clock import SECOND_US, wall_us
 
 T = TypeVar("T")
 
-FORMAT = 1
+JOURNAL_FORMAT = 1
 DAY_US = 86_400 * SECOND_US
-#: So many changes are committed together at most.
-_GROUP = 512
+#: The maximum number of changes that are committed together.
+_MAX_GROUP_COMMIT = 512
 
 _SCHEMA = """
 CREATE TABLE submissions (
@@ -56,10 +57,10 @@
 CREATE INDEX finished ON submissions (final_us) WHERE answer IS NOT NULL;
 """
 
-_runs = msgspec.msgpack.Decoder(Run)
-_answers = msgspec.json.Decoder(Answer)
-_jobs = msgspec.json.Decoder(Job)
-_policies = msgspec.json.Decoder(Policy)
+_run_decoder = msgspec.msgpack.Decoder(Run)
+_answer_decoder = msgspec.json.Decoder(Answer)
+_job_decoder = msgspec.json.Decoder(Job)
+_policy_decoder = msgspec.json.Decoder(Policy)
 
 
 class JournalError(Exception):
@@ -67,7 +68,7 @@
 
 
 class KeyConflict(Exception):
-    """The key was used for something else; ``differences`` has a line a field."""
+    """The key belongs to a different job; ``differences`` has a line for each differing field."""
 
     def __init__(self, key: str, lines: list[str]) -> None:
         super().__init__(f"key {key!r} was used for another job: " + "; ".join(lines))
@@ -76,7 +77,7 @@
 
 
 class JournalEntry(msgspec.Struct):
-    """A submission in the journal; ``job`` is gone once it was compacted."""
+    """A submission in the journal; ``job`` is None after the submission was compacted."""
 
     key: str
     created_us: int
@@ -87,15 +88,16 @@
     answer: Answer | None
 
 
-def digest_of(content: bytes) -> bytes:
-    """Return what tells contents apart."""
+def content_digest(content: bytes) -> bytes:
+    """Return a digest by which encoded jobs are compared."""
     return hashlib.blake2b(content, digest_size=16).digest()
 
 
 class Journal:
-    """The journal at a path; ``step`` is called by name around every commit.
+    """The journal at a path; its own thread makes all changes.
 
-    ``step`` lets a test end the process anywhere; ``most_pages`` bounds the file.
+    ``step`` is called with the name ``commit`` before and ``committed`` after every commit, so
+    that a test can end the process at each point. ``most_pages`` bounds the size of the file.
     """
 
     def __init__(
@@ -107,17 +109,17 @@
         self._path = path
         self._step = step
         self._most_pages = most_pages
-        self._work: queue.SimpleQueue[
+        self._requests: queue.SimpleQueue[
             tuple[Callable[[sqlite3.Connection], Any], concurrent.futures.Future[Any]] | None
         ] = queue.SimpleQueue()
         opened: concurrent.futures.Future[None] = concurrent.futures.Future()
         self._thread = threading.Thread(
-            target=self._run, args=(opened,), name="journal", daemon=True
+            target=self._run_thread, args=(opened,), name="journal", daemon=True
         )
         self._thread.start()
         opened.result()
 
-    # The thread
+    # The thread that executes the changes
 
     def _open(self) -> sqlite3.Connection:
         try:
@@ -131,39 +133,44 @@
             if problems != [("ok",)]:
                 raise JournalError(f"{self._path}: damaged: {problems[0][0]}")
             connection.execute("BEGIN IMMEDIATE")
-            (known,) = connection.execute("PRAGMA user_version").fetchone()
-            if known == 0:
+            (version,) = connection.execute("PRAGMA user_version").fetchone()
+            if version == 0:
                 for statement in _SCHEMA.split(";"):
                     connection.execute(statement)
-                connection.execute(f"PRAGMA user_version={FORMAT}")
+                connection.execute(f"PRAGMA user_version={JOURNAL_FORMAT}")
             connection.execute("COMMIT")
-            if known > FORMAT:
-                raise JournalError(f"{self._path}: format {known}, and this version reads {FORMAT}")
+            if version > JOURNAL_FORMAT:
+                raise JournalError(
+                    f"{self._path}: format {version}, and this version reads {JOURNAL_FORMAT}"
+                )
         except (sqlite3.Error, OSError) as error:
             raise JournalError(f"{self._path}: {error}") from error
         return connection
 
-    def _run(self, opened: concurrent.futures.Future[None]) -> None:
+    def _run_thread(self, opened: concurrent.futures.Future[None]) -> None:
         try:
             connection = self._open()
         except BaseException as error:
             opened.set_exception(error)
             return
         opened.set_result(None)
-        while (first := self._work.get()) is not None:
+        while (first := self._requests.get()) is not None:
             group = [first]
-            last = False
-            while len(group) < _GROUP and not self._work.empty():
-                more = self._work.get()
-                if more is None:
-                    last = True
+            closing = False
+            while len(group) < _MAX_GROUP_COMMIT and not self._requests.empty():
+                request = self._requests.get()
+                if request is None:
+                    closing = True
                     break
-                group.append(more)
-            # Whoever asked may have been cancelled: the work is done all the same, but to tell
-            # a cancelled future ended this thread, and with it every later call.
-            live = {id(future) for _, future in group if future.set_running_or_notify_cancel()}
-            self._commit(connection, group, live)
-            if last:
+                group.append(request)
+            # A caller may have cancelled its future. The change is made all the same, but the
+            # future gets no result: setting the result of a cancelled future raised an error
+            # that ended this thread, so that every later call waited for ever.
+            uncancelled = {
+                id(future) for _, future in group if future.set_running_or_notify_cancel()
+            }
+            self._commit(connection, group, uncancelled)
+            if closing:
                 break
         connection.close()
 
@@ -171,7 +178,7 @@
         self,
         connection: sqlite3.Connection,
         group: list[tuple[Callable[[sqlite3.Connection], Any], concurrent.futures.Future[Any]]],
-        live: set[int],
+        uncancelled: set[int],
     ) -> None:
         results: list[tuple[concurrent.futures.Future[Any], Any]] = []
         failed: list[tuple[concurrent.futures.Future[Any], Exception]] = []
@@ -193,112 +200,115 @@
                 connection.execute("ROLLBACK")
             problem = JournalError(f"{self._path}: {error}")
             for _, future in group:
-                if id(future) in live:
+                if id(future) in uncancelled:
                     future.set_exception(problem)
             return
         for future, result in results:
-            if id(future) in live:
+            if id(future) in uncancelled:
                 future.set_result(result)
         for future, reason in failed:
-            if id(future) in live:
+            if id(future) in uncancelled:
                 future.set_exception(reason)
 
     def call(self, work: Callable[[sqlite3.Connection], T]) -> "concurrent.futures.Future[T]":
-        """Have the thread do work within a transaction."""
+        """Have the journal's thread run a function within a transaction."""
         future: concurrent.futures.Future[T] = concurrent.futures.Future()
         if not self._thread.is_alive():
             raise JournalError(f"{self._path}: closed")
-        self._work.put((work, future))
+        self._requests.put((work, future))
         return future
 
-    async def _do(self, work: Callable[[sqlite3.Connection], T]) -> T:
+    async def _call_async(self, work: Callable[[sqlite3.Connection], T]) -> T:
         return await asyncio.wrap_future(self.call(work))
 
     def close(self) -> None:
-        """Write what is waiting, and close."""
-        self._work.put(None)
+        """Commit all waiting changes, and close the database."""
+        self._requests.put(None)
         self._thread.join()
 
-    # What is in it
+    # Submissions and their runs
 
     async def begin(self, key: str, job: Job, policy: Policy, first_id: str) -> JournalEntry:
-        """Put an intent on disk, or find it: KeyConflict if it was another one."""
+        """Store a submission, or return the one that is stored under the key.
+
+        Raises KeyConflict if the key belongs to a different job.
+        """
         content = job.content()
 
         def work(connection: sqlite3.Connection) -> JournalEntry:
-            known = _find(connection, key)
+            known = _find_entry(connection, key)
             if known is None:
                 connection.execute(
                     "INSERT INTO submissions (key, created_us, digest, content, policy)"
                     " VALUES (?, ?, ?, ?, ?)",
-                    (key, wall_us(), digest_of(content), content, msgspec.json.encode(policy)),
+                    (key, wall_us(), content_digest(content), content, msgspec.json.encode(policy)),
                 )
-                _insert(connection, key, Run(first_id, 1))
-                known = _find(connection, key)
+                _insert_run(connection, key, Run(first_id, 1))
+                known = _find_entry(connection, key)
                 assert known is not None
                 return known
             row = connection.execute(
                 "SELECT digest, content FROM submissions WHERE key = ?", (key,)
             ).fetchone()
-            if row[0] != digest_of(content):
+            if row[0] != content_digest(content):
                 lines = (
-                    differences(row[1], content)
+                    describe_differences(row[1], content)
                     if row[1] is not None
                     else ["what it was is not kept any more"]
                 )
                 raise KeyConflict(key, lines)
             return known
 
-        return await self._do(work)
+        return await self._call_async(work)
 
     async def find(self, key: str) -> JournalEntry | None:
-        """Read a submission."""
-        return await self._do(lambda connection: _find(connection, key))
+        """Return the submission with the given key, or None."""
+        return await self._call_async(lambda connection: _find_entry(connection, key))
 
     async def key_of(self, job_id: str) -> str | None:
-        """Return the key of the submission that has a run under this id."""
+        """Return the key of the submission that has a run with this job id, or None."""
 
         def work(connection: sqlite3.Connection) -> str | None:
             row = connection.execute("SELECT key FROM runs WHERE id = ?", (job_id,)).fetchone()
             return None if row is None else str(row[0])
 
-        return await self._do(work)
+        return await self._call_async(work)
 
     async def entries(self, *, unfinished: bool = False, most: int = 10_000) -> list[JournalEntry]:
-        """Read the newest submissions, oldest first."""
-        only = "WHERE answer IS NULL" if unfinished else ""
+        """Return the newest ``most`` submissions, the oldest of them first."""
+        condition = "WHERE answer IS NULL" if unfinished else ""
 
         def work(connection: sqlite3.Connection) -> list[JournalEntry]:
             rows = connection.execute(
-                f"SELECT key FROM submissions {only} ORDER BY created_us DESC, key LIMIT ?",
+                f"SELECT key FROM submissions {condition} ORDER BY created_us DESC, key LIMIT ?",
                 (most,),
             ).fetchall()
-            found = [_find(connection, row[0]) for row in reversed(rows)]
+            found = [_find_entry(connection, row[0]) for row in reversed(rows)]
             return [entry for entry in found if entry is not None]
 
-        return await self._do(work)
+        return await self._call_async(work)
 
     async def change(self, job_id: str, news: RunUpdate) -> Run:
-        """Add news to a run's record, and return the record as it is now."""
+        """Apply an update to a run's record, and return the new record."""
 
         def work(connection: sqlite3.Connection) -> Run:
             row = connection.execute("SELECT record FROM runs WHERE id = ?", (job_id,)).fetchone()
             if row is None:
                 raise KeyError(job_id)
-            run = advance(_runs.decode(row[0]), news)
+            run = advance(_run_decoder.decode(row[0]), news)
             connection.execute(
                 "UPDATE runs SET record = ? WHERE id = ?", (msgspec.msgpack.encode(run), job_id)
             )
             return run
 
-        return await self._do(work)
+        return await self._call_async(work)
 
     async def cancel(self, key: str) -> JournalEntry:
-        """The caller wants the submission withdrawn, with whatever run it has."""
+        """Record that the caller withdraws the submission, including its last run."""
 
         def work(connection: sqlite3.Connection) -> JournalEntry:
             connection.execute("UPDATE submissions SET cancelled = 1 WHERE key = ?", (key,))
-            entry = _find(connection, key)
+            entry = _find_entry(connection, key)
             if entry is None:
                 raise KeyError(key)
             if entry.answer is None and entry.runs:
@@ -309,13 +319,17 @@
                 entry.runs[-1] = run
             return entry
 
-        return await self._do(work)
+        return await self._call_async(work)
 
     async def repeat(self, key: str, number: int, new_id: str) -> Run | None:
-        """Begin the submission's run of that number, unless somebody did; None: cancelled."""
+        """Begin the submission's run with the given number, and return its record.
+
+        If a process has already begun that run, returns its record. Returns None if the
+        submission is cancelled or has its final answer.
+        """
 
         def work(connection: sqlite3.Connection) -> Run | None:
-            entry = _find(connection, key)
+            entry = _find_entry(connection, key)
             if entry is None:
                 raise KeyError(key)
             for run in entry.runs:
@@ -324,13 +338,13 @@
             if entry.cancelled or entry.answer is not None:
                 return None
             run = Run(new_id, number)
-            _insert(connection, key, run)
+            _insert_run(connection, key, run)
             return run
 
-        return await self._do(work)
+        return await self._call_async(work)
 
     async def finish(self, key: str, answer: Answer) -> Answer:
-        """Store the final answer and return it, or the one that was stored before."""
+        """Store the final answer and return it, or return the answer that is already stored."""
 
         def work(connection: sqlite3.Connection) -> Answer:
             row = connection.execute(
@@ -339,52 +353,53 @@
             if row is None:
                 raise KeyError(key)
             if row[0] is not None:
-                return _answers.decode(row[0])
+                return _answer_decoder.decode(row[0])
             connection.execute(
                 "UPDATE submissions SET answer = ?, final_us = ? WHERE key = ?",
                 (msgspec.json.encode(answer), wall_us(), key),
             )
             return answer
 
-        return await self._do(work)
+        return await self._call_async(work)
 
     async def compact(self, keep_us: int = DAY_US, forget_us: int = 90 * DAY_US) -> int:
-        """Drop what is not needed of submissions that have their final answer.
+        """Delete old data of submissions that have their final answer.
 
-        After ``keep_us`` the job's content and the records of its runs go (the answer and
-        the content's digest stay, so that the key still finds it); after ``forget_us``
-        all of it, and the key is as good as new. Returns how many were touched.
+        After ``keep_us``, the job and the records of its runs are deleted; the answer and the
+        job's digest stay, so that the key still leads to the answer. After ``forget_us``, the
+        rest is deleted, and the key can be used for a new submission. Returns the number of
+        submissions that lost their job plus the number of those deleted.
         """
         now_us = wall_us()
 
         def work(connection: sqlite3.Connection) -> int:
-            old = (now_us - keep_us,)
-            touched = 0
+            kept_since = (now_us - keep_us,)
+            changed_rows = 0
             connection.execute(
                 "DELETE FROM runs WHERE key IN (SELECT key FROM submissions WHERE"
                 " answer IS NOT NULL AND content IS NOT NULL AND final_us < ?)",
-                old,
+                kept_since,
             )
-            for statement, limit in (
+            for statement, finished_before_us in (
                 ("UPDATE submissions SET content = NULL WHERE answer IS NOT NULL"
                  " AND content IS NOT NULL AND final_us < ?", now_us - keep_us),
                 ("DELETE FROM submissions WHERE answer IS NOT NULL AND final_us < ?",
                  now_us - forget_us),
             ):  # fmt: skip
-                touched += connection.execute(statement, (limit,)).rowcount
-            return touched
+                changed_rows += connection.execute(statement, (finished_before_us,)).rowcount
+            return changed_rows
 
-        return await self._do(work)
+        return await self._call_async(work)
 
 
-def _insert(connection: sqlite3.Connection, key: str, run: Run) -> None:
+def _insert_run(connection: sqlite3.Connection, key: str, run: Run) -> None:
     connection.execute(
         "INSERT INTO runs (id, key, number, record) VALUES (?, ?, ?, ?)",
         (run.id, key, run.number, msgspec.msgpack.encode(run)),
     )
 
 
-def _find(connection: sqlite3.Connection, key: str) -> JournalEntry | None:
+def _find_entry(connection: sqlite3.Connection, key: str) -> JournalEntry | None:
     row = connection.execute(
         "SELECT created_us, content, policy, cancelled, answer FROM submissions WHERE key = ?",
         (key,),
@@ -397,9 +412,9 @@
     return JournalEntry(
         key=key,
         created_us=row[0],
-        job=None if row[1] is None else _jobs.decode(row[1]),
-        policy=_policies.decode(row[2]),
+        job=None if row[1] is None else _job_decoder.decode(row[1]),
+        policy=_policy_decoder.decode(row[2]),
         cancelled=bool(row[3]),
-        runs=[_runs.decode(record[0]) for record in records],
-        answer=None if row[4] is None else _answers.decode(row[4]),
+        runs=[_run_decoder.decode(record[0]) for record in records],
+        answer=None if row[4] is None else _answer_decoder.decode(row[4]),
     )
--- a/weldhead/client/policy.py
+++ b/weldhead/client/policy.py
@@ -1,4 +1,4 @@
-"""How the jobs of a class may be repeated, from a file that says it a class."""
+"""Policies that say, for each job class, when the client repeats or gives up a job."""
 
 from pathlib import Path
 from typing import Literal
@@ -11,13 +11,15 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is done about a job that does not get done.
-
-    ``repeat`` is how often it is submitted again under a new id (0: never), ``on`` after
-    which outcomes: ``failed`` (it was given up because a task's command had failed
-    ``fail_after`` times) or ``withdrawn`` (by anybody but this client). ``fail_after`` 0:
-    it is never given up. ``undecided`` is what happens when nothing is known
-    ``patience_s`` after the first try: ``keep`` trying under the same id, or ``withdraw`` it.
+    """The client's reaction to a job that fails, is withdrawn or gets no answer.
+
+    ``repeat`` is the maximum number of times that the client submits the job again, each time
+    under a new id (0: never), after a pause of ``pause_s``. ``on`` lists the outcomes after
+    which the client does so: ``failed`` (the client withdrew the job because a task's command
+    had failed ``fail_after`` times) or ``withdrawn`` (by anyone but this client). With a
+    ``fail_after`` of 0 the client never withdraws a job because of failures. ``undecided``
+    applies if ``patience_s`` after the first try the client does not know whether the job was
+    accepted: ``keep`` trying under the same id, or ``withdraw`` the job.
     """
 
     repeat: int = 0
@@ -31,24 +33,24 @@
 class Policies(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"classes": "class"}
 ):
-    """Policies by class, and the one of all others."""
+    """The policies of single job classes, and the default for all other classes."""
 
     default: Policy = Policy()
     classes: dict[str, Policy] = {}
 
     def of(self, job_class: str) -> Policy:
-        """Return a class's policy."""
+        """Return the policy that applies to a job class."""
         return self.classes.get(job_class, self.default)
 
 
 def parse_policies(source: str, text: str) -> Policies:
-    """Decode and check; FileProblem names line and field."""
+    """Decode and check a text of policies; FileProblemError names line and field."""
     policies = parse(source, text, Policies)
     named = [(["class", name], policy) for name, policy in policies.classes.items()]
     for path, policy in [(["default"], policies.default), *named]:
-        for field, most in (("repeat", 1000), ("fail_after", 1_000_000)):
-            if not 0 <= getattr(policy, field) <= most:
-                raise problem_at(source, text, [*path, field], f"must be 0 to {most}")
+        for field, maximum in (("repeat", 1000), ("fail_after", 1_000_000)):
+            if not 0 <= getattr(policy, field) <= maximum:
+                raise problem_at(source, text, [*path, field], f"must be 0 to {maximum}")
         for field in ("pause_s", "patience_s"):
             if not 0 <= getattr(policy, field) <= 86_400:
                 raise problem_at(source, text, [*path, field], "must be 0 to 86400 seconds")
@@ -58,5 +60,5 @@
 
 
 def read_policies(path: Path) -> Policies:
-    """Read a file of policies."""
+    """Read and check a file of policies; FileProblemError names line and field."""
     return parse_policies(str(path), read_text(path))
--- a/weldhead/client/sync.py
+++ b/weldhead/client/sync.py
@@ -1,4 +1,4 @@
-"""The client for code that is not asynchronous: the same names, each call waits."""
+"""A blocking client, which runs the asynchronous one on an event loop in its own thread."""
 
 import asyncio
 import threading
@@ -13,12 +13,15 @@
 T = TypeVar("T")
 
 
-async def _next(answers: AsyncIterator[Answer]) -> Answer:
+async def _next_answer(answers: AsyncIterator[Answer]) -> Answer:
     return await anext(answers)
 
 
 class SyncClient:
-    """Use it with ``with``; it may be called from any number of threads."""
+    """The blocking counterpart of ``Client``, to be used as a context manager.
+
+    Any number of threads may call its methods.
+    """
 
     def __init__(self, settings: ClientSettings) -> None:
         self._settings = settings
@@ -43,7 +46,11 @@
         self.close()
 
     def close(self) -> None:
-        """Stop driving; what has no final answer yet goes on when it is taken up again."""
+        """Stop working on all submissions.
+
+        Unfinished submissions stay in the journal; a later client continues them with
+        ``resume``, or when one of them is submitted again or waited for.
+        """
         try:
             self._call(self._client.close())
         finally:
@@ -57,8 +64,8 @@
     async def _open(self) -> Client:
         return await Client(self._settings).__aenter__()
 
-    def _call(self, job: Coroutine[Any, Any, T]) -> T:
-        return asyncio.run_coroutine_threadsafe(job, self._loop).result()
+    def _call(self, coroutine: Coroutine[Any, Any, T]) -> T:
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result()
 
     def submit(self, job: Job, key: str | None = None) -> str:
         """See ``Client.submit``."""
@@ -81,7 +88,7 @@
         answers = self._client.wait_many(keys, timeout_s)
         while True:
             try:
-                yield self._call(_next(answers))
+                yield self._call(_next_answer(answers))
             except StopAsyncIteration:
                 return
 
--- a/weldhead/client/transport.py
+++ b/weldhead/client/transport.py
@@ -1,7 +1,8 @@
-"""One try: a request to the first address that connects, and what its answer amounts to.
+"""HTTP requests to the first address that connects, and the interpretation of their answers.
 
-Nonsense is a failed try, never an answer. Whether anything was sent is told apart from
-whether an answer came: only a connection that never came about proves that nothing was.
+An answer that violates the protocol counts as a failed try. A failed try records whether the
+request may have been sent: only a connection that was never established proves that the
+service received nothing.
 """
 
 import asyncio
@@ -21,17 +22,17 @@
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us
 from weldhead.protocol.wire import MAX_BODY_BYTES, ErrorBody, JobStatus
 
-_CONNECT_US = 700 * MILLISECOND_US
-_LIMITS_US = {Step.POLL: 2 * SECOND_US, Step.WATCH: 2 * SECOND_US}
-_LIMIT_US = 5 * SECOND_US
+_CONNECT_TIMEOUT_US = 700 * MILLISECOND_US
+_STEP_TIMEOUTS_US = {Step.POLL: 2 * SECOND_US, Step.WATCH: 2 * SECOND_US}
+_DEFAULT_TIMEOUT_US = 5 * SECOND_US
 _STATES = ("pending", "running", "done", "withdrawn")
 
-_statuses = msgspec.json.Decoder(JobStatus)
-_errors = msgspec.json.Decoder(ErrorBody)
+_status_decoder = msgspec.json.Decoder(JobStatus)
+_error_decoder = msgspec.json.Decoder(ErrorBody)
 
 
 class Transport:
-    """A client's connections to all addresses of a service."""
+    """A client's HTTP connections to all addresses of a service."""
 
     def __init__(self, endpoints: Endpoints, connections: int) -> None:
         self._endpoints = endpoints
@@ -47,7 +48,7 @@
         await self._session.close()
 
     async def try_step(self, step: Step, job_id: str, body: bytes | None) -> Reply:
-        """Make one try of a step."""
+        """Send the request of a step once, and return the interpreted answer."""
         method, path = {
             Step.UPLOAD: ("PUT", f"/descriptions/{job_id}"),
             Step.SUBMIT: ("POST", "/submissions"),
@@ -55,33 +56,39 @@
             Step.WATCH: ("GET", f"/submissions/{job_id}"),
             Step.CANCEL: ("POST", f"/submissions/{job_id}/cancel"),
         }[step]
-        answer = await self.call(method, path, body, _LIMITS_US.get(step, _LIMIT_US))
+        answer = await self.call(
+            method, path, body, _STEP_TIMEOUTS_US.get(step, _DEFAULT_TIMEOUT_US)
+        )
         if isinstance(answer, FailedCall):
             return answer
         status, content, retry_after_us = answer
-        return understand(step, job_id, status, content, retry_after_us)
+        return interpret_answer(step, job_id, status, content, retry_after_us)
 
     async def call(
-        self, method: str, path: str, body: bytes | None, limit_us: int
+        self, method: str, path: str, body: bytes | None, timeout_us: int
     ) -> tuple[int, bytes, int] | FailedCall:
-        """Return status, body and ``Retry-After`` (microseconds) of the first who answers."""
+        """Send a request to one address after the other until one may have received it.
+
+        Returns status, body and ``Retry-After`` (in microseconds) of the answer. The next
+        address is tried only if the previous one surely received nothing.
+        """
         reason = "no address"
-        for address in self._endpoints.order(now_us()):
-            answer = await self._one(method, address, path, body, limit_us)
+        for address in self._endpoints.ordered_addresses(now_us()):
+            answer = await self._request_address(method, address, path, body, timeout_us)
             if not isinstance(answer, FailedCall):
-                self._endpoints.reached(address)
+                self._endpoints.record_success(address)
                 return answer
-            self._endpoints.missed(address, now_us())
+            self._endpoints.record_failure(address, now_us())
             if answer.sent:
                 return answer
             reason = answer.reason
         return FailedCall(reason, sent=False)
 
-    async def _one(
-        self, method: str, address: str, path: str, body: bytes | None, limit_us: int
+    async def _request_address(
+        self, method: str, address: str, path: str, body: bytes | None, timeout_us: int
     ) -> tuple[int, bytes, int] | FailedCall:
         timeout = aiohttp.ClientTimeout(
-            total=limit_us / SECOND_US, sock_connect=_CONNECT_US / SECOND_US
+            total=timeout_us / SECOND_US, sock_connect=_CONNECT_TIMEOUT_US / SECOND_US
         )
         try:
             async with self._session.request(
@@ -95,12 +102,12 @@
                     return FailedCall(f"{address}: an answer of more than {MAX_BODY_BYTES} bytes")
                 return answer.status, content, _retry_after_us(answer.headers.get("Retry-After"))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            return FailedCall(f"{address}: {_brief(error)}", sent=False)
+            return FailedCall(f"{address}: {_describe_error(error)}", sent=False)
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError) as error:
-            return FailedCall(f"{address}: {_brief(error)}")
+            return FailedCall(f"{address}: {_describe_error(error)}")
 
 
-def _brief(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     if isinstance(error, asyncio.TimeoutError):
         return "no answer in time"
     return str(error) or type(error).__name__
@@ -115,42 +122,44 @@
 _NO_REASON = "no reason given"
 
 
-def understand(step: Step, job_id: str, status: int, body: bytes, retry_after_us: int = 0) -> Reply:
-    """Return what an answer amounts to."""
+def interpret_answer(
+    step: Step, job_id: str, status: int, body: bytes, retry_after_us: int = 0
+) -> Reply:
+    """Translate an HTTP answer to a step's request into a reply."""
     if step is Step.UPLOAD:
         if status in (200, 201):
             return StatusAnswer("uploaded")
         if status in (400, 409):
-            return _refused(status, body)
+            return _refusal_from(status, body)
     elif status == 200 or (status == 201 and step is Step.SUBMIT):
         try:
-            told = _statuses.decode(body)
+            job = _status_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return FailedCall(f"nonsense: {error}")
-        if told.id != job_id or told.state not in _STATES:
-            return FailedCall(f"nonsense: {told.id} {told.state}")
-        if step is Step.CANCEL and told.state not in ("done", "withdrawn"):
-            return FailedCall(f"nonsense: cancelled, and {told.state}")
-        late_by_s = (told.late_by_s or 0.0) if told.late else None
+        if job.id != job_id or job.state not in _STATES:
+            return FailedCall(f"nonsense: {job.id} {job.state}")
+        if step is Step.CANCEL and job.state not in ("done", "withdrawn"):
+            return FailedCall(f"nonsense: cancelled, and {job.state}")
+        late_by_s = (job.late_by_s or 0.0) if job.late else None
         return StatusAnswer(
-            told.state, status == 201, told.done, told.running, told.forecast_s, late_by_s,
-            told.late, told.due_at, told.held_by,
+            job.state, status == 201, job.done, job.running, job.forecast_s, late_by_s,
+            job.late, job.due_at, job.held_by,
         )  # fmt: skip
     elif status in (400, 422) and step is Step.SUBMIT:
-        return _refused(status, body)
+        return _refusal_from(status, body)
     if status == 404 and step is not Step.SUBMIT:
         return MissingAnswer()
-    why = f"status {status}"
-    if status == 503 and step is Step.POLL and _refused(status, body).reason != _NO_REASON:
-        # It may say by when the job is due, though not how it stands.
-        why += f": {_refused(status, body).reason[:200]}"
-    return FailedCall(why, retry_after_us=retry_after_us)
+    reason = f"status {status}"
+    if status == 503 and step is Step.POLL and _refusal_from(status, body).reason != _NO_REASON:
+        # Without knowing the job's state, the service may still name the time it is due.
+        reason += f": {_refusal_from(status, body).reason[:200]}"
+    return FailedCall(reason, retry_after_us=retry_after_us)
 
 
-def _refused(status: int, body: bytes) -> RefusedAnswer:
+def _refusal_from(status: int, body: bytes) -> RefusedAnswer:
     try:
-        told = _errors.decode(body)
+        error_body = _error_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        # The status alone decides; what is wrong is not told.
+        # The status alone makes the answer a refusal; the body names no reason.
         return RefusedAnswer(status, _NO_REASON)
-    return RefusedAnswer(status, told.error, told.field)
+    return RefusedAnswer(status, error_body.error, error_body.field)
