--- a/tests/client/test_routing_and_budgets.py
+++ b/tests/client/test_routing_and_budgets.py
@@ -24,7 +24,7 @@
 def probe(backend: Backend, text: str, start_s: int) -> bool:
     """Probe once a second; returns whether the controller is healthy after that."""
     for second, mark in enumerate(text):
-        backend.probed(mark == "+", (start_s + second) * SECOND_US)
+        backend.record_probe(mark == "+", (start_s + second) * SECOND_US)
     return backend.healthy
 
 
@@ -42,24 +42,24 @@
 
 
 def test_requests_go_to_whoever_is_healthy_and_least_busy() -> None:
-    a, b, c = (Backend(name, name, healthy=True, ever=True) for name in "abc")
+    a, b, c = (Backend(name, name, healthy=True, was_healthy=True) for name in "abc")
     balancer = Balancer([a, b, c])
     a.in_flight, b.in_flight = 2, 1
     assert balancer.choose(0) is c
     for _ in range(3):
-        c.connected(False, 0)
+        c.record_connection(False, 0)
     assert balancer.choose(0) is b
     assert balancer.choose(0, ["b"]) is a
     assert balancer.choose(3 * SECOND_US) is c
     a.healthy = b.healthy = c.healthy = False
     assert balancer.choose(0) is None
-    assert not balancer.ready
+    assert not balancer.is_ready
 
 
 def test_backoff_doubles_and_forgets_after_a_calm_life() -> None:
-    backoff = Backoff(first_us=100, most_us=500, calm_us=1000)
-    assert [backoff.after(10) for _ in range(5)] == [100, 200, 400, 500, 500]
-    assert backoff.after(1000) == 100
+    backoff = Backoff(first_pause_us=100, max_pause_us=500, reset_after_us=1000)
+    assert [backoff.next_pause_us(10) for _ in range(5)] == [100, 200, 400, 500, 500]
+    assert backoff.next_pause_us(1000) == 100
 
 
 def test_dead_addresses_are_tried_last_and_found_again() -> None:
--- a/tests/site/test_pool.py
+++ b/tests/site/test_pool.py
@@ -1,4 +1,4 @@
-"""The site's pool: rentals by name, room, late lists, and what outlives its process."""
+"""The machine pool: idempotent rentals, capacity, lagging lists, and restarts from records."""
 
 import msgspec
 import pytest
@@ -17,6 +17,9 @@
 LAG_US = SECOND_US
 
 
+# Guards against a pool that forgets a rental when it is killed and loaded from its records, gives
+# a repeated request other machines, reuses a machine's name, or exceeds its capacity.
+# The source of this class, but for its comments, seeds the examples that Hypothesis draws.
 class PoolMachine(RuleBasedStateMachine):
     """The pool is loaded anew from its record at any time; nothing that was told is lost."""
 
@@ -103,7 +106,8 @@
 TestPool = PoolMachine.TestCase
 
 
-def test_lists_are_late_and_pages_are_bounded() -> None:
+def test_machine_list_lags_and_pages_are_bounded() -> None:
+    """Rented and deleted machines appear in and vanish from lists after the list lag."""
     pool = Pool([SMALL], 100.0, LAG_US)
     _, record = pool.rent(RentalRequest("h", "small", "a", True, 3), SECOND_US)
     assert record is not None
@@ -130,20 +134,23 @@
         RentalRequest("", "small", "a", False, 1),
     ],
 )
-def test_malformed_rentals_are_refused(request_: RentalRequest) -> None:
+def test_malformed_rental_is_rejected(request_: RentalRequest) -> None:
+    """An unknown type or zone, a count out of bounds or an empty name gets status 400."""
     with pytest.raises(PoolError) as refused:
         Pool([SMALL], 4.0, LAG_US).rent(request_, 0)
     assert refused.value.status == 400
 
 
-def test_records_read_back_as_they_were_written() -> None:
+def test_rental_record_round_trips_through_msgpack() -> None:
+    """A restarted pool must decode the rental that it recorded before."""
     pool = Pool([SMALL], 4.0, LAG_US)
     _, record = pool.rent(RentalRequest("h", "small", "a", True, 2), 7)
     written = msgspec.msgpack.encode(record)
     assert msgspec.msgpack.decode(written, type=Record) == record
 
 
-def test_a_spot_machines_end_is_drawn_once_and_mostly_announced() -> None:
+def test_spot_recall_is_deterministic_and_mostly_announced() -> None:
+    """A restarted pool must plan the same recalls; about a fifth of them come without notice."""
     spot = SpotPart(mean_life_s=60.0, notice_s=30.0, unannounced=0.2, seed=3)
     plans = [plan_recall(spot, f"vm-{number}", 0) for number in range(500)]
     assert plans == [plan_recall(spot, f"vm-{number}", 0) for number in range(500)]
@@ -152,5 +159,5 @@
     assert 60 <= sum(plan.notice_us is None for plan in known) <= 140
     for plan in known:
         if plan.notice_us is not None:
-            assert 15 * SECOND_US <= plan.taken_us - plan.notice_us <= 45 * SECOND_US
+            assert 15 * SECOND_US <= plan.reclaim_us - plan.notice_us <= 45 * SECOND_US
     assert plan_recall(SpotPart(), "vm-1", 0) is None
--- a/tests/site/test_store.py
+++ b/tests/site/test_store.py
@@ -1,4 +1,4 @@
-"""The site's state service: the model against a plain dictionary, its record, its HTTP side."""
+"""The state service: store against a dictionary model, record file, and HTTP interface."""
 
 import asyncio
 import tempfile
@@ -17,7 +17,7 @@
 from weldhead.protocol.wire import Condition, DeleteKey, PutKey
 from weldhead.site.records import DamagedRecordsError, RecordFile
 from weldhead.site.store.model import (
-    KEPT_CHANGES,
+    MAX_RETAINED_CHANGES,
     Batch,
     Change,
     ConditionFailedError,
@@ -45,13 +45,19 @@
 
 
 def raw(value: Any) -> msgspec.Raw:
+    """Encode a value as raw JSON."""
     return msgspec.Raw(msgspec.json.encode(value))
 
 
 def put(key: str, value: Any, lease: int | None = None) -> Write:
+    """Return a write that sets a key, attached to a lease if one is given."""
     return Write(set=key, value=raw(value), lease=lease)
 
 
+# Guards against a store that differs from a dictionary of keys and leases, also after it was
+# killed and loaded from its record or a snapshot: each lease then has its full time to live,
+# and a watch from before the restart is rejected.
+# The source of this class, but for its comments, seeds the examples that Hypothesis draws.
 class StoreMachine(RuleBasedStateMachine):
     """The store beside a dictionary; it may be loaded anew from its record at any time."""
 
@@ -185,7 +191,8 @@
         Batch([Condition("", 0)], []),
     ],
 )
-def test_what_is_over_the_limits_changes_nothing(batch: Batch) -> None:
+def test_transaction_over_limits_changes_nothing(batch: Batch) -> None:
+    """A malformed or oversized transaction gets status 400 and is not applied in part."""
     store = Store(LIMITS)
     with pytest.raises(StoreError) as refused:
         store.commit(batch, 0)
@@ -194,7 +201,8 @@
     assert len(store) == 0
 
 
-def test_a_lowered_limit_leaves_what_is_stored_readable() -> None:
+def test_lowered_value_limit_keeps_stored_values_readable() -> None:
+    """A value above a lowered limit can be read, but not be written again."""
     store = Store(LIMITS)
     store.commit(Batch([], [put("k", "x" * 1000)]), 0)
     store.limits = StateLimits(1.0, 1.0, 0.1, 1)
@@ -203,9 +211,14 @@
         store.commit(Batch([], [put("k", "x" * 1000)]), 0)
 
 
-def test_watches_see_each_change_of_their_prefix_or_are_told_that_it_is_gone() -> None:
+def test_watch_returns_prefix_changes_or_rejects_old_revision() -> None:
+    """A watch must never skip a change silently.
+
+    The store rejects a watch whose start revision is too old, so that later changes are
+    dropped already, or does not exist yet.
+    """
     store = Store(LIMITS)
-    for number in range(KEPT_CHANGES + 5):
+    for number in range(MAX_RETAINED_CHANGES + 5):
         store.commit(Batch([], [put("ab"[number % 2], number)]), 0)
     with pytest.raises(RevisionTooOldError):
         store.changes("a", 4)
@@ -214,7 +227,9 @@
         store.changes("a", store.revision + 1)
 
 
-def test_what_cannot_be_recorded_is_not_done() -> None:
+def test_unrecorded_change_is_not_applied() -> None:
+    """A change that a full disk keeps from the record must not be visible to readers."""
+
     def full(changes: object) -> None:
         raise OSError(28, "full")
 
@@ -227,6 +242,8 @@
     assert store.get("k") is None
 
 
+# Guards against a process killed while it appends: the records before the cut must be read,
+# and records appended after it too. A damaged record before the last one is an error.
 @given(count=st.integers(1, 5), cut=st.integers(1, 40), data=st.data())
 @settings(max_examples=60)
 def test_a_record_cut_anywhere_is_a_prefix_and_goes_on(
@@ -256,8 +273,11 @@
                 list(RecordFile[str](path, str).read())
 
 
-def test_the_controllers_client_finds_protocols_service() -> None:
-    """Every call and error by which a controller knows the state service, over HTTP."""
+def test_state_client_gets_every_answer_and_error() -> None:
+    """The controllers' client and the state service must agree on each call over HTTP.
+
+    At the end, another service loads what the first one recorded.
+    """
 
     async def run() -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -293,7 +313,7 @@
             await client.transact([], [PutKey("a/1", "x" * 2000)])
         with pytest.raises(LeaseNotFoundError):
             await client.transact([Condition("no", 7)], [PutKey("a/1", 2, lease=99)])
-        # Pages, and a watch that waits.
+        # Keys are read in pages, and a watch waits until a key with its prefix changes.
         for number in range(3):
             await client.transact([], [PutKey(f"b/{number}", number)])
         ((entries, revision),) = [page async for page in client.pages("b/")]
@@ -310,7 +330,7 @@
         assert [event.delete for event in changes.events] == ["b/1"]
         with pytest.raises(RevisionCompactedError):
             await client.watch("b/", 10**6, 0)
-        # A grant that ends takes its keys along, and watches hear of it.
+        # An expired lease deletes its keys, and a watch returns the deletion.
         lease = await client.grant(100 * MILLISECOND_US)
         await client.transact([], [PutKey("leader", "me", lease=lease)])
         revision = service.store.revision
@@ -319,7 +339,7 @@
         assert [event.delete for event in gone.events] == ["leader"]
         with pytest.raises(LeaseNotFoundError):
             await client.extend(lease, SECOND_US)
-        # Malformed, unserved, over the rate.
+        # Requests fail if they are malformed, during an outage, and above the rate limit.
         for method, path, bad in (
             ("POST", "/multi", b"{"),
             ("POST", "/grants", b'{"life_ms":1}'),
--- a/weldhead/cli/site.py
+++ b/weldhead/cli/site.py
@@ -13,7 +13,7 @@
 
 from weldhead.cli.structured import configure_structured_logging
 from weldhead.site.http import Handler, SiteServer
-from weldhead.site.processes import until_told
+from weldhead.site.processes import wait_for_shutdown
 from weldhead.transport.background_tasks import BackgroundTasks
 
 T = TypeVar("T")
@@ -122,7 +122,7 @@
             coming = limits(settings.limits | settings.next_limits)
             asyncio.get_running_loop().call_later(settings.next_after_s, service.set_limits, coming)
         server = await _serve(service.handle, fd)
-        await until_told()
+        await wait_for_shutdown()
         await background_tasks.close()
         await server.close()
         service.close()
@@ -143,7 +143,7 @@
         pool = PoolProcess(_settings(path, PoolSettings))
         pool.start()
         server = await _serve(pool.handle, fd)
-        await until_told()
+        await wait_for_shutdown()
         await server.close()
         await pool.close(machines=True)
 
@@ -164,7 +164,7 @@
         background_tasks = BackgroundTasks()
         front.start(background_tasks)
         server = await _serve(front.handle, fd)
-        await until_told()
+        await wait_for_shutdown()
         await server.close()
         await background_tasks.close()
         await front.close()
@@ -184,7 +184,7 @@
     async def run() -> None:
         worker = WorkerProcess(_settings(path, WorkerSettings), socket.socket(fileno=fd))
         work = asyncio.create_task(worker.run())
-        told = asyncio.create_task(until_told())
+        told = asyncio.create_task(wait_for_shutdown())
         await asyncio.wait([work, told], return_when=asyncio.FIRST_COMPLETED)
         work.cancel()
         told.cancel()
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -218,7 +218,7 @@
         if node is None or not node.election.lease.token:
             return
         authority = node.election.lease
-        if now_us() < authority.lease_valid_until_us and not self.store.service.store.has_grant(
+        if now_us() < authority.lease_valid_until_us and not self.store.service.store.has_lease(
             authority.lease_id
         ):
             self.checker.breaks(
--- a/weldhead/emulator/services.py
+++ b/weldhead/emulator/services.py
@@ -178,7 +178,7 @@
             # It stays listed as starting until it is deleted.
             return
         await asyncio.sleep(boot_s)
-        if not made.gone_us and not made.leaving:
+        if not made.gone_us and not made.is_being_deleted:
             made.up_us = now_us()
             machine = self.machines[made.name] = self._make(made)
             machine.boot()
--- a/weldhead/site/__init__.py
+++ b/weldhead/site/__init__.py
@@ -1,1 +1,1 @@
-"""A whole site on one machine: state service, pool, workers, front, and their keeper."""
+"""A cluster on one machine: state service, machine pool, workers, HTTP front and supervisor."""
--- a/weldhead/site/backoff.py
+++ b/weldhead/site/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait before something that ended is begun again."""
+"""Exponential backoff for restarting processes."""
 
 from dataclasses import dataclass
 
@@ -7,17 +7,20 @@
 
 @dataclass
 class Backoff:
-    """Doubling pauses; who lasted for ``calm_us`` begins with the first one again."""
+    """Doubles the pause before each restart of one process.
 
-    first_us: int = 100 * MILLISECOND_US
-    most_us: int = 5 * SECOND_US
-    calm_us: int = 10 * SECOND_US
+    A process that ran for at least ``reset_after_us`` resets the pause to ``first_pause_us``.
+    """
+
+    first_pause_us: int = 100 * MILLISECOND_US
+    max_pause_us: int = 5 * SECOND_US
+    reset_after_us: int = 10 * SECOND_US
     _pause_us: int = 0
 
-    def after(self, lasted_us: int) -> int:
-        """Return the pause after a life of that length."""
-        if lasted_us >= self.calm_us or not self._pause_us:
-            self._pause_us = self.first_us
+    def next_pause_us(self, lasted_us: int) -> int:
+        """Return the pause before restarting a process that ran for ``lasted_us``."""
+        if lasted_us >= self.reset_after_us or not self._pause_us:
+            self._pause_us = self.first_pause_us
         else:
-            self._pause_us = min(self.most_us, 2 * self._pause_us)
+            self._pause_us = min(self.max_pause_us, 2 * self._pause_us)
         return self._pause_us
--- a/weldhead/site/front.py
+++ b/weldhead/site/front.py
@@ -15,10 +15,10 @@
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us
 from weldhead.protocol.validation import is_job_id
 from weldhead.protocol.wire import MAX_TASKS
-from weldhead.site.http import Reply, error, integer, reply
+from weldhead.site.http import Reply, error, parse_count, reply
 from weldhead.site.layout import Layout
 from weldhead.site.parts import FrontSettings
-from weldhead.site.routing import PROBE_US, Backend, Balancer
+from weldhead.site.routing import PROBE_INTERVAL_US, Backend, Balancer
 from weldhead.site.worker import Work
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
@@ -94,16 +94,16 @@
                 status, _ = await self._probes.call("GET", url, None, SECOND_US)
             except CallError:
                 status = 0
-            backend.probed(status == 200, now_us())
+            backend.record_probe(status == 200, now_us())
             # A controller that has never been up is waited for: somebody starts a site.
-            period_us = PROBE_US if backend.ever else PROBE_US // 5
+            period_us = PROBE_INTERVAL_US if backend.was_healthy else PROBE_INTERVAL_US // 5
             await asyncio.sleep(max(0, began_us + period_us - now_us()) / SECOND_US)
 
     async def handle(self, request: web.BaseRequest, body: bytes) -> Reply:
         """Answer one request."""
         path = request.path
         if path == "/ready":
-            ready = self.balancer.ready
+            ready = self.balancer.is_ready
             return reply(200 if ready else 503, {"ready": ready})
         if path == "/submissions" or path.startswith("/submissions/"):
             return await self._pass_on(request.method, path, body)
@@ -129,7 +129,7 @@
                     method, f"http://{backend.address}{path}", body or None, _ANSWER_US, _CONNECT_US
                 )
             except NotConnectedError:
-                backend.connected(False, now_us())
+                backend.record_connection(False, now_us())
                 continue
             except CallError as failed:
                 # It may have been carried out: the user asks again, with the same id.
@@ -137,7 +137,7 @@
                 return error(504, "no answer from the controller", 1)
             finally:
                 backend.in_flight -= 1
-            backend.connected(True, now_us())
+            backend.record_connection(True, now_us())
             # The controllers say a second wherever they say when to come back.
             return Reply(status, answer, 1 if status in (429, 503) else 0)
         return error(503, "no controller takes requests", 1)
@@ -157,10 +157,10 @@
             case ("GET", ["outcomes", job]) if is_job_id(job):
                 return reply(200, self._outcome(job))
             case ("GET", ["attempts", job, task]) if is_job_id(job):
-                return reply(200, list(self._attempts(job, integer(task))))
+                return reply(200, list(self._attempts(job, parse_count(task))))
             case ("GET", ["output", job, task, attempt]) if is_job_id(job):
-                start = integer(request.query.get("from", "0"))
-                return self._output(job, integer(task), integer(attempt), start)
+                start = parse_count(request.query.get("from", "0"))
+                return self._output(job, parse_count(task), parse_count(attempt), start)
         return error(404, "no such call")
 
     def _store(self, job: str, body: bytes) -> Reply:
@@ -246,7 +246,7 @@
         try:
             with path.open("rb") as file:
                 file.seek(start)
-                return Reply(200, file.read(PIECE_BYTES), kind="application/octet-stream")
+                return Reply(200, file.read(PIECE_BYTES), content_type="application/octet-stream")
         except FileNotFoundError:
             return error(404, "no such attempt")
 
--- a/weldhead/site/keeper.py
+++ b/weldhead/site/keeper.py
@@ -17,9 +17,9 @@
 from weldhead.site.backoff import Backoff
 from weldhead.site.description import Description, NextPart, controller_settings
 from weldhead.site.http import listen
-from weldhead.site.layout import Layout, write_whole
+from weldhead.site.layout import Layout, write_atomically
 from weldhead.site.parts import FrontSettings, PoolSettings, StateSettings
-from weldhead.site.processes import LIFELINE, Process, spawn, until_told
+from weldhead.site.processes import KEEPER_PIPE_VARIABLE, Process, spawn, wait_for_shutdown
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.http_client import CallError, HttpClient
 
@@ -88,7 +88,7 @@
                 for part in self.parts.values():
                     self._duties.spawn(part.name, self._keep(part))
                 self._duties.spawn("announce", self._announce())
-                await until_told()
+                await wait_for_shutdown()
                 self._say("ending the site")
             finally:
                 await self._end()
@@ -145,7 +145,7 @@
         for name, fd in (("state", state_fd), ("pool", cloud_fd), ("front", front_fd)):
             path = str(layout.settings(name))
             arguments = [f"site-{name}", "--settings", path, "--fd", str(fd)]
-            self._add(Part(name, arguments, [fd, line], {LIFELINE: str(line)}))
+            self._add(Part(name, arguments, [fd, line], {KEEPER_PIPE_VARIABLE: str(line)}))
         for one in settings:
             self._write(one.name, one)
             arguments = ["serve", "--config", str(layout.settings(one.name))]
@@ -159,7 +159,7 @@
         self.parts[part.name] = part
 
     def _write(self, name: str, settings: object) -> None:
-        write_whole(self._layout.settings(name), msgspec.json.encode(settings))
+        write_atomically(self._layout.settings(name), msgspec.json.encode(settings))
 
     def _listen(self, port: int) -> tuple[str, int]:
         """Open a socket that the keeper holds, so that a part's restart refuses nobody."""
@@ -196,7 +196,7 @@
                 ports.append(port)
         addresses = [f"{_HOST}:{port}" for port in ports]
         made = Identity(name, addresses[:count], addresses[count:])
-        write_whole(path, msgspec.json.encode(made))
+        write_atomically(path, msgspec.json.encode(made))
         return made
 
     async def _keep(self, part: Part) -> None:
@@ -209,14 +209,14 @@
                 self._layout.log(part.name),
                 part.fds,
                 part.environment,
-                bound=True,
+                ends_with_parent=True,
             )
-            write_whole(self._layout.pid(part.name), f"{part.process.pid}\n".encode())
-            await part.process.ended()
+            write_atomically(self._layout.pid(part.name), f"{part.process.pid}\n".encode())
+            await part.process.wait_until_ended()
             if self._ending.is_set():
                 return
             lasted_us = now_us() - began_us
-            pause_us = backoff.after(lasted_us)
+            pause_us = backoff.next_pause_us(lasted_us)
             log.error(
                 "%s has ended; again in %d ms",
                 part.name,
@@ -240,7 +240,7 @@
                 await asyncio.sleep(0.1)
         finally:
             await http.close()
-        write_whole(self._layout.address, f"{self.address}\n".encode())
+        write_atomically(self._layout.address, f"{self.address}\n".encode())
         self._say(f"ready at {self.address}")
         self._say(f"  export WELDHEAD_SERVER={self.address}")
 
@@ -251,7 +251,7 @@
         controllers = [name for name in self.parts if name.startswith("controller-")]
         for names in (controllers, ["pool"], ["front", "state"]):
             running = [self.parts[name].process for name in names if name in self.parts]
-            await asyncio.gather(*(p.end(_ORDERLY_US) for p in running if p is not None))
+            await asyncio.gather(*(p.terminate(_ORDERLY_US) for p in running if p is not None))
         await self._duties.close()
         for made in self._sockets:
             made.close()
--- a/weldhead/site/parts.py
+++ b/weldhead/site/parts.py
@@ -1,4 +1,4 @@
-"""What each part of a site is told by its keeper, in a JSON file."""
+"""Settings of the site's processes, which read them from JSON files at their start."""
 
 import msgspec
 
@@ -7,7 +7,11 @@
 
 
 class StateSettings(msgspec.Struct):
-    """What the state service is told: its limits are in the description's terms."""
+    """Settings of the state service.
+
+    ``next_limits`` replace their counterparts in ``limits`` ``next_after_s`` seconds after
+    the start; None: the limits never change.
+    """
 
     record: str
     limits: dict[str, float]
@@ -16,7 +20,11 @@
 
 
 class PoolSettings(msgspec.Struct):
-    """What the pool is told; ``site`` is a name that no other site has."""
+    """Settings of the machine pool; ``site`` is a name that no other site has.
+
+    ``nodes`` maps the controllers' names to their addresses; ``at_most`` bounds the number of
+    machines of a type.
+    """
 
     site: str
     root: str
@@ -33,7 +41,7 @@
 
 
 class FrontSettings(msgspec.Struct):
-    """What the front is told."""
+    """Settings of the HTTP front; ``nodes`` maps the controllers' names to their addresses."""
 
     root: str
     nodes: dict[str, str]
@@ -41,7 +49,10 @@
 
 
 class WorkerSettings(msgspec.Struct):
-    """What a worker is told; ``nodes`` are the controllers, by name."""
+    """Settings of a machine's worker; ``nodes`` maps the controllers' names to their addresses.
+
+    ``mark`` is the value of the environment variable that identifies the machine's processes.
+    """
 
     machine: str
     type: str
--- a/weldhead/site/pool.py
+++ b/weldhead/site/pool.py
@@ -1,7 +1,8 @@
-"""The pool: machines of this site as PROTOCOL's cloud rents them, without I/O.
+"""The machine pool: rents out machines of this site like a cloud provider, without I/O.
 
-A machine is a share of the host that one worker looks after. Every call is given the time
-(microseconds); what must outlive the process is returned as records before it is done.
+A machine is a share of the host that one worker manages. Calls take the current time as an
+argument, in microseconds. A new rental is returned as a record that the caller persists
+before it applies the rental, so that the rental survives a restart.
 """
 
 import random
@@ -14,13 +15,13 @@
 from weldhead.protocol.wire import ListedMachine, MachineList, MachineType, RentalRequest
 from weldhead.site.description import SpotPart
 
-MOST_RENTED = 50
-MOST_DELETED = 100
-MOST_LISTED = 500
+MAX_MACHINES_PER_RENTAL = 50
+MAX_MACHINES_PER_DELETION = 100
+MAX_MACHINES_PER_PAGE = 500
 
 
 class PoolError(Exception):
-    """A call that is refused; ``status`` is its HTTP status."""
+    """The pool rejected a request; ``status`` is the HTTP status of the answer."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -28,7 +29,7 @@
 
 
 class Rented(msgspec.Struct, array_like=True, tag="rented", frozen=True):
-    """A rental was answered with these machines; ``at_us`` is the time of day."""
+    """A record of a rental and its machines; ``at_us`` is the time of day of the rental."""
 
     request: str
     machines: tuple[str, ...]
@@ -39,7 +40,10 @@
 
 
 class Launched(msgspec.Struct, array_like=True, tag="launched", frozen=True):
-    """A machine's worker runs as this process, at this port."""
+    """A record of a started worker: its machine, process and port.
+
+    ``started`` is the start time of the process in kernel clock ticks.
+    """
 
     machine: str
     pid: int
@@ -48,7 +52,7 @@
 
 
 class Gone(msgspec.Struct, array_like=True, tag="gone", frozen=True):
-    """A machine and everything on it are gone."""
+    """A record of a deleted machine, on which no process runs any more."""
 
     machine: str
 
@@ -58,47 +62,52 @@
 
 @dataclass
 class PooledMachine:
-    """A machine of the pool."""
+    """A rented machine and its worker process; a time of 0 means that the event is to come."""
 
     name: str
     type: MachineType
     zone: str
     spot: bool
     rented_us: int
-    #: 0: its worker has not been started yet.
+    #: When the machine's worker was started first; 0: the worker has not been started yet.
     up_us: int = 0
     failed_us: int = 0
     gone_us: int = 0
     pid: int = 0
     started: int = 0
     port: int = 0
-    #: Being deleted: it keeps its room until everything on it is gone.
-    leaving: bool = False
+    #: A machine that is being deleted counts against the capacity until its processes ended.
+    is_being_deleted: bool = False
 
 
 @dataclass
 class Pool:
-    """Machines, rentals by name, and what room is left."""
+    """The machines and rentals of a site, and the capacity for more machines.
+
+    ``cores`` bounds the CPUs of all machines, ``at_most`` the number of machines of a type.
+    Machine lists show the state of ``list_lag_us`` ago. ``rentals`` is keyed by the name that
+    the client gave its request, so that a repeated request gets the same answer.
+    """
 
     types: Sequence[MachineType]
     cores: float
-    lag_us: int
+    list_lag_us: int
     at_most: dict[str, int] = field(default_factory=dict)
     machines: dict[str, PooledMachine] = field(default_factory=dict)
     rentals: dict[str, tuple[Rented, tuple[str, ...]]] = field(default_factory=dict)
-    _count: int = 0
+    _machines_rented: int = 0
 
     def load(self, records: Iterable[Record]) -> None:
-        """Take up what was recorded; machines that were rented are there still."""
-        by_name = {one.name: one for one in self.types}
+        """Apply records after a restart; machines that were not deleted are still rented."""
+        types_by_name = {machine_type.name: machine_type for machine_type in self.types}
         for record in records:
             match record:
                 case Rented():
-                    self._count += len(record.machines)
+                    self._machines_rented += len(record.machines)
                     self.rentals[record.request] = (record, record.machines)
                     for name in record.machines:
-                        if record.kind in by_name:
-                            self._add(name, by_name[record.kind], record)
+                        if record.kind in types_by_name:
+                            self._add_machine(name, types_by_name[record.kind], record)
                 case Launched(name, pid, started, port):
                     if name in self.machines:
                         machine = self.machines[name]
@@ -108,7 +117,7 @@
                     self.machines.pop(name, None)
 
     def records(self) -> Iterator[Record]:
-        """Return records that make another pool equal to this one."""
+        """Yield records that make an empty pool equal to this one."""
         for rental, _ in self.rentals.values():
             yield rental
             for name in rental.machines:
@@ -118,111 +127,135 @@
                 elif machine.pid:
                     yield Launched(name, machine.pid, machine.started, machine.port)
 
-    def _add(self, name: str, kind: MachineType, rental: Rented) -> PooledMachine:
-        machine = PooledMachine(name, kind, rental.zone, rental.spot, rental.at_us)
+    def _add_machine(self, name: str, machine_type: MachineType, rental: Rented) -> PooledMachine:
+        machine = PooledMachine(name, machine_type, rental.zone, rental.spot, rental.at_us)
         self.machines[name] = machine
         return machine
 
-    def _present(self) -> Iterator[PooledMachine]:
+    def _present_machines(self) -> Iterator[PooledMachine]:
         return (machine for machine in self.machines.values() if not machine.gone_us)
 
-    def room(self, kind: MachineType) -> int:
-        """Return how many more machines of a type there is room for."""
-        present = list(self._present())
-        free = self.cores - sum(machine.type.cpus for machine in present)
-        count = int(free / kind.cpus + 1e-9)
-        if kind.name in self.at_most:
-            same = sum(machine.type.name == kind.name for machine in present)
-            count = min(count, self.at_most[kind.name] - same)
+    def room(self, machine_type: MachineType) -> int:
+        """Return how many more machines of a type the capacity allows."""
+        present = list(self._present_machines())
+        free_cores = self.cores - sum(machine.type.cpus for machine in present)
+        count = int(free_cores / machine_type.cpus + 1e-9)
+        if machine_type.name in self.at_most:
+            same_type = sum(machine.type.name == machine_type.name for machine in present)
+            count = min(count, self.at_most[machine_type.name] - same_type)
         return max(0, count)
 
     def rent(self, request: RentalRequest, now_us: int) -> tuple[list[str], Rented | None]:
-        """Rent machines: their names, and what to record first if the rental is new."""
-        known = self.rentals.get(request.request)
-        if known is not None:
-            return list(known[1]), None
-        kind = next((one for one in self.types if one.name == request.type), None)
-        if kind is None or request.zone not in kind.zones:
+        """Return the names of the rented machines, and the record of a new rental.
+
+        The caller persists the record and passes it to :meth:`rented`; for a repeated request
+        the record is None.
+        """
+        existing = self.rentals.get(request.request)
+        if existing is not None:
+            return list(existing[1]), None
+        machine_type = next(
+            (machine_type for machine_type in self.types if machine_type.name == request.type), None
+        )
+        if machine_type is None or request.zone not in machine_type.zones:
             raise PoolError(400, f"no type {request.type!r} in zone {request.zone!r}")
-        if not 1 <= request.count <= MOST_RENTED or not 1 <= len(request.request) <= 200:
-            raise PoolError(400, f"how_many must be 1 to {MOST_RENTED}, and hire a name")
-        count = min(request.count, self.room(kind))
+        if (
+            not 1 <= request.count <= MAX_MACHINES_PER_RENTAL
+            or not 1 <= len(request.request) <= 200
+        ):
+            raise PoolError(
+                400, f"how_many must be 1 to {MAX_MACHINES_PER_RENTAL}, and hire a name"
+            )
+        count = min(request.count, self.room(machine_type))
         if count == 0:
             raise PoolError(503, "no capacity")
-        names = tuple(f"vm-{self._count + number + 1:06}" for number in range(count))
-        record = Rented(request.request, names, kind.name, request.zone, request.spot, now_us)
+        names = tuple(f"vm-{self._machines_rented + number + 1:06}" for number in range(count))
+        record = Rented(
+            request.request, names, machine_type.name, request.zone, request.spot, now_us
+        )
         return list(names), record
 
     def rented(self, record: Rented) -> list[PooledMachine]:
-        """A new rental is on record: its machines are there now."""
-        kind = next(one for one in self.types if one.name == record.kind)
-        self._count += len(record.machines)
+        """Add and return the machines of a new rental whose record is persisted."""
+        machine_type = next(
+            machine_type for machine_type in self.types if machine_type.name == record.kind
+        )
+        self._machines_rented += len(record.machines)
         self.rentals[record.request] = (record, record.machines)
-        return [self._add(name, kind, record) for name in record.machines]
+        return [self._add_machine(name, machine_type, record) for name in record.machines]
 
     def leave(self, names: Sequence[str]) -> list[PooledMachine]:
-        """Return the machines among the names that are to be ended."""
-        found = []
+        """Mark the named machines as being deleted, and return those that exist."""
+        marked = []
         for name in dict.fromkeys(names):
             machine = self.machines.get(name)
             if machine is not None and not machine.gone_us:
-                machine.leaving = True
-                found.append(machine)
-        return found
+                machine.is_being_deleted = True
+                marked.append(machine)
+        return marked
 
     def gone(self, name: str, now_us: int) -> None:
-        """A machine and everything on it are gone; lists say so later."""
+        """Mark a machine as deleted; lists omit the machine once the list lag has passed."""
         machine = self.machines.get(name)
         if machine is not None:
             machine.gone_us = now_us
 
-    def listing(self, start: str, most: int, now_us: int) -> MachineList:
-        """Return a page of the list, as it was a while ago."""
-        if not 1 <= most <= MOST_LISTED:
-            raise PoolError(400, f"most must be 1 to {MOST_LISTED}")
-        as_of_us = now_us - self.lag_us
+    def listing(self, after: str, limit: int, now_us: int) -> MachineList:
+        """Return up to ``limit`` machines whose names sort after ``after``.
+
+        The page shows the machines as they were ``list_lag_us`` ago.
+        """
+        if not 1 <= limit <= MAX_MACHINES_PER_PAGE:
+            raise PoolError(400, f"most must be 1 to {MAX_MACHINES_PER_PAGE}")
+        as_of_us = now_us - self.list_lag_us
         for name, machine in list(self.machines.items()):
             if machine.gone_us and machine.gone_us <= as_of_us:
                 del self.machines[name]
         names = sorted(
             name
             for name, machine in self.machines.items()
-            if name > start and machine.rented_us <= as_of_us
+            if name > after and machine.rented_us <= as_of_us
         )
         items = []
-        for name in names[:most]:
+        for name in names[:limit]:
             machine = self.machines[name]
-            up = 0 < machine.up_us <= as_of_us
-            failed = 0 < machine.failed_us <= as_of_us
+            is_up = 0 < machine.up_us <= as_of_us
+            has_failed = 0 < machine.failed_us <= as_of_us
             items.append(
                 ListedMachine(
                     id=name,
                     type=machine.type.name,
                     zone=machine.zone,
                     spot=machine.spot,
-                    state="failed" if failed else "running" if up else "starting",
+                    state="failed" if has_failed else "running" if is_up else "starting",
                     age_s=(as_of_us - machine.rented_us) / SECOND_US,
                     address=f"127.0.0.1:{machine.port}" if machine.port else None,
                 )
             )
-        return MachineList(items, len(names) > most)
+        return MachineList(items, len(names) > limit)
 
 
 @dataclass(frozen=True)
 class Recall:
-    """When a spot machine is taken: told at ``notice_us`` (None: not told), then taken."""
+    """When the pool reclaims a spot machine, and when its worker is notified of that.
+
+    ``notice_us`` is None for a machine that is reclaimed without notice.
+    """
 
     notice_us: int | None
-    taken_us: int
+    reclaim_us: int
 
 
 def plan_recall(spot: SpotPart, name: str, rented_us: int) -> Recall | None:
-    """Draw a spot machine's end; the same machine always has the same one."""
+    """Draw the time at which a spot machine is reclaimed; None if it never is.
+
+    The seed and the machine's name determine the result, so it is the same after a restart.
+    """
     if spot.mean_life_s <= 0:
         return None
-    drawn = random.Random(f"{spot.seed}/{name}")
-    taken_us = rented_us + round(drawn.expovariate(1 / spot.mean_life_s) * SECOND_US)
-    if drawn.random() < spot.unannounced:
-        return Recall(None, taken_us)
-    notice_us = round(spot.notice_s * drawn.uniform(0.5, 1.5) * SECOND_US)
-    return Recall(taken_us, taken_us + notice_us)
+    generator = random.Random(f"{spot.seed}/{name}")
+    reclaim_us = rented_us + round(generator.expovariate(1 / spot.mean_life_s) * SECOND_US)
+    if generator.random() < spot.unannounced:
+        return Recall(None, reclaim_us)
+    notice_us = round(spot.notice_s * generator.uniform(0.5, 1.5) * SECOND_US)
+    return Recall(reclaim_us, reclaim_us + notice_us)
--- a/weldhead/site/pool_process.py
+++ b/weldhead/site/pool_process.py
@@ -1,6 +1,7 @@
-"""The pool's process: PROTOCOL's cloud over HTTP, and the machines' workers.
+"""The machine pool's process: the cloud provider's HTTP interface, and the machines' workers.
 
-Workers outlive the pool (their tasks go on while it is started again), but not the site.
+Workers survive a restart of the pool's process, so that their tasks keep running, but end
+with the site.
 """
 
 import asyncio
@@ -14,11 +15,11 @@
 from weldhead.protocol.wire import Catalog, MachineNames, RentalRequest
 from weldhead.site import guard
 from weldhead.site.backoff import Backoff
-from weldhead.site.http import Reply, error, integer, listen, reply
-from weldhead.site.layout import Layout, write_whole
+from weldhead.site.http import Reply, error, listen, parse_count, reply
+from weldhead.site.layout import Layout, write_atomically
 from weldhead.site.parts import PoolSettings, WorkerSettings
 from weldhead.site.pool import (
-    MOST_DELETED,
+    MAX_MACHINES_PER_DELETION,
     Gone,
     Launched,
     Pool,
@@ -27,7 +28,7 @@
     Record,
     plan_recall,
 )
-from weldhead.site.processes import Process, lifeline, spawn
+from weldhead.site.processes import Process, get_keeper_pipe_fd, spawn
 from weldhead.site.records import RecordFile
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.http_client import CallError, HttpClient
@@ -35,12 +36,12 @@
 
 log = logging.getLogger(__name__)
 
-_rentals = msgspec.json.Decoder(RentalRequest)
-_names = msgspec.json.Decoder(MachineNames)
+_rental_decoder = msgspec.json.Decoder(RentalRequest)
+_machine_names_decoder = msgspec.json.Decoder(MachineNames)
 
 
 class PoolProcess:
-    """Rents, lists, deletes; keeps a worker running on each machine."""
+    """Answers requests to rent, list and delete machines; runs a worker on each machine."""
 
     def __init__(self, settings: PoolSettings) -> None:
         self._settings = settings
@@ -48,33 +49,35 @@
         self.pool = Pool(
             settings.types, settings.cores, seconds_us(settings.list_lag_s), settings.at_most
         )
-        self._file: RecordFile[Record] = RecordFile(self._layout.pool, Record)
-        self._budget = TokenBucket(settings.rps, 2 * settings.rps)
-        self._duties = BackgroundTasks()
+        self._record_file: RecordFile[Record] = RecordFile(self._layout.pool, Record)
+        self._request_bucket = TokenBucket(settings.rps, 2 * settings.rps)
+        self._background_tasks = BackgroundTasks()
         self._http = HttpClient(4)
-        self._keepers: dict[str, asyncio.Task[None]] = {}
+        self._worker_supervisors: dict[str, asyncio.Task[None]] = {}
 
     def start(self) -> None:
-        """Take up the machines of an earlier life."""
+        """Load the recorded machines and supervise their workers again."""
         self._layout.pool.parent.mkdir(parents=True, exist_ok=True)
-        self.pool.load(self._file.read())
-        self._file.rewrite(self.pool.records())
+        self.pool.load(self._record_file.read())
+        self._record_file.rewrite(self.pool.records())
         for machine in list(self.pool.machines.values()):
-            self._keep(machine)
+            self._supervise(machine)
 
     async def close(self, *, machines: bool) -> None:
-        """Stop; with the machines if the whole site ends."""
+        """Stop the pool; with ``machines``, delete all machines first, as the site shuts down."""
         if machines:
-            await asyncio.gather(*(self._stop(m) for m in list(self.pool.machines.values())))
-        await self._duties.close()
+            await asyncio.gather(
+                *(self._delete_machine(m) for m in list(self.pool.machines.values()))
+            )
+        await self._background_tasks.close()
         await self._http.close()
-        self._file.close()
+        self._record_file.close()
 
-    # The cloud's calls
+    # HTTP interface
 
     async def handle(self, request: web.BaseRequest, body: bytes) -> Reply:
-        """Answer one call."""
-        if not self._budget.try_take(1, now_us()):
+        """Answer one HTTP request."""
+        if not self._request_bucket.try_take(1, now_us()):
             return error(429, "too many requests")
         try:
             return await self._route(request, body)
@@ -82,8 +85,8 @@
             return error(refused.status, str(refused))
         except (msgspec.DecodeError, ValueError) as malformed:
             return error(400, str(malformed))
-        except OSError as full:
-            log.error("the pool's record cannot be written: %s", full)
+        except OSError as failure:
+            log.error("cannot write the machine pool's record file: %s", failure)
             return error(503, "trouble")
 
     async def _route(self, request: web.BaseRequest, body: bytes) -> Reply:
@@ -91,62 +94,66 @@
         if call == ("GET", "/catalog"):
             return reply(200, Catalog(self._settings.types))
         if call == ("POST", "/rentals"):
-            names, record = self.pool.rent(_rentals.decode(body), wall_us())
+            names, record = self.pool.rent(_rental_decoder.decode(body), wall_us())
             if record is not None:
-                self._file.append([record])
+                self._record_file.append([record])
                 for machine in self.pool.rented(record):
-                    self._keep(machine)
+                    self._supervise(machine)
             return reply(200, MachineNames(names))
         if call == ("POST", "/rentals/delete"):
-            wanted = _names.decode(body).machines
-            if len(wanted) > MOST_DELETED:
-                return error(400, f"more than {MOST_DELETED} names")
-            await asyncio.gather(*(self._stop(one) for one in self.pool.leave(wanted)))
+            names = _machine_names_decoder.decode(body).machines
+            if len(names) > MAX_MACHINES_PER_DELETION:
+                return error(400, f"more than {MAX_MACHINES_PER_DELETION} names")
+            await asyncio.gather(
+                *(self._delete_machine(machine) for machine in self.pool.leave(names))
+            )
             return reply(200, {})
         if call == ("GET", "/rentals"):
-            most = integer(request.query.get("most", "500"))
-            page = self.pool.listing(request.query.get("from", ""), most, wall_us())
+            limit = parse_count(request.query.get("most", "500"))
+            page = self.pool.listing(request.query.get("from", ""), limit, wall_us())
             return reply(200, page)
         return error(404, "no such call")
 
     # Machines
 
-    def _mark(self, machine: PooledMachine) -> str:
+    def _process_mark(self, machine: PooledMachine) -> str:
         return f"{self._settings.site}/{machine.name}"
 
-    def _keep(self, machine: PooledMachine) -> None:
-        self._keepers[machine.name] = self._duties.spawn(
-            f"machine {machine.name}", self._keep_running(machine)
+    def _supervise(self, machine: PooledMachine) -> None:
+        self._worker_supervisors[machine.name] = self._background_tasks.spawn(
+            f"machine {machine.name}", self._keep_worker_running(machine)
         )
         if machine.spot:
-            self._duties.spawn(f"recall {machine.name}", self._recall(machine))
+            self._background_tasks.spawn(
+                f"recall {machine.name}", self._recall_spot_machine(machine)
+            )
 
-    async def _keep_running(self, machine: PooledMachine) -> None:
-        """Have a worker run on the machine until it is deleted."""
+    async def _keep_worker_running(self, machine: PooledMachine) -> None:
+        """Restart the machine's worker whenever it ends, until the machine is deleted."""
         backoff = Backoff()
         process = Process(machine.pid, machine.started)
-        if not process.alive:
-            process = self._launch(machine)
+        if not process.is_alive:
+            process = self._launch_worker(machine)
         while True:
             began_us = now_us()
-            await process.ended()
-            if machine.leaving:
+            await process.wait_until_ended()
+            if machine.is_being_deleted:
                 return
             lasted_us = now_us() - began_us
-            pause_us = backoff.after(lasted_us)
+            pause_us = backoff.next_pause_us(lasted_us)
             log.error(
-                "the worker of %s has ended; again in %d ms",
+                "worker of machine %s has ended; restarting it in %d ms",
                 machine.name,
                 pause_us // 1000,
                 extra={"machine": machine.name, "lasted_us": lasted_us, "pause_us": pause_us},
             )
             await asyncio.sleep(pause_us / SECOND_US)
-            process = self._launch(machine)
+            process = self._launch_worker(machine)
 
-    def _launch(self, machine: PooledMachine) -> Process:
+    def _launch_worker(self, machine: PooledMachine) -> Process:
         settings = self._settings
-        path = self._layout.settings(machine.name)
-        told = WorkerSettings(
+        settings_path = self._layout.settings(machine.name)
+        worker_settings = WorkerSettings(
             machine=machine.name,
             type=machine.type.name,
             zone=machine.zone,
@@ -159,55 +166,66 @@
             nodes=settings.nodes,
             front=settings.front,
             root=settings.root,
-            mark=self._mark(machine),
+            mark=self._process_mark(machine),
         )
-        write_whole(path, msgspec.json.encode(told))
+        write_atomically(settings_path, msgspec.json.encode(worker_settings))
         try:
-            listening = listen("127.0.0.1", machine.port)
+            listener = listen("127.0.0.1", machine.port)
         except OSError:
-            # Somebody else has the port by now; reports tell the new one.
-            listening = listen("127.0.0.1", 0)
-        line = lifeline()
-        with listening:
-            fds = [listening.fileno()] + ([line] if line is not None else [])
-            arguments = ["site-worker", "--settings", str(path), "--fd", str(listening.fileno())]
+            # Another process has taken the worker's former port. The worker's heartbeats
+            # announce the new port to the controllers.
+            listener = listen("127.0.0.1", 0)
+        keeper_pipe_fd = get_keeper_pipe_fd()
+        with listener:
+            fds = [listener.fileno()] + ([keeper_pipe_fd] if keeper_pipe_fd is not None else [])
+            arguments = [
+                "site-worker",
+                "--settings",
+                str(settings_path),
+                "--fd",
+                str(listener.fileno()),
+            ]
             process = spawn(arguments, self._layout.log(machine.name), fds)
-            machine.port = listening.getsockname()[1]
-        machine.pid, machine.started = process.pid, process.started
+            machine.port = listener.getsockname()[1]
+        machine.pid, machine.started = process.pid, process.start_ticks
         machine.up_us = machine.up_us or wall_us()
-        self._file.append([Launched(machine.name, process.pid, process.started, machine.port)])
+        self._record_file.append(
+            [Launched(machine.name, process.pid, process.start_ticks, machine.port)]
+        )
         return process
 
-    async def _stop(self, machine: PooledMachine) -> None:
-        """End a machine: when this returns, everything on it is gone."""
-        machine.leaving = True
+    async def _delete_machine(self, machine: PooledMachine) -> None:
+        """Delete a machine; no process of the machine is left when this method returns."""
+        machine.is_being_deleted = True
         process = Process(machine.pid, machine.started)
-        await process.end(2 * SECOND_US)
-        while not await asyncio.to_thread(guard.sweep, self._mark(machine)):
-            log.error("processes of %s are still there", machine.name)
-        keeper = self._keepers.pop(machine.name, None)
-        if keeper is not None:
-            keeper.cancel()
+        await process.terminate(2 * SECOND_US)
+        while not await asyncio.to_thread(guard.sweep, self._process_mark(machine)):
+            log.error("processes of machine %s are still running; killing them again", machine.name)
+        supervisor = self._worker_supervisors.pop(machine.name, None)
+        if supervisor is not None:
+            supervisor.cancel()
         if not machine.gone_us:
-            self._file.append([Gone(machine.name)])
+            self._record_file.append([Gone(machine.name)])
             self.pool.gone(machine.name, wall_us())
             self._layout.settings(machine.name).unlink(missing_ok=True)
 
-    async def _recall(self, machine: PooledMachine) -> None:
-        """Take a spot machine back when its time has come."""
+    async def _recall_spot_machine(self, machine: PooledMachine) -> None:
+        """Notify a spot machine's worker and delete the machine at the times planned for it."""
         recall = plan_recall(self._settings.spot, machine.name, machine.rented_us)
         if recall is None:
             return
         if recall.notice_us is not None:
             await asyncio.sleep(max(0, recall.notice_us - wall_us()) / SECOND_US)
-            left_s = max(0, recall.taken_us - wall_us()) / SECOND_US
-            body = msgspec.json.encode({"recall_s": left_s})
+            remaining_s = max(0, recall.reclaim_us - wall_us()) / SECOND_US
+            body = msgspec.json.encode({"recall_s": remaining_s})
             url = f"http://127.0.0.1:{machine.port}/notice"
             try:
                 await self._http.call("POST", url, body, 2 * SECOND_US)
             except CallError as failed:
-                log.info("%s was not told: %s", machine.name, failed)
-        await asyncio.sleep(max(0, recall.taken_us - wall_us()) / SECOND_US)
-        log.info("spot machine %s is taken back", machine.name, extra={"machine": machine.name})
-        for found in self.pool.leave([machine.name]):
-            await self._stop(found)
+                log.info(
+                    "recall notice to the worker of machine %s failed: %s", machine.name, failed
+                )
+        await asyncio.sleep(max(0, recall.reclaim_us - wall_us()) / SECOND_US)
+        log.info("reclaiming spot machine %s", machine.name, extra={"machine": machine.name})
+        for leaving_machine in self.pool.leave([machine.name]):
+            await self._delete_machine(leaving_machine)
--- a/weldhead/site/processes.py
+++ b/weldhead/site/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a site: starting them, watching them, and knowing them again."""
+"""Starts, watches and identifies the processes of a site."""
 
 import asyncio
 import contextlib
@@ -13,16 +13,17 @@
 
 from weldhead.clock import SECOND_US
 
-#: The descriptor on which a part sees the end of the site's keeper.
-LIFELINE = "WELDHEAD_LIFELINE"
+#: Environment variable with the number of the pipe's descriptor on which a site process
+#: notices that the site's supervisor (:mod:`weldhead.site.keeper`) has ended.
+KEEPER_PIPE_VARIABLE = "WELDHEAD_LIFELINE"
 
-PROGRAM = Path(__file__).resolve().parents[2] / "run.py"
+PROGRAM_PATH = Path(__file__).resolve().parents[2] / "run.py"
 
 
-def started_at(pid: int) -> int:
-    """Return when a process began, in the kernel's ticks; 0 if it is not there (any more).
+def read_start_ticks(pid: int) -> int:
+    """Return the start time of a process in kernel clock ticks; 0 if the process does not run.
 
-    A number is given to one process after the other; with its begin it names one.
+    The kernel reuses PIDs, so only the PID and the start time together identify a process.
     """
     try:
         text = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace")
@@ -34,106 +35,108 @@
 
 @dataclass(frozen=True)
 class Process:
-    """A process of this or an earlier life: its number and its begin."""
+    """A process, identified by its PID and start time also after a restart of its parent."""
 
     pid: int
-    started: int
+    start_ticks: int
 
     @property
-    def alive(self) -> bool:
-        """Whether it is there."""
-        return self.started != 0 and started_at(self.pid) == self.started
+    def is_alive(self) -> bool:
+        """Whether the process is running."""
+        return self.start_ticks != 0 and read_start_ticks(self.pid) == self.start_ticks
 
-    def signal(self, number: int) -> None:
-        """Send a signal, if it is there."""
-        if self.alive:
+    def send_signal(self, signal_number: int) -> None:
+        """Send a signal to the process if it is running."""
+        if self.is_alive:
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self.pid, number)
+                os.kill(self.pid, signal_number)
 
-    async def ended(self) -> None:
-        """Wait until it is gone; it need not be a child."""
+    async def wait_until_ended(self) -> None:
+        """Wait until the process has ended; the process need not be a child of this one."""
         try:
-            handle = os.pidfd_open(self.pid)
+            pidfd = os.pidfd_open(self.pid)
         except ProcessLookupError:
             return
         try:
-            if not self.alive:
+            if not self.is_alive:
                 return
             loop = asyncio.get_running_loop()
-            over = asyncio.Event()
-            loop.add_reader(handle, over.set)
+            exited = asyncio.Event()
+            loop.add_reader(pidfd, exited.set)
             try:
-                await over.wait()
+                await exited.wait()
             finally:
-                loop.remove_reader(handle)
+                loop.remove_reader(pidfd)
         finally:
-            os.close(handle)
+            os.close(pidfd)
             with contextlib.suppress(ChildProcessError):
                 os.waitpid(self.pid, os.WNOHANG)  # noqa: ASYNC222 - it has ended already
 
-    async def end(self, patience_us: int) -> None:
-        """Ask it to end, and make it end after the patience."""
-        self.signal(signal.SIGTERM)
+    async def terminate(self, grace_period_us: int) -> None:
+        """Send SIGTERM to the process, and SIGKILL if it runs on after the grace period."""
+        self.send_signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(self.ended(), patience_us / SECOND_US)
+            await asyncio.wait_for(self.wait_until_ended(), grace_period_us / SECOND_US)
         except asyncio.TimeoutError:
-            self.signal(signal.SIGKILL)
-            await self.ended()
+            self.send_signal(signal.SIGKILL)
+            await self.wait_until_ended()
 
 
-def _bind() -> None:
+def _end_with_parent() -> None:
+    """Have the kernel send this process SIGTERM when its parent ends (PR_SET_PDEATHSIG)."""
     ctypes.CDLL(None, use_errno=True).prctl(1, signal.SIGTERM, 0, 0, 0)
 
 
 def spawn(
     arguments: Sequence[str],
-    log: Path,
+    log_path: Path,
     fds: Sequence[int] = (),
     environment: Mapping[str, str] | None = None,
     *,
-    bound: bool = False,
+    ends_with_parent: bool = False,
 ) -> Process:
-    """Start weldhead with arguments; its errors go to the log.
+    """Start weldhead with command-line arguments; its output is appended to ``log_path``.
 
-    ``bound``: it ends when this process does. ``fds`` are passed on under their numbers;
-    ``environment`` is added to this process's own.
+    With ``ends_with_parent`` the new process ends when this process does. It inherits the
+    descriptors ``fds`` under their numbers, and this process's environment extended by
+    ``environment``.
     """
-    log.parent.mkdir(parents=True, exist_ok=True)
-    with log.open("ab") as errors:
+    log_path.parent.mkdir(parents=True, exist_ok=True)
+    with log_path.open("ab") as log_file:
         process = subprocess.Popen(
-            [sys.executable, str(PROGRAM), *arguments],
+            [sys.executable, str(PROGRAM_PATH), *arguments],
             stdin=subprocess.DEVNULL,
-            stdout=errors,
-            stderr=errors,
+            stdout=log_file,
+            stderr=log_file,
             pass_fds=tuple(fds),
             env={**os.environ, **(environment or {})},
             start_new_session=True,
-            preexec_fn=_bind if bound else None,
+            preexec_fn=_end_with_parent if ends_with_parent else None,
         )
-    # Process.ended() reaps it; the object must not.
+    # Process.wait_until_ended() reaps the child; with a return code set, Popen does not.
     process.returncode = 0
-    return Process(process.pid, started_at(process.pid))
+    return Process(process.pid, read_start_ticks(process.pid))
 
 
-def lifeline() -> int | None:
-    """Return the descriptor that the keeper left this part."""
-    text = os.environ.get(LIFELINE)
+def get_keeper_pipe_fd() -> int | None:
+    """Return the pipe descriptor inherited from the supervisor; None if there is none."""
+    text = os.environ.get(KEEPER_PIPE_VARIABLE)
     return int(text) if text else None
 
 
-async def until_told() -> None:
-    """Wait for SIGTERM, SIGINT, or the keeper's end."""
+async def wait_for_shutdown() -> None:
+    """Wait for SIGTERM, SIGINT, or the end of the site's supervisor."""
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    handle = lifeline()
-    if handle is not None:
-        loop.add_reader(handle, told.set)
+    shutdown_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown_requested.set)
+    keeper_pipe_fd = get_keeper_pipe_fd()
+    if keeper_pipe_fd is not None:
+        loop.add_reader(keeper_pipe_fd, shutdown_requested.set)
     try:
-        await told.wait()
+        await shutdown_requested.wait()
     finally:
-        if handle is not None:
-            loop.remove_reader(handle)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.remove_signal_handler(number)
+        if keeper_pipe_fd is not None:
+            loop.remove_reader(keeper_pipe_fd)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.remove_signal_handler(signal_number)
--- a/weldhead/site/records.py
+++ b/weldhead/site/records.py
@@ -1,9 +1,9 @@
-"""An append-only file of tagged tuples that outlives its process.
+"""An append-only file of records that survive the process which wrote them.
 
-Each record is a 4-byte length, a 4-byte CRC-32 of the body, and the body in msgpack. A
-record that was cut off at the file's end is dropped; damage before it is an error. What
-was written survives the death of the process (it is in the system's hands), not a power
-cut: there is no ``fsync`` on the way.
+Each record consists of a 4-byte length, a 4-byte CRC-32 of the body, and the body in
+msgpack. A record that was cut off at the end of the file is dropped; damage before the last
+record is an error. Written records survive a crash of the process, because the operating
+system holds them, but not a power failure: the file is never synced with ``fsync``.
 """
 
 import os
@@ -15,17 +15,17 @@
 import msgspec
 
 T = TypeVar("T")
-_HEADER = 8
+_HEADER_BYTES = 8
 
 
 class DamagedRecordsError(Exception):
-    """A record in the middle of the file is not what was written."""
+    """A record before the end of the file does not match its length or checksum."""
 
 
 class RecordFile(Generic[T]):
-    """The file, of one type of records.
+    """A file of records of one type.
 
-    ``kind`` is a msgspec type, usually a union of tagged array-like structs.
+    ``kind`` is the msgspec type of the records, usually a union of tagged array-like structs.
     """
 
     def __init__(self, path: Path, kind: Any) -> None:
@@ -36,60 +36,62 @@
         self.size = 0
 
     def read(self) -> Iterator[T]:
-        """Yield what the file holds, and cut a torn end off; nothing if there is no file."""
+        """Yield the records of the file, if it exists, and truncate an incomplete last record."""
         try:
             data = self._path.read_bytes()
         except FileNotFoundError:
             return
-        at = 0
-        while at < len(data):
-            body = self._body(data, at)
+        offset = 0
+        while offset < len(data):
+            body = self._read_body(data, offset)
             if body is None:
-                os.truncate(self._path, at)
+                os.truncate(self._path, offset)
                 return
             yield self._decode.decode(body)
-            at += _HEADER + len(body)
+            offset += _HEADER_BYTES + len(body)
 
-    def _body(self, data: bytes, at: int) -> bytes | None:
-        """Return the record's body there; None if it is cut off by the file's end."""
-        if at + _HEADER > len(data):
+    def _read_body(self, data: bytes, offset: int) -> bytes | None:
+        """Return the body of the record at ``offset``; None if the file ends within the record."""
+        if offset + _HEADER_BYTES > len(data):
             return None
-        length = int.from_bytes(data[at : at + 4], "big")
-        body = data[at + _HEADER : at + _HEADER + length]
-        whole = len(body) == length
-        if whole and zlib.crc32(body) == int.from_bytes(data[at + 4 : at + _HEADER], "big"):
+        length = int.from_bytes(data[offset : offset + 4], "big")
+        body = data[offset + _HEADER_BYTES : offset + _HEADER_BYTES + length]
+        is_complete = len(body) == length
+        if is_complete and zlib.crc32(body) == int.from_bytes(
+            data[offset + 4 : offset + _HEADER_BYTES], "big"
+        ):
             return body
-        if at + _HEADER + length >= len(data):
+        if offset + _HEADER_BYTES + length >= len(data):
             return None
-        raise DamagedRecordsError(f"{self._path}: record at byte {at} is damaged")
+        raise DamagedRecordsError(f"{self._path}: record at byte {offset} is damaged")
 
     def rewrite(self, records: Iterable[T]) -> None:
-        """Replace the file by these records, at once or not at all, and append from here."""
-        fresh = self._path.with_suffix(".new")
-        with fresh.open("wb") as file:
+        """Replace the file's content by these records atomically; later records are appended."""
+        new_path = self._path.with_suffix(".new")
+        with new_path.open("wb") as file:
             for record in records:
-                file.write(self._framed(record))
+                file.write(self._encode_record(record))
             self.size = file.tell()
-        fresh.replace(self._path)
+        new_path.replace(self._path)
         self.close()
         self._file = os.open(self._path, os.O_WRONLY | os.O_APPEND)
 
     def append(self, records: Iterable[T]) -> None:
-        """Append records in one write; OSError if that fails, and then none of them counts."""
+        """Append records in one write; if it fails with OSError, the file keeps none of them."""
         if self._file is None:
             self._file = os.open(self._path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
             self.size = os.fstat(self._file).st_size
-        data = b"".join(map(self._framed, records))
+        data = b"".join(map(self._encode_record, records))
         try:
             written = os.write(self._file, data)
             if written != len(data):
-                raise OSError(28, "the disk took only a part")
+                raise OSError(28, f"short write: {written} of {len(data)} bytes")
         except OSError:
             os.ftruncate(self._file, self.size)
             raise
         self.size += len(data)
 
-    def _framed(self, record: T) -> bytes:
+    def _encode_record(self, record: T) -> bytes:
         body = self._encode.encode(record)
         return len(body).to_bytes(4, "big") + zlib.crc32(body).to_bytes(4, "big") + body
 
--- a/weldhead/site/store/__init__.py
+++ b/weldhead/site/store/__init__.py
@@ -1,1 +1,1 @@
-"""The site's state service: the model, its record on disk, and its HTTP side."""
+"""The site's state service: the key-value store with leases, and its HTTP interface."""
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -18,7 +18,7 @@
 from weldhead.protocol.wire import DirectCommands, HeartbeatAnswer, LeaderRedirect, split_task
 from weldhead.site import guard as guard_program
 from weldhead.site.http import Reply, SiteServer, error, reply
-from weldhead.site.layout import Layout, write_whole
+from weldhead.site.layout import Layout, write_atomically
 from weldhead.site.parts import WorkerSettings
 from weldhead.site.worker import (
     Action,
@@ -181,7 +181,7 @@
         self._clear.set()
 
     def _remember(self, session: int, token: int) -> None:
-        write_whole(self._memory, msgspec.json.encode(Memory(session, token)))
+        write_atomically(self._memory, msgspec.json.encode(Memory(session, token)))
 
     # The guard
 
