--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -133,7 +133,7 @@
         self.ends: dict[int, str] = {}
 
     def teardown(self) -> None:
-        if hasattr(self, "world"):
+        if hasattr(self, "deployment"):
             self.deployment.close()
             self.deployment.loop.close()
             self.context.__exit__()
@@ -259,7 +259,7 @@
 
     @invariant()
     def no_job_starts_before_its_dependencies_are_done(self) -> None:
-        if not hasattr(self, "world"):
+        if not hasattr(self, "deployment"):
             return
         for waiting in self.deployment.leader.cluster.waiting_jobs():
             assert self.may_start(int(waiting.id.removeprefix("run-"))), waiting.id
@@ -278,7 +278,7 @@
 
     @invariant()
     def graph_holds_only_unfinished_jobs(self) -> None:
-        if hasattr(self, "world"):
+        if hasattr(self, "deployment"):
             self.deployment.sync_from_store()
             graph = self.deployment.leader.dependency_graph
             open_jobs = {job_id_of(n) for n in self.needs if self.expected_state(n) == "open"}
