--- a/tests/protocol/test_golden_bytes.py
+++ b/tests/protocol/test_golden_bytes.py
@@ -94,7 +94,7 @@
     "site store log: Ended": store.Ended,
     "site store log: Kept": store.StoredKey,
     "site store log: Base": store.Base,
-    "site: Work": worker.Work,
+    "site: Work": worker.JobDescription,
     "record: late jobs": late_notifications.Chunk,
     "record: class history": run_time_history.ClassHistory,
     "record: progress": str,
--- a/tests/site/test_local_site.py
+++ b/tests/site/test_local_site.py
@@ -181,7 +181,7 @@
             await one.accepted(key, 20)
 
             def up() -> int:
-                return sum(len(guard.marked(mark)) for mark in site.marks())
+                return sum(len(guard.find_marked_processes(mark)) for mark in site.marks())
 
             await asyncio.to_thread(wait_for, lambda: up() == 4, 20)
             assert (await one.cancel(key, 20)).outcome is Outcome.WITHDRAWN
@@ -291,7 +291,9 @@
             key = await one.submit(Job(command=("sleep", "3"), memory_gb=0.1), "long")
             await one.accepted(key, 20)
             await asyncio.to_thread(
-                wait_for, lambda: any(guard.marked(mark) for mark in site.marks()), 20
+                wait_for,
+                lambda: any(guard.find_marked_processes(mark) for mark in site.marks()),
+                20,
             )
             return key
 
@@ -299,7 +301,7 @@
     site.process.kill()
     site.process.wait()
     wait_for(lambda: not processes(str(site.root)), 20)
-    wait_for(lambda: not any(guard.marked(mark) for mark in site.marks()), 20)
+    wait_for(lambda: not any(guard.find_marked_processes(mark) for mark in site.marks()), 20)
     (site.root / "address").unlink()
     site.start()
 
--- a/tests/site/test_pool.py
+++ b/tests/site/test_pool.py
@@ -9,7 +9,7 @@
 from tests.support.builders import machine_type
 from weldhead.clock import SECOND_US
 from weldhead.protocol.wire import RentalRequest
-from weldhead.site.description import SpotPart
+from weldhead.site.description import SpotSection
 from weldhead.site.pool import Gone, Pool, PoolError, Record, plan_recall
 
 SMALL = machine_type(name="small", cpus=1.0, zones=("a",))
@@ -144,7 +144,7 @@
 
 
 def test_a_spot_machines_end_is_drawn_once_and_mostly_announced() -> None:
-    spot = SpotPart(mean_life_s=60.0, notice_s=30.0, unannounced=0.2, seed=3)
+    spot = SpotSection(mean_life_s=60.0, notice_s=30.0, unannounced=0.2, seed=3)
     plans = [plan_recall(spot, f"vm-{number}", 0) for number in range(500)]
     assert plans == [plan_recall(spot, f"vm-{number}", 0) for number in range(500)]
     known = [plan for plan in plans if plan is not None]
@@ -153,4 +153,4 @@
     for plan in known:
         if plan.notice_us is not None:
             assert 15 * SECOND_US <= plan.taken_us - plan.notice_us <= 45 * SECOND_US
-    assert plan_recall(SpotPart(), "vm-1", 0) is None
+    assert plan_recall(SpotSection(), "vm-1", 0) is None
--- a/tests/support/held_network.py
+++ b/tests/support/held_network.py
@@ -20,7 +20,16 @@
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import Command, DirectCommands, Heartbeat, split_task
-from weldhead.site.worker import Action, Fetch, Place, Signal, SlotPhase, StartSlot, Work, Worker
+from weldhead.site.worker import (
+    Action,
+    FetchDescription,
+    JobDescription,
+    MachineInfo,
+    SendSignal,
+    SlotPhase,
+    StartTask,
+    Worker,
+)
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
 S = 1_000_000
@@ -87,7 +96,7 @@
         for number in range(hosts):
             name = f"vm-{number:06}"
             put_machine(self.state, name)
-            place = Place(name, f"{name}:1", "m4", "a", False, 4.0, 0.0, 16.0)
+            place = MachineInfo(name, f"{name}:1", "m4", "a", False, 4.0, 0.0, 16.0)
             self.hosts[name] = Worker(place, 14 * S, clock())
         self.reports: list[Sent] = []
         self.flights: dict[str, Sent] = {}
@@ -136,7 +145,7 @@
     async def look(self) -> None:
         """Let time have its effect on workers and leaders."""
         for worker in self.hosts.values():
-            self._do(worker, worker.due(self.clock()))
+            self._do(worker, worker.collect_due_actions(self.clock()))
         if self.before is not None and self.clock() >= self._before_over_us:
             await self._end(self.before)
             self.before = None
@@ -192,14 +201,14 @@
     def _do(self, worker: Worker, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Fetch(task, attempt):
-                    work = Work((), TASKS, 1.0, 1.0)
-                    found = worker.fetched(task, attempt, work, task in self.done)
+                case FetchDescription(task, attempt):
+                    work = JobDescription((), TASKS, 1.0, 1.0)
+                    found = worker.handle_description(task, attempt, work, task in self.done)
                     self._do(worker, found)
-                case StartSlot(task, attempt, _):
+                case StartTask(task, attempt, _):
                     self.starts.append((task, attempt))
-                case Signal(task, attempt, _):
-                    worker.exited(task, attempt, None)
+                case SendSignal(task, attempt, _):
+                    worker.handle_exit(task, attempt, None)
 
     def _execute(self, worker: Worker, commands: list[Command], actions: list[Action]) -> None:
         self._do(worker, actions)
@@ -218,7 +227,7 @@
         ]
         if running:
             worker, slot = running[number % len(running)]
-            worker.exited(slot.task, slot.attempt, 0)
+            worker.handle_exit(slot.task, slot.attempt, 0)
             self.done.add(slot.task)
 
     def speak(self, number: int) -> int | None:
@@ -229,7 +238,7 @@
         flight = self.flights.get(name)
         if flight is not None and self.clock() - flight.at_us <= ANSWER_US:
             return None
-        sent = Sent(name, self.hosts[name].report(self.clock()), self.clock())
+        sent = Sent(name, self.hosts[name].build_report(self.clock()), self.clock())
         self.reports.append(sent)
         self.flights[name] = sent
         return len(self.reports) - 1
@@ -256,7 +265,7 @@
         if lost or self.clock() - sent.at_us > ANSWER_US:
             return
         del self.flights[sent.host]
-        actions = worker.answered(
+        actions = worker.handle_answer(
             sent.report.session, sent.at_us, answer.token, answer.commands, self.clock()
         )
         self._execute(worker, answer.commands, actions)
@@ -272,9 +281,11 @@
             case "arrive" if worker is not None and not request.arrived:
                 request.arrived = True
                 sent = request.sent
-                good, actions = worker.direct(sent.session, sent.token, sent.commands, self.clock())
+                good, actions = worker.handle_commands(
+                    sent.session, sent.token, sent.commands, self.clock()
+                )
                 self._execute(worker, sent.commands if good else [], actions)
-                body = msgspec.json.encode(worker.report(self.clock()))
+                body = msgspec.json.encode(worker.build_report(self.clock()))
                 request.reply = (200 if good else 409), body
             case "answer" if waits and request.reply is not None:
                 request.answer.set_result(request.reply)
--- a/weldhead/emulator/machines.py
+++ b/weldhead/emulator/machines.py
@@ -21,15 +21,15 @@
     MachineType,
 )
 from weldhead.site.worker import (
-    SAVED_CODE,
+    PROGRESS_SAVED_EXIT_CODE,
     Action,
-    Fetch,
-    KillAll,
-    Place,
-    Remember,
-    Signal,
-    StartSlot,
-    Work,
+    FetchDescription,
+    JobDescription,
+    KillAllTasks,
+    MachineInfo,
+    SendSignal,
+    StartTask,
+    StoreSession,
     Worker,
 )
 from weldhead.transport.http_client import CallError
@@ -117,7 +117,7 @@
         if self.gone or self.life.ended or not hasattr(self, "worker"):
             return False
         # One that hangs past its lease ends its tasks before anything else.
-        return self.life.context.run(now_us) <= self.worker.lease_ends_us
+        return self.life.context.run(now_us) <= self.worker.lease_end_us
 
     @property
     def reports_to(self) -> str:
@@ -130,7 +130,7 @@
 
     async def _run(self) -> None:
         self._changed = asyncio.Event()
-        place = Place(
+        place = MachineInfo(
             self.name, self.address, self.kind.name, self.zone, self.spot,
             self.kind.cpus, self.kind.gpus, self.kind.memory_gb,
         )  # fmt: skip
@@ -145,7 +145,7 @@
                     pause_s = self._report_s * self._rng.uniform(0.75, 1.25)
                     # Changes are told sooner, though not more often than every half second.
                     await asyncio.sleep(max(0.0, 0.5 - (now_us() - sent_us) / SECOND_US))
-                    if not self.worker.changed:
+                    if not self.worker.has_unreported_changes:
                         self._changed.clear()
                         with contextlib.suppress(asyncio.TimeoutError):
                             await asyncio.wait_for(self._changed.wait(), pause_s - 0.5)
@@ -156,15 +156,15 @@
 
     async def _watch(self) -> None:
         while True:
-            self._do(self.worker.due(now_us()))
-            await asyncio.sleep(max(0.001, (self.worker.wake_us() - now_us()) / SECOND_US))
+            self._do(self.worker.collect_due_actions(now_us()))
+            await asyncio.sleep(max(0.001, (self.worker.next_wake_us() - now_us()) / SECOND_US))
 
     async def _report(self, sent_us: int) -> float | None:
         """Report once; seconds until the next node is tried, None: all is well."""
-        self._do(self.worker.due(sent_us))
+        self._do(self.worker.collect_due_actions(sent_us))
         session = self.worker.session
         name, address = self._nodes[self._at]
-        body = _encode(self.worker.report(sent_us))
+        body = _encode(self.worker.build_report(sent_us))
         try:
             answer = await self._network.request(
                 "POST", f"http://{address}/v1/report", body, ANSWER_US
@@ -174,7 +174,9 @@
             return self._next()
         if answer.status == 200:
             told = msgspec.json.decode(answer.body, type=HeartbeatAnswer)
-            self._do(self.worker.answered(session, sent_us, told.token, told.commands, now_us()))
+            self._do(
+                self.worker.handle_answer(session, sent_us, told.token, told.commands, now_us())
+            )
             return None
         self._checker.counts[f"reports {answer.status}"] += 1
         if answer.status == 421:
@@ -194,31 +196,33 @@
         if path == "/commands":
             asked = msgspec.json.decode(body, type=DirectCommands)
             self._checker.counts["direct requests"] += 1
-            good, actions = self.worker.direct(asked.session, asked.token, asked.commands, now_us())
+            good, actions = self.worker.handle_commands(
+                asked.session, asked.token, asked.commands, now_us()
+            )
             self._do(actions)
             status = 200 if good else 409
-        return Response(status, _encode(self.worker.report(now_us())))
+        return Response(status, _encode(self.worker.build_report(now_us())))
 
     # -- tasks -----------------------------------------------------------------------------
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Fetch(task, attempt):
+                case FetchDescription(task, attempt):
                     self._later(task, attempt, self._fetch(task, attempt))
-                case StartSlot(task, attempt, _):
+                case StartTask(task, attempt, _):
                     site = TaskLocation(
                         self.name, self.kind, self.zone, self.spot, lambda: self.present
                     )
                     self._checker.started(task, attempt, site)
                     self._later(task, attempt, self._work(task, attempt))
-                case Signal(task, attempt, hard):
+                case SendSignal(task, attempt, hard):
                     self._signal(task, attempt, hard=hard)
-                case KillAll():
+                case KillAllTasks():
                     self._end_all("killed by a lease")
-                case Remember():
+                case StoreSession():
                     pass
-        if self.worker.changed:
+        if self.worker.has_unreported_changes:
             self._changed.set()
 
     def _later(self, task: str, attempt: int, background_task: object) -> None:
@@ -236,12 +240,12 @@
             await asyncio.sleep(0.01)
         work = None
         if spec is not None:
-            work = Work(
+            work = JobDescription(
                 (), spec.tasks, spec.cpus, spec.memory_gb, spec.gpus, spec.checkpoint_s, spec.save_s
             )
         job_id, _, index = task.rpartition("/")
         done = int(index) in self._checker.done[job_id]
-        self._do(self.worker.fetched(task, attempt, work, done))
+        self._do(self.worker.handle_description(task, attempt, work, done))
         if done:
             self._changed.set()
 
@@ -260,7 +264,7 @@
         self._began_s[task] = self._loop.true_s
         await asyncio.sleep(max(lasts_s - saved_s, 0.1))
         # A machine that hung may be past its lease: that comes first.
-        self._do(self.worker.due(now_us()))
+        self._do(self.worker.collect_due_actions(now_us()))
         if (task, attempt) in self._running:
             self._exit(task, attempt, 0, "done")
 
@@ -269,8 +273,8 @@
         slot = self.worker.slots.get((task, attempt))
         if slot is None or (task, attempt) not in self._running:
             return
-        if not hard and slot.work is not None and slot.phase.value == "saving":
-            self._later(task, attempt, self._save(task, attempt, slot.work.save_s))
+        if not hard and slot.description is not None and slot.phase.value == "saving":
+            self._later(task, attempt, self._save(task, attempt, slot.description.save_s))
         else:
             self._running.pop((task, attempt)).cancel()
             self._exit(task, attempt, None, "stopped")
@@ -279,12 +283,12 @@
         ran_s = self._loop.true_s - self._began_s.get(task, self._loop.true_s)
         await asyncio.sleep(save_s)
         self._checker.saved_s[task] += ran_s  # type: ignore[assignment]
-        self._exit(task, attempt, SAVED_CODE, "stopped")
+        self._exit(task, attempt, PROGRESS_SAVED_EXIT_CODE, "stopped")
 
     def _exit(self, task: str, attempt: int, code: int | None, why: str) -> None:
         self._running.pop((task, attempt), None)
         self._checker.left(task, self.name, why)
-        self.worker.exited(task, attempt, code)
+        self.worker.handle_exit(task, attempt, code)
         self._changed.set()
 
     def _end_all(self, why: str) -> None:
--- a/weldhead/site/front.py
+++ b/weldhead/site/front.py
@@ -19,7 +19,7 @@
 from weldhead.site.layout import Layout
 from weldhead.site.parts import FrontSettings
 from weldhead.site.routing import PROBE_US, Backend, Balancer
-from weldhead.site.worker import Work
+from weldhead.site.worker import JobDescription
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
@@ -33,7 +33,7 @@
 #: So many failed attempts of a job are told at most.
 _MOST_FAILURES = 50
 
-_works = msgspec.json.Decoder(Work)
+_works = msgspec.json.Decoder(JobDescription)
 
 
 class AttemptRecord(msgspec.Struct, omit_defaults=True):
--- a/weldhead/site/keeper.py
+++ b/weldhead/site/keeper.py
@@ -15,7 +15,7 @@
 
 from weldhead.clock import SECOND_US, now_us
 from weldhead.site.backoff import Backoff
-from weldhead.site.description import Description, NextPart, controller_settings
+from weldhead.site.description import Description, UpcomingStateSection, controller_settings
 from weldhead.site.http import listen
 from weldhead.site.layout import Layout, write_whole
 from weldhead.site.parts import FrontSettings, PoolSettings, StateSettings
@@ -257,7 +257,7 @@
             made.close()
 
 
-def _given(coming: NextPart) -> dict[str, float]:
+def _given(coming: UpcomingStateSection) -> dict[str, float]:
     values = msgspec.structs.asdict(coming)
     return {
         key: float(value) for key, value in values.items() if value is not None and key != "after_s"
--- a/weldhead/site/parts.py
+++ b/weldhead/site/parts.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from weldhead.protocol.wire import MachineType
-from weldhead.site.description import SpotPart
+from weldhead.site.description import SpotSection
 
 
 class StateSettings(msgspec.Struct):
@@ -29,7 +29,7 @@
     lease_s: float
     nodes: dict[str, str]
     front: str
-    spot: SpotPart
+    spot: SpotSection
 
 
 class FrontSettings(msgspec.Struct):
--- a/weldhead/site/pool.py
+++ b/weldhead/site/pool.py
@@ -12,7 +12,7 @@
 
 from weldhead.clock import SECOND_US
 from weldhead.protocol.wire import ListedMachine, MachineList, MachineType, RentalRequest
-from weldhead.site.description import SpotPart
+from weldhead.site.description import SpotSection
 
 MOST_RENTED = 50
 MOST_DELETED = 100
@@ -216,7 +216,7 @@
     taken_us: int
 
 
-def plan_recall(spot: SpotPart, name: str, rented_us: int) -> Recall | None:
+def plan_recall(spot: SpotSection, name: str, rented_us: int) -> Recall | None:
     """Draw a spot machine's end; the same machine always has the same one."""
     if spot.mean_life_s <= 0:
         return None
--- a/weldhead/site/pool_process.py
+++ b/weldhead/site/pool_process.py
@@ -183,7 +183,7 @@
         machine.leaving = True
         process = Process(machine.pid, machine.started)
         await process.end(2 * SECOND_US)
-        while not await asyncio.to_thread(guard.sweep, self._mark(machine)):
+        while not await asyncio.to_thread(guard.kill_marked_processes, self._mark(machine)):
             log.error("processes of %s are still there", machine.name)
         keeper = self._keepers.pop(machine.name, None)
         if keeper is not None:
--- a/weldhead/site/worker.py
+++ b/weldhead/site/worker.py
@@ -1,8 +1,8 @@
-"""A worker as PROTOCOL describes it, without I/O: what it knows, and what it must do.
+"""The state machine of a machine's worker: its session, token, lease and task attempts.
 
-Messages and the ends of processes go in with the time; actions come out, to be carried out
-in order. Amounts of CPUs and memory are a task's own, in CPUs and GB; times are
-microseconds of the steady clock.
+The state machine does no I/O. Its methods take messages, exits of processes and the current
+time, and return actions that the caller carries out in order. CPUs and memory (in GB) are
+amounts per task; times are microseconds of the monotonic clock.
 """
 
 import enum
@@ -13,18 +13,19 @@
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.protocol.wire import Command, Heartbeat, ReportedTask, ReportedTaskState, split_task
 
-#: Exit code by which a task that was told to stop says that it has saved its progress.
-SAVED_CODE = 75
-#: How long a task that cannot save gets between SIGTERM and SIGKILL, at the most.
-POLITE_US = SECOND_US
+#: A task that was told to stop exits with this code if it has saved its progress.
+PROGRESS_SAVED_EXIT_CODE = 75
+#: Longest time between SIGTERM and SIGKILL for a task that cannot save its progress.
+MAX_TERMINATION_GRACE_US = SECOND_US
 
 
-class Work(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a job's tasks run, as its user uploads it.
+class JobDescription(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The command of a job's tasks and the resources of each task, as the user uploads them.
 
-    ``command`` is a program with its arguments; ``directory`` is where it starts (None: one
-    of the attempt's own); ``tasks`` is how many tasks the job has; ``cpus``, ``gpus`` and
-    ``memory_gb`` are what one takes, ``checkpoint_s`` and ``save_s`` what the submission says.
+    ``command`` is a program with its arguments. ``directory`` is the working directory of the
+    command (None: a directory of the attempt's own). ``tasks`` is the number of tasks of the
+    job. ``cpus``, ``gpus`` and ``memory_gb`` are the resources that one task takes.
+    ``checkpoint_s`` and ``save_s`` are the values of the job's submission.
     """
 
     command: tuple[str, ...]
@@ -39,7 +40,7 @@
 
 
 class SlotPhase(enum.Enum):
-    """Where an attempt is."""
+    """Phase in the life of a task attempt."""
 
     FETCHING = "pulling"
     RUNNING = "running"
@@ -49,65 +50,65 @@
 
 @dataclass
 class Slot:
-    """An attempt on the machine."""
+    """A task attempt that the worker knows, running or ended."""
 
     task: str
     attempt: int
     phase: SlotPhase = SlotPhase.FETCHING
-    why: str | None = None
+    end_reason: str | None = None
     saved: bool | None = None
-    work: Work | None = None
-    #: Was told to stop, so that its end by a signal is no failure of its own.
-    stopping: bool = False
-    #: When it gets SIGKILL; 0: not told to stop, or told already.
+    description: JobDescription | None = None
+    #: The attempt was told to stop, so its exit by a signal is no failure of the task.
+    is_stopping: bool = False
+    #: Time at which SIGKILL is due; 0: the attempt need not stop, or SIGKILL was already sent.
     kill_us: int = 0
 
 
 @dataclass(frozen=True)
-class Fetch:
-    """Fetch the description of the task's job."""
+class FetchDescription:
+    """Fetch the description of the task's job, and call :meth:`Worker.handle_description`."""
 
     task: str
     attempt: int
 
 
 @dataclass(frozen=True)
-class StartSlot:
+class StartTask:
     """Start the task's command."""
 
     task: str
     attempt: int
-    work: Work
+    description: JobDescription
 
 
 @dataclass(frozen=True)
-class Signal:
-    """Send SIGTERM (``hard``: SIGKILL) to the whole group."""
+class SendSignal:
+    """Send SIGTERM (``force``: SIGKILL) to the process group of the attempt."""
 
     task: str
     attempt: int
-    hard: bool
+    force: bool
 
 
 @dataclass(frozen=True)
-class KillAll:
-    """The lease is over: end and forget everything."""
+class KillAllTasks:
+    """Kill all processes of all attempts, because the session has ended."""
 
 
 @dataclass(frozen=True)
-class Remember:
-    """Session or token have changed: store them before anything else is done."""
+class StoreSession:
+    """Store the changed session and token before carrying out any later action."""
 
     session: int
     token: int
 
 
-Action = Fetch | StartSlot | Signal | KillAll | Remember
+Action = FetchDescription | StartTask | SendSignal | KillAllTasks | StoreSession
 
 
 @dataclass
-class Place:
-    """What a worker says of its machine, and what the machine has."""
+class MachineInfo:
+    """Identity, location and resources of the machine, as the worker reports them."""
 
     machine: str
     address: str
@@ -121,120 +122,123 @@
 
 @dataclass
 class Worker:
-    """Sessions, tokens, the lease, and the attempts on the machine."""
+    """State of a worker: its session, token, lease, and the attempts on its machine."""
 
-    place: Place
+    machine_info: MachineInfo
     lease_us: int
     now_us: int
     session: int = 1
     token: int = 0
     sequence: int = 0
-    #: When the cloud takes the machine; 0: nothing known of it.
-    notice_us: int = 0
+    #: Time at which the cloud removes the machine; 0: no removal is announced.
+    removal_us: int = 0
     slots: dict[tuple[str, int], Slot] = field(default_factory=dict)
-    #: Something changed that the controllers should hear of before the next period.
-    changed: bool = True
+    #: The state has changed, so a report should be sent before the next period.
+    has_unreported_changes: bool = True
 
     def __post_init__(self) -> None:
-        self.lease_from_us = self.now_us
-        self._token_told_us = self.now_us - self.lease_us
+        self.lease_start_us = self.now_us
+        self._token_reported_us = self.now_us - self.lease_us
 
     @property
-    def lease_ends_us(self) -> int:
-        """When everything here ends unless a report is answered."""
-        return self.lease_from_us + self.lease_us
+    def lease_end_us(self) -> int:
+        """Time at which the lease expires unless an answer to a report renews it before."""
+        return self.lease_start_us + self.lease_us
 
     # Reports and answers
 
-    def report(self, now_us: int) -> Heartbeat:
-        """Return the next report."""
+    def build_report(self, now_us: int) -> Heartbeat:
+        """Return the next report, and count the worker's changes as reported."""
         self.sequence += 1
-        self.changed = False
+        self.has_unreported_changes = False
         tasks = [
-            ReportedTask(slot.task, slot.attempt, _state(slot.phase), slot.why, slot.saved)
+            ReportedTask(
+                slot.task, slot.attempt, _reported_state(slot.phase), slot.end_reason, slot.saved
+            )
             for slot in self.slots.values()
         ]
-        place = self.place
+        info = self.machine_info
         return Heartbeat(
-            machine=place.machine,
-            address=place.address,
-            type=place.type,
-            zone=place.zone,
-            spot=place.spot,
+            machine=info.machine,
+            address=info.address,
+            type=info.type,
+            zone=info.zone,
+            spot=info.spot,
             session=self.session,
             sequence=self.sequence,
             token=self.token,
             tasks=tasks,
-            notice_s=max(0, self.notice_us - now_us) / SECOND_US if self.notice_us else None,
+            notice_s=max(0, self.removal_us - now_us) / SECOND_US if self.removal_us else None,
         )
 
-    def answered(
+    def handle_answer(
         self, session: int, sent_us: int, token: int | None, commands: list[Command], now_us: int
     ) -> list[Action]:
-        """Take the answer to a report of ``session`` that was sent at ``sent_us``."""
+        """Handle the answer to a report of ``session`` that was sent at ``sent_us``."""
         actions = self.check_lease(now_us)
         if session != self.session or token is None or token < self.token:
             return actions
-        # The lease counts from sending: whoever answered knew the worker alive by then.
-        self.lease_from_us = max(self.lease_from_us, sent_us)
-        return actions + self._see(token, now_us) + self._execute(commands, now_us)
+        # The lease starts when the report was sent, because an answer proves only that the
+        # worker was alive at that time.
+        self.lease_start_us = max(self.lease_start_us, sent_us)
+        return actions + self._accept_token(token, now_us) + self._execute(commands, now_us)
 
-    def direct(
+    def handle_commands(
         self, session: int, token: int, commands: list[Command], now_us: int
     ) -> tuple[bool, list[Action]]:
-        """Take a direct request; whether it is executed."""
+        """Handle a direct request, and return whether its commands were accepted."""
         actions = self.check_lease(now_us)
         if token < self.token:
             return False, actions
-        # The token counts even where the session does not match: it was issued.
-        actions += self._see(token, now_us)
+        # The token is valid even if the session does not match, because it was issued.
+        actions += self._accept_token(token, now_us)
         if session != self.session:
             return False, actions
         return True, actions + self._execute(commands, now_us)
 
-    def _see(self, token: int, now_us: int) -> list[Action]:
+    def _accept_token(self, token: int, now_us: int) -> list[Action]:
         if token <= self.token:
             return []
         self.token = token
-        # Several leaders in a row must not make every worker report at once each time.
-        if now_us - self._token_told_us >= self.lease_us // 2:
-            self._token_told_us = now_us
-            self.changed = True
-        return [Remember(self.session, token)]
+        # A series of new leaders must not make all workers report immediately each time.
+        if now_us - self._token_reported_us >= self.lease_us // 2:
+            self._token_reported_us = now_us
+            self.has_unreported_changes = True
+        return [StoreSession(self.session, token)]
 
-    def notice(self, now_us: int, left_us: int) -> None:
-        """The cloud takes the machine away."""
-        self.notice_us = now_us + left_us
-        self.changed = True
+    def handle_notice(self, now_us: int, remaining_us: int) -> None:
+        """Record that the cloud removes the machine after ``remaining_us``."""
+        self.removal_us = now_us + remaining_us
+        self.has_unreported_changes = True
 
     # The lease
 
     def check_lease(self, now_us: int) -> list[Action]:
-        """End the session if its lease is over; call this before acting on anything."""
-        if now_us <= self.lease_ends_us:
+        """End the session if its lease has expired; call this before handling any event."""
+        if now_us <= self.lease_end_us:
             return []
-        return self.lose_all(now_us)
+        return self.end_session(now_us)
 
-    def lose_all(self, now_us: int) -> list[Action]:
-        """Everything on the machine is ended; the next session begins."""
+    def end_session(self, now_us: int) -> list[Action]:
+        """Drop all attempts on the machine and begin the next session."""
         self.slots.clear()
         self.session += 1
-        self.lease_from_us = now_us
-        self.changed = True
-        return [KillAll(), Remember(self.session, self.token)]
+        self.lease_start_us = now_us
+        self.has_unreported_changes = True
+        return [KillAllTasks(), StoreSession(self.session, self.token)]
 
-    def wake_us(self) -> int:
-        """Return when :meth:`due` or :meth:`check_lease` must be called next."""
+    def next_wake_us(self) -> int:
+        """Return the time at which :meth:`collect_due_actions` must be called next."""
         kills = [slot.kill_us for slot in self.slots.values() if slot.kill_us]
-        return min([self.lease_ends_us + 1, *kills])
+        return min([self.lease_end_us + 1, *kills])
 
-    def due(self, now_us: int) -> list[Action]:
-        """Return what has become due: ends of leases, kills after their grace."""
+    def collect_due_actions(self, now_us: int) -> list[Action]:
+        """Return the actions that are due: KillAllTasks at lease expiry, SIGKILL after a grace."""
         actions = self.check_lease(now_us)
         for slot in self.slots.values():
             if slot.kill_us and slot.kill_us <= now_us:
                 slot.kill_us = 0
-                actions.append(Signal(slot.task, slot.attempt, hard=True))
+                actions.append(SendSignal(slot.task, slot.attempt, force=True))
         return actions
 
     # Commands
@@ -245,104 +249,120 @@
             slot = self.slots.get((command.task, command.attempt))
             if command.op == "run":
                 if slot is None:
-                    actions += self._run(command.task, command.attempt)
+                    actions += self._start_attempt(command.task, command.attempt)
             elif slot is None:
                 continue
             elif command.op == "kill":
-                actions += self._kill(slot, seconds_us(command.grace_s or 0.0), now_us)
+                actions += self._stop_attempt(slot, seconds_us(command.grace_s or 0.0), now_us)
             elif slot.phase is SlotPhase.ENDED:
                 del self.slots[(command.task, command.attempt)]
         return actions
 
-    def _run(self, task: str, attempt: int) -> list[Action]:
+    def _start_attempt(self, task: str, attempt: int) -> list[Action]:
         slot = Slot(task, attempt)
-        self.changed = True
-        busy = any(
+        self.has_unreported_changes = True
+        is_task_running = any(
             other.task == task and other.phase is not SlotPhase.ENDED
             for other in self.slots.values()
         )
         self.slots[(task, attempt)] = slot
-        if busy:
-            self._end(slot, "busy")
+        if is_task_running:
+            self._end_attempt(slot, "busy")
             return []
-        return [Fetch(task, attempt)]
+        return [FetchDescription(task, attempt)]
 
-    def _kill(self, slot: Slot, grace_us: int, now_us: int) -> list[Action]:
+    def _stop_attempt(self, slot: Slot, grace_us: int, now_us: int) -> list[Action]:
         if slot.phase is SlotPhase.ENDED:
             return []
         if slot.phase is SlotPhase.FETCHING:
-            self._end(slot, "halted")
+            self._end_attempt(slot, "halted")
             return []
-        repeated = slot.stopping
-        slot.stopping = True
-        work = slot.work
-        saves = work is not None and work.checkpoint_s > 0 and grace_us >= seconds_us(work.save_s)
-        if grace_us == 0 or (not saves and repeated):
+        was_stopping = slot.is_stopping
+        slot.is_stopping = True
+        description = slot.description
+        can_save = (
+            description is not None
+            and description.checkpoint_s > 0
+            and grace_us >= seconds_us(description.save_s)
+        )
+        if grace_us == 0 or (not can_save and was_stopping):
             slot.kill_us = 0
-            return [Signal(slot.task, slot.attempt, hard=True)]
-        if repeated:
+            return [SendSignal(slot.task, slot.attempt, force=True)]
+        if was_stopping:
             return []
-        if saves:
+        if can_save:
             slot.phase = SlotPhase.SAVING
-            self.changed = True
-        slot.kill_us = now_us + (grace_us if saves else min(grace_us, POLITE_US))
-        return [Signal(slot.task, slot.attempt, hard=False)]
+            self.has_unreported_changes = True
+        slot.kill_us = now_us + (grace_us if can_save else min(grace_us, MAX_TERMINATION_GRACE_US))
+        return [SendSignal(slot.task, slot.attempt, force=False)]
+
+    # Events of attempts
 
-    # What happens to attempts
+    def handle_description(
+        self, task: str, attempt: int, description: JobDescription | None, has_result: bool
+    ) -> list[Action]:
+        """Start the attempt, or end it with the reason why it cannot run.
 
-    def fetched(self, task: str, attempt: int, work: Work | None, done: bool) -> list[Action]:
-        """The description is here (None: there is none); ``done``: its result is kept."""
+        ``description`` is None if the job has no description; ``has_result`` says that a
+        result of the task is already stored.
+        """
         slot = self.slots.get((task, attempt))
         if slot is None or slot.phase is not SlotPhase.FETCHING:
             return []
         index = split_task(task)[1]
-        if work is None or index >= work.tasks:
-            self._end(slot, "unknown")
-        elif done:
-            self._end(slot, "done")
-        elif not self._room(work):
-            self._end(slot, "no_room")
+        if description is None or index >= description.tasks:
+            self._end_attempt(slot, "unknown")
+        elif has_result:
+            self._end_attempt(slot, "done")
+        elif not self._has_room(description):
+            self._end_attempt(slot, "no_room")
         else:
-            slot.work = work
+            slot.description = description
             slot.phase = SlotPhase.RUNNING
-            self.changed = True
-            return [StartSlot(task, attempt, work)]
+            self.has_unreported_changes = True
+            return [StartTask(task, attempt, description)]
         return []
 
-    def _room(self, work: Work) -> bool:
-        used = [slot.work for slot in self.slots.values() if slot.work and _live(slot)]
-        place = self.place
+    def _has_room(self, description: JobDescription) -> bool:
+        running = [
+            slot.description for slot in self.slots.values() if slot.description and _is_live(slot)
+        ]
+        info = self.machine_info
         return (
-            sum(w.cpus for w in used) + work.cpus <= place.cpus + 1e-6
-            and sum(w.gpus for w in used) + work.gpus <= place.gpus + 1e-6
-            and sum(w.memory_gb for w in used) + work.memory_gb <= place.memory_gb + 1e-6
+            sum(other.cpus for other in running) + description.cpus <= info.cpus + 1e-6
+            and sum(other.gpus for other in running) + description.gpus <= info.gpus + 1e-6
+            and sum(other.memory_gb for other in running) + description.memory_gb
+            <= info.memory_gb + 1e-6
         )
 
-    def exited(self, task: str, attempt: int, code: int | None) -> None:
-        """The command has ended with an exit code; None: by a signal, or it never began."""
+    def handle_exit(self, task: str, attempt: int, code: int | None) -> None:
+        """Handle the exit of an attempt's command.
+
+        ``code`` is None if a signal ended the command or the command could not start.
+        """
         slot = self.slots.get((task, attempt))
         if slot is None or slot.phase is SlotPhase.ENDED:
             return
         if code == 0:
-            self._end(slot, "done")
-        elif slot.stopping:
-            slot.saved = slot.phase is SlotPhase.SAVING and code == SAVED_CODE
-            self._end(slot, "halted")
+            self._end_attempt(slot, "done")
+        elif slot.is_stopping:
+            slot.saved = slot.phase is SlotPhase.SAVING and code == PROGRESS_SAVED_EXIT_CODE
+            self._end_attempt(slot, "halted")
         else:
-            self._end(slot, "error")
+            self._end_attempt(slot, "error")
 
-    def _end(self, slot: Slot, why: str) -> None:
+    def _end_attempt(self, slot: Slot, end_reason: str) -> None:
         slot.phase = SlotPhase.ENDED
-        slot.why = why
+        slot.end_reason = end_reason
         slot.kill_us = 0
-        self.changed = True
+        self.has_unreported_changes = True
 
 
-def _live(slot: Slot) -> bool:
+def _is_live(slot: Slot) -> bool:
     return slot.phase is not SlotPhase.ENDED
 
 
-def _state(phase: SlotPhase) -> ReportedTaskState:
+def _reported_state(phase: SlotPhase) -> ReportedTaskState:
     match phase:
         case SlotPhase.FETCHING:
             return "pulling"
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -1,4 +1,4 @@
-"""A worker as a process: reports, direct commands, and real commands run by its guard."""
+"""The worker's process: reports to the controllers, direct requests, and commands of tasks."""
 
 import asyncio
 import contextlib
@@ -22,13 +22,13 @@
 from weldhead.site.parts import WorkerSettings
 from weldhead.site.worker import (
     Action,
-    Fetch,
-    KillAll,
-    Place,
-    Remember,
-    Signal,
-    StartSlot,
-    Work,
+    FetchDescription,
+    JobDescription,
+    KillAllTasks,
+    MachineInfo,
+    SendSignal,
+    StartTask,
+    StoreSession,
     Worker,
 )
 from weldhead.transport.background_tasks import BackgroundTasks
@@ -36,49 +36,49 @@
 
 log = logging.getLogger(__name__)
 
-#: The guard begins to end everything so long before the lease is over for the controllers,
-#: so that nothing is left when they start the tasks elsewhere.
-MARGIN_US = 300 * MILLISECOND_US
-REPORT_LIMIT_US = 4 * SECOND_US
-#: Changes are reported at most so often.
-CHANGE_PAUSE_US = SECOND_US // 2
-_KEPT_WORK = 1_000
+#: The worker's lease is shorter than the controllers' by this margin, so that the guard has
+#: killed all processes before the controllers start the tasks elsewhere.
+LEASE_MARGIN_US = 300 * MILLISECOND_US
+REPORT_TIMEOUT_US = 4 * SECOND_US
+#: Shortest time between the starts of two reports.
+MIN_REPORT_INTERVAL_US = SECOND_US // 2
+_MAX_CACHED_DESCRIPTIONS = 1_000
 
-_answers = msgspec.json.Decoder(HeartbeatAnswer)
-_redirects = msgspec.json.Decoder(LeaderRedirect)
-_directs = msgspec.json.Decoder(DirectCommands)
-_works = msgspec.json.Decoder(Work)
+_answer_decoder = msgspec.json.Decoder(HeartbeatAnswer)
+_redirect_decoder = msgspec.json.Decoder(LeaderRedirect)
+_commands_decoder = msgspec.json.Decoder(DirectCommands)
+_description_decoder = msgspec.json.Decoder(JobDescription)
 
 
-class Memory(msgspec.Struct):
-    """What a worker's successor on the same machine must know."""
+class StoredSession(msgspec.Struct):
+    """Session and token that the next worker on the same machine continues from."""
 
     session: int
     token: int
 
 
-class Notice(msgspec.Struct, rename={"left_s": "recall_s"}):
-    """The pool says when it takes the machine."""
+class RemovalNotice(msgspec.Struct, rename={"remaining_s": "recall_s"}):
+    """Body of the pool's request that announces the removal of the machine."""
 
-    left_s: float
+    remaining_s: float
 
 
-class GuardGoneError(Exception):
-    """The guard's process has ended."""
+class GuardExitedError(Exception):
+    """The guard's process has exited."""
 
 
 class GuardProcess:
-    """The worker's end of the pipes to its guard."""
+    """The guard's process and the worker's ends of the pipes to it."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self._process = process
         assert process.stdin is not None and process.stdout is not None
-        self._to = process.stdin
-        self._from = process.stdout
+        self._stdin = process.stdin
+        self._stdout = process.stdout
 
     @classmethod
     async def start(cls, mark: str) -> "GuardProcess":
-        """Start a guard."""
+        """Start a guard for the machine with this mark."""
         return cls(
             await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -93,36 +93,36 @@
             )
         )
 
-    def say(self, *message: object) -> None:
-        """Send a message; a guard that is gone is noticed by :meth:`hear`."""
+    def send(self, *message: object) -> None:
+        """Send a message; only :meth:`receive` reports that the guard has exited."""
         with contextlib.suppress(RuntimeError, ConnectionError):
-            self._to.write(msgspec.json.encode(message) + b"\n")
+            self._stdin.write(msgspec.json.encode(message) + b"\n")
 
-    async def hear(self) -> list[object]:
-        """Wait for the next message; GuardGone when there will be none."""
-        line = await self._from.readline()
+    async def receive(self) -> list[object]:
+        """Wait for the next message, or raise GuardExitedError if the guard has exited."""
+        line = await self._stdout.readline()
         if not line.endswith(b"\n"):
             await self._process.wait()
-            raise GuardGoneError(f"exit code {self._process.returncode}")
+            raise GuardExitedError(f"exit code {self._process.returncode}")
         message: list[object] = msgspec.json.decode(line)
         return message
 
     async def close(self) -> None:
-        """Have it end everything and leave."""
-        self._to.close()
+        """Close the guard's input, so that it kills all commands and exits; wait for its exit."""
+        self._stdin.close()
         await self._process.wait()
 
 
 class WorkerProcess:
-    """Runs one worker until it is cancelled."""
+    """Runs one worker until its :meth:`run` is cancelled."""
 
     def __init__(self, settings: WorkerSettings, listening: socket.socket) -> None:
         self._settings = settings
         self._listening = listening
         self._layout = Layout(Path(settings.root))
-        self._memory = self._layout.machine(settings.machine) / "session.json"
+        self._session_file = self._layout.machine(settings.machine) / "session.json"
         host, port = listening.getsockname()[:2]
-        place = Place(
+        machine_info = MachineInfo(
             settings.machine,
             f"{host}:{port}",
             settings.type,
@@ -132,104 +132,116 @@
             settings.gpus,
             settings.memory_gb,
         )
-        self._worker = Worker(place, seconds_us(settings.lease_s) - MARGIN_US, now_us())
+        self._worker = Worker(
+            machine_info, seconds_us(settings.lease_s) - LEASE_MARGIN_US, now_us()
+        )
         self._http = HttpClient(16)
-        self._duties = BackgroundTasks()
+        self._background_tasks = BackgroundTasks()
         self._guard: GuardProcess | None = None
-        #: Not set while the processes of an earlier session are being ended: until then
-        #: nobody may hear of the next one.
-        self._clear = asyncio.Event()
-        self._poke = asyncio.Event()
-        #: Commands that run, by their processes.
-        self._running: dict[int, str] = {}
-        self._works: OrderedDict[str, Work] = OrderedDict()
-        self._node = random.randrange(len(settings.nodes))
+        #: Cleared while the processes of an earlier session are being killed. Until they are
+        #: gone, the worker neither reports the next session nor answers requests.
+        self._session_ready = asyncio.Event()
+        self._report_wanted = asyncio.Event()
+        #: Keys of the attempts whose commands are running, by process id.
+        self._attempt_keys: dict[int, str] = {}
+        self._descriptions: OrderedDict[str, JobDescription] = OrderedDict()
+        self._controller_index = random.randrange(len(settings.nodes))
 
     async def run(self) -> None:
-        """Serve until cancelled; everything started is gone when this returns."""
+        """Serve until cancelled; no started command is left when this method returns."""
         guard_program.become_reaper()
-        await self._begin()
-        server = SiteServer(self._handle)
+        await self._restore_session()
+        server = SiteServer(self._handle_request)
         await server.start(self._listening)
-        self._duties.start("guard", self._listen_guard)
-        self._duties.start("lease", self._watch_lease)
-        self._duties.start("reports", self._report_always)
+        self._background_tasks.start("guard", self._read_guard_messages)
+        self._background_tasks.start("lease", self._watch_lease)
+        self._background_tasks.start("reports", self._report_periodically)
         try:
             await asyncio.Event().wait()
         finally:
-            await self._duties.close()
+            await self._background_tasks.close()
             if self._guard is not None:
                 await self._guard.close()
             await server.close()
             await self._http.close()
 
-    async def _begin(self) -> None:
-        """Take up after an earlier life on this machine, if there was one."""
+    async def _restore_session(self) -> None:
+        """Begin the session that follows the last stored session of this machine, if any."""
         worker, mark = self._worker, self._settings.mark
         try:
-            memory = msgspec.json.decode(self._memory.read_bytes(), type=Memory)
+            stored = msgspec.json.decode(self._session_file.read_bytes(), type=StoredSession)
         except FileNotFoundError:
-            memory = None
-        if memory is not None:
-            while not await asyncio.to_thread(guard_program.sweep, mark):
-                log.error("processes of an earlier life are still there")
-            worker.session, worker.token = memory.session + 1, memory.token
-        self._remember(worker.session, worker.token)
+            stored = None
+        if stored is not None:
+            while not await asyncio.to_thread(guard_program.kill_marked_processes, mark):
+                log.error(
+                    "cannot kill processes of an earlier worker of machine %s yet: trying again",
+                    self._settings.machine,
+                )
+            worker.session, worker.token = stored.session + 1, stored.token
+        self._store_session(worker.session, worker.token)
         self._guard = await GuardProcess.start(mark)
-        worker.lease_from_us = now_us()
-        self._guard.say("lease", worker.lease_ends_us)
-        self._clear.set()
+        worker.lease_start_us = now_us()
+        self._guard.send("lease", worker.lease_end_us)
+        self._session_ready.set()
 
-    def _remember(self, session: int, token: int) -> None:
-        write_whole(self._memory, msgspec.json.encode(Memory(session, token)))
+    def _store_session(self, session: int, token: int) -> None:
+        write_whole(self._session_file, msgspec.json.encode(StoredSession(session, token)))
 
     # The guard
 
-    async def _listen_guard(self) -> None:
+    async def _read_guard_messages(self) -> None:
         while True:
             guard = self._guard
             if guard is None:
                 guard = self._guard = await GuardProcess.start(self._settings.mark)
-                guard.say("lease", self._worker.lease_ends_us)
-                self._clear.set()
+                guard.send("lease", self._worker.lease_end_us)
+                self._session_ready.set()
             try:
-                message = await guard.hear()
-            except GuardGoneError as gone:
-                await self._lost_guard(gone)
+                message = await guard.receive()
+            except GuardExitedError as exited:
+                await self._handle_guard_exit(exited)
                 continue
-            self._do(self._worker.check_lease(now_us()))
+            self._execute(self._worker.check_lease(now_us()))
             match message:
                 case ["started", str(key), int(pid)]:
-                    self._running[pid] = key
+                    self._attempt_keys[pid] = key
                 case ["exited", str(key), int() | None as code]:
-                    self._running = {p: k for p, k in self._running.items() if k != key}
+                    self._attempt_keys = {
+                        pid: running
+                        for pid, running in self._attempt_keys.items()
+                        if running != key
+                    }
                     session, task, attempt = key.split(":")
                     if int(session) == self._worker.session:
-                        self._worker.exited(task, int(attempt), code)
-                        self._poke.set()
+                        self._worker.handle_exit(task, int(attempt), code)
+                        self._report_wanted.set()
                 case ["killed"]:
-                    self._clear.set()
+                    self._session_ready.set()
                 case _:
-                    log.error("the guard says %r", message)
+                    log.error("guard sent an unknown message: %r", message)
 
-    async def _lost_guard(self, gone: GuardGoneError) -> None:
+    async def _handle_guard_exit(self, exited: GuardExitedError) -> None:
         log.error(
-            "the guard is gone (%s): everything here is ended",
-            gone,
+            "guard exited (%s): killing all tasks of the machine",
+            exited,
             extra={"machine": self._settings.machine, "session": self._worker.session},
         )
         self._guard = None
-        # First the processes, then the news: nobody hears of a next session before.
-        self._clear.clear()
-        while not await asyncio.to_thread(guard_program.sweep, self._settings.mark):
-            log.error("processes of the guard are still there")
-        self._inherit()
-        actions = self._worker.lose_all(now_us())
-        self._do([action for action in actions if isinstance(action, Remember)])
-        self._poke.set()
-
-    def _inherit(self) -> None:
-        """Write down how the dead guard's commands ended: they are this process's now.
+        # The processes are killed before any report or answer names the next session.
+        self._session_ready.clear()
+        while not await asyncio.to_thread(guard_program.kill_marked_processes, self._settings.mark):
+            log.error(
+                "cannot kill processes left by the guard of machine %s yet: trying again",
+                self._settings.machine,
+            )
+        self._record_inherited_exits()
+        actions = self._worker.end_session(now_us())
+        self._execute([action for action in actions if isinstance(action, StoreSession)])
+        self._report_wanted.set()
+
+    def _record_inherited_exits(self) -> None:
+        """Record the exits of the commands that this process inherited from a dead guard.
 
         A task that was complete when its guard was killed must not run a second time.
         """
@@ -240,218 +252,226 @@
                 break
             if pid == 0:
                 break
-            key = self._running.get(pid)
+            key = self._attempt_keys.get(pid)
             if key is not None:
                 _, task, attempt = key.split(":")
-                place, result = self._paths(task, int(attempt))
+                directory, result = self._attempt_paths(task, int(attempt))
                 code = os.waitstatus_to_exitcode(status)
-                guard_program.write_end(code, str(place / "exit"), str(result), None)
-        self._running.clear()
+                guard_program.record_exit(code, str(directory / "exit"), str(result), None)
+        self._attempt_keys.clear()
 
-    def _paths(self, task: str, attempt: int) -> tuple[Path, Path]:
-        """Return an attempt's directory, and the file of its task's result."""
+    def _attempt_paths(self, task: str, attempt: int) -> tuple[Path, Path]:
+        """Return the directory of an attempt and the result file of its task."""
         job, index = split_task(task)
-        folder = self._layout.task(job, index)
-        return folder / str(attempt), self._layout.result(job, index)
+        task_directory = self._layout.task(job, index)
+        return task_directory / str(attempt), self._layout.result(job, index)
 
     async def _watch_lease(self) -> None:
         while True:
-            pause_us = max(MILLISECOND_US, self._worker.wake_us() - now_us())
-            # What shortens the wait (a kill's grace) comes at any time.
+            pause_us = max(MILLISECOND_US, self._worker.next_wake_us() - now_us())
+            # The wait is limited, because a kill command may set an earlier time at any moment.
             await asyncio.sleep(min(pause_us, 50 * MILLISECOND_US) / SECOND_US)
-            self._do(self._worker.due(now_us()))
+            self._execute(self._worker.collect_due_actions(now_us()))
 
     # Actions
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Remember(session, token):
+                case StoreSession(session, token):
                     try:
-                        self._remember(session, token)
-                    except OSError as failed:
-                        # A successor with an older token would obey a deposed leader.
-                        log.error("cannot remember the token, so this ends: %s", failed)
+                        self._store_session(session, token)
+                    except OSError as failure:
+                        # A later worker that restores an older token would obey a deposed leader.
+                        log.error("cannot store session and token, worker exits: %s", failure)
                         os._exit(1)
-                case Fetch(task, attempt):
-                    self._duties.spawn(f"fetch {task}", self._fetch(task, attempt))
-                case StartSlot(task, attempt, work):
-                    self._start(task, attempt, work)
-                case Signal(task, attempt, hard):
-                    number = signal.SIGKILL if hard else signal.SIGTERM
-                    self._tell("signal", self._key(task, attempt), int(number))
-                case KillAll():
+                case FetchDescription(task, attempt):
+                    self._background_tasks.spawn(
+                        f"fetch {task}", self._fetch_description(task, attempt)
+                    )
+                case StartTask(task, attempt, description):
+                    self._start_task(task, attempt, description)
+                case SendSignal(task, attempt, force):
+                    number = signal.SIGKILL if force else signal.SIGTERM
+                    self._send_to_guard("signal", self._attempt_key(task, attempt), int(number))
+                case KillAllTasks():
                     log.error(
-                        "the lease is over: everything here is ended",
+                        "lease expired: killing all tasks of the machine",
                         extra={"machine": self._settings.machine, "session": self._worker.session},
                     )
                     if self._guard is not None:
-                        self._clear.clear()
-                        self._tell("killall")
-                    self._tell("lease", self._worker.lease_ends_us)
-        if self._worker.changed:
-            self._poke.set()
+                        self._session_ready.clear()
+                        self._send_to_guard("killall")
+                    self._send_to_guard("lease", self._worker.lease_end_us)
+        if self._worker.has_unreported_changes:
+            self._report_wanted.set()
 
-    def _tell(self, *message: object) -> None:
+    def _send_to_guard(self, *message: object) -> None:
         if self._guard is not None:
-            self._guard.say(*message)
+            self._guard.send(*message)
 
-    def _key(self, task: str, attempt: int) -> str:
+    def _attempt_key(self, task: str, attempt: int) -> str:
         return f"{self._worker.session}:{task}:{attempt}"
 
-    async def _fetch(self, task: str, attempt: int) -> None:
+    async def _fetch_description(self, task: str, attempt: int) -> None:
         job, index = split_task(task)
         pause_s = 0.1
         while True:
             slot = self._worker.slots.get((task, attempt))
-            if slot is None or slot.why is not None:
+            if slot is None or slot.end_reason is not None:
                 return
             try:
-                work = await self._work(job)
+                description = await self._load_description(job)
                 break
-            except CallError as failed:
-                log.info("%s: no description yet: %s", job, failed)
+            except CallError as failure:
+                log.info("cannot fetch the description of job %s, trying again: %s", job, failure)
                 await asyncio.sleep(pause_s)
                 pause_s = min(2 * pause_s, 5.0)
-        done = self._layout.result(job, index).exists()
-        self._do(self._worker.fetched(task, attempt, work, done))
-
-    async def _work(self, job: str) -> Work | None:
-        """Return what the job runs; None if nobody has uploaded it."""
-        kept = self._works.get(job)
-        if kept is not None:
-            self._works.move_to_end(job)
-            return kept
+        has_result = self._layout.result(job, index).exists()
+        self._execute(self._worker.handle_description(task, attempt, description, has_result))
+
+    async def _load_description(self, job: str) -> JobDescription | None:
+        """Return the description of a job; None if the front has none."""
+        cached = self._descriptions.get(job)
+        if cached is not None:
+            self._descriptions.move_to_end(job)
+            return cached
         url = f"http://{self._settings.front}/descriptions/{job}"
         status, body = await self._http.call("GET", url, None, 3 * SECOND_US)
         if status in (400, 404):
             return None
         if status != 200:
-            raise CallError(f"front: {status}")
+            raise CallError(f"front answered with HTTP status {status}")
         try:
-            work = _works.decode(body)
-        except msgspec.DecodeError as nonsense:
-            raise CallError(f"front: {nonsense}") from nonsense
-        self._works[job] = work
-        if len(self._works) > _KEPT_WORK:
-            self._works.popitem(last=False)
-        return work
-
-    def _start(self, task: str, attempt: int, work: Work) -> None:
+            description = _description_decoder.decode(body)
+        except msgspec.DecodeError as invalid:
+            raise CallError(f"front sent a malformed description: {invalid}") from invalid
+        self._descriptions[job] = description
+        if len(self._descriptions) > _MAX_CACHED_DESCRIPTIONS:
+            self._descriptions.popitem(last=False)
+        return description
+
+    def _start_task(self, task: str, attempt: int, description: JobDescription) -> None:
         job, index = split_task(task)
-        place, result = self._paths(task, attempt)
-        place.mkdir(parents=True, exist_ok=True)
-        save = place.parent / "save"
+        directory, result = self._attempt_paths(task, attempt)
+        directory.mkdir(parents=True, exist_ok=True)
+        save = directory.parent / "save"
         save.mkdir(exist_ok=True)
-        base = {key: value for key, value in os.environ.items() if not key.startswith("WELDHEAD_")}
-        environment = base | work.environment
+        inherited = {
+            key: value for key, value in os.environ.items() if not key.startswith("WELDHEAD_")
+        }
+        environment = inherited | description.environment
         environment |= {
             "WELDHEAD_JOB": job,
             "WELDHEAD_TASK": str(index),
             "WELDHEAD_ATTEMPT": str(attempt),
             "WELDHEAD_SAVE": str(save),
         }
-        self._tell(
+        self._send_to_guard(
             "run",
-            self._key(task, attempt),
-            list(work.command),
+            self._attempt_key(task, attempt),
+            list(description.command),
             environment,
-            work.directory or str(place / "work"),
-            str(place / "output"),
-            str(place / "exit"),
+            description.directory or str(directory / "work"),
+            str(directory / "output"),
+            str(directory / "exit"),
             str(result),
         )
 
     # Reports
 
-    async def _report_always(self) -> None:
+    async def _report_periodically(self) -> None:
         period = self._settings.report_s
         while True:
-            await self._clear.wait()
-            began_us = now_us()
-            self._poke.clear()
+            await self._session_ready.wait()
+            start_us = now_us()
+            self._report_wanted.clear()
             await self._report_once()
-            next_us = began_us + seconds_us(period * random.uniform(0.75, 1.25))
-            left_us = next_us - now_us()
-            if left_us > 0 and not self._worker.changed:
+            next_us = start_us + seconds_us(period * random.uniform(0.75, 1.25))
+            remaining_us = next_us - now_us()
+            if remaining_us > 0 and not self._worker.has_unreported_changes:
                 with contextlib.suppress(asyncio.TimeoutError):
-                    await asyncio.wait_for(self._poke.wait(), left_us / SECOND_US)
-            await asyncio.sleep(max(0, began_us + CHANGE_PAUSE_US - now_us()) / SECOND_US)
+                    await asyncio.wait_for(self._report_wanted.wait(), remaining_us / SECOND_US)
+            await asyncio.sleep(max(0, start_us + MIN_REPORT_INTERVAL_US - now_us()) / SECOND_US)
 
     async def _report_once(self) -> None:
         worker = self._worker
-        self._do(worker.check_lease(now_us()))
-        if not self._clear.is_set():
+        self._execute(worker.check_lease(now_us()))
+        if not self._session_ready.is_set():
             return
-        names = list(self._settings.nodes)
-        name = names[self._node % len(names)]
+        controllers = list(self._settings.nodes)
+        controller = controllers[self._controller_index % len(controllers)]
         sent_us = now_us()
-        report = worker.report(sent_us)
+        report = worker.build_report(sent_us)
         session = worker.session
-        url = f"http://{self._settings.nodes[name]}/v1/report"
+        url = f"http://{self._settings.nodes[controller]}/v1/report"
         try:
             status, body = await self._http.call(
-                "POST", url, msgspec.json.encode(report), REPORT_LIMIT_US
+                "POST", url, msgspec.json.encode(report), REPORT_TIMEOUT_US
             )
-        except CallError as failed:
-            log.info("report: %s", failed)
-            await self._next_node()
+        except CallError as failure:
+            log.info("report to controller %s failed: %s", controller, failure)
+            await self._switch_controller()
             return
         try:
             if status == 200:
-                answer = _answers.decode(body)
-                actions = worker.answered(session, sent_us, answer.token, answer.commands, now_us())
-                self._do(actions)
-                self._tell("lease", worker.lease_ends_us)
+                answer = _answer_decoder.decode(body)
+                actions = worker.handle_answer(
+                    session, sent_us, answer.token, answer.commands, now_us()
+                )
+                self._execute(actions)
+                self._send_to_guard("lease", worker.lease_end_us)
                 return
-            leader = _redirects.decode(body).leader if status == 421 else None
-        except msgspec.DecodeError as nonsense:
-            log.error("%s answers nonsense: %s", name, nonsense)
+            leader = _redirect_decoder.decode(body).leader if status == 421 else None
+        except msgspec.DecodeError as invalid:
+            log.error("controller %s sent a malformed answer to a report: %s", controller, invalid)
             leader = None
-        if leader in names and leader != name:
-            self._node = names.index(leader)
-            worker.changed = True
+        if leader in controllers and leader != controller:
+            self._controller_index = controllers.index(leader)
+            worker.has_unreported_changes = True
             await asyncio.sleep(random.uniform(0, 0.3))
         else:
-            await self._next_node()
+            await self._switch_controller()
 
-    async def _next_node(self) -> None:
-        self._node = (self._node + 1) % len(self._settings.nodes)
-        self._worker.changed = True
+    async def _switch_controller(self) -> None:
+        self._controller_index = (self._controller_index + 1) % len(self._settings.nodes)
+        self._worker.has_unreported_changes = True
         await asyncio.sleep(1.0)
 
     # Direct requests
 
-    async def _handle(self, request: web.BaseRequest, body: bytes) -> Reply:
-        if not self._clear.is_set():
+    async def _handle_request(self, request: web.BaseRequest, body: bytes) -> Reply:
+        if not self._session_ready.is_set():
             return error(503, "ending an earlier session", 1)
         worker = self._worker
-        call = (request.method, request.path)
-        if call == ("POST", "/commands"):
+        method_and_path = (request.method, request.path)
+        if method_and_path == ("POST", "/commands"):
             try:
-                direct = _directs.decode(body)
-            except msgspec.DecodeError as malformed:
-                return error(400, str(malformed))
-            accepted, actions = worker.direct(
+                direct = _commands_decoder.decode(body)
+            except msgspec.DecodeError as invalid:
+                return error(400, str(invalid))
+            accepted, actions = worker.handle_commands(
                 direct.session, direct.token, direct.commands, now_us()
             )
-            self._do(actions)
-            return self._answer_report(200 if accepted else 409)
-        if call == ("GET", "/status"):
-            self._do(worker.check_lease(now_us()))
-            return self._answer_report(200)
-        if call == ("POST", "/notice"):
-            worker.notice(now_us(), seconds_us(msgspec.json.decode(body, type=Notice).left_s))
-            self._poke.set()
+            self._execute(actions)
+            return self._reply_with_report(200 if accepted else 409)
+        if method_and_path == ("GET", "/status"):
+            self._execute(worker.check_lease(now_us()))
+            return self._reply_with_report(200)
+        if method_and_path == ("POST", "/notice"):
+            worker.handle_notice(
+                now_us(), seconds_us(msgspec.json.decode(body, type=RemovalNotice).remaining_s)
+            )
+            self._report_wanted.set()
             return reply(200, {})
         return error(404, "no such call")
 
-    def _answer_report(self, status: int) -> Reply:
-        if not self._clear.is_set():
-            # The lease has just turned out to be over: nobody hears before all is ended.
+    def _reply_with_report(self, status: int) -> Reply:
+        if not self._session_ready.is_set():
+            # The lease has just expired: no report is sent until the old processes are killed.
             return error(503, "ending an earlier session", 1)
-        # A report that is given here does not replace the next one that is due.
-        changed = self._worker.changed
-        made = self._worker.report(now_us())
-        self._worker.changed = changed
-        return reply(status, made)
+        # The report in this answer does not replace the next periodic report.
+        has_unreported_changes = self._worker.has_unreported_changes
+        report = self._worker.build_report(now_us())
+        self._worker.has_unreported_changes = has_unreported_changes
+        return reply(status, report)
