--- a/tests/site/test_pool.py
+++ b/tests/site/test_pool.py
@@ -9,7 +9,7 @@
 from tests.support.builders import machine_type
 from weldhead.clock import SECOND_US
 from weldhead.protocol.wire import RentalRequest
-from weldhead.site.description import SpotPart
+from weldhead.site.description import SpotSection
 from weldhead.site.pool import Gone, Pool, PoolError, Record, plan_recall
 
 SMALL = machine_type(name="small", cpus=1.0, zones=("a",))
@@ -151,7 +151,7 @@
 
 def test_spot_recall_is_deterministic_and_mostly_announced() -> None:
     """A restarted pool must plan the same recalls; about a fifth of them come without notice."""
-    spot = SpotPart(mean_life_s=60.0, notice_s=30.0, unannounced=0.2, seed=3)
+    spot = SpotSection(mean_life_s=60.0, notice_s=30.0, unannounced=0.2, seed=3)
     plans = [plan_recall(spot, f"vm-{number}", 0) for number in range(500)]
     assert plans == [plan_recall(spot, f"vm-{number}", 0) for number in range(500)]
     known = [plan for plan in plans if plan is not None]
@@ -160,4 +160,4 @@
     for plan in known:
         if plan.notice_us is not None:
             assert 15 * SECOND_US <= plan.reclaim_us - plan.notice_us <= 45 * SECOND_US
-    assert plan_recall(SpotPart(), "vm-1", 0) is None
+    assert plan_recall(SpotSection(), "vm-1", 0) is None
--- a/weldhead/site/pool.py
+++ b/weldhead/site/pool.py
@@ -13,7 +13,7 @@
 
 from weldhead.clock import SECOND_US
 from weldhead.protocol.wire import ListedMachine, MachineList, MachineType, RentalRequest
-from weldhead.site.description import SpotPart
+from weldhead.site.description import SpotSection
 
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
@@ -246,7 +246,7 @@
     reclaim_us: int
 
 
-def plan_recall(spot: SpotPart, name: str, rented_us: int) -> Recall | None:
+def plan_recall(spot: SpotSection, name: str, rented_us: int) -> Recall | None:
     """Draw the time at which a spot machine is reclaimed; None if it never is.
 
     The seed and the machine's name determine the result, so it is the same after a restart.
--- a/weldhead/site/pool_process.py
+++ b/weldhead/site/pool_process.py
@@ -199,7 +199,7 @@
         machine.is_being_deleted = True
         process = Process(machine.pid, machine.started)
         await process.terminate(2 * SECOND_US)
-        while not await asyncio.to_thread(guard.sweep, self._process_mark(machine)):
+        while not await asyncio.to_thread(guard.kill_marked_processes, self._process_mark(machine)):
             log.error("processes of machine %s are still running; killing them again", machine.name)
         supervisor = self._worker_supervisors.pop(machine.name, None)
         if supervisor is not None:
