--- a/run.py
+++ b/run.py
@@ -1,7 +1,7 @@
-"""Entry point: put the installed dependencies on the path and hand over to the CLI.
+"""Entry point: puts the installed dependencies on the import path and runs the command line.
 
-The platform starts ``python3 run.py --config FILE``; that does what ``weldhead serve --config
-FILE`` does, without loading what reads people's command lines.
+The platform starts ``python3 run.py --config FILE``. This is equivalent to ``weldhead serve
+--config FILE``, but does not import the command-line library.
 """
 
 import sys
@@ -10,14 +10,14 @@
 ROOT = Path(__file__).resolve().parent
 sys.path.insert(0, str(ROOT / "target" / "deps"))
 sys.path.insert(0, str(ROOT))
-# Libraries of the extras in pyproject.toml, which no controller needs.
+# The libraries of the extras in pyproject.toml; no controller needs them.
 sys.path.append(str(ROOT / "target" / "extras"))
 
-# The path must be set first; the clock notes the start before all else is loaded.
+# The imports need the path. The clock is imported first, to record the time of the start.
 import weldhead.clock  # noqa: E402, F401
 from weldhead import bytecode  # noqa: E402
 
-bytecode.use()
+bytecode.enable()
 
 if __name__ == "__main__":
     arguments = sys.argv[1:]
--- a/tests/admission/test_rate_limits.py
+++ b/tests/admission/test_rate_limits.py
@@ -59,13 +59,13 @@
 
 def test_who_is_told_that_a_rate_is_used_up_slows_down_and_recovers() -> None:
     budget = TokenBucket(20.0, 8.0)
-    budget.drain()
-    budget.drain()
+    budget.back_off()
+    budget.back_off()
     assert 20.0 * 4 / 9 <= budget.rate < 20.0 * 4 / 9 + 0.1
     for _ in range(20):
-        budget.drain()
+        budget.back_off()
     assert 2.0 <= budget.rate < 2.1
-    at_us = budget.filled_us + 30 * S
+    at_us = budget.last_refill_us + 30 * S
     assert budget.try_take(1.0, at_us)
     assert budget.rate == 20.0
 
--- a/tests/cli/test_text_files.py
+++ b/tests/cli/test_text_files.py
@@ -1,4 +1,8 @@
-"""What people write: job files, policies, site descriptions, the config; errors with lines."""
+"""Files that users write (jobs, policies, site descriptions, config) and the command line.
+
+The tests guard against invalid input that is accepted or sent, against errors that do not name the
+file, line and field, and against invalid answers of a server that are accepted as valid.
+"""
 
 import os
 from pathlib import Path
@@ -10,7 +14,7 @@
 from hypothesis import strategies as st
 
 from tests.support.paths import ROOT
-from weldhead.cli import HIDDEN, VERBS, main
+from weldhead.cli import COMMANDS, HIDDEN_COMMANDS, main
 from weldhead.client.config import ConfigProblem, client_settings, servers_of
 from weldhead.client.decisions import FailedCall, MissingAnswer, RefusedAnswer, StatusAnswer, Step
 from weldhead.client.job import SAMPLE_ID, Job, JobProblem, check_job, parse_job
@@ -19,7 +23,7 @@
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.wire import MAX_BODY_BYTES
 from weldhead.site.description import controller_settings, parse_description, read_description
-from weldhead.tomlfiles import FileProblemError, line_of
+from weldhead.tomlfiles import FileProblemError, find_line
 
 
 @pytest.mark.parametrize(
@@ -40,7 +44,7 @@
         ("a = 1\na = 2", 2, ""),
     ],
 )
-def test_a_wrong_job_file_is_refused_with_line_and_field(text: str, line: int, field: str) -> None:
+def test_invalid_job_file_is_refused_with_line_and_field(text: str, line: int, field: str) -> None:
     with pytest.raises(FileProblemError) as refused:
         parse_job("job.toml", text)
     assert refused.value.field.startswith(field)
@@ -51,7 +55,7 @@
         assert "job.toml" in str(refused.value)
 
 
-def test_a_job_file_with_everything() -> None:
+def test_job_file_with_key_and_environment_is_parsed() -> None:
     job, key = parse_job(
         "job.toml",
         """
@@ -80,13 +84,13 @@
 @given(st.lists(st.sampled_from(["a = 1", "", "# x", "[t]", 'b = """\nx\n"""', "c = [\n1]"])))
 def test_the_line_of_a_value_is_where_its_text_begins(parts: list[str]) -> None:
     text = "\n".join([*dict.fromkeys(parts), "", "[last]", "wanted = 1", "z = 2"])
-    line = line_of(text, ["last", "wanted"])
+    line = find_line(text, ["last", "wanted"])
     assert line is not None
     assert text.splitlines()[line - 1] == "wanted = 1"
-    assert line_of(text, ["last", "none"]) is None
+    assert find_line(text, ["last", "none"]) is None
 
 
-def test_what_no_server_takes_is_refused_here() -> None:
+def test_job_that_server_would_refuse_is_refused_locally() -> None:
     for job, field in (
         (Job(cpus=float("inf")), "cpus"),
         (Job(command=("",)), "command"),
@@ -102,7 +106,7 @@
     check_job(Job(command=("true",)))
 
 
-def test_policies_are_checked() -> None:
+def test_invalid_policies_are_refused_with_line_and_field() -> None:
     policies = parse_policies(
         "p.toml",
         '[default]\nfail_after = 0\n[class.rendering]\nrepeat = 2\non = ["failed", "withdrawn"]\n',
@@ -121,14 +125,14 @@
         assert (refused.value.line, refused.value.field[: len(field)]) == (line, field)
 
 
-def test_the_shipped_site_makes_settings_that_controllers_take() -> None:
+def test_shipped_site_description_gives_valid_settings() -> None:
     description = read_description(ROOT / "deploy" / "local.toml")
-    made = controller_settings(
+    all_settings = controller_settings(
         description, ["127.0.0.1:1", "127.0.0.1:2"], ["127.0.0.1:3", "127.0.0.1:4"], "a:1", "b:2"
     )
-    for one in made:
-        assert parse_settings(msgspec.json.encode(one)) == one
-    assert [peer.address for peer in made[0].peers] == ["127.0.0.1:4"]
+    for settings in all_settings:
+        assert parse_settings(msgspec.json.encode(settings)) == settings
+    assert [peer.address for peer in all_settings[0].peers] == ["127.0.0.1:4"]
 
 
 SITE = """
@@ -159,7 +163,7 @@
         ("cores = 4.0", "cores = 4.0\n[cloud.spot]\nunannounced = 2.0", "cloud.spot.unannounced"),
     ],
 )
-def test_a_wrong_description_names_its_field(old: str, new: str, field: str) -> None:
+def test_invalid_site_description_error_names_field(old: str, new: str, field: str) -> None:
     parse_description("site.toml", SITE)
     with pytest.raises(FileProblemError) as refused:
         parse_description("site.toml", SITE.replace(old, new))
@@ -195,7 +199,9 @@
         (Step.CANCEL, 404, b"", MissingAnswer()),
     ],
 )
-def test_what_answers_mean(step: Step, status: int, body: bytes, meaning: object) -> None:
+def test_answers_are_classified_by_step_and_status(
+    step: Step, status: int, body: bytes, meaning: object
+) -> None:
     assert understand(step, SAMPLE_ID, status, body.replace(b"%s", SAMPLE_ID.encode())) == meaning
 
 
@@ -224,7 +230,7 @@
         assert isinstance(reply, FailedCall)
 
 
-# The command line, where no server is needed
+# The command line, as far as no server is needed
 
 
 def run(tmp_path: Path, *arguments: str, config: str = "") -> Result:
@@ -237,13 +243,13 @@
     return CliRunner().invoke(main, list(arguments), env=environment)
 
 
-def test_every_verb_has_its_help() -> None:
-    for verb in [*VERBS, *HIDDEN]:
-        assert CliRunner().invoke(main, [verb, "--help"]).exit_code == 0
+def test_every_command_has_help() -> None:
+    for command in [*COMMANDS, *HIDDEN_COMMANDS]:
+        assert CliRunner().invoke(main, [command, "--help"]).exit_code == 0
     assert CliRunner().invoke(main, ["weld"]).exit_code == 2
 
 
-def test_servers_come_from_flag_environment_and_file_in_that_order(
+def test_server_flag_overrides_environment_and_config_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "config.toml"
@@ -251,9 +257,9 @@
     (tmp_path / "p.toml").write_text("[default]\nrepeat = 3\n")
     monkeypatch.setenv("WELDHEAD_CONFIG", str(path))
     monkeypatch.delenv("WELDHEAD_SERVER", raising=False)
-    made = client_settings(None, None, None)
-    assert made.servers == ["a:1", "b:2"]
-    assert made.policies.of("x").repeat == 3
+    settings = client_settings(None, None, None)
+    assert settings.servers == ["a:1", "b:2"]
+    assert settings.policies.of("x").repeat == 3
     monkeypatch.setenv("WELDHEAD_SERVER", "c:3,http://d:4/")
     assert client_settings(None, None, None).servers == ["c:3", "d:4"]
     assert client_settings("e:5", None, None).servers == ["e:5"]
@@ -268,33 +274,33 @@
         client_settings(None, None, None)
 
 
-def test_usage_errors_are_told_before_anything_is_sent(tmp_path: Path) -> None:
-    wrong = tmp_path / "job.toml"
-    wrong.write_text('command = ["true"]\ntask = 2\n')
-    dead = ("--server", "127.0.0.1:1")
-    for arguments, words in (
-        (("submit", str(wrong), *dead), f"{wrong}:2: task"),
-        (("submit", str(tmp_path / "none.toml"), *dead), "No such file"),
-        (("submit", *dead), "command"),
-        (("submit", "--env", "X", *dead, "--", "true"), "NAME=VALUE"),
-        (("status", "nothing", *dead), "neither a key"),
-        (("wait", "nothing", *dead), "not in the journal"),
-        (("logs", "nothing", *dead), "JOB/TASK"),
-        (("local", "--dir", str(tmp_path), "--description", str(wrong)), "command"),
+def test_usage_errors_are_reported_without_server(tmp_path: Path) -> None:
+    invalid_file = tmp_path / "job.toml"
+    invalid_file.write_text('command = ["true"]\ntask = 2\n')
+    unreachable_server = ("--server", "127.0.0.1:1")
+    for arguments, message in (
+        (("submit", str(invalid_file), *unreachable_server), f"{invalid_file}:2: task"),
+        (("submit", str(tmp_path / "none.toml"), *unreachable_server), "No such file"),
+        (("submit", *unreachable_server), "command"),
+        (("submit", "--env", "X", *unreachable_server, "--", "true"), "NAME=VALUE"),
+        (("status", "nothing", *unreachable_server), "neither a key"),
+        (("wait", "nothing", *unreachable_server), "not in the journal"),
+        (("logs", "nothing", *unreachable_server), "JOB/TASK"),
+        (("local", "--dir", str(tmp_path), "--description", str(invalid_file)), "command"),
     ):
         result = run(tmp_path, *arguments)
         assert result.exit_code in (1, 2), result.output
-        assert words in result.output
+        assert message in result.output
 
 
-def test_a_damaged_journal_has_an_exit_code_of_its_own(tmp_path: Path) -> None:
+def test_damaged_journal_has_its_own_exit_code(tmp_path: Path) -> None:
     (tmp_path / "journal.db").write_bytes(os.urandom(4096))
     result = run(tmp_path, "jobs")
     assert result.exit_code == 5
     assert "nothing was sent" in result.output
 
 
-def test_no_answer_in_time_is_exit_code_4_and_the_journal_has_it(tmp_path: Path) -> None:
+def test_unanswered_submission_exits_4_and_stays_in_journal(tmp_path: Path) -> None:
     file = tmp_path / "job.toml"
     file.write_text('key = "k"\ncommand = ["true"]\n')
     result = run(tmp_path, "submit", str(file), "--server", "127.0.0.1:1", "--timeout", "0.3")
--- a/tests/cluster_state/test_state_writer.py
+++ b/tests/cluster_state/test_state_writer.py
@@ -132,7 +132,7 @@
 def test_a_429_empties_the_budget_so_that_the_next_try_waits() -> None:
     budget = TokenBucket(10.0, 5.0)
     assert budget.try_take(1, now_us())
-    budget.drain()
+    budget.back_off()
     at_us = now_us()
     assert not budget.try_take(1, at_us)
     # A tenth of a second each, and for a while a third slower.
--- a/tests/controller/leadership/test_isolated_leader.py
+++ b/tests/controller/leadership/test_isolated_leader.py
@@ -200,7 +200,7 @@
         sent.append(args)
         raise CallError("no answer")
 
-    monkeypatch.setattr("weldhead.transport.worker_commands.command", command)
+    monkeypatch.setattr("weldhead.transport.worker_commands.send_commands", command)
     for _ in range(2):
         assert report(leader, worker, now_us())
 
--- a/tests/controller/leadership/test_peer_directory.py
+++ b/tests/controller/leadership/test_peer_directory.py
@@ -25,13 +25,13 @@
     ``state_ok`` is whether the state service serves the peer.
     """
 
-    connected, format, last_message_us = True, 4, 0
+    is_connected, format, last_message_us = True, 4, 0
 
     def __init__(self, name: str, state_ok: bool) -> None:
         self.name, self.state_ok = name, state_ok
         self.asked: list[str] = []
 
-    def alive(self, at_us: int) -> bool:
+    def is_responsive(self, at_us: int) -> bool:
         return at_us - self.last_message_us < 1_500_000
 
     def next_id(self) -> int:
@@ -58,7 +58,7 @@
         self.directory = PeerDirectory(
             "n-0", links, cast(LeaderElection, self.election), self.at_us
         )
-        self.state = SimpleNamespace(available=True, served_us=self.at_us, failed_us=0)
+        self.state = SimpleNamespace(is_available=True, last_served_us=self.at_us, last_failed_us=0)
         self.directory.open(cast(StateClient, self.state))
 
     def pass_time(self, seconds: int, *, heard: bool, served: bool) -> int:
@@ -68,11 +68,11 @@
         """
         for _ in range(seconds * 5):
             self.at_us += SECOND_US // 5
-            self.state.available = served
+            self.state.is_available = served
             if served:
-                self.state.served_us = self.at_us
+                self.state.last_served_us = self.at_us
             else:
-                self.state.failed_us = self.at_us
+                self.state.last_failed_us = self.at_us
             for link in self.links.values():
                 link.last_message_us = self.at_us if heard else link.last_message_us
             self.directory._update_isolation()
@@ -125,7 +125,7 @@
         for link in links.values():
             link.last_message_us = now_us()
         directory = PeerDirectory(own_name, cast(Any, links), cast(Any, None), 1)
-        directory.open(cast(Any, SimpleNamespace(available=own_name != "n-2")))
+        directory.open(cast(Any, SimpleNamespace(is_available=own_name != "n-2")))
         for number in range(40):
             job_id = f"run-{number:06}"
             requests_before = {name: len(link.asked) for name, link in links.items()}
--- a/tests/controller/leadership/test_promises.py
+++ b/tests/controller/leadership/test_promises.py
@@ -149,5 +149,5 @@
     assert answer == PromiseAnswer(9, True)
     # An older version does not state its process's age: it is at least that of its connection.
     link = PeerLink(PeerSettings("n-1", "a", "10.0.0.1:81"), "n-0")
-    link.connected_us = 7
+    link.connected_since_us = 7
     assert isinstance(answer, PromiseAnswer) and latest_process_start_us(link, answer, 10) == 7
--- a/tests/controller/test_memory_limit.py
+++ b/tests/controller/test_memory_limit.py
@@ -30,7 +30,7 @@
 from weldhead.controller.requests.request_handler import RequestHandler
 from weldhead.protocol import peer
 from weldhead.protocol.settings import SettingsError, Team, parse_settings
-from weldhead.transport.process_memory import own_bytes
+from weldhead.transport.process_memory import private_resident_bytes
 from weldhead.tunables.defaults import Tunables
 
 LIMIT = 100 * MIB
@@ -92,9 +92,9 @@
 
 
 def test_own_bytes_measures_this_process() -> None:
-    before = own_bytes()
+    before = private_resident_bytes()
     allocated = b"x" * (32 * MIB)
-    after = own_bytes()
+    after = private_resident_bytes()
     assert before is not None and after is not None
     assert after - before > 0.9 * len(allocated)
 
@@ -132,7 +132,7 @@
     These used to fill up the memory of a leader that refused new jobs itself.
     """
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
-    node._state = cast(Any, SimpleNamespace(available=True))
+    node._state = cast(Any, SimpleNamespace(is_available=True))
     # The memory use of the test process itself must not matter.
     node.memory = MemoryMonitor(100.0, lambda: 0)
     assert node.memory.admits(now_us())
--- a/tests/controller/test_process_pauses.py
+++ b/tests/controller/test_process_pauses.py
@@ -107,9 +107,9 @@
     def __init__(self, clock: Clock, late_us: int, answer: Any) -> None:
         self._clock, self._late_us, self._answer = clock, late_us, answer
         self.dropped = 0
-        self.connected = True
-        self.up = asyncio.Event()
-        self.up.set()
+        self.is_connected = True
+        self.connected_event = asyncio.Event()
+        self.connected_event.set()
 
     def next_id(self) -> int:
         return 1
@@ -143,7 +143,7 @@
     async def scenario() -> None:
         node = controller()
         node._state = cast(Any, StandInNode())
-        monkeypatch.setattr(node._state, "available", True, raising=False)
+        monkeypatch.setattr(node._state, "is_available", True, raising=False)
         background_task = asyncio.create_task(node._send_pings(cast(PeerLink, link)))
         for _ in range(5):
             await asyncio.sleep(0)
--- a/tests/controller/workers/test_delayed_commands.py
+++ b/tests/controller/workers/test_delayed_commands.py
@@ -74,17 +74,19 @@
     async def scenario() -> None:
         http = HttpClient(1)
         async with served(handle) as address:
-            first_request = asyncio.create_task(workers.command(http, address, 1, 1, [], 60 * S))
+            first_request = asyncio.create_task(
+                workers.send_commands(http, address, 1, 1, [], 60 * S)
+            )
             await eventually(lambda: len(received) == 1)
             with pytest.raises(NotConnectedError):
-                await workers.command(http, address, 2, 1, [], S // 10)
+                await workers.send_commands(http, address, 2, 1, [], S // 10)
             release.set()
             with pytest.raises(CallError, match="503"):
                 await first_request
             release.clear()
             # A request that was sent and is not answered in time may have been executed.
             with pytest.raises(CallError) as sent:
-                await workers.command(http, address, 3, 1, [], S // 10)
+                await workers.send_commands(http, address, 3, 1, [], S // 10)
             assert not isinstance(sent.value, NotConnectedError)
             release.set()
             await http.close()
--- a/tests/protocol/test_versions.py
+++ b/tests/protocol/test_versions.py
@@ -298,7 +298,7 @@
 ) -> None:
     """A peer that comes back may be another version: nothing is assumed of a new connection."""
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
-    node._state = cast(Any, SimpleNamespace(available=True))
+    node._state = cast(Any, SimpleNamespace(is_available=True))
     pong = asyncio.run(node._handle_peer_message("n-1", peer.Ping(7, 0, True)))
     assert pong == peer.Pong(7, True, FORMAT, False)
 
--- a/tests/reachability/test_reachability.py
+++ b/tests/reachability/test_reachability.py
@@ -11,7 +11,7 @@
 from tests.support.builders import job_spec
 from tests.support.leaders import START, Clock, fixed_clock, new_leader, put_job, put_machine
 from tests.support.stand_ins import StandInState, StandInWorker
-from weldhead.clock import surely_valid_us
+from weldhead.clock import earliest_lease_end_us
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import AttemptPhase
 from weldhead.controller.leadership.leader import Leader
@@ -410,7 +410,7 @@
                 if known is None or not history.worker.live():
                     continue
                 # The leader never counts a lease as expired before it really is.
-                end_us = surely_valid_us(history.lease_start_us, leader.term.lease_us)
+                end_us = earliest_lease_end_us(history.lease_start_us, leader.term.lease_us)
                 if history.worker.session > known.expired_session:
                     assert (
                         known.lease_expired_us(leader.term.lease_us, predecessor_expired_us)
--- a/tests/reachability/test_unreachable_machines.py
+++ b/tests/reachability/test_unreachable_machines.py
@@ -10,7 +10,7 @@
 from tests.support.leaders import Clock, leader_of, new_leader, put_job, put_machine
 from tests.support.meetings import meet
 from tests.support.stand_ins import StandInState, StandInTask
-from weldhead.clock import surely_valid_us
+from weldhead.clock import earliest_lease_end_us
 from weldhead.reconciliation.attempt_verdicts import AttemptVerdict
 from weldhead.transport.http_client import HttpClient
 
@@ -41,7 +41,7 @@
     assert machine.reconciled and machine.attempts
     lease_us = leader.term.lease_us
     expired_us = machine.lease_expired_us(lease_us, leader.term.previous_leader_until_us())
-    assert expired_us > surely_valid_us(renewed_us, lease_us)
+    assert expired_us > earliest_lease_end_us(renewed_us, lease_us)
 
 
 def test_attempt_on_type_missing_from_catalog_continues(clock: Clock) -> None:
--- a/tests/scheduling/test_cost_of_changes.py
+++ b/tests/scheduling/test_cost_of_changes.py
@@ -580,7 +580,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A reader that restarted at each failure never finished while the store was slow."""
-    monkeypatch.setattr("weldhead.transport.state_client.PAGE_PAUSE_S", 0)
+    monkeypatch.setattr("weldhead.transport.state_client.PAGE_RETRY_DELAY_S", 0)
     item = b'{"key":"j/%d","value":%d,"mark":%d}'
     pages = [
         b'{"items":[%s],"has_next":true,"ledger":7}' % (item % (1, 1, 5)),
--- a/tests/support/fleets.py
+++ b/tests/support/fleets.py
@@ -63,11 +63,11 @@
         self.turn = asyncio.Lock()
 
     async def rent(
-        self, request: RentalRequest, wanted: Callable[[], bool] = lambda: True
+        self, request: RentalRequest, confirm_send: Callable[[], bool] = lambda: True
     ) -> list[str]:
         # One call at a time, as the cloud's budget has it.
         async with self.turn:
-            if not wanted():
+            if not confirm_send():
                 raise NotSentError
             await asyncio.sleep(0)
             self.rented.append(request)
@@ -76,10 +76,12 @@
         self.next += request.count
         return [f"vm-{self.next - n:06}" for n in range(request.count)]
 
-    async def delete(self, names: list[str], wanted: Callable[[], bool] = lambda: True) -> None:
+    async def delete(
+        self, names: list[str], confirm_send: Callable[[], bool] = lambda: True
+    ) -> None:
         # Another call has its turn first.
         await asyncio.sleep(0)
-        if not wanted():
+        if not confirm_send():
             raise NotSentError
         self.deleted.append(names)
 
--- a/tests/test_bytecode.py
+++ b/tests/test_bytecode.py
@@ -1,4 +1,4 @@
-"""Bytecode that the build leaves: used while it is valid, and never when its source is newer."""
+"""The build's bytecode is used while it is valid, and ignored once its source has changed."""
 
 import os
 import shutil
@@ -16,7 +16,7 @@
     return original(self, data, path, **more)
 external.SourceLoader.source_to_code = source_to_code
 from weldhead import bytecode
-bytecode.use()
+bytecode.enable()
 import weldhead.protocol.sample, weldhead.clock
 print(weldhead.protocol.sample.VALUE, len([path for path in compiled if "weldhead" in path]))
 """
@@ -29,8 +29,12 @@
     return ran.stdout.decode().strip()
 
 
-def test_a_start_compiles_only_what_is_newer_than_the_build(tmp_path: Path) -> None:
-    """Each start compiled 111 modules, a third of its processor time: nobody led meanwhile."""
+def test_start_compiles_only_sources_newer_than_build(tmp_path: Path) -> None:
+    """Guards against starts that compile all modules again.
+
+    Each start compiled 111 modules, which took a third of its processor time; meanwhile there was
+    no leader.
+    """
     package = tmp_path / "weldhead"
     (package / "protocol").mkdir(parents=True)
     for name in ("__init__.py", "bytecode.py", "clock.py"):
@@ -40,7 +44,7 @@
     sample.write_text("VALUE = 1\n")
     assert run(tmp_path, "-c", PROGRAM) == "1 5"
     run(tmp_path, "-m", "weldhead.bytecode")
-    # The package and the module that sets this up are loaded before it.
+    # The package and the bytecode module itself are loaded before the bytecode is enabled.
     assert run(tmp_path, "-c", PROGRAM) == "1 2"
     sample.write_text("VALUE = 234\n")
     assert run(tmp_path, "-c", PROGRAM) == "234 3"
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The packages stand in layers: no import upward, and no circle of modules.
+"""The packages form layers: no module imports from a higher layer, and no import cycles exist.
 
 Imports inside functions and under TYPE_CHECKING count as well.
 """
@@ -11,7 +11,7 @@
 
 from tests.support.paths import ROOT
 
-#: From the top to the bottom; docs/architecture.md says what each is for.
+#: From the highest to the lowest layer; docs/architecture.md describes each package.
 LAYERS = (
     "cli",
     "emulator",
@@ -65,24 +65,24 @@
 
 
 def _layer(module: str) -> int | None:
-    """Return the place of a module's package; None: the root package belongs to none."""
+    """Return the layer of a module's package; None for the root package, which has no layer."""
     _, _, rest = module.partition(".")
     return LAYERS.index(rest.partition(".")[0]) if rest else None
 
 
-def test_no_module_imports_from_a_layer_above() -> None:
+def test_no_module_imports_from_higher_layer() -> None:
     upward = [
         f"{name} -> {imported}"
         for name, imports in GRAPH.items()
         for imported in imports
-        if (own := _layer(name)) is not None
-        and (other := _layer(imported)) is not None
-        and other < own
+        if (own_layer := _layer(name)) is not None
+        and (imported_layer := _layer(imported)) is not None
+        and imported_layer < own_layer
     ]
     assert not upward
 
 
-def test_no_modules_import_one_another_in_a_circle() -> None:
+def test_no_import_cycles_exist() -> None:
     try:
         TopologicalSorter(GRAPH).prepare()
     except CycleError as error:
--- a/tests/test_loaded_modules.py
+++ b/tests/test_loaded_modules.py
@@ -1,4 +1,8 @@
-"""A controller loads what it needs and nothing of the parts beside it."""
+"""A controller imports only the modules it needs.
+
+The tests guard against imports that load the client, the local site, the command line or a large
+library into every controller, where they cost memory and start time.
+"""
 
 import json
 import os
@@ -9,10 +13,10 @@
 import pytest
 
 from tests.support.paths import ROOT
-from weldhead.serving import no_certificates
+from weldhead.serving import without_system_certificates
 
-#: What `serve` loads, without the tunables' language; the packages of weldhead it may use.
-ALLOWED = {
+#: The packages of weldhead that a controller may import, apart from ``tunables``.
+ALLOWED_PACKAGES = {
     "admission",
     "bytecode",
     "calendars",
@@ -31,12 +35,13 @@
     "serving",
     "transport",
 }
-LIBRARIES = {"aiohttp", "msgspec", "uvloop"}
-#: As many modules as it loads without what an environment's own start adds, and not one more:
-#: of the interpreter's and of libraries, and of weldhead's own.
-MOST_FOREIGN_MODULES = 326
-MOST_OWN_MODULES = 164
-FOREIGN = {
+REQUIRED_LIBRARIES = {"aiohttp", "msgspec", "uvloop"}
+#: The numbers of modules that a controller imports at present: modules of the interpreter and of
+#: libraries, and modules of weldhead. The interpreter runs with ``-S``, so the start-up code of
+#: the environment adds no modules.
+MAX_FOREIGN_MODULES = 326
+MAX_OWN_MODULES = 164
+FORBIDDEN_LIBRARIES = {
     "sqlite3",
     "sortedcontainers",
     "hdrh",
@@ -44,7 +49,7 @@
     "rich",
     "lark",
     "tomllib",
-    # The leader of the moment loads these when there is a calendar, and nobody else.
+    # Only the current leader imports these, and only if there is a calendar.
     "dateutil",
     "zoneinfo",
     "grpc",
@@ -52,12 +57,17 @@
     "click",
     "gettext",
 }
-#: Of aiohttp: what routes and serves applications.
-UNUSED = {"aiohttp.web", "aiohttp.web_app", "aiohttp.web_urldispatcher", "aiohttp.web_ws"}
+#: The modules of aiohttp for routing and for serving applications.
+FORBIDDEN_AIOHTTP_MODULES = {
+    "aiohttp.web",
+    "aiohttp.web_app",
+    "aiohttp.web_urldispatcher",
+    "aiohttp.web_ws",
+}
 
 PROGRAM = """
 import json, sys
-# The whole of what a controller imports happens before it reads its settings.
+# A controller imports all its modules before it reads its settings.
 sys.argv = ["run.py", "--config", "/nonexistent"]
 try:
     names = {{"__name__": "__main__", "__file__": {run!r}}}
@@ -68,8 +78,8 @@
 """
 
 
-def test_who_only_binds_jobs_loads_no_libraries_of_calendars() -> None:
-    """A controller with documents: only the leader of the moment computes instants."""
+def test_modules_that_bind_jobs_import_no_date_libraries() -> None:
+    """Only the current leader computes the instants of calendars and needs the libraries."""
     program = """
 import sys
 sys.path[:0] = [{root!r}, {deps!r}]
@@ -79,40 +89,40 @@
 import weldhead.controller.configuration.document_file
 print(sorted({{"dateutil", "zoneinfo"}} & set(sys.modules)))
 """.format(root=str(ROOT), deps=str(ROOT / "target/deps"))
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, text=True, timeout=60, check=True
     )
-    assert ran.stdout == "[]\n"
+    assert result.stdout == "[]\n"
 
 
-def test_serve_imports_nothing_of_the_new_parts() -> None:
+def test_controller_imports_only_allowed_packages() -> None:
     program = PROGRAM.format(run=str(ROOT / "run.py"))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-S", "-c", program],
         capture_output=True,
         text=True,
         timeout=60,
         check=True,
     )
-    modules = json.loads(done.stdout)
+    modules = json.loads(result.stdout)
     assert "weldhead.controller.process" in modules
-    own = {name.split(".")[1] for name in modules if name.startswith("weldhead.")}
-    assert own == ALLOWED | {"tunables"}
+    own_packages = {name.split(".")[1] for name in modules if name.startswith("weldhead.")}
+    assert own_packages == ALLOWED_PACKAGES | {"tunables"}
     assert "weldhead.tunables.language" not in modules
-    tops = {name.split(".")[0] for name in modules}
-    assert not tops & FOREIGN
-    assert tops >= LIBRARIES
-    assert not set(modules) & UNUSED
-    count_own = sum(name.split(".")[0] == "weldhead" for name in modules)
-    assert len(modules) - count_own <= MOST_FOREIGN_MODULES, len(modules) - count_own
-    assert count_own <= MOST_OWN_MODULES, count_own
+    top_level_names = {name.split(".")[0] for name in modules}
+    assert not top_level_names & FORBIDDEN_LIBRARIES
+    assert top_level_names >= REQUIRED_LIBRARIES
+    assert not set(modules) & FORBIDDEN_AIOHTTP_MODULES
+    own_count = sum(name.split(".")[0] == "weldhead" for name in modules)
+    assert len(modules) - own_count <= MAX_FOREIGN_MODULES, len(modules) - own_count
+    assert own_count <= MAX_OWN_MODULES, own_count
 
 
-def test_a_controller_reads_no_certificates_and_leaves_the_environment_as_it_was(
+def test_certificates_are_hidden_and_environment_restored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setenv("SSL_CERT_FILE", "/some/where")
     monkeypatch.delenv("SSL_CERT_DIR", raising=False)
-    with no_certificates():
+    with without_system_certificates():
         assert ssl.create_default_context().cert_store_stats()["x509_ca"] == 0
     assert os.environ["SSL_CERT_FILE"] == "/some/where" and "SSL_CERT_DIR" not in os.environ
--- a/tools/measure_processor.py
+++ b/tools/measure_processor.py
@@ -402,7 +402,7 @@
     commands = [Command("run", "job-00000001/1", 7 << 20)]
 
     async def send() -> None:
-        await worker_commands.command(
+        await worker_commands.send_commands(
             http, f"127.0.0.1:{port}", 7, 17, commands, 5_000_000, close=close
         )
 
--- a/weldhead/__init__.py
+++ b/weldhead/__init__.py
@@ -1,3 +1,3 @@
-"""weldhead: a cluster scheduler with a leased leader and preemption by priority."""
+"""weldhead: a cluster scheduler with a leader elected by lease, and preemption by priority."""
 
 __version__ = "0.2.0"
--- a/weldhead/bytecode.py
+++ b/weldhead/bytecode.py
@@ -1,8 +1,8 @@
-"""Bytecode of this package: compiled by the build, kept below ``target/``.
+"""Loads this package's bytecode, which the build compiles into ``target/bytecode/``.
 
-A controller's process cannot write below the repository, so without this each start compiles
-every module again: a third of a start's processor time, while nobody leads perhaps. Other
-packages have theirs beside their sources, where pip writes it.
+A controller's process cannot write into the repository. Without the compiled bytecode, each start
+compiles all modules again, which took a third of the start's processor time, possibly while there
+is no leader. The bytecode of other packages lies beside their sources, where pip writes it.
 """
 
 import sys
@@ -14,49 +14,49 @@
 if TYPE_CHECKING:
     from importlib.abc import PathEntryFinder
 
-PACKAGE = Path(__file__).resolve().parent
-PREFIX = PACKAGE.parent / "target" / "bytecode"
+PACKAGE_DIRECTORY = Path(__file__).resolve().parent
+BYTECODE_DIRECTORY = PACKAGE_DIRECTORY.parent / "target" / "bytecode"
 
 
-class _PrefixLoader(SourceFileLoader):
-    """Loads a module by its bytecode below the prefix, if that is not older than its source."""
+class _BuildBytecodeLoader(SourceFileLoader):
+    """Loads a module from the build's bytecode, unless its source has changed since."""
 
     def get_code(self, fullname: str) -> CodeType | None:
-        """Return the module's code; compiled anew where there is no valid bytecode."""
-        before = sys.pycache_prefix
-        sys.pycache_prefix = str(PREFIX)
+        """Return the module's code; compile its source if there is no valid bytecode."""
+        previous_prefix = sys.pycache_prefix
+        sys.pycache_prefix = str(BYTECODE_DIRECTORY)
         try:
             return super().get_code(fullname)
         finally:
-            sys.pycache_prefix = before
+            sys.pycache_prefix = previous_prefix
 
 
-def use() -> None:
-    """Load this package's modules by the build's bytecode from now on."""
-    if not PREFIX.is_dir():
+def enable() -> None:
+    """Load this package's modules from the build's bytecode from now on."""
+    if not BYTECODE_DIRECTORY.is_dir():
         return
-    finder = FileFinder.path_hook((_PrefixLoader, SOURCE_SUFFIXES))
+    create_finder = FileFinder.path_hook((_BuildBytecodeLoader, SOURCE_SUFFIXES))
 
-    def hook(path: str) -> "PathEntryFinder":
-        if not Path(path).resolve().is_relative_to(PACKAGE):
+    def path_hook(path: str) -> "PathEntryFinder":
+        if not Path(path).resolve().is_relative_to(PACKAGE_DIRECTORY):
             raise ImportError(path)
-        return finder(path)
+        return create_finder(path)
 
-    sys.path_hooks.insert(0, hook)
-    # The package's own path has been looked at already, by the hook before.
-    sys.path_importer_cache.pop(str(PACKAGE), None)
+    sys.path_hooks.insert(0, path_hook)
+    # The default hook has already created and cached a finder for the package's directory.
+    sys.path_importer_cache.pop(str(PACKAGE_DIRECTORY), None)
 
 
 def compile_package() -> bool:
-    """Compile what has changed; whether all of it could be compiled."""
-    import compileall  # Needed by the build alone: a controller's start would pay for it.
+    """Compile the modules that have changed; return whether all could be compiled."""
+    import compileall  # Only the build needs it; a controller's start should not load it.
 
-    before = sys.pycache_prefix
-    sys.pycache_prefix = str(PREFIX)
+    previous_prefix = sys.pycache_prefix
+    sys.pycache_prefix = str(BYTECODE_DIRECTORY)
     try:
-        return bool(compileall.compile_dir(PACKAGE, quiet=1))
+        return bool(compileall.compile_dir(PACKAGE_DIRECTORY, quiet=1))
     finally:
-        sys.pycache_prefix = before
+        sys.pycache_prefix = previous_prefix
 
 
 if __name__ == "__main__":
--- a/weldhead/cli/__init__.py
+++ b/weldhead/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module a group of verbs, imported when one of them is called."""
+"""The command line: each command's module is imported when the command is called."""
 
 import importlib
 
@@ -6,8 +6,8 @@
 
 from weldhead import __version__
 
-#: Where each verb is: module and name.
-VERBS = {
+#: The module and the name of each command.
+COMMANDS = {
     "serve": ("weldhead.cli.serve", "serve"),
     "check": ("weldhead.cli.tunables", "check"),
     "local": ("weldhead.cli.site", "local"),
@@ -18,8 +18,8 @@
     "jobs": ("weldhead.cli.jobs", "jobs"),
     "logs": ("weldhead.cli.logs", "logs"),
 }
-#: Parts of a site, which its keeper starts.
-HIDDEN = {
+#: The commands that run a part of a local site; ``weldhead local`` starts them.
+HIDDEN_COMMANDS = {
     "site-state": ("weldhead.cli.site", "site_state"),
     "site-pool": ("weldhead.cli.site", "site_pool"),
     "site-front": ("weldhead.cli.site", "site_front"),
@@ -28,18 +28,18 @@
 
 
 class LazyGroup(click.Group):
-    """A group whose verbs are imported only when they are asked for."""
+    """A group of commands that imports a command only when it is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Name the verbs that people use."""
-        return list(VERBS)
+        """Return the names of the commands for users."""
+        return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a verb."""
-        place = VERBS.get(cmd_name) or HIDDEN.get(cmd_name)
-        if place is None:
+        """Import a command; None if there is no command of that name."""
+        location = COMMANDS.get(cmd_name) or HIDDEN_COMMANDS.get(cmd_name)
+        if location is None:
             return None
-        command = getattr(importlib.import_module(place[0]), place[1])
+        command = getattr(importlib.import_module(location[0]), location[1])
         assert isinstance(command, click.Command)
         return command
 
--- a/weldhead/cli/common.py
+++ b/weldhead/cli/common.py
@@ -1,4 +1,4 @@
-"""What several verbs share."""
+"""Helpers shared by several commands."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 
 def read_text(path: Path) -> str:
-    """Read a file that the user named."""
+    """Return the text of a file that the user named; ClickException if it cannot be read."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/weldhead/cli/jobs.py
+++ b/weldhead/cli/jobs.py
@@ -1,7 +1,7 @@
-"""The verbs about jobs: submit, wait, status, cancel, jobs.
+"""The commands for jobs: submit, wait, status, cancel, jobs.
 
-Exit codes: 0 done (or accepted, where nothing is waited for), 1 withdrawn or failed,
-2 usage, 3 refused, 4 no answer within the time limit, 5 the journal cannot be used.
+Exit codes: 0 done (or accepted, if the command does not wait for the job's end), 1 withdrawn
+or failed, 2 usage error, 3 refused, 4 no answer within the time limit, 5 journal unusable.
 """
 
 import asyncio
@@ -27,47 +27,56 @@
 EXIT_NO_ANSWER = 4
 EXIT_JOURNAL = 5
 
-_COMMAND = "weldhead.command"
+#: The key of click's context under which the command of ``submit ... -- COMMAND`` is stored.
+_COMMAND_KEY = "weldhead.command"
 
-_server = click.option("--server", help="HOST:PORT of the service, several with commas.")
-_journal = click.option("--journal", type=click.Path(path_type=Path), help="The journal's file.")
-_json = click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
+_server_option = click.option(
+    "--server", help="HOST:PORT of the service; separate several with commas."
+)
+_journal_option = click.option(
+    "--journal", type=click.Path(path_type=Path), help="The journal's file."
+)
+_json_option = click.option(
+    "--json", "as_json", is_flag=True, help="Print one JSON object per line."
+)
 
 
-def _timeout(default: float | None) -> Callable[[Any], Any]:
-    shown = f"{default:g}" if default else "none"
+def _timeout_option(default: float | None) -> Callable[[Any], Any]:
+    default_text = f"{default:g}" if default else "none"
     return click.option(
         "--timeout",
         type=click.FloatRange(0, min_open=True),
         default=default,
-        help=f"Seconds after which no more is waited for [default: {shown}].",
+        help=f"Stop waiting after this many seconds [default: {default_text}].",
     )
 
 
-def _fail(code: int, text: str) -> NoReturn:
+def _exit_with_error(code: int, text: str) -> NoReturn:
     click.echo(f"weldhead: {text}", err=True)
     sys.exit(code)
 
 
-def _settings(server: str | None, journal: Path | None, policies: Path | None) -> ClientSettings:
+def _load_settings(
+    server: str | None, journal: Path | None, policies: Path | None
+) -> ClientSettings:
     try:
         return client_settings(server, journal, policies)
     except (ConfigProblem, FileProblemError) as problem:
-        _fail(2, str(problem))
+        _exit_with_error(2, str(problem))
 
 
-def _run(work: Awaitable[int]) -> NoReturn:
+def _run_and_exit(work: Awaitable[int]) -> NoReturn:
     async def run() -> int:
         return await work
 
     try:
         code = asyncio.run(run())
     except JournalError as error:
-        _fail(EXIT_JOURNAL, f"{error}; nothing was sent because of that")
+        _exit_with_error(EXIT_JOURNAL, f"{error}; nothing was sent because of that")
     except KeyConflict as conflict:
-        _fail(2, str(conflict))
+        _exit_with_error(2, str(conflict))
     except KeyboardInterrupt:
-        _fail(130, "interrupted; `weldhead wait` goes on with what the journal has")
+        _exit_with_error(130, "interrupted; `weldhead wait` goes on with what the journal has")
     sys.exit(code)
 
 
@@ -85,34 +94,37 @@
 async def _follow(
     client: Client, key: str, reporter: Reporter, timeout: float | None, *, accepted_only: bool
 ) -> Answer:
-    """Show what becomes of a submission until it is over, accepted, or the time is."""
+    """Show a submission's progress until its final answer or the timeout.
+
+    ``accepted_only``: return as soon as the submission is accepted.
+    """
     loop = asyncio.get_running_loop()
-    end = None if timeout is None else loop.time() + timeout
+    deadline = None if timeout is None else loop.time() + timeout
     while True:
-        left = 3600.0 if end is None else end - loop.time()
+        remaining_s = 3600.0 if deadline is None else deadline - loop.time()
         if accepted_only:
-            answer = await client.accepted(key, max(0.0, min(left, 1.0)))
+            answer = await client.accepted(key, max(0.0, min(remaining_s, 1.0)))
         else:
-            answer = await client.wait(key, max(0.0, min(left, 0.5)))
-        if answer.final or left <= 0 or (accepted_only and answer.accepted):
+            answer = await client.wait(key, max(0.0, min(remaining_s, 0.5)))
+        if answer.final or remaining_s <= 0 or (accepted_only and answer.accepted):
             return answer
         reporter.show(answer)
 
 
-class _BeforeCommand(click.Command):
-    """A verb that leaves what stands behind ``--`` alone: it is a command of the user's."""
+class _CommandBeforeSeparator(click.Command):
+    """A command that does not parse the arguments after ``--``: they are the user's command."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
         if "--" in args:
-            at = args.index("--")
-            ctx.meta[_COMMAND] = tuple(args[at + 1 :])
-            args = args[:at]
+            separator = args.index("--")
+            ctx.meta[_COMMAND_KEY] = tuple(args[separator + 1 :])
+            args = args[:separator]
         return super().parse_args(ctx, args)
 
 
-@click.command(cls=_BeforeCommand, options_metavar="[OPTIONS] [-- COMMAND ...]")
+@click.command(cls=_CommandBeforeSeparator, options_metavar="[OPTIONS] [-- COMMAND ...]")
 @click.argument("file", required=False, metavar="[JOB.toml|-]")
-@click.option("--key", help="A name of your own: the same key is the same submission.")
+@click.option("--key", help="A name of your choice; repeating a key does not submit again.")
 @click.option("--team")
 @click.option("--class", "job_class")
 @click.option("--tasks", type=int)
@@ -121,16 +133,24 @@
 @click.option("--memory-gb", type=float, help="Per task.")
 @click.option("--priority", type=click.Choice(["production", "high", "normal", "idle"]))
 @click.option("--deadline", "deadline_s", type=float, help="Seconds from now.")
-@click.option("--estimate", "estimate_s", type=float, help="Seconds a task runs, about.")
-@click.option("--waits-on", multiple=True, metavar="ID", help="A job that has to be done before.")
+@click.option(
+    "--estimate", "estimate_s", type=float, help="Approximate run time of a task, in seconds."
+)
+@click.option("--waits-on", multiple=True, metavar="ID", help="A job that has to be done first.")
 @click.option("--env", multiple=True, metavar="NAME=VALUE", help="Environment of the tasks.")
-@click.option("--directory", type=click.Path(), help="Where tasks start [default: their own].")
+@click.option(
+    "--directory", type=click.Path(), help="Working directory of the tasks [default: their own]."
+)
 @click.option("--wait", "wait_for", is_flag=True, help="Wait for the final answer.")
-@click.option("--policies", type=click.Path(path_type=Path), help="Which classes are repeated.")
-@_server
-@_journal
-@_timeout(None)
-@_json
+@click.option(
+    "--policies",
+    type=click.Path(path_type=Path),
+    help="The policies file: which job classes are repeated.",
+)
+@_server_option
+@_journal_option
+@_timeout_option(None)
+@_json_option
 def submit(
     file: str | None,
     key: str | None,
@@ -146,29 +166,31 @@
 
     Without --wait it ends when the job is accepted, after 60 s at the latest.
     """
-    job, file_key = _job(file, flags)
-    settings = _settings(server, journal, policies)
+    job, file_key = _build_job(file, flags)
+    settings = _load_settings(server, journal, policies)
     if not wait_for and timeout is None:
         timeout = 60.0
 
     async def run() -> int:
         async with Client(settings) as client:
             try:
-                used = await client.submit(job, key or file_key)
+                used_key = await client.submit(job, key or file_key)
             except JobProblem as problem:
-                _fail(2, str(problem))
+                _exit_with_error(2, str(problem))
             with Reporter(as_json=as_json) as reporter:
-                answer = await _follow(client, used, reporter, timeout, accepted_only=not wait_for)
+                answer = await _follow(
+                    client, used_key, reporter, timeout, accepted_only=not wait_for
+                )
                 reporter.close(answer, waited=wait_for)
             return _exit_code(answer, waited=wait_for)
 
-    _run(run())
+    _run_and_exit(run())
 
 
-def _job(file: str | None, flags: dict[str, Any]) -> tuple[Job, str | None]:
-    """Put the job together: a file, or the config's defaults; then command and flags."""
+def _build_job(file: str | None, flags: dict[str, Any]) -> tuple[Job, str | None]:
+    """Build a job from a file or the config's defaults; flags and the command override them."""
     context = click.get_current_context()
-    command: tuple[str, ...] = context.meta.get(_COMMAND, ())
+    command: tuple[str, ...] = context.meta.get(_COMMAND_KEY, ())
     key: str | None = None
     try:
         if file == "-":
@@ -178,9 +200,9 @@
         else:
             job = msgspec.convert(read_config().defaults, Job)
     except FileProblemError as problem:
-        _fail(2, str(problem))
+        _exit_with_error(2, str(problem))
     except msgspec.ValidationError as error:
-        _fail(2, f"config file: defaults: {error}")
+        _exit_with_error(2, f"config file: defaults: {error}")
     changes: dict[str, Any] = {
         name: value
         for name, value in flags.items()
@@ -192,7 +214,7 @@
         changes["waits_on"] = flags["waits_on"]
     if flags["env"]:
         pairs = [pair.partition("=") for pair in flags["env"]]
-        if any(not sign for _, sign, _ in pairs):
+        if any(not separator for _, separator, _ in pairs):
             raise click.BadParameter("must be NAME=VALUE", ctx=context, param_hint="--env")
         changes["environment"] = job.environment | {name: value for name, _, value in pairs}
     job = msgspec.structs.replace(job, **changes)
@@ -201,12 +223,12 @@
     try:
         check_job(job)
     except JobProblem as problem:
-        _fail(2, str(problem))
+        _exit_with_error(2, str(problem))
     return job, key
 
 
-async def _key(client: Client, journal: Journal, name: str) -> str | None:
-    """Return the key of what was named by key or id."""
+async def _find_key(client: Client, journal: Journal, name: str) -> str | None:
+    """Return the key of a submission that is named by key or id; None if it is unknown."""
     if await journal.find(name) is not None:
         return name
     return await journal.key_of(name)
@@ -214,10 +236,10 @@
 
 @click.command()
 @click.argument("names", nargs=-1, metavar="KEY|ID...")
-@_server
-@_journal
-@_timeout(None)
-@_json
+@_server_option
+@_journal_option
+@_timeout_option(None)
+@_json_option
 def wait(
     names: tuple[str, ...],
     server: str | None,
@@ -226,14 +248,14 @@
     as_json: bool,
 ) -> None:
     """Wait for the final answers of submissions of the journal; without names, of all."""
-    settings = _settings(server, journal, None)
+    settings = _load_settings(server, journal, None)
 
     async def run() -> int:
-        book = Journal(settings.journal)
+        opened_journal = Journal(settings.journal)
         code = 0
         try:
-            async with Client(settings, book) as client:
-                keys = [await _known_key(client, book, name) for name in names]
+            async with Client(settings, opened_journal) as client:
+                keys = [await _require_key(client, opened_journal, name) for name in names]
                 if not names:
                     keys = await client.resume()
                 with Reporter(as_json=as_json, many=len(keys) > 1) as reporter:
@@ -241,31 +263,31 @@
                         reporter.close(answer, waited=True)
                         code = max(code, _exit_code(answer, waited=True))
         finally:
-            await asyncio.to_thread(book.close)
+            await asyncio.to_thread(opened_journal.close)
         return code
 
-    _run(run())
+    _run_and_exit(run())
 
 
-async def _known_key(client: Client, book: Journal, name: str) -> str:
-    key = await _key(client, book, name)
+async def _require_key(client: Client, opened_journal: Journal, name: str) -> str:
+    key = await _find_key(client, opened_journal, name)
     if key is None:
-        _fail(2, f"{name}: not in the journal")
+        _exit_with_error(2, f"{name}: not in the journal")
     return key
 
 
-async def _by_id(
+async def _ask_by_id(
     client: Client, name: str, *, cancel: bool, timeout: float, reporter: Reporter
 ) -> int:
-    """Ask about a job that is not of this journal, by its id."""
+    """Query or cancel a job that is not in the journal, by its id; return the exit code."""
     if not is_job_id(name):
-        _fail(2, f"{name}: neither a key of the journal nor a job id")
+        _exit_with_error(2, f"{name}: neither a key of the journal nor a job id")
     answer = await client.ask_id(name, cancel=cancel, timeout_s=timeout)
     reporter.close(answer, waited=False)
     return 0 if answer.accepted else EXIT_NO_ANSWER
 
 
-def _ask(
+def _query_or_cancel(
     names: tuple[str, ...],
     server: str | None,
     journal: Path | None,
@@ -274,42 +296,42 @@
     *,
     cancel: bool,
 ) -> NoReturn:
-    settings = _settings(server, journal, None)
+    settings = _load_settings(server, journal, None)
 
     async def run() -> int:
-        book = Journal(settings.journal)
+        opened_journal = Journal(settings.journal)
         code = 0
         try:
-            async with Client(settings, book) as client:
+            async with Client(settings, opened_journal) as client:
                 with Reporter(as_json=as_json, many=len(names) > 1) as reporter:
                     for name in names:
-                        key = await _key(client, book, name)
+                        key = await _find_key(client, opened_journal, name)
                         if key is None:
-                            code = max(code, await _by_id(
+                            code = max(code, await _ask_by_id(
                                 client, name, cancel=cancel, timeout=timeout, reporter=reporter
                             ))  # fmt: skip
                             continue
                         if cancel:
                             answer = await client.cancel(key, timeout)
-                            wrong = not answer.final
+                            failed = not answer.final
                         else:
                             answer = await client.poll(key)
-                            wrong = bool(client.trouble(key))
+                            failed = bool(client.trouble(key))
                         reporter.close(answer, waited=False)
-                        code = max(code, EXIT_NO_ANSWER if wrong else 0)
+                        code = max(code, EXIT_NO_ANSWER if failed else 0)
         finally:
-            await asyncio.to_thread(book.close)
+            await asyncio.to_thread(opened_journal.close)
         return code
 
-    _run(run())
+    _run_and_exit(run())
 
 
 @click.command()
 @click.argument("names", nargs=-1, required=True, metavar="KEY|ID...")
-@_server
-@_journal
-@_timeout(10.0)
-@_json
+@_server_option
+@_journal_option
+@_timeout_option(10.0)
+@_json_option
 def status(
     names: tuple[str, ...],
     server: str | None,
@@ -317,16 +339,16 @@
     timeout: float,
     as_json: bool,
 ) -> None:
-    """Say what is known of jobs now."""
-    _ask(names, server, journal, timeout, as_json, cancel=False)
+    """Show what is known about jobs now."""
+    _query_or_cancel(names, server, journal, timeout, as_json, cancel=False)
 
 
 @click.command()
 @click.argument("names", nargs=-1, required=True, metavar="KEY|ID...")
-@_server
-@_journal
-@_timeout(60.0)
-@_json
+@_server_option
+@_journal_option
+@_timeout_option(60.0)
+@_json_option
 def cancel(
     names: tuple[str, ...],
     server: str | None,
@@ -335,38 +357,42 @@
     as_json: bool,
 ) -> None:
     """Withdraw jobs; exit code 0 means that each has its final answer."""
-    _ask(names, server, journal, timeout, as_json, cancel=True)
+    _query_or_cancel(names, server, journal, timeout, as_json, cancel=True)
 
 
 @click.command()
-@click.option("--all", "everything", is_flag=True, help="Also those that have a final answer.")
-@click.option("--most", type=click.IntRange(1), default=200, help="How many, the newest.")
-@click.option("--compact", is_flag=True, help="Drop what old final answers do not need.")
-@_journal
-@_json
+@click.option(
+    "--all", "everything", is_flag=True, help="Also list submissions that have a final answer."
+)
+@click.option(
+    "--most", type=click.IntRange(1), default=200, help="List at most this many, the newest."
+)
+@click.option("--compact", is_flag=True, help="Delete records that old final answers do not need.")
+@_journal_option
+@_json_option
 def jobs(everything: bool, most: int, compact: bool, journal: Path | None, as_json: bool) -> None:
-    """List the journal's submissions; the service is not asked."""
+    """List the journal's submissions, without a call to the service."""
     try:
         path = journal or journal_path(read_config())
     except FileProblemError as problem:
-        _fail(2, str(problem))
+        _exit_with_error(2, str(problem))
 
     async def run() -> int:
-        book = Journal(path)
+        opened_journal = Journal(path)
         try:
             if compact:
-                touched = await book.compact()
-                click.echo(f"{touched} submissions compacted", err=True)
-            for entry in await book.entries(unfinished=not everything, most=most):
-                click.echo(_line(entry, as_json))
+                compacted = await opened_journal.compact()
+                click.echo(f"{compacted} submissions compacted", err=True)
+            for entry in await opened_journal.entries(unfinished=not everything, most=most):
+                click.echo(_format_entry(entry, as_json))
         finally:
-            await asyncio.to_thread(book.close)
+            await asyncio.to_thread(opened_journal.close)
         return 0
 
-    _run(run())
+    _run_and_exit(run())
 
 
-def _line(entry: JournalEntry, as_json: bool) -> str:
+def _format_entry(entry: JournalEntry, as_json: bool) -> str:
     if as_json:
         value: dict[str, Any] = {"key": entry.key, "created_us": entry.created_us}
         if entry.runs:
--- a/weldhead/cli/logs.py
+++ b/weldhead/cli/logs.py
@@ -1,4 +1,4 @@
-"""The verb that shows what tasks wrote."""
+"""The ``logs`` command: shows the output of a task's attempt."""
 
 import asyncio
 import contextlib
@@ -19,6 +19,8 @@
 
 
 class _LogsError(Exception):
+    """The output cannot be shown; ``code`` is the exit code."""
+
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
         self.code = code
@@ -26,7 +28,7 @@
 
 @click.command()
 @click.argument("task", metavar="JOB/TASK")
-@click.option("--attempt", type=int, help="Which attempt [default: the last].")
+@click.option("--attempt", type=int, help="The attempt to show [default: the last].")
 @click.option("--attempts", is_flag=True, help="List the attempts instead, with exit codes.")
 @click.option("--server", help="HOST:PORT of the service.")
 @click.option("--journal", type=click.Path(path_type=Path), help="The journal's file.")
@@ -47,35 +49,37 @@
         settings = client_settings(server, journal, None)
     except (ConfigProblem, FileProblemError) as problem:
         raise click.UsageError(str(problem)) from problem
-    end_us = now_us() + seconds_us(timeout)
+    deadline_us = now_us() + seconds_us(timeout)
 
-    book: Journal | None = None
+    opened_journal: Journal | None = None
     if settings.journal.exists():
         with contextlib.suppress(JournalError):
-            book = Journal(settings.journal)
+            opened_journal = Journal(settings.journal)
 
     async def run() -> None:
-        job = await _id_of(book, name)
+        job = await _find_job_id(opened_journal, name)
         transport = Transport(Endpoints(settings.servers), 4)
         try:
-            found = await _get(transport, f"/attempts/{job}/{index}", end_us)
-            records: list[dict[str, Any]] = msgspec.json.decode(found)
+            attempts_json = await _get_with_retries(
+                transport, f"/attempts/{job}/{index}", deadline_us
+            )
+            records: list[dict[str, Any]] = msgspec.json.decode(attempts_json)
             if not records:
                 raise _LogsError(1, f"{task}: no attempt yet")
             if attempts:
                 for record in records:
                     click.echo(msgspec.json.encode(record).decode())
                 return
-            chosen = attempt if attempt is not None else records[-1]["attempt"]
-            at = 0
+            chosen_attempt = attempt if attempt is not None else records[-1]["attempt"]
+            offset = 0
             while True:
-                path = f"/output/{job}/{index}/{chosen}?from={at}"
-                piece = await _get(transport, path, end_us)
-                if not piece:
+                path = f"/output/{job}/{index}/{chosen_attempt}?from={offset}"
+                chunk = await _get_with_retries(transport, path, deadline_us)
+                if not chunk:
                     return
-                sys.stdout.buffer.write(piece)
+                sys.stdout.buffer.write(chunk)
                 sys.stdout.buffer.flush()
-                at += len(piece)
+                offset += len(chunk)
         finally:
             await transport.close()
 
@@ -86,20 +90,20 @@
         sys.exit(failure.code)
 
 
-async def _id_of(book: Journal | None, name: str) -> str:
-    """Return the id that a key of the journal stands for; other names are ids."""
-    if book is None:
+async def _find_job_id(opened_journal: Journal | None, name: str) -> str:
+    """Return the job id of a key of the journal; any other name is taken to be an id."""
+    if opened_journal is None:
         return name
     try:
-        entry = await book.find(name)
+        entry = await opened_journal.find(name)
     finally:
-        await asyncio.to_thread(book.close)
+        await asyncio.to_thread(opened_journal.close)
     if entry is None:
         return name
     return entry.answer.id if entry.answer is not None else entry.runs[-1].id
 
 
-async def _get(transport: Transport, path: str, end_us: int) -> bytes:
+async def _get_with_retries(transport: Transport, path: str, deadline_us: int) -> bytes:
     pause_s = 0.2
     while True:
         answer = await transport.call("GET", path, None, 2 * SECOND_US)
@@ -108,7 +112,7 @@
                 return answer[1]
             if answer[0] in (400, 404):
                 raise _LogsError(1, f"{path.split('?')[0]}: not there")
-        if now_us() + seconds_us(pause_s) > end_us:
+        if now_us() + seconds_us(pause_s) > deadline_us:
             reason = answer.reason if isinstance(answer, FailedCall) else f"status {answer[0]}"
             raise _LogsError(4, f"no answer in time: {reason}")
         await asyncio.sleep(pause_s)
--- a/weldhead/cli/serve.py
+++ b/weldhead/cli/serve.py
@@ -1,4 +1,4 @@
-"""The verb of the controllers, for people; the platform's start is in ``weldhead/serving.py``."""
+"""The ``serve`` command; the platform's start is in ``weldhead/serving.py``."""
 
 from pathlib import Path
 
--- a/weldhead/cli/site.py
+++ b/weldhead/cli/site.py
@@ -1,4 +1,4 @@
-"""The verbs of a site on one machine: ``local``, and the parts that it starts."""
+"""The command ``local``, which runs a site on one machine, and those of the site's parts."""
 
 import asyncio
 import os
@@ -21,18 +21,30 @@
 _REPOSITORY = Path(__file__).resolve().parents[2]
 
 
-def _run(main: Coroutine[Any, Any, None]) -> None:
+def _run_event_loop(main: Coroutine[Any, Any, None]) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main)
 
 
 @click.command()
 @click.option(
-    "--dir", "root", required=True, type=click.Path(path_type=Path), help="Where all of it lives."
+    "--dir",
+    "root",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="The directory for all files of the site.",
+)
+@click.option(
+    "--port", default=0, type=click.IntRange(0, 65535), help="The port; 0 selects a free one."
+)
+@click.option(
+    "--controllers",
+    type=click.IntRange(1, 32),
+    help="Number of controllers [default: as in the description].",
+)
+@click.option(
+    "--cores", type=click.FloatRange(0, min_open=True), help="Number of CPUs that tasks may use."
 )
-@click.option("--port", default=0, type=click.IntRange(0, 65535), help="0: any that is free.")
-@click.option("--controllers", type=click.IntRange(1, 32), help="How many; else as described.")
-@click.option("--cores", type=click.FloatRange(0, min_open=True), help="CPUs that tasks may take.")
 @click.option(
     "--description",
     "file",
@@ -75,18 +87,18 @@
         documents.resolve() if documents is not None else None,
     )  # fmt: skip
     try:
-        _run(keeper.run())
+        _run_event_loop(keeper.run())
     except SiteError as error:
         raise click.ClickException(str(error)) from error
 
 
-def _settings(path: Path, kind: type[T]) -> T:
-    return msgspec.json.decode(path.read_bytes(), type=kind)
+def _read_settings(path: Path, settings_type: type[T]) -> T:
+    return msgspec.json.decode(path.read_bytes(), type=settings_type)
 
 
-async def _serve(handler: Handler, fd: int) -> SiteServer:
+async def _start_server(handler: Handler, fd: int) -> SiteServer:
     server = SiteServer(handler)
-    # The keeper holds the same socket, so that it stays when this process ends.
+    # The keeper process holds the same socket, so the socket stays open if this process ends.
     await server.start(socket.socket(fileno=os.dup(fd)))
     return server
 
@@ -107,7 +119,7 @@
     from weldhead.site.parts import StateSettings
     from weldhead.site.store.server import StateService
 
-    settings = _settings(path, StateSettings)
+    settings = _read_settings(path, StateSettings)
 
     def limits(values: dict[str, float]) -> StateLimits:
         return StateLimits(
@@ -119,15 +131,17 @@
         background_tasks = BackgroundTasks()
         service.start(background_tasks)
         if settings.next_limits is not None:
-            coming = limits(settings.limits | settings.next_limits)
-            asyncio.get_running_loop().call_later(settings.next_after_s, service.set_limits, coming)
-        server = await _serve(service.handle, fd)
+            upcoming_limits = limits(settings.limits | settings.next_limits)
+            asyncio.get_running_loop().call_later(
+                settings.next_after_s, service.set_limits, upcoming_limits
+            )
+        server = await _start_server(service.handle, fd)
         await until_told()
         await background_tasks.close()
         await server.close()
         service.close()
 
-    _run(run())
+    _run_event_loop(run())
 
 
 @click.command(hidden=True)
@@ -140,14 +154,14 @@
     from weldhead.site.pool_process import PoolProcess
 
     async def run() -> None:
-        pool = PoolProcess(_settings(path, PoolSettings))
+        pool = PoolProcess(_read_settings(path, PoolSettings))
         pool.start()
-        server = await _serve(pool.handle, fd)
+        server = await _start_server(pool.handle, fd)
         await until_told()
         await server.close()
         await pool.close(machines=True)
 
-    _run(run())
+    _run_event_loop(run())
 
 
 @click.command(hidden=True)
@@ -160,16 +174,16 @@
     from weldhead.site.parts import FrontSettings
 
     async def run() -> None:
-        front = Front(_settings(path, FrontSettings))
+        front = Front(_read_settings(path, FrontSettings))
         background_tasks = BackgroundTasks()
         front.start(background_tasks)
-        server = await _serve(front.handle, fd)
+        server = await _start_server(front.handle, fd)
         await until_told()
         await server.close()
         await background_tasks.close()
         await front.close()
 
-    _run(run())
+    _run_event_loop(run())
 
 
 @click.command(hidden=True)
@@ -182,14 +196,14 @@
     from weldhead.site.worker_process import WorkerProcess
 
     async def run() -> None:
-        worker = WorkerProcess(_settings(path, WorkerSettings), socket.socket(fileno=fd))
-        work = asyncio.create_task(worker.run())
-        told = asyncio.create_task(until_told())
-        await asyncio.wait([work, told], return_when=asyncio.FIRST_COMPLETED)
-        work.cancel()
-        told.cancel()
-        await asyncio.gather(work, told, return_exceptions=True)
-        if not work.cancelled() and (failure := work.exception()) is not None:
+        worker = WorkerProcess(_read_settings(path, WorkerSettings), socket.socket(fileno=fd))
+        worker_run = asyncio.create_task(worker.run())
+        stop_signal = asyncio.create_task(until_told())
+        await asyncio.wait([worker_run, stop_signal], return_when=asyncio.FIRST_COMPLETED)
+        worker_run.cancel()
+        stop_signal.cancel()
+        await asyncio.gather(worker_run, stop_signal, return_exceptions=True)
+        if not worker_run.cancelled() and (failure := worker_run.exception()) is not None:
             raise failure
 
-    _run(run())
+    _run_event_loop(run())
--- a/weldhead/cli/structured.py
+++ b/weldhead/cli/structured.py
@@ -1,7 +1,7 @@
-"""Structured logs of the new parts: one JSON object a line, to standard error.
+"""Structured logs of the local site: one JSON object per line, on standard error.
 
-``timestamp`` (UTC), ``level``, ``logger`` and ``event`` (the text) are in each; what a record was
-given as ``extra`` is beside them, times in whole microseconds under names with ``_us``.
+Each object has ``timestamp`` (UTC), ``level``, ``logger``, ``event`` (the text), and the fields of
+the record's ``extra``. Fields whose names end in ``_us`` are times in whole microseconds.
 """
 
 import logging
@@ -11,7 +11,7 @@
 
 
 def configure_structured_logging() -> None:
-    """Log as much as ``LOG_LEVEL`` says; plain lines where structlog is not installed."""
+    """Configure JSON logs at the level of ``LOG_LEVEL``; plain lines if structlog is missing."""
     configure_logging()
     try:
         import structlog
--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -1,4 +1,4 @@
-"""The verb for what operators write: their settings, and documents."""
+"""The ``check`` command: checks the operators' tunables files and document files."""
 
 import sys
 from pathlib import Path
@@ -10,8 +10,8 @@
 from weldhead.clock import wall_us
 from weldhead.documents.records import DocumentSet
 
-#: What a document may take where no controller's settings say it.
-VALUE_BYTES = 8 * 1024
+#: The size limit of a document. The command has no controller settings to take the limit from.
+MAX_DOCUMENT_BYTES = 8 * 1024
 
 
 @click.command()
@@ -34,39 +34,39 @@
 
 
 def _check_documents(file: Path) -> None:
-    """Check calendars and gates; what a record takes is the least that PROTOCOL's sites give."""
+    """Check a file of calendars and gates, with the smallest value size that a site may have."""
     from weldhead.controller.configuration.document_file import read_source
     from weldhead.tomlfiles import FileProblemError
 
     try:
-        offer = read_source(file, VALUE_BYTES)
-        _compute(file, offer)
+        document_set = read_source(file, MAX_DOCUMENT_BYTES)
+        _print_next_instants(file, document_set)
     except FileProblemError as error:
         click.echo(str(error), err=True)
         sys.exit(1)
     click.echo(
-        f"{file}: edition {offer.edition} ({offer.digest}), {len(offer.documents)} documents, "
-        "no errors"
+        f"{file}: edition {document_set.edition} ({document_set.digest}), "
+        f"{len(document_set.documents)} documents, no errors"
     )
 
 
-def _compute(file: Path, offer: DocumentSet) -> None:
-    """Say each calendar's next instant; FileProblem where the leader could compute none."""
+def _print_next_instants(file: Path, document_set: DocumentSet) -> None:
+    """Print each calendar's next instant; FileProblemError if a calendar cannot be computed."""
     from weldhead.calendars.binding import KIND
     from weldhead.calendars.calendar_document import Calendar
     from weldhead.calendars.formatting import utc
     from weldhead.calendars.recurrence import UnusableCalendarError, check, instants
-    from weldhead.tomlfiles import problem_at
+    from weldhead.tomlfiles import build_problem
 
-    # They are there in the file's order.
-    bodies = [body for name, body in offer.documents.items() if name.startswith(KIND + "/")]
+    # The calendars are in the file's order, so their numbers are those of the file's tables.
+    bodies = [body for name, body in document_set.documents.items() if name.startswith(KIND + "/")]
     for number, body in enumerate(bodies):
         calendar = msgspec.json.decode(bytes(body), type=Calendar)
         try:
             check(calendar)
         except UnusableCalendarError as error:
             path: list[str | int] = [KIND, number, error.field]
-            raise problem_at(str(file), read_text(file), path, error.reason) from error
+            raise build_problem(str(file), read_text(file), path, error.reason) from error
         first_us = next(instants(calendar, wall_us()), None)
-        when = utc(first_us) if first_us is not None else "none"
-        click.echo(f"{KIND} {calendar.name}: the next instant is {when}")
+        next_instant = utc(first_us) if first_us is not None else "none"
+        click.echo(f"{KIND} {calendar.name}: the next instant is {next_instant}")
--- a/weldhead/client/config.py
+++ b/weldhead/client/config.py
@@ -9,7 +9,7 @@
 from weldhead.client.client import ClientSettings
 from weldhead.client.policy import Policies, read_policies
 from weldhead.protocol.settings import split_address
-from weldhead.tomlfiles import read
+from weldhead.tomlfiles import read_toml
 
 
 class ConfigFile(msgspec.Struct, forbid_unknown_fields=True):
@@ -39,7 +39,7 @@
     path = config_path()
     if not path.exists() and not os.environ.get("WELDHEAD_CONFIG"):
         return ConfigFile()
-    return read(path, ConfigFile)
+    return read_toml(path, ConfigFile)
 
 
 def servers_of(text: str | list[str], source: str) -> list[str]:
--- a/weldhead/client/job.py
+++ b/weldhead/client/job.py
@@ -7,7 +7,7 @@
 
 from weldhead.protocol.validation import SubmissionRefusedError, parse_submission
 from weldhead.protocol.wire import MAX_BODY_BYTES, JobSpec
-from weldhead.tomlfiles import parse, problem_at
+from weldhead.tomlfiles import build_problem, parse_toml
 
 Priority = Literal["production", "high", "normal", "idle"]
 
@@ -155,13 +155,13 @@
 
 def parse_job(source: str, text: str) -> tuple[Job, str | None]:
     """Read a job file: the job and its key; FileProblem names line and field."""
-    made = parse(source, text, JobFile)
+    made = parse_toml(source, text, JobFile)
     values = {name: getattr(made, name) for name in Job.__struct_fields__}
     job = Job(**values)
     try:
         check_job(job)
     except JobProblem as problem:
-        raise problem_at(
+        raise build_problem(
             source, text, [problem.field] if problem.field else [], problem.reason
         ) from problem
     return job, made.key
--- a/weldhead/client/policy.py
+++ b/weldhead/client/policy.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from weldhead.tomlfiles import parse, problem_at, read_text
+from weldhead.tomlfiles import build_problem, parse_toml, read_text
 
 Cause = Literal["failed", "withdrawn"]
 
@@ -43,17 +43,17 @@
 
 def parse_policies(source: str, text: str) -> Policies:
     """Decode and check; FileProblem names line and field."""
-    policies = parse(source, text, Policies)
+    policies = parse_toml(source, text, Policies)
     named = [(["class", name], policy) for name, policy in policies.classes.items()]
     for path, policy in [(["default"], policies.default), *named]:
         for field, most in (("repeat", 1000), ("fail_after", 1_000_000)):
             if not 0 <= getattr(policy, field) <= most:
-                raise problem_at(source, text, [*path, field], f"must be 0 to {most}")
+                raise build_problem(source, text, [*path, field], f"must be 0 to {most}")
         for field in ("pause_s", "patience_s"):
             if not 0 <= getattr(policy, field) <= 86_400:
-                raise problem_at(source, text, [*path, field], "must be 0 to 86400 seconds")
+                raise build_problem(source, text, [*path, field], "must be 0 to 86400 seconds")
         if policy.repeat and not policy.on:
-            raise problem_at(source, text, [*path, "on"], "must name an outcome")
+            raise build_problem(source, text, [*path, "on"], "must name an outcome")
     return policies
 
 
--- a/weldhead/cluster_state/machines.py
+++ b/weldhead/cluster_state/machines.py
@@ -3,7 +3,7 @@
 import math
 from collections import OrderedDict
 
-from weldhead.clock import surely_over_us
+from weldhead.clock import latest_lease_end_us
 from weldhead.cluster_state.change_feed import ChangeFeeds
 from weldhead.cluster_state.jobs import Attempt, Job
 from weldhead.cluster_state.states import AttemptPhase
@@ -227,4 +227,4 @@
         start_us = self.lease_from_us
         if not self.reconciled:
             start_us = max(start_us, floor_us)
-        return surely_over_us(start_us, lease_us)
+        return latest_lease_end_us(start_us, lease_us)
--- a/weldhead/controller/configuration/document_file.py
+++ b/weldhead/controller/configuration/document_file.py
@@ -13,7 +13,7 @@
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.documents.records import DocumentSet
 from weldhead.gates.gate_document import Gate, clashes
-from weldhead.tomlfiles import parse, problem_at, read_text
+from weldhead.tomlfiles import build_problem, parse_toml, read_text
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 #: All of an edition passes from one controller to another in one message.
@@ -42,28 +42,28 @@
 
 def parse_source(name: str, text: str, value_bytes: int) -> DocumentSet:
     """Read an edition from its text; ``value_bytes`` is the most that a document may take."""
-    source = parse(name, text, Source)
+    source = parse_toml(name, text, Source)
     if not 0 < source.edition < 1 << 53:
-        raise problem_at(name, text, ["edition"], "an edition is a number from 1 on")
+        raise build_problem(name, text, ["edition"], "an edition is a number from 1 on")
     found: dict[str, msgspec.Raw] = {}
     for kind, number, document in source.documents():
         path: list[str | int] = [kind, number]
         key = f"{kind}/{document.name}"
         if not _NAME.fullmatch(document.name):
             reason = "a name is 1 to 40 small letters, digits and dashes"
-            raise problem_at(name, text, [*path, "name"], reason)
+            raise build_problem(name, text, [*path, "name"], reason)
         if key in found:
-            raise problem_at(name, text, [*path, "name"], f"there are two {key}")
+            raise build_problem(name, text, [*path, "name"], f"there are two {key}")
         wrong: tuple[list[Any], str] | None = next(document.problems(), None)
         if wrong is not None:
-            raise problem_at(name, text, [*path, *wrong[0]], wrong[1])
+            raise build_problem(name, text, [*path, *wrong[0]], wrong[1])
         body = msgspec.json.encode(document)
         if len(body) > value_bytes:
             reason = f"{len(body)} bytes, and a record takes {value_bytes} at most"
-            raise problem_at(name, text, path, reason)
+            raise build_problem(name, text, path, reason)
         found[key] = msgspec.Raw(body)
     for number, field, reason in clashes(source.gate):
-        raise problem_at(name, text, ["gate", number, *field], reason)
+        raise build_problem(name, text, ["gate", number, *field], reason)
     if sum(len(bytes(body)) for body in found.values()) > EDITION_BYTES:
-        raise problem_at(name, text, [], f"an edition takes {EDITION_BYTES} bytes at most")
+        raise build_problem(name, text, [], f"an edition takes {EDITION_BYTES} bytes at most")
     return DocumentSet(source.edition, found)
--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -15,7 +15,7 @@
 from weldhead.documents.records import HEAD_KEY, PREFIX, DocumentSet, HeadRecord
 from weldhead.protocol import http_status
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal, unavailable
+from weldhead.transport.http_server import Response, error_response, unavailable_response
 from weldhead.transport.prefix_follower import read_prefix
 from weldhead.transport.state_client import (
     StateClient,
@@ -96,9 +96,9 @@
         try:
             offer = _offer_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return refusal(http_status.BAD_REQUEST, str(error))
+            return error_response(http_status.BAD_REQUEST, str(error))
         if not self.loaded or not self._valid():
-            return unavailable("not now")
+            return unavailable_response("not now")
         verdict = judge_edition(self.cache.head, offer, self._state.limits.value_bytes)
         if verdict is EditionVerdict.TAKEN:
             self._offers.put_nowait(offer)
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -208,7 +208,7 @@
             self._background_tasks.spawn(
                 "return", self._replace_key_of_earlier_process(record, entry.version)
             )
-        elif record.name in self._links and self._links[record.name].refused_us:
+        elif record.name in self._links and self._links[record.name].refused_since_us:
             # The leader may have ended before this node learned that it led. Its refused
             # connections were noticed then, but no task is judging it any more.
             self.failure_detector.suspect(record.name)
@@ -250,7 +250,7 @@
         """
         at_us = now_us()
         others = (link for link in self._links.values() if link.name != record.name)
-        unreachable_peers = sum(1 for link in others if not link.alive(at_us))
+        unreachable_peers = sum(1 for link in others if not link.is_responsive(at_us))
         await asyncio.sleep(to_seconds(campaign_delay_us(unreachable_peers)))
         if self.known_leader_token != token:
             return
@@ -409,7 +409,7 @@
             return key_read
 
         def record_service_failure() -> None:
-            self._state.failed_us = now_us()
+            self._state.last_failed_us = now_us()
 
         actions = RenewalActions(
             is_leading=lambda: self.leader is leader,
@@ -447,7 +447,7 @@
         takes over at once.
         """
         links = list(self._links.values())
-        if not links or not all(link.connected for link in links):
+        if not links or not all(link.is_connected for link in links):
             return
         if not self.lease.is_valid(now_us()):
             return
--- a/weldhead/controller/leadership/leader_lease.py
+++ b/weldhead/controller/leadership/leader_lease.py
@@ -27,7 +27,7 @@
 import logging
 from dataclasses import dataclass
 
-from weldhead.clock import MILLISECOND_US, SECOND_US, surely_over_us, surely_valid_us
+from weldhead.clock import MILLISECOND_US, SECOND_US, earliest_lease_end_us, latest_lease_end_us
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
 
     def _recompute(self) -> None:
         lease_start_us = min(self._renewed_us, self._key_confirmed_us)
-        self._lease_valid_until_us = surely_valid_us(lease_start_us, self._timing.ttl_us)
+        self._lease_valid_until_us = earliest_lease_end_us(lease_start_us, self._timing.ttl_us)
 
     def record_promise(self, peer: str, sent_us: int, at_us: int) -> None:
         """Record a peer's promise that was requested at ``sent_us`` and arrived at ``at_us``.
@@ -100,7 +100,7 @@
         """
         if not self.is_valid(at_us):
             return
-        promised_until_us = surely_valid_us(sent_us, self._timing.promise_duration_us)
+        promised_until_us = earliest_lease_end_us(sent_us, self._timing.promise_duration_us)
         self._promised_until_us[peer] = max(self._promised_until_us.get(peer, 0), promised_until_us)
         self._promise_requested_us[peer] = max(self._promise_requested_us.get(peer, 0), sent_us)
 
@@ -157,7 +157,9 @@
         self._timing = timing
         self._promise_until_us = 0
         #: Until when a leader may rely on a promise that a previous process of this node gave.
-        self._earlier_promises_until_us = surely_over_us(started_us, timing.promise_duration_us)
+        self._earlier_promises_until_us = latest_lease_end_us(
+            started_us, timing.promise_duration_us
+        )
 
     def discard_earlier_promises(self) -> None:
         """Release this node from the promises of its previous process.
@@ -170,7 +172,7 @@
 
     def promise_not_to_lead(self, at_us: int) -> None:
         """Record a promise, given at ``at_us``, not to become leader for the agreed duration."""
-        promise_until_us = surely_over_us(at_us, self._timing.promise_duration_us)
+        promise_until_us = latest_lease_end_us(at_us, self._timing.promise_duration_us)
         self._promise_until_us = max(self._promise_until_us, promise_until_us)
 
     def can_lead(self, at_us: int) -> bool:
@@ -190,7 +192,9 @@
     lease expired by itself: the holder stops before that. Any other replaced leader may have
     renewed its lease just before, without knowing that it was replaced.
     """
-    return surely_over_us(replaced_us, remaining_lease_us) if remaining_lease_us else replaced_us
+    return (
+        latest_lease_end_us(replaced_us, remaining_lease_us) if remaining_lease_us else replaced_us
+    )
 
 
 def campaign_delay_us(unreachable_peers: int) -> int:
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -16,7 +16,7 @@
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import MachineType
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, unavailable
+from weldhead.transport.http_server import Response, unavailable_response
 from weldhead.transport.peer_links import PeerLink
 from weldhead.transport.state_client import StateClient
 
@@ -87,7 +87,7 @@
 
     def _update_isolation(self) -> None:
         answered_us = max(link.last_message_us for link in self._links.values())
-        contact = LastContact(answered_us, self._state.served_us, self._state.failed_us)
+        contact = LastContact(answered_us, self._state.last_served_us, self._state.last_failed_us)
         if self._isolation.update(contact, now_us()):
             if self.isolated:
                 log.info(
@@ -104,11 +104,11 @@
         The node is ready if it can serve users as well as the other controllers can.
         """
         if not self.catalog:
-            return unavailable("machine types not known yet")
+            return unavailable_response("machine types not known yet")
         if self.isolated:
-            return unavailable("this node is alone")
-        if not self._state.available and self._served_peers(now_us()):
-            return unavailable("the state service refuses this node")
+            return unavailable_response("this node is alone")
+        if not self._state.is_available and self._served_peers(now_us()):
+            return unavailable_response("the state service refuses this node")
         # In an outage of the state service every node stays ready, because a load balancer
         # without a healthy node rejects all users.
         return Response(http_status.OK, b"{}")
@@ -119,7 +119,7 @@
         """Forward a request to the leader; return None if the leader cannot be reached."""
         record = self._election.known_leader
         link = self._links.get(record.name) if record is not None else None
-        if link is None or not link.alive(now_us()):
+        if link is None or not link.is_responsive(now_us()):
             # Each request that was forwarded to a silent leader made its user wait for most of
             # a second.
             return None
@@ -160,7 +160,7 @@
         not answer in time.
         """
         links = {link.name: link for link in self._served_peers(now_us(), DOCUMENTS_FORMAT)}
-        served = [*links, self._name] if self._state.available else [*links]
+        served = [*links, self._name] if self._state.is_available else [*links]
         owner = max(
             served, key=lambda name: sha256(f"{job_id} {name}".encode()).digest(), default=""
         )
@@ -184,12 +184,12 @@
         return [
             link
             for link in self._links.values()
-            if link.alive(at_us) and link.state_ok and link.format >= min_format
+            if link.is_responsive(at_us) and link.state_ok and link.format >= min_format
         ]
 
     async def forward(self, link: PeerLink, kind: str, job_id: str, body: bytes) -> Response | None:
         """Forward a request to a peer; return None if the peer does not answer in time."""
-        if not link.connected:
+        if not link.is_connected:
             return None
         at_us = now_us()
         try:
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -35,7 +35,9 @@
 def observe_peer(link: PeerLink) -> PeerObservation:
     """Return what this node has itself observed of a peer."""
     heard_us = max(link.last_message_us, link.last_request_us)
-    return PeerObservation(link.name, link.connected, link.refused_us, link.lost_us, heard_us)
+    return PeerObservation(
+        link.name, link.is_connected, link.refused_since_us, link.last_disconnect_us, heard_us
+    )
 
 
 class PeerFailureDetector:
@@ -75,11 +77,11 @@
         """Judge a peer repeatedly until it accepts connections again, or is dead and replaced."""
         link = self._links[name]
         try:
-            while link.refused_us:
+            while link.refused_since_us:
                 verdict = await self._reach_verdict(link)
                 if self.view.update(name, verdict):
                     # A peer that never was connected most likely has not started yet.
-                    level = logging.INFO if link.lost_us else logging.DEBUG
+                    level = logging.INFO if link.last_disconnect_us else logging.DEBUG
                     log.log(level, "peer %s %s: %s", name, verdict.state.value, verdict.evidence)
                 try:
                     # Replacing a dead leader is retried. After a single attempt a node that had
@@ -113,7 +115,7 @@
     ) -> PeerVerdict:
         others = [observe_peer(other) for other in self._links.values() if other is not link]
         return judge_peer(
-            observe_peer(link), others, probe_results, now_us(), self._state.failed_us
+            observe_peer(link), others, probe_results, now_us(), self._state.last_failed_us
         )
 
     async def _probe_indirectly(self, name: str) -> list[tuple[str, IndirectProbeResult]]:
@@ -121,7 +123,7 @@
         at_us = now_us()
         probing_links = [
             link for link in self._links.values()
-            if link.name != name and link.alive(at_us) and link.format >= LOOK_FORMAT
+            if link.name != name and link.is_responsive(at_us) and link.format >= LOOK_FORMAT
         ]  # fmt: skip
         requests = [
             link.request(
@@ -142,12 +144,12 @@
         link = self._links.get(name)
         if link is None:
             return IndirectProbeResult.LOST
-        if link.connected:
+        if link.is_connected:
             try:
-                ping = Ping(link.next_id(), 0, self._state.available)
+                ping = Ping(link.next_id(), 0, self._state.is_available)
                 await link.request(ping, Pong, INDIRECT_PROBE_TIMEOUT_US // 2)
                 return IndirectProbeResult.HEARD
             except CallError:
-                if link.connected:
+                if link.is_connected:
                     return IndirectProbeResult.CONNECTED
-        return IndirectProbeResult.REFUSED if link.refused_us else IndirectProbeResult.LOST
+        return IndirectProbeResult.REFUSED if link.refused_since_us else IndirectProbeResult.LOST
--- a/weldhead/controller/leadership/previous_leaders.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -8,7 +8,7 @@
 import asyncio
 import logging
 
-from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds
+from weldhead.clock import MILLISECOND_US, latest_lease_end_us, now_us, to_seconds
 from weldhead.cluster_state.records import (
     LEADER_KEY,
     UNSETTLED_KEY,
@@ -17,7 +17,12 @@
 )
 from weldhead.protocol.peer import Pong
 from weldhead.transport.http_client import CallError
-from weldhead.transport.state_client import STAND_US, RevisionCompactedError, StateClient, decode
+from weldhead.transport.state_client import (
+    CAMPAIGN_TIMEOUT_US,
+    RevisionCompactedError,
+    StateClient,
+    decode,
+)
 
 log = logging.getLogger(__name__)
 
@@ -79,7 +84,9 @@
         self._read_us = now_us()
         self._ended_peers = set(self._no_term_stated_us) if by_earlier_process else set()
         if record.earlier_us and len(self._ended_peers) < self._peer_count:
-            self.expired_us = max(self.expired_us, surely_over_us(self._read_us, record.earlier_us))
+            self.expired_us = max(
+                self.expired_us, latest_lease_end_us(self._read_us, record.earlier_us)
+            )
 
     def observe_pong(self, name: str, pong: Pong, sent_us: int) -> bool:
         """Process a peer's statement whether it is in a term.
@@ -141,7 +148,7 @@
         A leader that was replaced earlier stops no later than that one.
         """
         if self._peer_count:
-            self.expired_us = max(self.expired_us, surely_over_us(now_us(), self._ttl_us))
+            self.expired_us = max(self.expired_us, latest_lease_end_us(now_us(), self._ttl_us))
 
     async def catch_up(self) -> None:
         """Take the records before this node's own record into account.
@@ -164,7 +171,7 @@
     Returns None if the last term has settled all of them; see
     ``weldhead/reconciliation/answer_window.py``.
     """
-    entry = await state.get(UNSETTLED_KEY, urgent=True, timeout_us=STAND_US)
+    entry = await state.get(UNSETTLED_KEY, urgent=True, timeout_us=CAMPAIGN_TIMEOUT_US)
     if entry is None:
         return None
     try:
--- a/weldhead/controller/leadership/promises.py
+++ b/weldhead/controller/leadership/promises.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from weldhead.clock import now_us, surely_valid_us, to_seconds
+from weldhead.clock import earliest_lease_end_us, now_us, to_seconds
 from weldhead.controller.leadership.leader_lease import LeaderLease, LeaseTiming
 from weldhead.protocol.peer import PromiseAnswer, PromiseRequest
 from weldhead.transport.peer_links import PeerLink
@@ -79,5 +79,5 @@
     the process is at least as old as the connection on which the answer arrived.
     """
     if not answer.running_us:
-        return link.connected_us or at_us
-    return at_us - surely_valid_us(0, answer.running_us)
+        return link.connected_since_us or at_us
+    return at_us - earliest_lease_end_us(0, answer.running_us)
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from weldhead.clock import MILLISECOND_US, now_us, surely_over_us, to_seconds, wall_us
+from weldhead.clock import MILLISECOND_US, latest_lease_end_us, now_us, to_seconds, wall_us
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.dependency_graph import DependencyGraph
 from weldhead.cluster_state.jobs import Job
@@ -278,7 +278,7 @@
         this term has missed, and limits the leases that it renews before it has loaded the jobs.
         """
         term = self._term
-        settled_us = surely_over_us(
+        settled_us = latest_lease_end_us(
             max(term.loaded_us, term.previous_leader_expired_us), term.lease_us
         )
         while now_us() < settled_us and not (term.ready and self._are_cancelled_tasks_stopped()):  # noqa: ASYNC110
--- a/weldhead/controller/memory_monitor.py
+++ b/weldhead/controller/memory_monitor.py
@@ -5,7 +5,7 @@
 
 from weldhead.admission.memory_gate import ACCEPT_SHARE, MemoryGate, MemoryTransition
 from weldhead.clock import MILLISECOND_US
-from weldhead.transport.process_memory import own_bytes
+from weldhead.transport.process_memory import private_resident_bytes
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +21,7 @@
     """
 
     def __init__(
-        self, limit_mb: float, read_used_bytes: Callable[[], int | None] = own_bytes
+        self, limit_mb: float, read_used_bytes: Callable[[], int | None] = private_resident_bytes
     ) -> None:
         self._gate = MemoryGate(round(limit_mb * MIB))
         self._read_used_bytes = read_used_bytes
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -40,8 +40,8 @@
     HttpListener,
     HttpServer,
     Response,
-    refusal,
-    unavailable,
+    error_response,
+    unavailable_response,
 )
 from weldhead.transport.peer_links import PeerLink, PeerServer
 from weldhead.transport.state_client import StateClient
@@ -186,7 +186,7 @@
 
     async def _send_pings(self, link: PeerLink) -> None:
         while True:
-            await link.up.wait()
+            await link.connected_event.wait()
             at_us = now_us()
             token = self.election.lease.token if self.election.lease.is_valid(at_us) else 0
             silent = self.leader.silent_machines(at_us) if self.leader is not None else ()
@@ -197,7 +197,7 @@
             ping = Ping(
                 link.next_id(),
                 token,
-                self._state.available,
+                self._state.is_available,
                 silent,
                 memory_exhausted,
                 highest_token,
@@ -223,7 +223,7 @@
                     self.memory.observe_leader(at_us, full=message.full)
                     self._forwarding.record_silent_machines(message.silent, at_us)
                 is_leader, highest_token = self.leader is not None, self.election.highest_token
-                return Pong(message.id, self._state.available, FORMAT, is_leader, highest_token)
+                return Pong(message.id, self._state.is_available, FORMAT, is_leader, highest_token)
             case ForwardedRequest():
                 answer = await self._answer_peer(message)
                 return ForwardedAnswer(message.id, answer.status, answer.body)
@@ -254,7 +254,7 @@
                 # A node that has no jobs in memory would have to read the state service. Which
                 # poll may do that is decided by the controller that owns the job's polls.
                 if self.leader is None or not self.leader.loaded:
-                    return unavailable("not a leader that has read the jobs")
+                    return unavailable_response("not a leader that has read the jobs")
                 return await self._request_handler.poll(request.job_id, forwarded=True)
             case "read":
                 return await self._request_handler.poll(request.job_id, ask_peers=False)
@@ -267,7 +267,7 @@
             case "documents" if self.leader is not None and self.leader.publisher is not None:
                 return self.leader.publisher.accept_offer(request.body)
             case _:
-                return unavailable("unknown kind")
+                return unavailable_response("unknown kind")
 
     # -- HTTP requests ----------------------------------------------------------------
 
@@ -284,7 +284,7 @@
                 return await self._request_handler.poll(job_id)
             if method == "POST" and job_id.endswith("/cancel"):
                 return await self._request_handler.cancel(job_id.removesuffix("/cancel"))
-        return refusal(http_status.NOT_FOUND, "no such path")
+        return error_response(http_status.NOT_FOUND, "no such path")
 
     async def _handle_heartbeat(self, body: bytes, *, relayed: bool) -> Response:
         at_us = now_us()
@@ -292,13 +292,13 @@
             heartbeat = _heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             log.exception("malformed heartbeat refused")
-            return refusal(http_status.BAD_REQUEST, str(error))
+            return error_response(http_status.BAD_REQUEST, str(error))
         leader = self.leader
         if leader is not None and self.election.lease.is_valid(at_us):
             answer = leader.handle_heartbeat(heartbeat, at_us, relayed=relayed)
             if answer is not None:
                 return Response(http_status.OK, _encode(answer))
-            return unavailable("not now")
+            return unavailable_response("not now")
         self.election.observe_token(heartbeat.machine, heartbeat.token)
         record = self.election.known_leader
         if record is None or record.name not in self._links:
@@ -312,20 +312,20 @@
     ) -> Response:
         """Relay a heartbeat that reached this follower to the leader, or redirect its worker."""
         link = self._links[leader]
-        if link.alive(at_us):
+        if link.is_responsive(at_us):
             if relayed or self._forwarding.should_forward(machine, at_us):
                 answer = await self.peers.forward(link, "report", "", body)
                 if answer is not None and answer.status == http_status.OK:
                     return answer
             if relayed:
-                return refusal(http_status.UNAVAILABLE, "not now")
+                return error_response(http_status.UNAVAILABLE, "not now")
             self._forwarding.record_redirect(machine, at_us)
             return Response(http_status.MISDIRECTED, _encode(LeaderRedirect(leader)))
         if not relayed:
             # The leader may be cut off from this zone. A worker that was redirected to it would
             # lose seconds of its lease, while another node may still reach the leader.
             for other in self._links.values():
-                if other.name != leader and other.alive(at_us):
+                if other.name != leader and other.is_responsive(at_us):
                     answer = await self.peers.forward(other, "report", "", body)
                     if answer is not None and answer.status == http_status.OK:
                         return answer
--- a/weldhead/controller/requests/cancellation_handler.py
+++ b/weldhead/controller/requests/cancellation_handler.py
@@ -14,7 +14,7 @@
 )
 from weldhead.protocol.wire import JobStatus
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal, unavailable
+from weldhead.transport.http_server import Response, error_response, unavailable_response
 
 _encode = msgspec.json.Encoder().encode
 
@@ -32,7 +32,7 @@
         ``forwarded``: the request comes from another controller and is not forwarded again.
         """
         if not is_job_id(job_id):
-            return refusal(http_status.NOT_FOUND, "no such job")
+            return error_response(http_status.NOT_FOUND, "no such job")
         if self._controller.isolated:
             return isolated_response()
         leader = self._controller.leader
@@ -41,18 +41,18 @@
                 answer = await self._controller.ask_leader("cancel", job_id, b"")
                 if answer is not None:
                     return answer
-            return unavailable("no leader")
+            return unavailable_response("no leader")
         try:
             status = await leader.cancel(job_id)
             if status is not None:
                 return Response(http_status.OK, _encode(status))
             stored = await self._reader.read_status(job_id)
         except (CallError, NotReadyError):
-            return unavailable("cannot be decided yet")
+            return unavailable_response("cannot be decided yet")
         if stored is None:
-            return refusal(http_status.NOT_FOUND, "no such job")
+            return error_response(http_status.NOT_FOUND, "no such job")
         if stored.state in ("done", "withdrawn"):
             return Response(http_status.OK, _encode(JobStatus(job_id, stored.state)))
         # Another controller has just accepted the job, and reading the record has just added the
         # job to this leader's memory: the user's next attempt finds it there.
-        return unavailable("cannot be decided yet")
+        return unavailable_response("cannot be decided yet")
--- a/weldhead/controller/requests/controller_view.py
+++ b/weldhead/controller/requests/controller_view.py
@@ -7,7 +7,7 @@
 )
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.wire import MachineType
-from weldhead.transport.http_server import Response, unavailable
+from weldhead.transport.http_server import Response, unavailable_response
 
 
 class ControllerView(Protocol):
@@ -55,6 +55,6 @@
     connection is closed, and the caller's next one goes to another controller once the load
     balancer has noticed. The response is immediate, since this controller can get no answer.
     """
-    answer = unavailable("this node reaches nobody" + details)
+    answer = unavailable_response("this node reaches nobody" + details)
     answer.close = True
     return answer
--- a/weldhead/controller/requests/poll_handler.py
+++ b/weldhead/controller/requests/poll_handler.py
@@ -17,7 +17,7 @@
     is_job_id,
 )
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal, unavailable
+from weldhead.transport.http_server import Response, error_response, unavailable_response
 
 log = logging.getLogger(__name__)
 
@@ -56,7 +56,7 @@
         False if the poll itself comes from a peer.
         """
         if not is_job_id(job_id):
-            return refusal(http_status.NOT_FOUND, "no such job")
+            return error_response(http_status.NOT_FOUND, "no such job")
         status = self._reader.status_in_memory(job_id)
         if status is not None:
             self.limiter.answered(job_id)
@@ -106,7 +106,7 @@
                 return definite
         self.limiter.failed(job_id, now_us())
         if not for_user and reason == TOO_MANY_POLLS:
-            return refusal(RATE_LIMITED_STATUS, reason)
+            return error_response(RATE_LIMITED_STATUS, reason)
         return self._refuse(job_id, reason)
 
     def _accept_definite(self, job_id: str, answer: Response | None) -> Response | None:
@@ -124,7 +124,7 @@
         stored = await self._reader.read_status(job_id, urgent=urgent)
         self.limiter.answered(job_id)
         if stored is None:
-            return refusal(http_status.NOT_FOUND, "no such job")
+            return error_response(http_status.NOT_FOUND, "no such job")
         if stored.state == "pending":
             # The record was found under the first of the two keys: one request was not needed.
             self.limiter.refund(REQUESTS_PER_POLL / 2)
@@ -132,7 +132,7 @@
 
     def _refuse(self, job_id: str, reason: str) -> Response:
         deadline = self._reader.describe_deadline(job_id)
-        return unavailable(reason + deadline)
+        return unavailable_response(reason + deadline)
 
     async def _poll_leader(self, job_id: str) -> Response | None:
         """Forward a poll to the leader.
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -33,7 +33,7 @@
 from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
 from weldhead.protocol.wire import Condition, JobSpec, JobStatus, PutKey
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal, unavailable
+from weldhead.transport.http_server import Response, error_response, unavailable_response
 from weldhead.transport.state_client import (
     ConflictError,
     RateLimitedError,
@@ -77,14 +77,14 @@
         try:
             spec = parse_submission(body)
         except SubmissionRefusedError as error:
-            return refusal(error.status, error.reason, error.field)
+            return error_response(error.status, error.reason, error.field)
         status = self._reader.status_in_memory(spec.id)
         if status is not None:
             return Response(http_status.OK, _encode(status))
         if self._controller.isolated:
             return isolated_response()
         if not self._controller.catalog:
-            return unavailable("machine types not known yet")
+            return unavailable_response("machine types not known yet")
         if not self._memory.admits(now_us()):
             return await self._ask_to_retry(spec.id, COME_BACK_S, forwarded, "no memory is left")
         # Team names that are not in the settings share one quota; otherwise many such names
@@ -104,7 +104,7 @@
         except CallError as error:
             log.info("submission not committed: job %s: %s", spec.id, error)
             answer = None if forwarded else await self._forward(spec, body)
-            return answer or unavailable("state service unavailable")
+            return answer or unavailable_response("state service unavailable")
 
     async def _forward(self, spec: JobSpec, body: bytes) -> Response | None:
         """Forward a submission to a peer that the state service serves; None if there is none."""
@@ -129,13 +129,13 @@
             answer = await self._controller.ask_leader("known", job_id, b"")
             if answer is not None and answer.status == http_status.OK:
                 return answer
-        return unavailable(reason, wait_s)
+        return unavailable_response(reason, wait_s)
 
     def known_status(self, job_id: str) -> Response:
         """Report a job's status from memory only, without reading the state service."""
         status = self._reader.status_in_memory(job_id)
         if status is None:
-            return unavailable("not known here")
+            return unavailable_response("not known here")
         return Response(http_status.OK, _encode(status))
 
     async def _accept(self, spec: JobSpec) -> Response:
@@ -161,7 +161,7 @@
             return Response(http_status.OK, _encode(stored))
         if isinstance(problem, CallError):
             raise problem
-        return refusal(problem.status, problem.reason, problem.field)
+        return error_response(problem.status, problem.reason, problem.field)
 
     def _bind_to_documents(
         self, spec: JobSpec, accepted_us: int
@@ -218,7 +218,7 @@
         try:
             version = await self._state.transact(
                 conditions, [PutKey(job_key(spec.id), record)], timeout_us=1_000_000,
-                patience_us=MAX_SUBMISSION_WAIT_US,
+                submission_wait_us=MAX_SUBMISSION_WAIT_US,
             )  # fmt: skip
         except TransactionRejectedError as error:
             # The actual limits are lower than the announced ones: the job is refused for good,
--- a/weldhead/controller/workers/command_dispatcher.py
+++ b/weldhead/controller/workers/command_dispatcher.py
@@ -50,7 +50,7 @@
         self, machine: Machine, session: int, commands: list[Command], timeout_us: int
     ) -> Heartbeat:
         term = self._term
-        _, heartbeat = await worker_commands.command(
+        _, heartbeat = await worker_commands.send_commands(
             term.worker_http, machine.address, term.token, session, commands, timeout_us,
             close=self._should_close_connections(),
         )  # fmt: skip
@@ -69,7 +69,7 @@
         """
         term = self._term
         try:
-            _, heartbeat = await worker_commands.command(
+            _, heartbeat = await worker_commands.send_commands(
                 term.worker_http,
                 address,
                 term.token,
--- a/weldhead/emulator/network.py
+++ b/weldhead/emulator/network.py
@@ -474,12 +474,12 @@
         url: str,
         body: bytes | None,
         timeout_us: int,
-        connect_us: int = 0,
+        connect_timeout_us: int = 0,
         *,
         close: bool = False,
     ) -> tuple[int, bytes]:
         """Return status and body; CallError if none came in time."""
-        return await self._network.call(method, url, body, timeout_us, connect_us)
+        return await self._network.call(method, url, body, timeout_us, connect_timeout_us)
 
     async def close(self) -> None:
         """Nothing is kept open."""
--- a/weldhead/emulator/observed_experiment.py
+++ b/weldhead/emulator/observed_experiment.py
@@ -4,7 +4,7 @@
 from contextlib import contextmanager
 from unittest.mock import patch
 
-from weldhead.clock import SECOND_US, surely_over_us
+from weldhead.clock import SECOND_US, latest_lease_end_us
 from weldhead.controller.process import ControllerProcess
 from weldhead.emulator.arrivals import Arrivals
 from weldhead.emulator.controller import SimulatedController
@@ -28,7 +28,7 @@
         self, loop: VirtualLoop, scenario: Scenario, seed: int, tunables: Tunables
     ) -> None:
         super().__init__(loop, scenario, seed, tunables)
-        self._unaware_s = surely_over_us(0, tunables.leadership.ttl_us) / SECOND_US
+        self._unaware_s = latest_lease_end_us(0, tunables.leadership.ttl_us) / SECOND_US
 
     def check_lease(self, controller: SimulatedController, what: str) -> None:
         """Look at whoever answers."""
--- a/weldhead/emulator/scenario.py
+++ b/weldhead/emulator/scenario.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from weldhead.tomlfiles import parse, problem_at, read_text
+from weldhead.tomlfiles import build_problem, parse_toml, read_text
 
 #: No process is back sooner.
 LEAST_BACK_S = 0.05
@@ -272,9 +272,9 @@
 
 def parse_scenario(source: str, text: str) -> Scenario:
     """Read a scenario; FileProblem names line and field."""
-    scenario = parse(source, text, Scenario)
+    scenario = parse_toml(source, text, Scenario)
     for path, reason in _wrong(scenario):
-        raise problem_at(source, text, path, reason)
+        raise build_problem(source, text, path, reason)
     return scenario
 
 
--- a/weldhead/emulator/services.py
+++ b/weldhead/emulator/services.py
@@ -21,7 +21,7 @@
 from weldhead.site.store.model import Batch
 from weldhead.site.store.server import StateService
 from weldhead.transport.background_tasks import BackgroundTasks
-from weldhead.transport.http_server import Response, refusal
+from weldhead.transport.http_server import Response, error_response
 from weldhead.transport.token_bucket import TokenBucket
 
 STATE_ADDRESS = "10.2.0.1:2379"
@@ -89,7 +89,7 @@
     async def _serve(self, method: str, path: str, body: bytes) -> Response:
         caller = self._network.caller.get()
         if caller in self.refused:
-            return refusal(503, "trouble")
+            return error_response(503, "trouble")
         await self._dawdle()
         self.writes += path == "/multi"
         late = self.late.get(caller) or self.late.get("")
@@ -149,7 +149,7 @@
         self.calls += 1
         await asyncio.sleep(0.1)
         if not self._budget.try_take(1, now_us()):
-            return refusal(429, "too many calls")
+            return error_response(429, "too many calls")
         path, _, query = path.partition("?")
         try:
             if path == "/catalog":
@@ -163,7 +163,7 @@
                 return Response(200, b"{}")
             return self._rent(msgspec.json.decode(body, type=RentalRequest))
         except PoolError as refused:
-            return refusal(refused.status, str(refused))
+            return error_response(refused.status, str(refused))
 
     def _rent(self, request: RentalRequest) -> Response:
         names, record = self.pool.rent(request, now_us())
--- a/weldhead/reachability/evidence.py
+++ b/weldhead/reachability/evidence.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from weldhead.clock import MILLISECOND_US, SECOND_US, surely_over_us
+from weldhead.clock import MILLISECOND_US, SECOND_US, latest_lease_end_us
 from weldhead.protocol.wire import Command, Heartbeat
 
 #: The total weight of evidence from which a machine counts as unreachable.
@@ -151,7 +151,7 @@
             self.session_first_seen_us = at_us
         elif self.unreachable_since_us and signal is not DeliverySignal.RECEIVED:
             since_us = max(self.unreachable_since_us, self.session_first_seen_us)
-            if at_us > surely_over_us(since_us, self.lease_us) + MAX_HEARTBEAT_DELAY_US:
+            if at_us > latest_lease_end_us(since_us, self.lease_us) + MAX_HEARTBEAT_DELAY_US:
                 # Without any received answer the lease would have expired and ended the session.
                 signal = DeliverySignal.RECEIVED
         if signal is DeliverySignal.NONE:
--- a/weldhead/reconciliation/answer_window.py
+++ b/weldhead/reconciliation/answer_window.py
@@ -7,7 +7,7 @@
 the argument. Times are microseconds; times of day have ``wall`` in their names.
 """
 
-from weldhead.clock import surely_over_us, to_seconds
+from weldhead.clock import latest_lease_end_us, to_seconds
 
 
 def safe_answer_window_us(cancel_us: int, lease_us: int) -> int:
@@ -16,8 +16,8 @@
     The leases that such answers renew expire in time by any clock. A negative result means that
     even a lease renewed just before the confirmation may expire too late.
     """
-    drift_us = surely_over_us(0, cancel_us) - cancel_us
-    return cancel_us - drift_us - surely_over_us(0, lease_us)
+    drift_us = latest_lease_end_us(0, cancel_us) - cancel_us
+    return cancel_us - drift_us - latest_lease_end_us(0, lease_us)
 
 
 def earliest_missed_cancellation_us(
@@ -29,7 +29,7 @@
     only tasks cancelled within the last lease duration can remain. Cancellations that a sequence
     of unsettled terms may not know may be unknown to their successor as well.
     """
-    own_us = wall_us - surely_over_us(0, lease_us)
+    own_us = wall_us - latest_lease_end_us(0, lease_us)
     return own_us if inherited_wall_us is None else min(own_us, inherited_wall_us)
 
 
@@ -47,7 +47,7 @@
     ``inherited_wall_us`` is the time of the earliest cancellation that the terms before may not
     know; None means that those terms were settled.
     """
-    earliest_us = sent_us - surely_over_us(0, lease_us)
+    earliest_us = sent_us - latest_lease_end_us(0, lease_us)
     if inherited_wall_us is not None:
         # Another controller recorded this time of day, and both clocks may be wrong.
         elapsed_us = wall_us - inherited_wall_us + 2 * clock_error_us
@@ -63,7 +63,7 @@
             f"cancel_s {to_seconds(cancel_us):g} s is shorter than a lease takes to run out: on a "
             f"machine out of reach a cancelled task may last {lease_s:g} s after its last answer"
         )
-    if window_us <= surely_over_us(0, lease_us):
+    if window_us <= latest_lease_end_us(0, lease_us):
         return (
             f"cancel_s {to_seconds(cancel_us):g} s is less than two leases of {lease_s:g} s: a new "
             "leader answers no worker with tasks before it has read the jobs"
--- a/weldhead/serving.py
+++ b/weldhead/serving.py
@@ -1,7 +1,7 @@
-"""A controller's start: the settings and files it is given, and what is loaded for them.
+"""Starts a controller: reads its settings and files, and imports only the modules they need.
 
-The platform's own command line is read here: a controller has no use for the library that reads
-people's, which takes over a megabyte.
+The platform's command line is handled here without click, the library of the other commands:
+click takes more than 1 MB of memory, and a controller does not need it.
 """
 
 import asyncio
@@ -13,19 +13,20 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-#: Files of the operators, for controllers that the platform starts; see docs/operations.md.
+#: The environment variables that name the operators' files for a controller that the platform
+#: starts; see docs/operations.md.
 TUNABLES_VARIABLE = "WELDHEAD_TUNABLES"
 DOCUMENTS_VARIABLE = "WELDHEAD_DOCUMENTS"
-#: Where OpenSSL is told to look for the system's certificates.
+#: The environment variables that tell OpenSSL where the system's certificates are.
 CERTIFICATE_VARIABLES = ("SSL_CERT_FILE", "SSL_CERT_DIR")
 
 
 class StartError(Exception):
-    """A controller cannot start with what it is given."""
+    """A controller cannot start, because one of its files cannot be used."""
 
 
 def configure_logging() -> None:
-    """Log to standard error, as much as ``LOG_LEVEL`` says."""
+    """Configure logging to standard error at the level that ``LOG_LEVEL`` names."""
     levels = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
     level = levels.get(os.environ.get("LOG_LEVEL", "info").strip().lower(), logging.INFO)
     logging.basicConfig(
@@ -36,19 +37,19 @@
 
 
 @contextlib.contextmanager
-def no_certificates() -> Iterator[None]:
-    """Let whatever is loaded meanwhile find no certificates.
+def without_system_certificates() -> Iterator[None]:
+    """Hide the system's certificates from modules that are imported within this context.
 
-    aiohttp reads those of the system when it is loaded, for its default TLS contexts. They took
-    2 MB of each controller and most of a tenth of a second at its start; controllers speak
-    plain HTTP only.
+    When aiohttp is imported, it loads the system's certificates for its default TLS contexts.
+    They took 2 MB of memory of each controller and most of a tenth of a second of its start,
+    while controllers use plain HTTP only.
     """
-    before = {name: os.environ.get(name) for name in CERTIFICATE_VARIABLES}
+    previous_values = {name: os.environ.get(name) for name in CERTIFICATE_VARIABLES}
     os.environ.update(dict.fromkeys(CERTIFICATE_VARIABLES, os.devnull))
     try:
         yield
     finally:
-        for name, value in before.items():
+        for name, value in previous_values.items():
             if value is None:
                 del os.environ[name]
             else:
@@ -58,11 +59,11 @@
 def run_controller(
     config: Path, tunables_file: Path | None = None, documents_file: Path | None = None
 ) -> None:
-    """Run a controller until it is killed; StartError if a file cannot be used."""
+    """Run a controller until the process is killed; StartError if a file cannot be used."""
     configure_logging()
     import uvloop
 
-    with no_certificates():
+    with without_system_certificates():
         from weldhead.controller.process import ControllerProcess
     from weldhead.protocol.settings import SettingsError, load_settings
     from weldhead.tunables.defaults import Tunables
@@ -73,7 +74,8 @@
         raise StartError(str(error)) from error
     tunables = Tunables()
     if tunables_file is not None:
-        # The language's parser costs memory and start time: only who uses it pays.
+        # The parser of the tunables' language costs memory and start time, so it is imported
+        # only by a controller that has a tunables file.
         from weldhead.tunables.language import LanguageError, evaluate, facts_of
 
         try:
@@ -94,7 +96,7 @@
             raise StartError(str(error)) from error
 
     async def run() -> None:
-        # What was loaded so far lives for ever; the collector need not look at it again.
+        # The objects loaded so far live as long as the process; exclude them from collection.
         gc.freeze()
         await ControllerProcess(settings, tunables, offer=offer).run()
 
@@ -103,7 +105,7 @@
 
 
 def run_for_platform(config: str) -> int:
-    """Run a controller as the platform starts it; return the exit code."""
+    """Run a controller with the platform's command line and environment; return its exit code."""
     tunables, documents = (os.environ.get(v) for v in (TUNABLES_VARIABLE, DOCUMENTS_VARIABLE))
     try:
         run_controller(
--- a/weldhead/site/description.py
+++ b/weldhead/site/description.py
@@ -21,7 +21,7 @@
     parse_settings,
 )
 from weldhead.protocol.wire import MachineType
-from weldhead.tomlfiles import FileProblemError, parse, problem_at, read_text
+from weldhead.tomlfiles import FileProblemError, build_problem, parse_toml, read_text
 
 #: What is written for "as many as this machine has".
 ALL = "all"
@@ -192,7 +192,7 @@
 
 def _check(description: Description, source: str, text: str) -> None:
     def problem(reason: str, *path: str | int) -> FileProblemError:
-        return problem_at(source, text, list(path), reason)
+        return build_problem(source, text, list(path), reason)
 
     total = description.total_cores
     if isinstance(description.cores, str) and description.cores != ALL:
@@ -233,7 +233,7 @@
 
 def parse_description(source: str, text: str) -> Description:
     """Decode and check a site's description; FileProblem names line and field."""
-    description = parse(source, text, Description)
+    description = parse_toml(source, text, Description)
     _check(description, source, text)
     made = controller_settings(description, ["127.0.0.1:1"] * 2, ["127.0.0.1:1"] * 2, "", "")
     try:
@@ -242,7 +242,7 @@
     except SettingsError as error:
         field, _, reason = str(error).partition(": ")
         steps: list[str | int] = [step for step in field.split(".") if step != "facts"]
-        raise problem_at(source, text, steps, reason) from error
+        raise build_problem(source, text, steps, reason) from error
     return description
 
 
--- a/weldhead/transport/__init__.py
+++ b/weldhead/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections: HTTP servers and clients, peer links, budgets and timeouts."""
+"""Network communication: HTTP servers and clients, peer links, and rate limits."""
--- a/weldhead/transport/http_client.py
+++ b/weldhead/transport/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client for cloud, state service and workers."""
+"""The HTTP client for calls to the cloud, the state service and the workers."""
 
 import asyncio
 from functools import lru_cache
@@ -8,48 +8,52 @@
 
 from weldhead.clock import SECOND_US
 
-_CLOSE = {"Connection": "close"}
+_CLOSE_HEADERS = {"Connection": "close"}
 
-#: What of a call's time it may wait for a connection, where that is bounded. Less than all of
-#: it by more than the library rounds times up: what is over only then may have been sent.
-_CONNECT_SHARE = 0.75
+#: The share of a call's timeout that it may wait for a connection, if ``connect_timeout_us`` is
+#: given. The rest has to exceed the error by which aiohttp rounds timeouts up: a call that only
+#: fails at its total timeout may have been sent.
+_MAX_CONNECT_WAIT_SHARE = 0.75
 
 
 class CallError(Exception):
-    """No usable answer; the request may or may not have been executed."""
+    """A call got no usable answer; the request may or may not have been executed."""
 
 
 class NotConnectedError(CallError):
-    """No connection came about, so nothing was sent and the request surely not executed."""
+    """No connection could be opened: the request was not sent, hence not executed."""
 
 
-#: A few thousand workers are called again and again; watches and pages are not.
+#: Large enough for the few thousand workers, whose URLs recur; URLs of watches and pages do not.
 @lru_cache(maxsize=8_192)
-def _url(url: str) -> URL:
-    """Return a URL; what is in it needs no quoting. To read one anew cost a third of a call."""
+def _parse_url(url: str) -> URL:
+    """Parse a URL that needs no quoting; cached, because parsing took a third of a call."""
     return URL(url, encoded=True)
 
 
 @lru_cache(maxsize=64)
-def _timeout(timeout_us: int, connect_us: int) -> aiohttp.ClientTimeout:
-    """Return a call's times.
+def _build_timeout(timeout_us: int, connect_timeout_us: int) -> aiohttp.ClientTimeout:
+    """Return a call's timeouts.
 
-    A call that waited for a free connection of the pool until its whole time was over could
-    not be told from one that was sent and not answered.
+    The wait for a free connection of the pool gets a shorter limit than the whole call.
+    Otherwise a call that timed out in the pool could not be distinguished from a call that
+    was sent and not answered.
     """
     total_s = timeout_us / SECOND_US
-    if not connect_us:
+    if not connect_timeout_us:
         return aiohttp.ClientTimeout(total=total_s)
     return aiohttp.ClientTimeout(
-        total=total_s, connect=total_s * _CONNECT_SHARE, sock_connect=connect_us / SECOND_US
+        total=total_s,
+        connect=total_s * _MAX_CONNECT_WAIT_SHARE,
+        sock_connect=connect_timeout_us / SECOND_US,
     )
 
 
 class HttpClient:
-    """One pool of connections; every call has a time limit.
+    """A connection pool; every call has a timeout.
 
-    The limit counts connections in use; idle ones, to any number of hosts, are kept for
-    ``keepalive_s`` besides.
+    ``connections`` limits the connections in use. Idle connections do not count: each of them,
+    to any number of hosts, stays open for ``keepalive_s``.
     """
 
     def __init__(self, connections: int, keepalive_s: float = 30.0) -> None:
@@ -70,28 +74,28 @@
         url: str,
         body: bytes | None,
         timeout_us: int,
-        connect_us: int = 0,
+        connect_timeout_us: int = 0,
         *,
         close: bool = False,
     ) -> tuple[int, bytes]:
-        """Return status and body; CallError if none came in time.
+        """Send a request and return status and body; CallError if no answer arrives in time.
 
-        ``connect_us`` bounds how long a new connection may take (0: the whole call), and has
-        a call that got none in time fail as NotConnectedError. ``close`` asks the other side not to
-        keep the connection.
+        ``connect_timeout_us`` limits the time for opening a new connection (0: only the call's
+        timeout applies); a call that gets no connection in time fails with NotConnectedError.
+        With ``close``, the request tells the server to close the connection after the answer.
         """
-        timeout = _timeout(timeout_us, connect_us)
+        timeout = _build_timeout(timeout_us, connect_timeout_us)
         try:
-            headers = _CLOSE if close else None
+            headers = _CLOSE_HEADERS if close else None
             async with self._session.request(
-                method, _url(url), data=body, timeout=timeout, headers=headers
-            ) as answer:
-                return answer.status, await answer.read()
+                method, _parse_url(url), data=body, timeout=timeout, headers=headers
+            ) as response:
+                return response.status, await response.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise NotConnectedError(f"{method} {url}: {error!r}") from error
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError) as error:
             raise CallError(f"{method} {url}: {error!r}") from error
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all connections of the pool."""
         await self._session.close()
--- a/weldhead/transport/http_server.py
+++ b/weldhead/transport/http_server.py
@@ -1,7 +1,7 @@
 """The HTTP server for users, workers and health checks.
 
-Of aiohttp's server only its lowest part is loaded: what routes, serves files and runs
-applications took 1.4 MB that no controller used.
+Only the low-level server of aiohttp is imported: its routing, file serving and application
+runner took 1.4 MB of memory that no controller used.
 """
 
 import asyncio
@@ -30,16 +30,21 @@
 
 _encode = msgspec.json.Encoder().encode
 
-#: How many connections may wait to be accepted.
-BACKLOG = 1024
-#: How long a connection without a request is kept, and how long a request at the end, in seconds.
-KEEPALIVE_S = 75.0
-SHUTDOWN_S = 60.0
+#: The maximum number of connections that wait to be accepted.
+MAX_PENDING_CONNECTIONS = 1024
+#: The time after which a connection without a request is closed.
+KEEPALIVE_TIMEOUT_S = 75.0
+#: The time that running requests have to finish when the server is closed.
+SHUTDOWN_TIMEOUT_S = 60.0
 
 
 @dataclass
 class Response:
-    """An answer; ``close``: the caller is to connect anew, and so perhaps to another node."""
+    """An HTTP response.
+
+    ``close`` closes the connection afterwards, so that the client connects again, perhaps to
+    another controller.
+    """
 
     status: int
     body: bytes
@@ -47,36 +52,38 @@
     close: bool = False
 
 
-def refusal(status: int, error: str, field: str | None = None, retry_after_s: int = 0) -> Response:
-    """Return an error answer."""
+def error_response(
+    status: int, error: str, field: str | None = None, retry_after_s: int = 0
+) -> Response:
+    """Return a response with an error message and, if known, the name of the invalid field."""
     return Response(status, _encode(ErrorBody(error, field)), retry_after_s)
 
 
-def unavailable(error: str, retry_after_s: int = 1) -> Response:
-    """Return the answer that this cannot be told or done now; the caller is to come back."""
-    return refusal(http_status.UNAVAILABLE, error, retry_after_s=retry_after_s)
+def unavailable_response(error: str, retry_after_s: int = 1) -> Response:
+    """Return a 503 response that tells the client to retry after ``retry_after_s`` seconds."""
+    return error_response(http_status.UNAVAILABLE, error, retry_after_s=retry_after_s)
 
 
-#: method, path, body -> response
+#: Takes the method, the path and the body of a request.
 Handler = Callable[[str, str, bytes], Awaitable[Response]]
 
 
 class HttpListener(Protocol):
-    """What serves one address."""
+    """A server that listens on one address."""
 
     async def start(self, address: str) -> None:
-        """Listen."""
+        """Start listening on the address."""
 
     async def close(self) -> None:
-        """Stop serving."""
+        """Stop listening."""
 
 
 class BodyTooLargeError(Exception):
-    """The body is over the limit; the rest is not read."""
+    """A request body exceeds ``MAX_BODY_BYTES``; the rest of the body is not read."""
 
 
 async def read_body(request: BaseRequest) -> bytes:
-    """Read a body of at most the limit."""
+    """Read a request's body; BodyTooLargeError if it exceeds ``MAX_BODY_BYTES``."""
     length = request.content_length
     if length is not None and length > MAX_BODY_BYTES:
         raise BodyTooLargeError
@@ -84,112 +91,122 @@
         return b""
     content = request.content
     if content.is_eof() and content.total_bytes <= MAX_BODY_BYTES:
-        # All of it is here, as with nearly every request.
+        # The whole body has already arrived, as with nearly every request.
         return content.read_nowait()
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
-    async for part in content.iter_any():
-        size += len(part)
+    async for chunk in content.iter_any():
+        size += len(chunk)
         if size > MAX_BODY_BYTES:
             raise BodyTooLargeError
-        parts.append(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+    return b"".join(chunks)
 
 
 @lru_cache(maxsize=1)
-def _date(second: int) -> str:
+def _format_date(second: int) -> str:
     return formatdate(second, usegmt=True)
 
 
-#: Answers of one moment differ in a few lengths only.
+#: Within a second, responses differ only in a few body lengths.
 @lru_cache(maxsize=256)
-def _head(status: int, reason: str, length: int, retry_after_s: int, second: int) -> bytes:
-    """Return an answer's head, up to what is said of its connection."""
+def _build_head(status: int, reason: str, length: int, retry_after_s: int, second: int) -> bytes:
+    """Return the status line and the headers, without ``Connection`` and the final empty line."""
     retry = f"Retry-After: {retry_after_s}\r\n" if retry_after_s else ""
     return (
         f"HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\n"
-        f"Date: {_date(second)}\r\nContent-Length: {length}\r\n{retry}"
+        f"Date: {_format_date(second)}\r\nContent-Length: {length}\r\n{retry}"
     ).encode()
 
 
-class ReadyResponse(StreamResponse):
-    """An answer that is ready: head and body go out in one piece.
+class PrebuiltResponse(StreamResponse):
+    """A response whose headers and body are sent in a single write.
 
-    aiohttp's own response makes its head anew each time, from fields that are the same for all
-    answers here; with hundreds of reports a second that took a third of a leader's time for
-    them.
+    aiohttp's own response builds its headers again for each response, from fields that are the
+    same for all responses here. With hundreds of worker reports per second, this took a third
+    of the time that a leader spent on the reports.
     """
 
-    def __init__(self, answer: Response, *, close: bool = False) -> None:
-        super().__init__(status=answer.status)
+    def __init__(self, response: Response, *, close: bool = False) -> None:
+        super().__init__(status=response.status)
         self._close = close
-        self._head = _head(
-            answer.status, self.reason, len(answer.body), answer.retry_after_s, int(time.time())
+        self._head = _build_head(
+            response.status,
+            self.reason,
+            len(response.body),
+            response.retry_after_s,
+            int(time.time()),
         )
-        self._content = answer.body
+        self._content = response.body
 
     async def prepare(self, request: BaseRequest) -> AbstractStreamWriter | None:
-        """Send the answer."""
-        stays = not self._close and request.keep_alive
-        if not stays:
+        """Send the headers and the body."""
+        keep_open = not self._close and request.keep_alive
+        if not keep_open:
             self.force_close()
             self._head += b"Connection: close\r\n"
         elif request.version < HttpVersion11:
             self._head += b"Connection: keep-alive\r\n"
-        self._keep_alive = stays
+        self._keep_alive = keep_open
         if request.transport is not None:
             body = b"" if request.method == "HEAD" else self._content
             request.transport.write(self._head + b"\r\n" + body)
         return None
 
     async def write_eof(self, data: bytes = b"") -> None:
-        """Everything has been sent."""
+        """Do nothing: ``prepare`` has already sent the whole response."""
 
 
 class HttpServer:
-    """Serves one address; aiohttp runs a routine per connection."""
+    """Serves HTTP on one address; aiohttp runs one coroutine per connection."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
-        self._server = Server(self._handle, access_log=None, keepalive_timeout=KEEPALIVE_S)
+        self._server = Server(self._handle, access_log=None, keepalive_timeout=KEEPALIVE_TIMEOUT_S)
         self._listener: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Listen."""
+        """Start listening on the address, given as ``host:port``."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(self._server, host, port, backlog=BACKLOG)
+        self._listener = await loop.create_server(
+            self._server, host, port, backlog=MAX_PENDING_CONNECTIONS
+        )
 
-    async def start_on(self, listening: socket.socket) -> None:
-        """Serve a socket that the caller has bound."""
+    async def start_on_socket(self, bound_socket: socket.socket) -> None:
+        """Start serving on a socket that the caller has bound."""
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(self._server, sock=listening, backlog=BACKLOG)
+        self._listener = await loop.create_server(
+            self._server, sock=bound_socket, backlog=MAX_PENDING_CONNECTIONS
+        )
 
     async def _handle(self, request: BaseRequest) -> StreamResponse:
         close = False
         try:
             body = await read_body(request)
-            answer = await self._handler(request.method, request.path, body)
+            response = await self._handler(request.method, request.path, body)
         except BodyTooLargeError:
-            # Counts as malformed; the connection cannot be used further, as the rest of
-            # the body is still coming.
-            answer = refusal(http_status.BAD_REQUEST, f"body of more than {MAX_BODY_BYTES} bytes")
+            # An oversized body counts as a malformed request. The rest of the body is still
+            # arriving, so the connection cannot be used for another request.
+            response = error_response(
+                http_status.BAD_REQUEST, f"body of more than {MAX_BODY_BYTES} bytes"
+            )
             close = True
         except (aiohttp.ClientError, ConnectionError) as error:
-            log.info("request broke off: %r", error)
+            log.info("connection lost while a request was read or answered: %r", error)
             raise
         except Exception:
-            log.exception("%s %s failed", request.method, request.path)
-            answer = unavailable("internal error")
-        return ReadyResponse(answer, close=close or answer.close)
+            log.exception("request %s %s failed", request.method, request.path)
+            response = unavailable_response("internal error")
+        return PrebuiltResponse(response, close=close or response.close)
 
     async def close(self) -> None:
-        """Stop serving; requests that have come are answered."""
+        """Stop listening and return after the requests that have arrived are answered."""
         if self._listener is None:
             return
         self._listener.close()
         self._listener = None
-        # Whatever has arrived begins to be handled before idle connections are closed.
+        # Let handlers start for the requests that have arrived; idle connections close next.
         await asyncio.sleep(0)
         self._server.pre_shutdown()
-        await self._server.shutdown(SHUTDOWN_S)
+        await self._server.shutdown(SHUTDOWN_TIMEOUT_S)
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -1,8 +1,9 @@
 """Links between controllers, one connection in each direction.
 
-The caller of a connection asks, the other side answers. A link knows how the last attempt
-to connect ended: a refusal while the machine answers usually means that no process is
-there, which the leadership may use as a hint (never as proof).
+The controller that opens a connection sends requests; the controller that accepts it answers
+them. A link records how its last attempt to connect ended. A refused connection usually means
+that the peer's machine runs but its process does not. The leader election may use this as a
+hint, never as proof.
 """
 
 import asyncio
@@ -32,18 +33,18 @@
 
 M = TypeVar("M", ForwardedAnswer, Pong, PromiseAnswer, IndirectProbeAnswer)
 
-#: More waiting bytes than this to one peer: it does not read, the connection is dropped.
-WRITE_LIMIT = 1024 * 1024
+#: If more unsent bytes wait for a peer, the peer does not read, and its connection is dropped.
+MAX_UNSENT_BYTES = 1024 * 1024
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read one frame."""
+    """Read one frame and decode its message."""
     length = frame_length(await reader.readexactly(4))
     return decode_message(await reader.readexactly(length))
 
 
 class PeerLink:
-    """The calling side of a connection to one peer."""
+    """The requesting side of the connection to one peer."""
 
     def __init__(self, peer: PeerSettings, own_name: str) -> None:
         self.name = peer.name
@@ -55,37 +56,39 @@
         self._next_id = 0
         self.last_message_us = 0
         self.refused = False
-        #: Since when connections are refused, and when one ended last (0: never).
-        self.refused_us = 0
-        self.lost_us = 0
-        #: When the connection that is up came about (0: none is).
-        self.connected_us = 0
-        #: When the peer last spoke on its own connection to us.
+        #: The time since which the peer refuses connections (0: it does not).
+        self.refused_since_us = 0
+        #: When a connection last ended (0: never).
+        self.last_disconnect_us = 0
+        #: When the current connection was opened (0: there is none).
+        self.connected_since_us = 0
+        #: When the peer last sent a request on its own connection to this controller.
         self.last_request_us = 0
-        #: Set while a connection is up.
-        self.up = asyncio.Event()
+        #: Set while a connection is open.
+        self.connected_event = asyncio.Event()
+        #: Whether the peer reaches the state service, by its last pong.
         self.state_ok = False
-        #: The format that the peer's process has said to know; 0: it has not answered yet.
+        #: The newest format that the peer supports, by its last pong; 0: no pong yet.
         self.format = 0
-        #: Called with the peer's name when its process seems to be gone.
+        #: Called with the peer's name when the peer begins to refuse connections.
         self.on_refused: Callable[[str], None] = lambda name: None
 
     @property
-    def connected(self) -> bool:
-        """Whether a connection is up (the peer may be silent all the same)."""
+    def is_connected(self) -> bool:
+        """Whether a connection is open (the peer may still not answer)."""
         return self._writer is not None
 
-    def alive(self, at_us: int, within_us: int = 1_500_000) -> bool:
-        """Whether the peer answered lately."""
-        return self.connected and at_us - self.last_message_us < within_us
+    def is_responsive(self, at_us: int, max_silence_us: int = 1_500_000) -> bool:
+        """Whether the peer is connected and sent a message within the last ``max_silence_us``."""
+        return self.is_connected and at_us - self.last_message_us < max_silence_us
 
     def next_id(self) -> int:
-        """Return a request id."""
+        """Return a new request id."""
         self._next_id += 1
         return self._next_id
 
     async def run(self) -> None:
-        """Connect and read answers, again and again; a background task."""
+        """Stay connected and read the peer's answers; a background task."""
         while True:
             await self._connect()
             await asyncio.sleep(0.1)
@@ -99,47 +102,47 @@
         except ConnectionRefusedError:
             if not self.refused:
                 self.refused = True
-                self.refused_us = now_us()
+                self.refused_since_us = now_us()
                 self.on_refused(self.name)
             await asyncio.sleep(0.2)
             return
         except (OSError, asyncio.TimeoutError):
-            self.refused, self.refused_us = False, 0
+            self.refused, self.refused_since_us = False, 0
             await asyncio.sleep(0.2)
             return
-        self.refused, self.refused_us = False, 0
+        self.refused, self.refused_since_us = False, 0
         self._writer = writer
-        self.last_message_us = self.connected_us = now_us()
+        self.last_message_us = self.connected_since_us = now_us()
         try:
             writer.write(encode_frame(Hello(self._own_name)))
-            self.up.set()
+            self.connected_event.set()
             while True:
                 self._receive(await read_message(reader))
         except PeerProtocolError:
-            log.exception("peer %s sent a malformed message, connection closed", self.name)
+            log.exception("peer %s sent an invalid answer, connection closed", self.name)
         except (OSError, asyncio.IncompleteReadError) as error:
             log.info("peer %s: connection ended: %r", self.name, error)
         finally:
             self._disconnected(writer)
 
     def _receive(self, message: Message) -> None:
-        """Hand a message to whoever waits for it."""
+        """Deliver a message to the pending request that it answers."""
         self.last_message_us = now_us()
         if isinstance(message, Pong):
             self.state_ok = message.state_ok
             if message.format != self.format:
                 log.info("peer %s has format %d", self.name, message.format)
                 self.format = message.format
-        waiting = self._pending.pop(getattr(message, "id", -1), None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(message)
+        request = self._pending.pop(getattr(message, "id", -1), None)
+        if request is not None and not request.done():
+            request.set_result(message)
 
     def _disconnected(self, writer: asyncio.StreamWriter) -> None:
-        """Forget what the connection told, and fail what waits on it."""
+        """Reset what the peer reported on the connection, and fail the pending requests."""
         self._writer = None
-        self.connected_us = 0
-        self.lost_us = now_us()
-        self.up.clear()
+        self.connected_since_us = 0
+        self.last_disconnect_us = now_us()
+        self.connected_event.clear()
         self.state_ok = False
         self.format = 0
         writer.transport.abort()
@@ -149,28 +152,28 @@
         self._pending.clear()
 
     def drop(self) -> None:
-        """Give the connection up; the background task connects anew."""
+        """Abort the connection; the background task of ``run`` reconnects."""
         if self._writer is not None:
             self._writer.transport.abort()
 
     def send(self, message: Message) -> bool:
-        """Send without waiting for an answer; false if no connection is up."""
+        """Send a message without waiting for an answer; return false if it cannot be sent."""
         writer = self._writer
         if writer is None:
             return False
-        if writer.transport.get_write_buffer_size() > WRITE_LIMIT:
+        if writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.drop()
             return False
         try:
             writer.write(encode_frame(message))
         except (OSError, RuntimeError) as error:
-            # The connection broke a moment ago and its reader has not been told yet.
-            log.info("peer %s: cannot send: %r", self.name, error)
+            # The connection has just been lost, and its reader has not noticed that yet.
+            log.info("peer %s: message not sent, connection lost: %r", self.name, error)
             return False
         return True
 
-    async def request(self, message: Message, kind: type[M], timeout_us: int) -> M:
-        """Send a request and return its answer; NotConnectedError if it was never sent."""
+    async def request(self, message: Message, answer_type: type[M], timeout_us: int) -> M:
+        """Send a request and return its answer; NotConnectedError if it could not be sent."""
         request_id: int = getattr(message, "id")  # noqa: B009  (all requests have one)
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._pending[request_id] = future
@@ -179,11 +182,14 @@
                 raise NotConnectedError(f"peer {self.name}: no connection")
             answer = await asyncio.wait_for(future, timeout_us / SECOND_US)
         except asyncio.TimeoutError as error:
-            raise CallError(f"peer {self.name}: no answer") from error
+            raise CallError(f"peer {self.name}: no answer within {timeout_us} us") from error
         finally:
             self._pending.pop(request_id, None)
-        if not isinstance(answer, kind):
-            raise CallError(f"peer {self.name}: wrong kind of answer")
+        if not isinstance(answer, answer_type):
+            raise CallError(
+                f"peer {self.name}: answer is a {type(answer).__name__}, "
+                f"not a {answer_type.__name__}"
+            )
         return answer
 
 
@@ -191,18 +197,18 @@
 
 
 class PeerServer:
-    """The answering side: each incoming connection has its own routine."""
+    """The answering side: runs one coroutine per incoming connection."""
 
     def __init__(
-        self, handler: Handler, background_tasks: BackgroundTasks, names: set[str]
+        self, handler: Handler, background_tasks: BackgroundTasks, peer_names: set[str]
     ) -> None:
         self._handler = handler
-        self._duties = background_tasks
-        self._names = names
+        self._background_tasks = background_tasks
+        self._peer_names = peer_names
         self._server: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Listen."""
+        """Start listening on the address, given as ``host:port``."""
         host, port = split_address(address)
         self._server = await asyncio.start_server(self._serve, host, port)
 
@@ -210,18 +216,20 @@
         name = "?"
         try:
             hello = await asyncio.wait_for(read_message(reader), 5.0)
-            if not isinstance(hello, Hello) or hello.name not in self._names:
-                raise PeerProtocolError("no greeting from a known peer")
+            if not isinstance(hello, Hello) or hello.name not in self._peer_names:
+                raise PeerProtocolError("first message is not a Hello of a known peer")
             name = hello.name
             while True:
                 message = await read_message(reader)
                 if isinstance(message, Ping):
                     await self._answer(name, message, writer)
                 else:
-                    # A slow request must not hold up the pings behind it.
-                    self._duties.spawn("peer request", self._answer(name, message, writer))
+                    # A slow request must not delay the pings that follow it.
+                    self._background_tasks.spawn(
+                        "peer request", self._answer(name, message, writer)
+                    )
         except PeerProtocolError:
-            log.exception("peer %s sent a malformed message, connection closed", name)
+            log.exception("peer %s sent an invalid message, connection closed", name)
         except (OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
             pass
         finally:
--- a/weldhead/transport/prefix_follower.py
+++ b/weldhead/transport/prefix_follower.py
@@ -1,4 +1,4 @@
-"""Reading and following the keys of the state service that share a prefix."""
+"""Reads and watches the keys of the state service that share a prefix."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import NamedTuple
@@ -8,17 +8,17 @@
 from weldhead.transport.http_client import CallError
 from weldhead.transport.state_client import RevisionCompactedError, StateClient
 
-#: How long one watch waits for a change.
-WATCH_US = 10 * SECOND_US
+#: How long a single watch request waits for a change.
+WATCH_DURATION_US = 10 * SECOND_US
 
 
 class ChangeBatch(NamedTuple):
-    """The changes that one watch has returned."""
+    """The changes that one watch request returned."""
 
     events: list[KeyEvent]
-    #: Everything up to this revision of the store is known.
+    #: All changes up to and including this revision of the store have been returned.
     revision: int
-    #: When the watch was sent, on the steady clock.
+    #: When the watch request was sent, on the monotonic clock.
     sent_us: int
 
 
@@ -27,8 +27,9 @@
 ) -> tuple[dict[str, tuple[bytes, int]], int, int]:
     """Read all keys with a prefix.
 
-    Return value and version by key, the revision from which they can be followed, and when the
-    reading began (steady clock). CallError if the first page cannot be read.
+    Return the value and version by key, the revision from which a watch continues, and the
+    time at which the first request was sent (monotonic clock). CallError if the first page
+    cannot be read.
     """
     sent_us, revision = now_us(), 0
     entries: dict[str, tuple[bytes, int]] = {}
@@ -44,18 +45,19 @@
     reread: Callable[[], Awaitable[int]],
     on_failure: Callable[[CallError], Awaitable[None]] | None = None,
 ) -> AsyncIterator[ChangeBatch]:
-    """Yield the changes of keys with a prefix, in order, for ever.
+    """Yield the changes of keys with a prefix, in order, without end.
 
-    ``reread`` reads all keys anew and returns their revision; it is called first where
-    ``revision`` is None, and whenever the store has forgotten the changes since. A watch that
-    fails ends the iteration with its CallError, or is repeated after ``on_failure``.
+    ``reread`` reads all keys again and returns their revision. It is called at the start if
+    ``revision`` is None, and whenever the store has compacted the changes after the last
+    revision. If a watch request fails, its CallError is raised; if ``on_failure`` is given,
+    ``on_failure`` is awaited instead and the request is repeated.
     """
     if revision is None:
         revision = await reread()
     while True:
         sent_us = now_us()
         try:
-            changes = await state.watch(prefix, revision, WATCH_US)
+            changes = await state.watch(prefix, revision, WATCH_DURATION_US)
         except RevisionCompactedError:
             revision = await reread()
             continue
--- a/weldhead/transport/process_memory.py
+++ b/weldhead/transport/process_memory.py
@@ -1,18 +1,18 @@
-"""What this process holds in memory, by the kernel's account."""
+"""Memory usage of this process as reported by the kernel."""
 
 import os
 
-STATM = "/proc/self/statm"
+STATM_PATH = "/proc/self/statm"
 
 
-def own_bytes() -> int | None:
-    """Return what of the resident memory is the process's own; None if that cannot be told.
+def private_resident_bytes() -> int | None:
+    """Return the size of the resident memory without shared pages; None if it cannot be read.
 
-    Pages of files are left out: the kernel drops them when memory is short. A controller writes
-    nothing to /tmp, which would count as well.
+    Pages of mapped files are excluded, because the kernel drops them when memory is short.
+    Files in /tmp would count as memory too, but a controller writes none.
     """
     try:
-        with open(STATM, "rb") as file:
+        with open(STATM_PATH, "rb") as file:
             _, resident, shared, *_ = file.read().split()
         return (int(resident) - int(shared)) * os.sysconf("SC_PAGE_SIZE")
     except (OSError, ValueError):
--- a/weldhead/transport/state_client.py
+++ b/weldhead/transport/state_client.py
@@ -1,6 +1,6 @@
-"""The state service's client: typed answers, budgets, and what counts as a failure.
+"""The client of the state service: typed answers, rate limits and errors.
 
-Nonsense from the service is a failed call, never an empty answer.
+An answer that cannot be decoded is a failed call, never an empty result.
 """
 
 import asyncio
@@ -32,14 +32,15 @@
 
 T = TypeVar("T")
 
-#: Before a page that failed is asked for again.
-PAGE_PAUSE_S = 0.2
-#: How long who stands waits for its lease: of the lease's 3 s enough is left to write the key and
-#: to renew it once, by a service that is as slow again.
-STAND_US = 1_300 * MILLISECOND_US
+#: The delay before a page that could not be read is requested again.
+PAGE_RETRY_DELAY_S = 0.2
+#: The timeout of the calls with which a candidate obtains the leader's lease. The rest of the
+#: lease's 3 s suffices to write the leader's key and to renew the lease once, even if the service
+#: answers those calls as slowly.
+CAMPAIGN_TIMEOUT_US = 1_300 * MILLISECOND_US
 
 
-#: Statuses that say for sure what became of a request.
+#: The statuses that state definitely whether the request was executed.
 _DEFINITE_STATUSES = frozenset(
     {
         http_status.OK,
@@ -52,15 +53,15 @@
 
 
 class RequestRefusedError(CallError):
-    """The service said that it did not execute the request (503, 429)."""
+    """The service answered that it did not execute the request (503 or 429)."""
 
 
 class RateLimitedError(RequestRefusedError):
-    """The rate is used up for the moment; the service itself is well."""
+    """The rate limit is exceeded at the moment; the service itself is available."""
 
 
 class TransactionRejectedError(CallError):
-    """The service takes no such transaction (400): the same one again is as useless."""
+    """The service rejected the transaction as invalid (400); a retry would fail as well."""
 
 
 class ConflictError(Exception):
@@ -68,7 +69,7 @@
 
 
 class LeaseNotFoundError(Exception):
-    """A lease has ended."""
+    """The state service does not know a lease, because the lease has ended."""
 
     def __init__(self, lease: int | None = None) -> None:
         super().__init__("lease not found" if lease is None else f"lease {lease} not found")
@@ -76,7 +77,7 @@
 
 
 class RevisionCompactedError(Exception):
-    """The watch's starting point is too old; read the keys again."""
+    """The watch's start revision has been compacted; the keys have to be read again."""
 
     def __init__(self, prefix: str, revision: int) -> None:
         super().__init__(f"changes of {prefix} after revision {revision} are compacted")
@@ -84,44 +85,45 @@
         self.revision = revision
 
 
-def decode(body: bytes, kind: type[T]) -> T:
-    """Decode an answer; CallError if it is nonsense."""
+def decode(body: bytes, value_type: type[T]) -> T:
+    """Decode an answer's JSON body; CallError if the body is invalid."""
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=value_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise CallError(f"nonsense: {error}") from error
+        raise CallError(f"answer cannot be decoded: {error}") from error
 
 
 class StateClient:
-    """All calls to the state service."""
+    """Makes all calls to the state service."""
 
     def __init__(self, http: HttpClient, address: str, limits: StateLimits) -> None:
         self._http = http
         self._base = f"http://{address}"
-        # What comes without notice is kept to from the start.
+        # Limits may change later without notice, so the tighter ones apply from the start.
         limits = limits.tightest()
         self.limits = limits
-        # Every controller calls the same service, and each gets an equal claim on most of
-        # the rate: the leader writes most, so it may use what the others rarely need.
+        # All controllers share the service's rate. Each may use most of it, because the leader
+        # makes most writes and the other controllers rarely need their share.
         self.request_budget = TokenBucket(limits.rps * 0.6, limits.rps * 0.4, limits.rps * 0.1)
         burst = max(limits.write_rps * 0.6, 4.0)
-        # The leader's: ends of jobs, machines, progress. They keep half of the rate when
-        # more is submitted than there is room for, or nothing would be told done.
+        # The budget of the leader's writes: completed jobs, machines, progress. They keep at least
+        # half of the rate under too many submissions; otherwise no job would be reported as done.
         self.write_budget = TokenBucket(limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.6)
-        #: Submissions, on every controller.
+        #: The budget of the writes of submissions, on every controller.
         self.submission_budget = TokenBucket(
             limits.write_rps * 0.85, burst, limits.write_rps * 0.1, 0.05
         )
-        #: A transaction larger than the burst would wait for ever.
+        #: The largest transaction: one that exceeds the burst would wait without end.
         self.max_writes = min(limits.txn_ops, int(burst))
-        #: When a call was last served, and when one last failed (steady clock, 0: never).
-        self.served_us = 0
-        self.failed_us = 0
+        #: When the last served call was sent, and when a call last failed (monotonic clock, 0:
+        #: never).
+        self.last_served_us = 0
+        self.last_failed_us = 0
 
     @property
-    def available(self) -> bool:
-        """Whether the last call was served."""
-        return self.served_us > self.failed_us
+    def is_available(self) -> bool:
+        """Whether a call that was sent after the last failure has been served."""
+        return self.last_served_us > self.last_failed_us
 
     async def _call(
         self,
@@ -131,44 +133,45 @@
         timeout_us: int,
         urgent: bool,
         writes: int = 0,
-        passive: bool = False,
-        patience_us: int | None = None,
+        is_watch: bool = False,
+        submission_wait_us: int | None = None,
     ) -> tuple[int, bytes]:
-        limit_us = patience_us if urgent or patience_us is not None else SECOND_US
-        budget = self.write_budget if patience_us is None else self.submission_budget
-        if writes and not await budget.take(writes, urgent=urgent, limit_us=limit_us):
-            raise RateLimitedError("state service: write budget used up")
-        if not await self.request_budget.take(urgent=urgent, limit_us=limit_us):
+        max_wait_us = submission_wait_us if urgent or submission_wait_us is not None else SECOND_US
+        budget = self.write_budget if submission_wait_us is None else self.submission_budget
+        if writes and not await budget.take(writes, urgent=urgent, max_wait_us=max_wait_us):
+            raise RateLimitedError(f"state service: no budget for {writes} writes in time")
+        if not await self.request_budget.take(urgent=urgent, max_wait_us=max_wait_us):
             budget.refund(writes)
-            raise RateLimitedError("state service: request budget used up")
-        started_us = now_us()
+            raise RateLimitedError("state service: no budget for a request in time")
+        sent_us = now_us()
         try:
             status, answer = await self._http.call(method, self._base + path, body, timeout_us)
         except CallError:
-            if not passive:
-                self.failed_us = max(self.failed_us, now_us())
+            if not is_watch:
+                self.last_failed_us = max(self.last_failed_us, now_us())
             raise
         if status in (http_status.TOO_MANY_REQUESTS, http_status.UNAVAILABLE):
             if status == http_status.UNAVAILABLE:
-                self.failed_us = now_us()
+                self.last_failed_us = now_us()
             else:
-                # Others use the same rate: what this node had saved up is not there.
-                (budget if writes else self.request_budget).drain()
-                raise RateLimitedError("state service: 429")
-            raise RequestRefusedError(f"state service: {status}")
+                # Other controllers have used up the shared rate, so the tokens that this bucket has
+                # accumulated are not available.
+                (budget if writes else self.request_budget).back_off()
+                raise RateLimitedError(f"state service: {method} {path} answered 429")
+            raise RequestRefusedError(f"state service: {method} {path} answered {status}")
         if status not in _DEFINITE_STATUSES:
-            raise CallError(f"state service: {status}")
-        if not passive:
-            self.served_us = max(self.served_us, started_us)
+            raise CallError(f"state service: {method} {path} answered {status}")
+        if not is_watch:
+            self.last_served_us = max(self.last_served_us, sent_us)
         return status, answer
 
     async def get(
         self, key: str, *, urgent: bool = False, timeout_us: int = 800 * MILLISECOND_US
     ) -> KeyValue | None:
-        """Read a key."""
+        """Read a key's value and version; None if the key does not exist."""
         status, body = await self._call("GET", f"/store/{key}", None, timeout_us, urgent)
         if status == http_status.NOT_FOUND:
-            # Proof of absence is the service's own answer, with its revision in it.
+            # Only an answer with the service's revision proves that the key is absent.
             decode(body, CommittedRevision)
             return None
         if status != http_status.OK:
@@ -178,14 +181,15 @@
     async def pages(self, prefix: str) -> AsyncIterator[tuple[list[KeyValue], int]]:
         """Read all keys with a prefix; yield each page with the first page's revision.
 
-        Pages are read one after the other; a change between two pages is seen by a watch
-        that starts at the first page's revision. A page that fails is asked for again: at
-        size a reader that began anew came to no end while the service was slow.
+        Pages are read one after the other; a watch that starts at the first page's revision
+        sees the changes between two pages. A page after the first that cannot be read is
+        requested again: with many keys, a reader that started over never finished while the
+        service was slow.
         """
         revision: int | None = None
-        start = ""
+        last_key = ""
         while True:
-            path = f"/store?starts={prefix}&most=1000" + (f"&from={start}" if start else "")
+            path = f"/store?starts={prefix}&most=1000" + (f"&from={last_key}" if last_key else "")
             try:
                 status, body = await self._call("GET", path, None, 3 * SECOND_US, True)
                 if status != http_status.OK:
@@ -194,17 +198,19 @@
             except CallError as error:
                 if revision is None:
                     raise
-                log.info("page of %s behind %s: %s", prefix, start, error)
-                await asyncio.sleep(PAGE_PAUSE_S)
+                log.info("page of keys %s after %s not read, retrying: %s", prefix, last_key, error)
+                await asyncio.sleep(PAGE_RETRY_DELAY_S)
                 continue
             if revision is None:
                 revision = page.revision
             if page.more and not page.items:
-                raise CallError("state service: empty page that claims more")
+                raise CallError(
+                    f"state service: empty page of keys {prefix}, yet more pages follow"
+                )
             yield page.items, revision
             if not page.more:
                 return
-            start = page.items[-1].key
+            last_key = page.items[-1].key
 
     async def transact(
         self,
@@ -213,16 +219,18 @@
         *,
         urgent: bool = False,
         timeout_us: int = 1500 * MILLISECOND_US,
-        patience_us: int | None = None,
+        submission_wait_us: int | None = None,
     ) -> int:
         """Apply a transaction and return its revision.
 
-        ``patience_us``: for how long a submission may wait for its turn; None: it is the
-        leader's, and waits for a second, or for ever where it is urgent.
-        RateLimitedError if that was not long enough, or others had used the rate up, ConflictError
-        if a condition failed, LeaseNotFoundError if a lease is over, RequestRefusedError if it was
-        surely not executed, TransactionRejectedError if it never will be, CallError if that is not
-        known.
+        ``submission_wait_us`` is given for a submission and limits its wait for the rate limit.
+        If it is None, the transaction is one of the leader's and waits at most a second, or
+        without limit if it is urgent.
+
+        RateLimitedError if that wait was too short or other controllers exceeded the rate;
+        ConflictError if a condition failed; LeaseNotFoundError if a lease has ended;
+        RequestRefusedError if the transaction was not executed; TransactionRejectedError if the
+        service will never accept it; any other CallError if it may have been executed.
         """
         body = msgspec.json.encode(Transaction(conditions, writes))
         status, answer = await self._call(
@@ -232,7 +240,7 @@
             timeout_us,
             urgent,
             writes=len(writes),
-            patience_us=patience_us,
+            submission_wait_us=submission_wait_us,
         )
         if status == http_status.OK:
             return decode(answer, CommittedRevision).revision
@@ -245,9 +253,9 @@
         raise CallError(f"state service: {status} {answer[:200]!r}")
 
     async def grant(self, ttl_us: int) -> int:
-        """Create a lease."""
+        """Create a lease and return its id; its time to live is rounded down to milliseconds."""
         body = msgspec.json.encode(LeaseRequest(ttl_us // MILLISECOND_US))
-        status, answer = await self._call("POST", "/grants", body, STAND_US, True)
+        status, answer = await self._call("POST", "/grants", body, CAMPAIGN_TIMEOUT_US, True)
         if status != http_status.OK:
             raise CallError(f"state service: {status}")
         return decode(answer, GrantedLease).lease
@@ -261,16 +269,16 @@
             raise CallError(f"state service: {status}")
 
     async def revoke(self, lease: int) -> None:
-        """End a lease at once; its keys go with it."""
+        """End a lease; the service deletes the keys that are attached to it."""
         status, _ = await self._call("DELETE", f"/grants/{lease}", None, 800 * MILLISECOND_US, True)
         if status not in (http_status.OK, http_status.NOT_FOUND):
             raise CallError(f"state service: {status}")
 
     async def watch(self, prefix: str, revision: int, wait_us: int) -> KeyChanges:
-        """Wait for changes after the revision; RevisionCompactedError if it is too old."""
+        """Wait for changes after a revision; RevisionCompactedError if that is too old."""
         path = f"/changes?starts={prefix}&from={revision}&wait_ms={wait_us // MILLISECOND_US}"
         status, body = await self._call(
-            "GET", path, None, wait_us + 2 * SECOND_US, True, passive=True
+            "GET", path, None, wait_us + 2 * SECOND_US, True, is_watch=True
         )
         if status == http_status.GONE:
             raise RevisionCompactedError(prefix, revision)
--- a/weldhead/transport/worker_commands.py
+++ b/weldhead/transport/worker_commands.py
@@ -1,4 +1,4 @@
-"""Direct commands to workers."""
+"""Commands that the leader sends directly to a worker, over HTTP."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 from weldhead.transport.state_client import decode
 
 
-async def command(
+async def send_commands(
     http: HttpClient,
     address: str,
     token: int,
@@ -18,15 +18,20 @@
     *,
     close: bool = False,
 ) -> tuple[bool, Heartbeat]:
-    """Send commands; return whether they were executed, and the worker's report.
+    """Send commands; return whether the worker executed them, and the worker's heartbeat.
 
-    CallError leaves open whether, and when, they are executed; NotConnectedError does not.
-    ``close``: the connection is not kept for later.
+    After a CallError the commands may have been executed, or may still be executed later; after
+    a NotConnectedError they were not sent. ``close``: do not keep the connection open.
     """
     body = msgspec.json.encode(DirectCommands(token, session, commands))
     status, answer = await http.call(
-        "POST", f"http://{address}/commands", body, timeout_us, connect_us=2_000_000, close=close
+        "POST",
+        f"http://{address}/commands",
+        body,
+        timeout_us,
+        connect_timeout_us=2_000_000,
+        close=close,
     )
     if status not in (http_status.OK, http_status.CONFLICT):
-        raise CallError(f"worker: {status}")
+        raise CallError(f"worker {address}: POST /commands answered {status}")
     return status == http_status.OK, decode(answer, Heartbeat)
