--- a/weldhead/transport/background_tasks.py
+++ b/weldhead/transport/background_tasks.py
@@ -11,7 +11,7 @@
 
 
 class BackgroundTasks:
-    """Owns asyncio tasks: logs their failures, restarts periodic ones, cancels all on close."""
+    """Owns asyncio tasks: logs their failures, restarts the endless ones, cancels all on close."""
 
     def __init__(self) -> None:
         self._tasks: dict[asyncio.Task[None], None] = {}
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -123,7 +123,7 @@
         except (OSError, asyncio.IncompleteReadError) as error:
             log.info("peer %s: connection ended: %r", self.name, error)
         finally:
-            self._disconnected(writer)
+            self._handle_disconnect(writer)
 
     def _receive(self, message: Message) -> None:
         """Deliver a message to the pending request that it answers."""
@@ -137,7 +137,7 @@
         if request is not None and not request.done():
             request.set_result(message)
 
-    def _disconnected(self, writer: asyncio.StreamWriter) -> None:
+    def _handle_disconnect(self, writer: asyncio.StreamWriter) -> None:
         """Reset what the peer reported on the connection, and fail the pending requests."""
         self._writer = None
         self.connected_since_us = 0
--- a/weldhead/transport/token_bucket.py
+++ b/weldhead/transport/token_bucket.py
@@ -58,7 +58,7 @@
         self._tokens = min(self._burst, self._tokens + amount)
 
     def back_off(self) -> None:
-        """Empty the bucket and reduce the rate, after the service refused a call as too many."""
+        """Empty the bucket and reduce the rate, after the service reported its limit exceeded."""
         self._refill(now_us())
         self._rate = max(self._min_rate, self._rate * 2 / 3)
         self._tokens = min(self._tokens, 0.0)
