--- a/tests/cluster_state/test_state_writer.py
+++ b/tests/cluster_state/test_state_writer.py
@@ -134,7 +134,7 @@
 def test_drained_token_bucket_makes_next_request_wait() -> None:
     budget = TokenBucket(10.0, 5.0)
     assert budget.try_take(1, now_us())
-    budget.drain()
+    budget.back_off()
     at_us = now_us()
     assert not budget.try_take(1, at_us)
     # One token takes 0.1 s, and refilling is a third slower for a while after draining.
--- a/weldhead/controller/configuration/document_file.py
+++ b/weldhead/controller/configuration/document_file.py
@@ -13,7 +13,7 @@
 from weldhead.calendars.calendar_document import Calendar
 from weldhead.documents.records import DocumentSet
 from weldhead.gates.gate_document import Gate, find_conflicts
-from weldhead.tomlfiles import parse, problem_at, read_text
+from weldhead.tomlfiles import build_problem, parse_toml, read_text
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 #: Size limit of an edition; controllers send a whole edition in one message.
@@ -45,28 +45,28 @@
 
     ``max_value_bytes`` limits the size of one encoded document.
     """
-    file = parse(name, text, DocumentFile)
+    file = parse_toml(name, text, DocumentFile)
     if not 0 < file.edition < 1 << 53:
-        raise problem_at(name, text, ["edition"], "an edition is a number from 1 on")
+        raise build_problem(name, text, ["edition"], "an edition is a number from 1 on")
     documents: dict[str, msgspec.Raw] = {}
     for kind, number, document in file.documents():
         path: list[str | int] = [kind, number]
         key = f"{kind}/{document.name}"
         if not _NAME.fullmatch(document.name):
             reason = "a name is 1 to 40 small letters, digits and dashes"
-            raise problem_at(name, text, [*path, "name"], reason)
+            raise build_problem(name, text, [*path, "name"], reason)
         if key in documents:
-            raise problem_at(name, text, [*path, "name"], f"there are two {key}")
+            raise build_problem(name, text, [*path, "name"], f"there are two {key}")
         problem: tuple[list[Any], str] | None = next(document.problems(), None)
         if problem is not None:
-            raise problem_at(name, text, [*path, *problem[0]], problem[1])
+            raise build_problem(name, text, [*path, *problem[0]], problem[1])
         body = msgspec.json.encode(document)
         if len(body) > max_value_bytes:
             reason = f"{len(body)} bytes, and a record takes {max_value_bytes} at most"
-            raise problem_at(name, text, path, reason)
+            raise build_problem(name, text, path, reason)
         documents[key] = msgspec.Raw(body)
     for number, field, reason in find_conflicts(file.gate):
-        raise problem_at(name, text, ["gate", number, *field], reason)
+        raise build_problem(name, text, ["gate", number, *field], reason)
     if sum(len(bytes(body)) for body in documents.values()) > MAX_EDITION_BYTES:
-        raise problem_at(name, text, [], f"an edition takes {MAX_EDITION_BYTES} bytes at most")
+        raise build_problem(name, text, [], f"an edition takes {MAX_EDITION_BYTES} bytes at most")
     return DocumentSet(file.edition, documents)
--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -20,7 +20,7 @@
 from weldhead.documents.records import HEAD_KEY, KEY_PREFIX, DocumentSet, HeadRecord
 from weldhead.protocol import http_status
 from weldhead.transport.http_client import CallError
-from weldhead.transport.http_server import Response, refusal, unavailable
+from weldhead.transport.http_server import Response, error_response, unavailable_response
 from weldhead.transport.prefix_follower import read_prefix
 from weldhead.transport.state_client import (
     StateClient,
@@ -102,9 +102,9 @@
         try:
             offer = _offer_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return refusal(http_status.BAD_REQUEST, str(error))
+            return error_response(http_status.BAD_REQUEST, str(error))
         if not self.is_loaded or not self._is_valid():
-            return unavailable("not now")
+            return unavailable_response("not now")
         verdict = classify_edition(self.cache.head, offer, self._state.limits.value_bytes)
         if verdict is EditionVerdict.ACCEPTED:
             self._offers.put_nowait(offer)
--- a/weldhead/site/description.py
+++ b/weldhead/site/description.py
@@ -21,7 +21,7 @@
     parse_settings,
 )
 from weldhead.protocol.wire import MachineType
-from weldhead.tomlfiles import FileProblemError, parse, problem_at, read_text
+from weldhead.tomlfiles import FileProblemError, build_problem, parse_toml, read_text
 
 #: Value of a CPU amount that stands for all CPUs of the site, or of the host for ``cores``.
 ALL_CPUS = "all"
@@ -194,7 +194,7 @@
 
 def _check_description(description: Description, source: str, text: str) -> None:
     def make_error(reason: str, *path: str | int) -> FileProblemError:
-        return problem_at(source, text, list(path), reason)
+        return build_problem(source, text, list(path), reason)
 
     total = description.total_cores
     if isinstance(description.cores, str) and description.cores != ALL_CPUS:
@@ -239,7 +239,7 @@
 
 def parse_description(source: str, text: str) -> Description:
     """Decode and check a site's description; a FileProblemError names line and field."""
-    description = parse(source, text, Description)
+    description = parse_toml(source, text, Description)
     _check_description(description, source, text)
     all_settings = controller_settings(
         description, ["127.0.0.1:1"] * 2, ["127.0.0.1:1"] * 2, "", ""
@@ -250,7 +250,7 @@
     except SettingsError as error:
         field, _, reason = str(error).partition(": ")
         field_path: list[str | int] = [name for name in field.split(".") if name != "facts"]
-        raise problem_at(source, text, field_path, reason) from error
+        raise build_problem(source, text, field_path, reason) from error
     return description
 
 
