--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -64,7 +64,9 @@
 
     # The calendars are in the file's order, so their numbers are those of the file's tables.
     bodies = [
-        body for name, body in document_set.documents.items() if name.startswith(CALENDAR_KIND + "/")
+        body
+        for name, body in document_set.documents.items()
+        if name.startswith(CALENDAR_KIND + "/")
     ]
     for number, body in enumerate(bodies):
         calendar = msgspec.json.decode(bytes(body), type=Calendar)
