--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -1,6 +1,9 @@
 """The leader's model of jobs, machines and resource usage. No I/O.
 
 Usage counts each attempt from the decision to start it until the attempt has certainly ended.
+
+An *orphan* is an attempt that runs on a machine although no job counts it as its own. It has to be
+stopped, and until it has ended its resources count as usage of its job's team.
 """
 
 from collections import Counter, defaultdict
@@ -31,7 +34,7 @@
 class OrphanAttempt:
     """An attempt that has to be stopped and that no job counts as its own.
 
-    ``job`` is the job of its task; None: the job is not on record.
+    ``job`` is the job that the attempt's task belongs to; None if that job is not on record.
     """
 
     machine: str
@@ -53,7 +56,7 @@
         #: lost. Keys are task and attempt number, which is unique within the task.
         self.stopping: dict[tuple[str, int], Attempt] = {}
         self.unconfirmed: dict[tuple[str, int], Attempt] = {}
-        #: Orphan attempts by machine, task and attempt number; and their number by task.
+        #: Orphan attempts by machine, task and attempt number, and how many each task has.
         self.orphans: dict[tuple[str, str, int], OrphanAttempt] = {}
         self._orphan_counts: Counter[str] = Counter()
         #: The resources that each team's known attempts use; the sums are exact (``quota/``).
@@ -122,9 +125,10 @@
     def add_orphan(
         self, machine: Machine, key: tuple[str, int], job: Job | None, at_us: int
     ) -> None:
-        """Record an orphan attempt; its resources count as its team's usage until it has ended.
+        """Record an orphan: an attempt that has to be stopped and that no job counts as its own.
 
-        The task is not started meanwhile, because the kill command may be lost.
+        Its resources count as usage of its job's team until it has ended. Its task is not started
+        meanwhile, because the command that kills the orphan may be lost.
         """
         if key in machine.orphans:
             return
--- a/weldhead/cluster_state/deadline_heap.py
+++ b/weldhead/cluster_state/deadline_heap.py
@@ -1,10 +1,14 @@
-"""A priority queue of names, each with one due time. No I/O."""
+"""A priority queue of names (of jobs or machines, for example) by due time. No I/O."""
 
 from heapq import heapify, heappop, heappush
 
 
 class DeadlineHeap:
-    """A heap of due times; outdated entries of a name are skipped when they reach the top."""
+    """A heap of names by due time.
+
+    Each name, for example a job's id, has at most one due time. A replaced due time stays in the
+    heap as an outdated entry, which is skipped when it reaches the top.
+    """
 
     __slots__ = ("_due", "_heap")
 
--- a/weldhead/cluster_state/dependency_graph.py
+++ b/weldhead/cluster_state/dependency_graph.py
@@ -18,13 +18,17 @@
 
 
 class DependencyGraph:
-    """The dependencies between unfinished jobs; the cost of a change grows with its edges."""
+    """The dependencies between unfinished jobs.
+
+    The cost of a change grows with the number of edges that it affects.
+    """
 
     def __init__(self, jobs: Mapping[str, Job]) -> None:
         self._jobs = jobs
         #: The jobs that wait for each job that is not known to be done, by the id of the latter.
         self._dependents: dict[str, dict[str, Job]] = {}
-        #: Ids of needed jobs of which it is unknown whether and how they have ended.
+        #: Ids of the jobs that others wait for and of which it is unknown whether and how they
+        #: have ended.
         self.unresolved: set[str] = set()
         #: Jobs that wait for other jobs, by job id.
         self.blocked: dict[str, Job] = {}
@@ -44,7 +48,10 @@
         job.notify_changed()
 
     def remove(self, job: Job) -> None:
-        """Remove the dependencies of a job that has ended or was withdrawn."""
+        """Remove the dependencies that an ended or withdrawn job has on the jobs that it needs.
+
+        The dependencies of other jobs on this job stay in the graph.
+        """
         self.blocked.pop(job.id, None)
         for name in job.unmet_dependencies:
             dependents = self._dependents.get(name, {})
@@ -63,7 +70,7 @@
         return [self._jobs[name] for name in self._dependents if name in self._jobs]
 
     def mark_done(self, job_id: str, at_us: int) -> list[Job]:
-        """Record that a job was committed as done; return the jobs that wait for none any more."""
+        """Record that a job was committed as done; return the dependents now unblocked."""
         self.unresolved.discard(job_id)
         released = []
         for dependent in self._dependents.pop(job_id, {}).values():
@@ -94,7 +101,10 @@
         return withdrawn
 
     def is_resolved(self, job: Job) -> bool:
-        """Whether no needed job of unknown state can have withdrawn this job already."""
+        """Whether the state is known of each job that this job needs, directly or through others.
+
+        A needed job of unknown state may have been withdrawn already, and this job with it.
+        """
         return not self.depends_on_any(job, self.unresolved)
 
     def depends_on_any(self, job: Job, job_ids: Collection[str]) -> bool:
--- a/weldhead/cluster_state/records.py
+++ b/weldhead/cluster_state/records.py
@@ -64,7 +64,10 @@
 
 
 class CalendarDeadline(msgspec.Struct, omit_defaults=True, frozen=True):
-    """The due time that a calendar sets for a job (time of day, UTC)."""
+    """The due time that a calendar sets for a job (time of day, UTC).
+
+    ``edition`` is the edition of the documents under which the calendar set it.
+    """
 
     calendar: str
     edition: int
@@ -72,7 +75,11 @@
 
 
 class GateHold(msgspec.Struct, omit_defaults=True, frozen=True):
-    """The gate that blocks a job, and the edition that the job waits for."""
+    """The gate that blocks a job, and the edition that the job waits for.
+
+    A gate holds jobs until an edition, which a rebuild job makes, has been approved and published.
+    These editions are numbered per gate and are not the editions of the documents.
+    """
 
     gate: str
     edition: int
@@ -98,7 +105,10 @@
 
 
 class AdmissionBinding(msgspec.Struct, frozen=True):
-    """The effect of documents on a job at its acceptance, and the key versions that it rests on."""
+    """The deadline, gate and action on a gate that documents set for a job when it is accepted.
+
+    ``conditions`` require that the keys from which they were derived still have the same versions.
+    """
 
     deadline: CalendarDeadline | None = None
     gate_hold: GateHold | None = None
@@ -112,7 +122,8 @@
             min(bounds, key=lambda bound: bound.due_us, default=None),
             self.gate_hold or other.gate_hold,
             self.gate_action or other.gate_action,
-            # Both bindings may rest on the same key versions; each condition is listed once.
+            # ``self`` and ``other`` may rest on the versions of the same keys, so a condition that
+            # both of them have is listed once.
             (*self.conditions, *(c for c in other.conditions if c not in self.conditions)),
         )
 
@@ -124,7 +135,8 @@
 ):
     """A job that has not ended.
 
-    The last three fields came with documents (see ``protocol/versions.py``).
+    Controllers that do not support documents know only the first three fields (see
+    ``protocol/versions.py``).
     """
 
     spec: JobSpec
@@ -136,7 +148,11 @@
 
 
 def admitted_record(spec: JobSpec, submitted_us: int, binding: AdmissionBinding) -> JobRecord:
-    """Return the record of a new job; with a gate it gets a need that only older versions see."""
+    """Return the record of a new job.
+
+    If a gate holds the job, or the job acts on a gate, the record names an additional need, which
+    only versions without support for gates take into account (see ``GATE_NEED``).
+    """
     gate = binding.gate_hold or binding.gate_action
     if gate is not None:
         spec = msgspec.structs.replace(spec, needs=(*(spec.needs or ()), GATE_NEED + gate.gate))
@@ -160,7 +176,8 @@
 class FinalRecord(msgspec.Struct, omit_defaults=True):
     """How a job ended.
 
-    The last two fields came with job chains (see ``protocol/versions.py``).
+    Controllers that do not support job chains know only the first two fields (see
+    ``protocol/versions.py``).
     """
 
     status: Literal["done", "withdrawn"]
--- a/weldhead/controller/configuration/document_publisher.py
+++ b/weldhead/controller/configuration/document_publisher.py
@@ -1,4 +1,9 @@
-"""Brings editions of the documents into force; runs on the leader."""
+"""Brings editions of the documents into force; runs on the leader.
+
+Documents are configuration that the operators write, for example deadline calendars. An *edition*
+is a numbered version of the whole set of documents, and one edition at a time is in force.
+Controllers *offer* the edition that they were configured with to the leader.
+"""
 
 import asyncio
 import logging
@@ -54,8 +59,9 @@
         self._is_valid = is_valid
         self._offers: asyncio.Queue[DocumentSet] = asyncio.Queue()
         self.cache = DocumentCache()
-        #: The head record that is being written. Until the store has answered, its edition may
-        #: already be in force for controllers that read the store, and bind jobs they accept.
+        #: The head record that is being written; it names the edition in force. Until the store has
+        #: answered, that edition may already be in force for controllers that read the store, and
+        #: may set the deadlines and gates of jobs that they accept.
         self.pending_head: HeadRecord | None = None
         self.is_loaded = False
         #: Functions that return why an edition cannot be used, or None if it can; packages that
--- a/weldhead/controller/configuration/gate_forecast.py
+++ b/weldhead/controller/configuration/gate_forecast.py
@@ -1,4 +1,11 @@
-"""Forecasts for gates: opening times, inheritance by action jobs, and expected demand."""
+"""Forecasts when release gates will open, and which jobs will then need machines.
+
+A gate holds the jobs that are bound to it until an edition, which a rebuild job makes, has been
+approved and published (``weldhead/gates/gate_state.py``). A *held job* is a job that its gate does
+not let start yet. An *action job* is a job that performs one of the actions on a gate, for example
+an approval. Held jobs wait for the action jobs of their gate, so each action job inherits the
+highest priority and the earliest deadlines of the held jobs.
+"""
 
 from collections.abc import Iterator, Mapping
 from heapq import nsmallest
@@ -18,14 +25,15 @@
 
 #: Minimum interval between refreshes of the forecasts while no gate's state changes.
 REFRESH_INTERVAL_US = SECOND_US
-#: Minimum interval between full recomputations of inheritance after held jobs have left.
+#: Minimum interval between full recomputations of what the action jobs of a gate inherit, after
+#: held jobs have left the gate.
 INHERITANCE_RECOMPUTE_INTERVAL_US = 10 * SECOND_US
 #: Machines are rented ahead for at most this many held jobs of a gate.
 MAX_PRERENTED_JOBS = 200
 
 
 class GateForecast:
-    """Forecasts when the gates of a leader term open, and the demand that they then release."""
+    """Forecasts when the gates open, and which held jobs they then release, in one leader term."""
 
     def __init__(
         self, term: Term, job_dependencies: JobDependencies, trackers: Mapping[str, GateTracker]
@@ -33,13 +41,14 @@
         self._term = term
         self._job_dependencies = job_dependencies
         self._trackers = trackers
-        #: Jobs held since the last update of what action jobs inherit.
+        #: Jobs that gates have begun to hold since the action jobs last inherited priorities and
+        #: deadlines from held jobs.
         self.newly_held_jobs: list[Job] = []
         #: When the forecasts were last refreshed; 0 if a gate's state has changed since.
         self.refreshed_us = 0
 
     def refresh(self, at_us: int) -> None:
-        """Update the expected openings, and what action jobs inherit from the held jobs."""
+        """Update when gates are expected to open, and what action jobs inherit from held jobs."""
         if at_us < self.refreshed_us + REFRESH_INTERVAL_US:
             return
         self.refreshed_us = at_us
@@ -75,7 +84,8 @@
             tracker.has_departed_jobs
             and at_us > tracker.inheritance_checked_us + INHERITANCE_RECOMPUTE_INTERVAL_US
         ):
-            # A job that left may have had the highest priority or the earliest deadline.
+            # A job that left the gate may have had the highest priority or the earliest deadline,
+            # so the inherited values are recomputed from all jobs that the gate still holds.
             tracker.has_departed_jobs, tracker.inheritance_checked_us = False, at_us
             for action_job in action_jobs:
                 dependency_graph.gate_inheritance.pop(action_job.id, None)
--- a/weldhead/controller/configuration/run_time_history.py
+++ b/weldhead/controller/configuration/run_time_history.py
@@ -1,5 +1,7 @@
-"""Carries the observed run times of job classes with calendar deadlines from term to term.
+"""Carries the observed run times of job classes from one leader's term to the next.
 
+Each job names its class in its specification, and the run times of a class are averaged. A *bound
+job* is a job with a calendar deadline; only the run times of classes with bound jobs are stored.
 Without this history, a new leader would know nothing about a class until the first tasks of the
 class ended, and would classify every bound job as unknown, neither on track nor late.
 """
@@ -40,7 +42,10 @@
         self._written_versions = dict(self._term.estimates.versions)
 
     async def run(self) -> None:
-        """Record significant changes for classes with bound jobs; runs as a background task."""
+        """Store the run times of job classes with bound jobs whenever they change significantly.
+
+        Runs as a background task.
+        """
         while True:
             await asyncio.sleep(WRITE_INTERVAL_S)
             history = self._collect_history()
@@ -52,7 +57,7 @@
                 continue
 
     def _collect_history(self) -> ClassHistory | None:
-        """Return the history with the new observations, or None if there are none."""
+        """Return the stored history with this term's new run times; None without new ones."""
         estimates = self._term.estimates
         jobs = self._term.cluster.jobs.values()
         bound_classes = {job.spec.job_class for job in jobs if job.calendar_deadline is not None}
@@ -72,7 +77,8 @@
             if (observations := estimates.export(class_name)) is not None
         }
         while len(msgspec.json.encode(history)) > self._publisher.max_value_bytes:
-            # The history exceeds the value size limit. Classes without a bound job go first.
+            # The history exceeds the size limit of a stored value, so classes are removed from it
+            # until it fits, those without a bound job first.
             dropped = next(
                 (name for name in history if name not in bound_classes), next(iter(history))
             )
--- a/weldhead/controller/leadership/leader_election.py
+++ b/weldhead/controller/leadership/leader_election.py
@@ -209,8 +209,8 @@
                 "return", self._replace_key_of_earlier_process(record, entry.version)
             )
         elif record.name in self._links and self._links[record.name].refused_us:
-            # The leader may have ended before this node learned that it led. Its refused
-            # connections were noticed then, but no task is judging it any more.
+            # The leader's process may have ended before this node learned that it led. Its refused
+            # connections were noticed at that time, but the failure detector examines it no longer.
             self.failure_detector.suspect(record.name)
 
     async def _replace_key_of_earlier_process(self, record: LeaderRecord, token: int) -> None:
@@ -305,9 +305,9 @@
         lease_id, unsettled_from_us = await asyncio.gather(
             self._state.grant(self.timing.ttl_us), read_unsettled_from_us(self._state)
         )
-        # The record states how long earlier leaders may be active. A successor may replace this
-        # record at once, because its writer never led or ended immediately, and then has to wait
-        # for the same earlier leaders.
+        # The record states how long earlier leaders may be active. If this node never leads by the
+        # record, or its term ends immediately, a successor may replace the record at once, and then
+        # has to wait for the same earlier leaders.
         earlier_us = max(remaining_lease_us, self.previous_leaders.expired_us - sent_us, 0)
         record = LeaderRecord(self.settings.name, nonce, self.timing.ttl_us, earlier_us)
         attempt = _CampaignAttempt(
@@ -345,9 +345,11 @@
         try:
             return await self._state.transact(
                 [Condition(LEADER_KEY, replaced_token)],
-                # The unsettled record is written without a condition of its own. If the write is
-                # applied late, the record states an earlier time, which only makes leaders more
-                # careful.
+                # The unsettled record (``UnsettledRecord``) states since when tasks of cancelled
+                # jobs may run without the leader's knowledge. Its write requires nothing of the
+                # record's present version; the only condition is the one on the leader's key. If
+                # the write is applied late, the record states an earlier time than it needs to,
+                # which only makes leaders more careful.
                 [
                     PutKey(LEADER_KEY, attempt.record, attempt.lease_id),
                     PutKey(UNSETTLED_KEY, UnsettledRecord(missed_us)),
--- a/weldhead/controller/leadership/previous_leaders.py
+++ b/weldhead/controller/leadership/previous_leaders.py
@@ -34,8 +34,10 @@
 class PreviousLeaders:
     """What one controller knows of the leaders before the current one.
 
-    ``nonce_prefix`` is the prefix of all nonces of this process. ``ttl_us`` bounds how long a
-    leader may trust its lease after it was replaced.
+    Every leader's record carries a nonce, a text by which a process recognizes the records that it
+    wrote itself. ``nonce_prefix`` is the prefix of all nonces of this process: a record with this
+    node's name and another prefix was written by a previous process of the node. ``ttl_us`` bounds
+    how long a leader may trust its lease after it was replaced.
     """
 
     def __init__(self, name: str, nonce_prefix: str, peer_count: int, ttl_us: int) -> None:
@@ -52,13 +54,13 @@
         #: The peers whose last answer to this process stated that they are in no term, and when
         #: the answered ping was sent.
         self._no_term_stated_us: dict[str, int] = {}
-        #: The newest version of the key that was read, and when a record was last taken into
-        #: account.
+        #: The newest version of the leader's key that was read, and when a leader's record was last
+        #: taken into account.
         self.read_token = self._read_us = 0
         #: Whether a previous process of this node wrote that version.
         self._written_by_earlier_process = False
-        #: The revision up to which all records were taken into account; None until the key was
-        #: read.
+        #: The revision of the state service up to which all leaders' records were taken into
+        #: account; None until the leader's key was read.
         self._followed_revision: int | None = None
 
     def open(self, state: StateClient) -> None:
--- a/weldhead/controller/scheduling_loop/completion_forecaster.py
+++ b/weldhead/controller/scheduling_loop/completion_forecaster.py
@@ -44,13 +44,15 @@
         self._term = term
         self._loop_budget = loop_budget
         self._stage_us = stage_us
-        #: The reported late jobs, and the callback that adjusts calendar deadlines to the steady
-        #: clock and the time of day; None if the controller is configured without documents.
+        #: The record of the jobs that were reported late, and a function that adjusts calendar
+        #: deadlines to the given steady clock and time of day. Both are None if the controller is
+        #: configured without documents.
         self.late_notices: LateNotices | None = None
         self.follow_clock: Callable[[int, int], None] | None = None
         #: Returns the reason why a gate holds a job; "" if no gate does.
         self.hold_reason: Callable[[Job], str] = lambda job: ""
-        #: Created when first needed, and again after a failure.
+        #: The forecasts of the term's jobs. They are created when they are first needed. After an
+        #: update of the forecasts has failed, they are dropped and created anew.
         self._forecasts: JobForecasts | None = None
 
     def refresh(self, job: Job) -> None:
@@ -89,8 +91,8 @@
             for job in forecasts.refresh(at_us):
                 self._report_if_late(job, at_us)
         except Exception:
-            # The failure may have lost a job's change notification: the next update starts with
-            # new forecasts of all jobs.
+            # The failed update may have taken a job's change notification without applying it, so
+            # the next update starts with new forecasts of all jobs.
             forecasts.close()
             self._forecasts = None
             raise
@@ -98,7 +100,8 @@
     def _report_if_late(self, job: Job, at_us: int) -> None:
         """Log a job that turns late.
 
-        In a chain of jobs, this reports the job whose users set the deadline.
+        In a chain of jobs, lateness is reported for the job on which users set the deadline, and
+        not for the jobs that inherit the deadline from it.
         """
         if job.cancelled:
             return
--- a/weldhead/controller/workers/heartbeat_handler.py
+++ b/weldhead/controller/workers/heartbeat_handler.py
@@ -124,8 +124,10 @@
             previous_lease_from_us = machine.lease_start_us
             self._record_lease_renewal(machine, freshness, buffered.answered_us)
             if buffered.source is MessageSource.COMMAND_ANSWER:
-                # The worker showed the token after the answer to its heartbeat, which may have been
-                # lost. The previous leader may have renewed its lease in between.
+                # The worker showed this leader's token in its answer to a direct command, after the
+                # leader had answered a heartbeat of the worker. The answer to the heartbeat may
+                # have been lost, and the previous leader may have renewed the worker's lease in
+                # between.
                 machine.lease_start_us = max(machine.lease_start_us, previous_lease_from_us)
             machine.relayed = buffered.relayed
             if buffered.answered:
@@ -139,7 +141,8 @@
             return
         at_us = now_us()
         if machine.is_booting and not machine.enrolled and machine.rented_us > self._term.loaded_us:
-            # Machines that an earlier term rented are left out: they may have booted long ago.
+            # The boot time is recorded only for machines that were rented in this leader's term.
+            # Machines that an earlier leader rented may have booted long before this message.
             self._term.boot_history.record_boot(machine, at_us)
         had_notice = machine.interruption_us
         effect = apply_heartbeat(self._term.cluster, machine, heartbeat, at_us, source)
--- a/weldhead/controller/workers/heartbeat_reconciler.py
+++ b/weldhead/controller/workers/heartbeat_reconciler.py
@@ -1,4 +1,9 @@
-"""Updates the leader's view of a machine from its worker's heartbeat. No I/O."""
+"""Updates the leader's view of a machine from its worker's heartbeat. No I/O.
+
+A machine is *reconciled* once its worker has sent a message with the fencing token of this leader's
+term. An *orphan* is an attempt that a worker reports, that no job counts as its own, and that has
+to be stopped.
+"""
 
 import logging
 from dataclasses import dataclass, field
@@ -158,7 +163,7 @@
         self._effect = effect
         self._has_current_token = heartbeat.token == cluster.token
         self._was_reconciled = machine.reconciled
-        #: Tasks whose listed attempt is the one that the leader counts on this machine.
+        #: Tasks of which the heartbeat lists the attempt that the leader counts on this machine.
         self._listed_tasks: set[str] = set()
         #: The listed (task, attempt) pairs; filled only if a step compares with them.
         self._listed: set[tuple[str, int]] = set()
@@ -185,7 +190,8 @@
         if self._source is MessageSource.HEARTBEAT:
             machine.heartbeat_sequence = self._heartbeat.sequence
         self._effect.capacity_freed = (
-            # Nothing else tells placement that a machine without orphans may be used again.
+            # Placement uses no machine with orphans, and nothing else tells it that the last
+            # orphan of this machine has ended.
             (had_orphans and not machine.orphans)
             or machine.cpus > free_cpus_before
             or (machine.reconciled and not self._was_reconciled)
@@ -213,7 +219,11 @@
                 self._release(attempt, "no longer listed by its worker")
 
     def _mark_reconciled(self) -> None:
-        """Record that the worker knows this term, so that its task list is current from now on."""
+        """Record that the worker has sent a message with this term's token.
+
+        From then on the worker refuses commands of earlier leaders, so that only this leader can
+        add attempts to the worker's task list.
+        """
         machine = self._machine
         machine.reconciled = True
         machine.lease_start_us = max(machine.lease_start_us, self._at_us)
--- a/weldhead/controller/workers/stop_requests.py
+++ b/weldhead/controller/workers/stop_requests.py
@@ -23,10 +23,11 @@
 
 
 def release_undelivered(cluster: Cluster, machine: Machine) -> int:
-    """Release the attempts assigned to a machine that certainly never start there; count them.
+    """Release the attempts assigned to a machine that will certainly never start there.
 
-    Nothing of them is in flight: either their ``run`` was not sent, or a later heartbeat has shown
-    that the answer carrying it was dropped. Attempts sent directly and not answered are kept.
+    No ``run`` command for them is in flight: either it was not sent, or a later heartbeat has shown
+    that the answer carrying it was dropped. Attempts whose ``run`` was sent in a direct request
+    that was not answered are kept. Returns the number of released attempts.
     """
     undelivered = [
         attempt
--- a/weldhead/scheduling/forecast/job_forecasts.py
+++ b/weldhead/scheduling/forecast/job_forecasts.py
@@ -147,7 +147,10 @@
         job.forecast_made_us = at_us
 
     def refresh(self, at_us: int) -> list[Job]:
-        """Update the forecasts that are due; return the jobs that may have become late or not."""
+        """Update the forecasts that are due for a refresh, and return their jobs.
+
+        Each of these jobs may have turned late, or may be late no longer.
+        """
         for job in self._feed.take():
             if self._cluster.jobs.get(job.id) is job:
                 self._schedule_refresh(job, at_us)
@@ -171,7 +174,8 @@
             due_us = effective_due_us(job)
             if due_us is None:
                 # A job without a due time needs no regular forecast, and a change of the job
-                # schedules a refresh by itself. Only the forecast of a broken job is withdrawn.
+                # schedules a refresh by itself. Its forecast is removed only if its tasks fail
+                # on every machine.
                 job.expected_finish_us = (
                     None if is_failing_everywhere(job) else job.expected_finish_us
                 )
--- a/weldhead/scheduling/inherited_priority.py
+++ b/weldhead/scheduling/inherited_priority.py
@@ -54,7 +54,7 @@
     path_us: Callable[[Job], int],
     at_us: int,
 ) -> None:
-    """Update the inherited values of the given jobs and of all jobs that they depend on.
+    """Update what the given jobs and all jobs that they depend on inherit from their dependents.
 
     ``path_us`` estimates how long a job takes from its release to its end. Dependents are updated
     before the jobs that they depend on, so each edge upstream of the change is visited once.
@@ -72,7 +72,8 @@
                     paths_us[dependent.id] = path_us(dependent)
                 deadlines_us.update(end_us - paths_us[dependent.id] for end_us in ends_us)
         job.effective_level = level
-        # Deadlines that can still be met are kept. If all have passed, the latest one is kept.
+        # The job inherits only the deadlines that lie in the future. If all deadlines have passed,
+        # it inherits the latest one.
         kept_us = (
             sorted(due_us for due_us in deadlines_us if due_us > at_us) or sorted(deadlines_us)[-1:]
         )
--- a/weldhead/scheduling/placement/unplaced_tasks.py
+++ b/weldhead/scheduling/placement/unplaced_tasks.py
@@ -1,4 +1,9 @@
-"""Tasks that a placement pass found no capacity for."""
+"""Tasks that a placement pass found no capacity for.
+
+The backlog has one queue per kind of job. If a job finds no capacity, or its team's limit rejects
+it, the placement pass skips the jobs behind it in the queue, because the same holds for them
+(``weldhead/scheduling/placement/backlog_entry.py``). The skipped jobs are the *tail* of the queue.
+"""
 
 from bisect import bisect_left
 from collections.abc import Iterator
@@ -84,9 +89,11 @@
 
 
 class QueueScan:
-    """A scan over unplaced jobs that can skip the rest of a queue.
+    """A scan over unplaced jobs, in placement order, that can skip the rest of a queue.
 
-    Queue 0 holds the jobs that were added one by one; the other queues are the skipped tails.
+    The scan merges several queues. Queue 0 holds the jobs that were added to ``UnplacedTasks`` one
+    by one. Each other queue is the tail of one backlog queue: the jobs that the placement pass
+    skipped.
     """
 
     def __init__(
--- a/weldhead/scheduling/preemption/preemption_pass.py
+++ b/weldhead/scheduling/preemption/preemption_pass.py
@@ -1,10 +1,14 @@
 """One preemption pass, by Natjam's victim rules.
 
 When a waiting task fits on no machine, a pass requests capacity on behalf of its job, as long as
-the job has more unplaced tasks than open reclaim requests. The victim is a task of the job that
-holds the most resources (Most Resources) within the lowest priority level that holds any. Of a job
-that checkpoints, the task nearest its end is preempted (Shortest Remaining Time); of other jobs,
-the task that has run least. Services are preempted last within their level.
+the job has more unplaced tasks than open reclaim requests. The job that needs the capacity is the
+*claimant*. A reclaim request names a machine, and the tasks that are preempted there to make room
+for one task of the claimant: the *victims*.
+
+The victim is a task of the job that holds the most resources (Most Resources) within the lowest
+priority level that holds any. Of a job that checkpoints, the task nearest its end is preempted
+(Shortest Remaining Time); of other jobs, the task that has run least. Services are preempted last
+within their level.
 
 Two rules go beyond the paper. Work that a team runs on borrowed capacity yields to work inside
 another team's guarantee, whatever the priorities. Work inside a team's guarantee never yields to
@@ -37,12 +41,15 @@
 
 
 class _SearchProgress:
-    """The position that the claimants of one kind have reached in their search for capacity.
+    """How far the search for capacity has come for all claimants of one kind.
+
+    Claimants of one kind have the same team and priority level, and their tasks have the same
+    resources and placement constraints.
 
     Within a pass the capacity for a kind of claimant only shrinks, except where victims free more
     than was claimed, and a task that may not be preempted now may not be preempted later either.
-    So each machine and each task is considered once per kind. Without this, each unplaced task
-    searched the whole cluster again.
+    So each machine and each task is considered once per kind. Without the shared position, the
+    search for each unplaced task went through the whole cluster again.
     """
 
     __slots__ = ("job_position", "machine_names", "task_position")
@@ -259,7 +266,11 @@
         )
 
     def _claimant_kind(self, claimant: Job) -> tuple[object, ...]:
-        """Return the attributes that claimants share whose search gives the same result."""
+        """Return the attributes that decide which capacity a claimant may get.
+
+        Claimants with equal attributes are of one kind: the search for capacity gives the same
+        result for each of them.
+        """
         spec = claimant.spec
         return (
             claimant.team,
@@ -312,14 +323,17 @@
         return machine.allows(claimant) and claimant.capacity_in_zone(machine.zone) > 0
 
     def plan_reclaim(self, claimant: Job) -> Reclaim | None:
-        """Return a request for one task of the claimant; None if no task may be preempted.
+        """Return a reclaim request for the capacity that one task of the claimant needs.
 
-        The request has no victims if a machine has enough capacity that is free or being freed.
+        If the task fits on a machine whose capacity is free or being freed already, the request
+        reserves that capacity and has no victims. Otherwise the request names the tasks to preempt
+        on a machine. The result is None if the task fits nowhere and the tasks that may be
+        preempted would not make enough room for it on any machine.
         """
         kind = self._claimant_kind(claimant)
         progress = self._progress_of(claimant, kind)
-        # A large victim frees capacity for further claimants. Before machines were checked for
-        # such capacity first, a job of six small tasks preempted six large ones.
+        # A large victim may free capacity for several tasks, so machines with enough capacity are
+        # tried first. Without this check, a job of six small tasks preempted six large ones.
         while progress.machine_names:
             name = progress.machine_names[-1]
             capacity = self.available_capacity(name)
@@ -359,9 +373,10 @@
         return None
 
     def plan_reserved_reclaim(self, claimant: Job, machine_name: str) -> Reclaim | None:
-        """Return a request for one task on a machine that is reserved for the claimant.
+        """Return a reclaim request for one task on a machine that is reserved for the claimant.
 
-        None if the task fits already, or if the tasks that may be preempted free too little.
+        The result is None if the task fits on the machine already, if it may not run there, or if
+        the tasks that may be preempted there free too little.
         """
         machine, capacity = (
             self.cluster.machines.get(machine_name),
@@ -380,7 +395,7 @@
     def _plan_gpu_reclaim(
         self, claimant: Job, kind: tuple[object, ...], within_guarantee: bool
     ) -> Reclaim | None:
-        """Return a request for one GPU task; None if no set of tasks may be preempted."""
+        """Return a reclaim request for one GPU task; None if no set of tasks may be preempted."""
         if self._gpu_victim_selector is None:
             self._gpu_victim_selector = GpuVictimSelector(self)
         victim_set = self._gpu_victim_selector.select_victims(claimant, kind, within_guarantee)
@@ -446,7 +461,7 @@
     def _record_reclaim(
         self, claimant: Job, machine_name: str, capacity: list[float], victims: list[Attempt]
     ) -> Reclaim:
-        """Apply a choice of victims to the state of this pass and return the request for it."""
+        """Record the chosen victims in the state of this pass and return the reclaim request."""
         for victim in victims:
             self.victim_ids.add(id(victim))
             self._add_task_resources(capacity, victim.job, 1)
--- a/weldhead/site/worker.py
+++ b/weldhead/site/worker.py
@@ -3,6 +3,10 @@
 The state machine does no I/O. Its methods take messages, exits of processes and the current
 time, and return actions that the caller carries out in order. CPUs and memory (in GB) are
 amounts per task; times are microseconds of the monotonic clock.
+
+The token is the fencing token of a leader: it is higher for each new leader. A worker keeps the
+highest token that it has received, and obeys no answer or command with a lower one. A session ends
+when the worker's lease expires: the worker then kills all its tasks and begins the next session.
 """
 
 import enum
@@ -122,7 +126,10 @@
 
 @dataclass
 class Worker:
-    """State of a worker: its session, token, lease, and the attempts on its machine."""
+    """State of a worker: its session, its lease, and the attempts on its machine.
+
+    ``token`` is the highest fencing token of a leader that the worker has received.
+    """
 
     machine_info: MachineInfo
     lease_us: int
