--- a/tests/controller/test_memory_limit.py
+++ b/tests/controller/test_memory_limit.py
@@ -16,11 +16,11 @@
 from tests.support.users import GOOD_BODY, JOB, OTHER_BODY, StandInNode, run
 from weldhead.admission.memory_gate import (
     ACCEPT_SHARE,
-    COME_BACK_S,
-    LEADER_WORD_US,
+    LEADER_STATEMENT_VALIDITY_US,
+    MEMORY_RETRY_AFTER_S,
     REFUSE_SHARE,
+    TRIAL_INTERVAL_US,
     TRIAL_SHARE,
-    TRIAL_US,
     MemoryGate,
     MemoryTransition,
 )
@@ -44,32 +44,34 @@
     gate, at_us, trial_us, full = MemoryGate(LIMIT), 10 * SECOND_US, 0, False
     for percent, pause_us in readings:
         at_us += pause_us
-        change, before = gate.read(percent * MIB), full
+        change, before = gate.update(percent * MIB), full
         full = percent >= 100 * (ACCEPT_SHARE if full else REFUSE_SHARE)
         assert change is (
-            MemoryTransition.NONE
+            MemoryTransition.UNCHANGED
             if full is before
-            else MemoryTransition.FULL
+            else MemoryTransition.REFUSING
             if full
-            else MemoryTransition.ROOM
+            else MemoryTransition.ACCEPTING
         )
-        taken = gate.admits(at_us)
+        taken = gate.try_admit(at_us)
         if full and taken:
             # Python keeps most of the memory that it frees. Without accepting a trial job now and
             # then, a process whose jobs have ended might refuse new ones for ever.
-            assert percent < 100 * TRIAL_SHARE and at_us - trial_us >= TRIAL_US
+            assert percent < 100 * TRIAL_SHARE and at_us - trial_us >= TRIAL_INTERVAL_US
             trial_us = at_us
         assert taken or full
 
 
 def test_leaders_memory_statement_expires() -> None:
     gate = MemoryGate(LIMIT)
-    gate.observe_leader(SECOND_US, full=True)
-    assert not gate.admits(SECOND_US) and not gate.admits(SECOND_US + LEADER_WORD_US - 1)
-    assert gate.admits(SECOND_US + LEADER_WORD_US)
-    gate.observe_leader(5 * SECOND_US, full=True)
-    gate.observe_leader(5 * SECOND_US, full=False)
-    assert gate.admits(5 * SECOND_US)
+    gate.observe_leader(SECOND_US, exhausted=True)
+    assert not gate.try_admit(SECOND_US) and not gate.try_admit(
+        SECOND_US + LEADER_STATEMENT_VALIDITY_US - 1
+    )
+    assert gate.try_admit(SECOND_US + LEADER_STATEMENT_VALIDITY_US)
+    gate.observe_leader(5 * SECOND_US, exhausted=True)
+    gate.observe_leader(5 * SECOND_US, exhausted=False)
+    assert gate.try_admit(5 * SECOND_US)
 
 
 def test_memory_is_exhausted_only_above_trial_share() -> None:
@@ -80,7 +82,7 @@
     """
     used = [94 * MIB]
     memory = MemoryMonitor(100.0, lambda: used[0])
-    assert not memory.is_exhausted(SECOND_US) and memory.admits(2 * SECOND_US + TRIAL_US)
+    assert not memory.is_exhausted(SECOND_US) and memory.admits(2 * SECOND_US + TRIAL_INTERVAL_US)
     used[0] = 96 * MIB
     assert memory.is_exhausted(10 * SECOND_US) and not memory.admits(20 * SECOND_US)
 
@@ -113,7 +115,7 @@
     for _ in range(3):
         at_us[0] += MIN_READING_INTERVAL_US
         answer = asyncio.run(asyncio.wait_for(handler.submit(OTHER_BODY), 5))
-        assert (answer.status, answer.retry_after_s) == (503, COME_BACK_S)
+        assert (answer.status, answer.retry_after_s) == (503, MEMORY_RETRY_AFTER_S)
         assert run(handler.poll(JOB))[0] == 200
         # The cancellation is refused because there is no leader, not because of the memory.
         assert run(handler.cancel(JOB)) == (503, {"error": "no leader"})
--- a/tests/failure_attribution/test_failure_attribution.py
+++ b/tests/failure_attribution/test_failure_attribution.py
@@ -1,4 +1,8 @@
-"""Whose fault failures are: faulty machines are found, healthy ones kept, broken jobs held back."""
+"""Attribution of task failures to faulty machines and faulty jobs.
+
+The tests guard against faulty jobs that drain healthy machines, and against faulty machines that
+go undetected.
+"""
 
 from dataclasses import replace
 
@@ -14,41 +18,50 @@
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.failure_attribution.failure_tracker import (
-    MOST_PAUSE_US,
-    RENT_PAUSE_US,
-    REVIEW_US,
+    MAX_RETRY_DELAY_US,
+    MIN_RENTAL_DELAY_US,
+    REVIEW_DELAY_US,
     FailureTracker,
 )
-from weldhead.failure_attribution.judgement import FailureEvidence, JobHealth, is_faulty, job_health
+from weldhead.failure_attribution.judgement import (
+    FailureEvidence,
+    JobHealth,
+    assess_job,
+    is_machine_faulty,
+)
 from weldhead.scheduling.placement.placement_plan import PlacementPlan
 
 EVIDENCE = st.lists(st.builds(FailureEvidence, st.integers(1, 9), st.booleans(), st.booleans()))
 
 
+# Jobs that fail on other machines too are no evidence against a machine.
 @given(EVIDENCE, st.booleans())
 def test_jobs_that_fail_elsewhere_as_well_accuse_nobody(
     evidence: list[FailureEvidence], alone: bool
 ) -> None:
-    broken = [replace(a, succeeds=False, elsewhere=True) for a in evidence]
-    assert not is_faulty(broken, alone=alone)
-    judged = is_faulty(evidence, alone=alone)
-    assert is_faulty([*evidence, *broken], alone=alone) == judged
-    # One more failure of whatever kind exonerates nobody.
-    assert judged <= is_faulty([*evidence, FailureEvidence(1, True, False)], alone=alone)
+    broken = [replace(a, succeeds_elsewhere=False, fails_elsewhere=True) for a in evidence]
+    assert not is_machine_faulty(broken, is_only_machine=alone)
+    judged = is_machine_faulty(evidence, is_only_machine=alone)
+    assert is_machine_faulty([*evidence, *broken], is_only_machine=alone) == judged
+    # An additional failure never makes a faulty machine healthy.
+    assert judged <= is_machine_faulty(
+        [*evidence, FailureEvidence(1, True, False)], is_only_machine=alone
+    )
 
 
+# A job that succeeds on some machine is healthy, whatever else is known of it.
 @given(st.booleans(), st.integers(0, 5), st.integers(0, 5))
 def test_a_job_that_succeeds_somewhere_is_never_called_broken(
     succeeds: bool, failed_on: int, on_proven: int
 ) -> None:
-    standing = job_health(succeeds=succeeds, failed_on=failed_on, on_proven=on_proven)
-    assert (standing is JobHealth.SOUND) == succeeds
+    health = assess_job(succeeds=succeeds, failed_machines=failed_on, proven_machines=on_proven)
+    assert (health is JobHealth.HEALTHY) == succeeds
     if not succeeds and failed_on < 2 and not on_proven:
-        assert standing is JobHealth.OPEN
+        assert health is JobHealth.UNDETERMINED
 
 
 def starts(into: Cluster, at_us: int) -> PlacementPlan:
-    """A pass while all machines are heard."""
+    """Plan starts while all machines send heartbeats."""
     for machine in into.machines.values():
         machine.last_heartbeat_us = at_us
     return starts_of(into, at_us)
@@ -62,78 +75,83 @@
     failures.record_failure(attempt, at_us)
 
 
-def judged(failures: FailureTracker, into: Cluster) -> dict[str, JobHealth]:
-    """Look once, and apply what a leader applies; the standings that changed."""
-    review = failures.review(into)
-    for machine in review.faulty:
+def review(failures: FailureTracker, into: Cluster) -> dict[str, JobHealth]:
+    """Review once, apply the result as a leader does, and return each changed job's health."""
+    found = failures.review(into)
+    for machine in found.faulty_machines:
         machine.draining = True
-    for job, standing in review.changed:
-        job.broken = standing is JobHealth.BROKEN
-        job.on_probation = standing is not JobHealth.SOUND
-    return {job.id: standing for job, standing in review.changed}
+    for job, health in found.changed_jobs:
+        job.broken = health is JobHealth.FAULTY
+        job.on_probation = health is not JobHealth.HEALTHY
+    return {job.id: health for job, health in found.changed_jobs}
 
 
-def test_a_broken_job_drains_no_machine_and_takes_little() -> None:
-    """One that failed with many tasks on each machine had them all returned, one by one."""
+def test_faulty_job_drains_no_machine_and_starts_rarely() -> None:
+    """A job that failed with many tasks on each machine caused all of them to be returned."""
     into, failures = cluster(), FailureTracker()
     machines = [add_machine(into, f"vm-{n}", cpus=64.0, memory_gb=64.0) for n in range(4)]
     job = add_job(into, job_spec(1, tasks=30))
     for n, index in enumerate((0, 1, 2)):
         fail(failures, into, job, index, machines[0], (n + 1) * S)
-    assert judged(failures, into) == {job.id: JobHealth.OPEN}
-    # Tried elsewhere, one task at a time, and nothing is rented or stopped for it.
+    assert review(failures, into) == {job.id: JobHealth.UNDETERMINED}
+    # The job is tried on another machine, one task at a time. No machine is rented
+    # and no task is preempted for it.
     plan = starts(into, 10 * S)
     assert [start.machine is machines[0] for start in plan.starts] == [False]
     assert not plan.unplaced
     fail(failures, into, job, 0, machines[1], 11 * S)
-    assert judged(failures, into) == {job.id: JobHealth.BROKEN}
+    assert review(failures, into) == {job.id: JobHealth.FAULTY}
     for tries in range(12):
         before_us = (20 + 100 * tries) * S
         fail(failures, into, job, 0, machines[tries % 4], before_us)
-        assert not judged(failures, into)
-    assert job.not_before_us == before_us + MOST_PAUSE_US
+        assert not review(failures, into)
+    assert job.not_before_us == before_us + MAX_RETRY_DELAY_US
     assert not any(machine.draining for machine in machines)
-    assert len(starts(into, before_us + MOST_PAUSE_US + S).starts) == 1
-    # The machines hold other jobs all the while.
+    assert len(starts(into, before_us + MAX_RETRY_DELAY_US + S).starts) == 1
+    # The machines run other jobs in the meantime.
     add_job(into, job_spec(2, tasks=100))
     assert len(starts(into, before_us + S).starts) > 40
 
 
-def test_a_faulty_machine_is_found_beside_broken_jobs() -> None:
+def test_faulty_machine_is_found_despite_faulty_jobs() -> None:
     into, failures = cluster(), FailureTracker()
-    sick, well = (add_machine(into, name, cpus=64.0, memory_gb=64.0) for name in ("vm-1", "vm-2"))
-    broken = [add_job(into, job_spec(n, tasks=8)) for n in range(1, 6)]
-    for job in broken:
-        for machine in (sick, well):
+    faulty, healthy = (
+        add_machine(into, name, cpus=64.0, memory_gb=64.0) for name in ("vm-1", "vm-2")
+    )
+    faulty_jobs = [add_job(into, job_spec(n, tasks=8)) for n in range(1, 6)]
+    for job in faulty_jobs:
+        for machine in (faulty, healthy):
             fail(failures, into, job, 0, machine, S)
-    judged(failures, into)
-    good = add_job(into, job_spec(9, tasks=8))
-    well.last_heartbeat_us = 20 * S
-    run_on(into, good, 0, well, 10 * S)
-    fail(failures, into, good, 1, sick, 16 * S)
-    assert not judged(failures, into)
-    fail(failures, into, good, 2, sick, 17 * S)
-    assert judged(failures, into) == {}
-    assert (sick.draining, well.draining) == (True, False)
-    # What a silent machine runs proves nothing: it may have failed long ago.
-    assert good.failed_machines == {"vm-1"}
-
-
-def test_a_machine_on_which_others_succeed_since_is_healthy_and_the_job_broken() -> None:
+    review(failures, into)
+    healthy_job = add_job(into, job_spec(9, tasks=8))
+    # A running task counts as a success only up to its machine's last heartbeat: the tasks of a
+    # silent machine may have failed long ago.
+    healthy.last_heartbeat_us = 20 * S
+    run_on(into, healthy_job, 0, healthy, 10 * S)
+    fail(failures, into, healthy_job, 1, faulty, 16 * S)
+    assert not review(failures, into)
+    fail(failures, into, healthy_job, 2, faulty, 17 * S)
+    assert review(failures, into) == {}
+    assert (faulty.draining, healthy.draining) == (True, False)
+    # The failures of the healthy job are attributed to the faulty machine alone.
+    assert healthy_job.failed_machines == {"vm-1"}
+
+
+def test_job_is_faulty_if_another_succeeds_on_its_machine() -> None:
     into, failures = cluster(), FailureTracker()
     machine = add_machine(into, cpus=64.0, memory_gb=64.0)
     job = add_job(into, job_spec(1, tasks=8))
     fail(failures, into, job, 0, machine, S)
-    assert judged(failures, into) == {job.id: JobHealth.OPEN}
-    # What began before the failure proves nothing: machines fall sick.
+    assert review(failures, into) == {job.id: JobHealth.UNDETERMINED}
+    # A task that started before the failure proves nothing: the machine may have failed since.
     failures.record_success(machine, S)
-    assert judged(failures, into) == {}
+    assert review(failures, into) == {}
     failures.record_success(machine, 3 * S)
-    assert judged(failures, into) == {job.id: JobHealth.BROKEN}
+    assert review(failures, into) == {job.id: JobHealth.FAULTY}
 
 
 @pytest.mark.parametrize("alone", [True, False])
-def test_many_new_jobs_failing_on_one_machine_accuse_it_only_where_it_is_alone(alone: bool) -> None:
+def test_failures_of_new_jobs_count_only_on_the_only_machine(alone: bool) -> None:
     into, failures = cluster(), FailureTracker()
     machine = add_machine(into, cpus=64.0, memory_gb=64.0)
     if not alone:
@@ -141,46 +159,46 @@
     for number in range(1, 4):
         assert not machine.draining
         fail(failures, into, add_job(into, job_spec(number)), 0, machine, S)
-        judged(failures, into)
+        review(failures, into)
     assert machine.draining == alone
 
 
-def test_a_job_that_was_only_unlucky_goes_on_at_its_whole_width() -> None:
+def test_faulty_job_is_healthy_once_a_task_runs_long_enough() -> None:
     into, failures = cluster(), FailureTracker()
-    sick = [add_machine(into, f"vm-{n}") for n in range(2)]
+    failed_machines = [add_machine(into, f"vm-{n}") for n in range(2)]
     job = add_job(into, job_spec(1, tasks=4, cpus=1.0))
-    for machine in sick:
+    for machine in failed_machines:
         fail(failures, into, job, 0, machine, S)
-    assert judged(failures, into) == {job.id: JobHealth.BROKEN}
-    assert job.not_before_us == S + REVIEW_US
-    well = add_machine(into, "vm-9")
+    assert review(failures, into) == {job.id: JobHealth.FAULTY}
+    assert job.not_before_us == S + REVIEW_DELAY_US
+    healthy = add_machine(into, "vm-9")
     (start,) = starts(into, 3 * S).starts
-    assert start.machine is well
-    run_on(into, job, start.index, well, 3 * S)
+    assert start.machine is healthy
+    run_on(into, job, start.index, healthy, 3 * S)
     assert job.waiting == 0
-    well.last_heartbeat_us = 7 * S
-    assert judged(failures, into) == {}
-    well.last_heartbeat_us = 9 * S
-    assert judged(failures, into) == {job.id: JobHealth.SOUND}
+    healthy.last_heartbeat_us = 7 * S
+    assert review(failures, into) == {}
+    healthy.last_heartbeat_us = 9 * S
+    assert review(failures, into) == {job.id: JobHealth.HEALTHY}
     assert job.waiting == 3
 
 
-def test_a_job_with_no_machine_to_be_tried_on_has_one_rented_but_rarely_once_it_is_broken() -> None:
+def test_machine_is_rented_rarely_for_a_stranded_faulty_job() -> None:
     into, failures = cluster(), FailureTracker()
     machine = add_machine(into)
     job = add_job(into, job_spec(1))
     fail(failures, into, job, 0, machine, S)
-    judged(failures, into)
+    review(failures, into)
     assert failures.is_stranded(job, into, 2 * S)
     other = add_machine(into, "vm-2")
     assert not failures.is_stranded(job, into, 2 * S)
     fail(failures, into, job, 0, other, 3 * S)
-    judged(failures, into)
-    assert not failures.is_stranded(job, into, 4 * S + RENT_PAUSE_US)
+    review(failures, into)
+    assert not failures.is_stranded(job, into, 4 * S + MIN_RENTAL_DELAY_US)
     for gone in (machine, other):
         into.remove_machine(gone)
-    judged(failures, into)
-    assert not failures.is_stranded(job, into, 3 * S + RENT_PAUSE_US - 1)
-    assert failures.is_stranded(job, into, 3 * S + RENT_PAUSE_US)
+    review(failures, into)
+    assert not failures.is_stranded(job, into, 3 * S + MIN_RENTAL_DELAY_US - 1)
+    assert failures.is_stranded(job, into, 3 * S + MIN_RENTAL_DELAY_US)
     job.stranded = True
-    assert starts(into, 4 * S + RENT_PAUSE_US).unplaced
+    assert starts(into, 4 * S + MIN_RENTAL_DELAY_US).unplaced
--- a/weldhead/admission/__init__.py
+++ b/weldhead/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which submissions are taken when more come than the store can hold."""
+"""Admission control: feasibility of jobs, rate limits and the memory limit."""
--- a/weldhead/admission/fair_rate_limiter.py
+++ b/weldhead/admission/fair_rate_limiter.py
@@ -1,116 +1,129 @@
-"""Whose question goes first when not all can be answered. No I/O.
-
-Each answer from the state service costs some of its requests. When more is asked than there is
-room for, chance decided who was answered, and with thousands of jobs some were refused each
-time for minutes. So half of what may be used at once is kept for those jobs whose questions have
-failed for longest: as many as can be answered in the time in which each of them asks a few times.
-What is kept in memory is bounded, and who stops asking is forgotten. Times are microseconds of
-the steady clock; amounts are requests.
+"""Rate limiter that gives precedence to the jobs whose polls have failed for longest. No I/O.
+
+Each answer to a poll costs some of the state service's request rate. Without precedence, chance
+decided which polls were answered when the rate did not suffice, and with thousands of jobs some
+jobs were refused each time for minutes. So half of the burst is reserved for the jobs whose polls
+have failed for longest: as many jobs as the rate can answer while each is polled a few times.
+The number of remembered jobs is bounded, and jobs that are no longer polled are forgotten. Times
+are microseconds of the monotonic clock; costs are requests to the state service.
 """
 
 from weldhead.clock import SECOND_US
 
-#: Those have their turn who can be answered within so long: a job is asked about every 5 s, and
-#: most answers cost half of what is taken for them at first.
-TURN_US = 15 * SECOND_US
-#: Nobody has a turn before so long.
-NEW_US = 2 * SECOND_US
-#: Who has not asked for so long keeps nobody else from having a turn.
-ASKING_US = 15 * SECOND_US
-#: Who has not asked again for so long has given up, or was answered elsewhere. Users reach any
-#: node: one of five sees a job that is asked about every 5 s each 25 s only, with longer gaps.
-GIVEN_UP_US = 90 * SECOND_US
-#: How many jobs are remembered as waiting.
-MOST_WAITING = 4_096
+#: The jobs that the rate can answer within this time have precedence. A job is polled about every
+#: 5 s, and half of the cost that is taken for an answer is refunded for most answers.
+PRECEDENCE_WINDOW_US = 15 * SECOND_US
+#: A job has no precedence until its polls have failed for this long.
+MIN_PRECEDENCE_WAIT_US = 2 * SECOND_US
+#: A waiting job takes no other job's precedence once it has not been polled for this long.
+ACTIVE_POLL_WINDOW_US = 15 * SECOND_US
+#: A job that is not polled again within this time has been given up by its user, or was answered
+#: by another controller. Users reach any controller: with five of them, each sees a job that is
+#: polled about every 5 s only every 25 s, with longer gaps.
+WAIT_EXPIRY_US = 90 * SECOND_US
+#: The maximum number of waiting jobs that are remembered.
+MAX_WAITING_JOBS = 4_096
 
 
 class FairRateLimiter:
-    """Shares ``rate`` requests a second, ``burst`` at once, among those who ask."""
+    """Token bucket of ``rate`` requests per second and ``burst`` at once, shared by jobs."""
 
-    def __init__(self, rate: float, burst: float, at_us: int, most: int = MOST_WAITING) -> None:
-        self._rate, self._burst, self._most = rate, burst, most
+    def __init__(
+        self, rate: float, burst: float, at_us: int, max_waiting: int = MAX_WAITING_JOBS
+    ) -> None:
+        self._rate, self._burst, self._max_waiting = rate, burst, max_waiting
         self._level = burst
         self._filled_us = at_us
-        #: Since when a job has not been answered, and when it was last asked about; the one
-        #: that has waited longest first.
+        #: By job: when its polls began to fail, and when it was last polled. The job that has
+        #: waited longest comes first.
         self._waiting: dict[str, tuple[int, int]] = {}
         self._swept_us = at_us
 
-    def take(self, job_id: str, cost: float, at_us: int, *, lost: bool = False) -> bool:
-        """Take the cost of an answer, unless it is kept for those who have waited longer.
+    def take(
+        self, job_id: str, cost: float, at_us: int, *, owner_unreachable: bool = False
+    ) -> bool:
+        """Take the cost of an answer unless it is reserved for jobs that have waited longer.
 
-        ``lost``: the job has had its turn elsewhere, and that answer did not come.
+        ``owner_unreachable``: another controller ranks this job, and its answer did not arrive.
+        The job is then treated like the one that has waited longest.
         """
         if self.take_spare(cost, at_us):
             return True
-        place = 0.0 if lost else self._place(job_id, cost, at_us)
-        if self._level - cost < self._burst / 2 * place:
-            self.failed(job_id, at_us)
+        rank = 0.0 if owner_unreachable else self._relative_rank(job_id, cost, at_us)
+        if self._level - cost < self._burst / 2 * rank:
+            self.record_failure(job_id, at_us)
             return False
         self._level -= cost
         return True
 
     def take_spare(self, cost: float, at_us: int) -> bool:
-        """Take the cost of an answer if that keeps nobody who has waited from theirs."""
-        self._fill(at_us)
+        """Take the cost of an answer if the half that is reserved for waiting jobs stays full.
+
+        A cost above half of the burst requires a full bucket.
+        """
+        self._refill(at_us)
         if self._level - cost < min(self._burst / 2, self._burst - cost):
             return False
         self._level -= cost
         return True
 
-    def _place(self, job_id: str, cost: float, at_us: int) -> float:
-        """Return a job's place among those that have a turn: the first is 0, all others 1."""
-        if self.waited_us(job_id, at_us) < NEW_US:
+    def _relative_rank(self, job_id: str, cost: float, at_us: int) -> float:
+        """Return a job's rank among those with precedence: 0 for the first, 1 for jobs without."""
+        if self.waited_us(job_id, at_us) < MIN_PRECEDENCE_WAIT_US:
             return 1.0
-        most = max(1, round(self._rate / cost * TURN_US / SECOND_US))
-        ahead = 0
-        for name, (_, last_us) in self._waiting.items():
-            if name == job_id:
-                return ahead / most
-            ahead += at_us - last_us <= ASKING_US
-            if ahead >= most:
+        max_jobs = max(1, round(self._rate / cost * PRECEDENCE_WINDOW_US / SECOND_US))
+        jobs_ahead = 0
+        for waiting_job_id, (_, last_poll_us) in self._waiting.items():
+            if waiting_job_id == job_id:
+                return jobs_ahead / max_jobs
+            jobs_ahead += at_us - last_poll_us <= ACTIVE_POLL_WINDOW_US
+            if jobs_ahead >= max_jobs:
                 break
         return 1.0
 
     def charge(self, cost: float, at_us: int) -> None:
-        """Count what an answer that has begun costs besides; others wait for it."""
-        self._fill(at_us)
+        """Take a further cost of an answer that has begun, even below zero; later polls wait."""
+        self._refill(at_us)
         self._level = max(-self._burst, self._level - cost)
 
     def refund(self, cost: float) -> None:
-        """An answer cost less than was taken for it."""
+        """Put back the part of a taken cost that the answer did not need."""
         self._level = min(self._burst, self._level + cost)
 
     def waited_us(self, job_id: str, at_us: int) -> int:
-        """Return for how long questions about a job have failed."""
-        since_us, last_us = self._waiting.get(job_id, (at_us, at_us))
-        return at_us - since_us if at_us - last_us <= GIVEN_UP_US else 0
+        """Return for how long the polls of a job have failed."""
+        since_us, last_poll_us = self._waiting.get(job_id, (at_us, at_us))
+        return at_us - since_us if at_us - last_poll_us <= WAIT_EXPIRY_US else 0
 
-    def failed(self, job_id: str, at_us: int) -> None:
-        """A question about a job could not be answered."""
+    def record_failure(self, job_id: str, at_us: int) -> None:
+        """Record that a poll of a job could not be answered."""
         since_us = at_us - self.waited_us(job_id, at_us)
-        if job_id not in self._waiting and len(self._waiting) >= self._most:
-            self._sweep(at_us)
-            if len(self._waiting) >= self._most:
+        if job_id not in self._waiting and len(self._waiting) >= self._max_waiting:
+            self._remove_expired(at_us)
+            if len(self._waiting) >= self._max_waiting:
                 return
         if since_us == at_us:
-            # It waits anew, behind all others.
+            # The job begins to wait now: its entry moves behind those of all other jobs.
             self._waiting.pop(job_id, None)
         self._waiting[job_id] = since_us, at_us
 
-    def answered(self, job_id: str) -> None:
-        """A question about a job was answered."""
+    def record_answer(self, job_id: str) -> None:
+        """Record that a poll of a job was answered."""
         self._waiting.pop(job_id, None)
 
-    def _fill(self, at_us: int) -> None:
+    def _refill(self, at_us: int) -> None:
         gained = max(0, at_us - self._filled_us) * self._rate / SECOND_US
         self._level = min(self._burst, self._level + gained)
         self._filled_us = at_us
 
-    def _sweep(self, at_us: int) -> None:
-        """Forget who gave up; looked for once a second at most."""
+    def _remove_expired(self, at_us: int) -> None:
+        """Remove the jobs that are no longer polled; does so at most once per second."""
         if at_us - self._swept_us < SECOND_US:
             return
         self._swept_us = at_us
-        for job_id in [j for j, (_, last) in self._waiting.items() if at_us - last > GIVEN_UP_US]:
+        for job_id in [
+            waiting_job_id
+            for waiting_job_id, (_, last_poll_us) in self._waiting.items()
+            if at_us - last_poll_us > WAIT_EXPIRY_US
+        ]:
             del self._waiting[job_id]
--- a/weldhead/admission/memory_gate.py
+++ b/weldhead/admission/memory_gate.py
@@ -1,74 +1,80 @@
-"""Whether new work is taken, by the memory that is left. No I/O.
+"""Decides by the memory use of a controller process whether it accepts new jobs. No I/O.
 
-A controller over its limit is ended and begins anew without its picture: every job that it would
-still have taken waits for that. So near the limit it refuses what it can refuse, which is new
-jobs; reports, polls and cancellations cost no lasting memory, and no job ends without them.
-Amounts are bytes, times microseconds of the steady clock.
+A controller that exceeds its memory limit is terminated and restarts without its in-memory state;
+all jobs that it would still have accepted wait for that. So near the limit a controller refuses
+new jobs. It goes on accepting reports, polls and cancellations: they use no lasting memory, and no
+job ends without them. Memory amounts are bytes, times are microseconds of the monotonic clock.
 """
 
 import enum
 
 from weldhead.clock import SECOND_US
 
-#: Of the limit: from the first share on new work is refused, until less than the second is used.
+#: Shares of the limit: new jobs are refused from ``REFUSE_SHARE`` on, until the memory use is
+#: below ``ACCEPT_SHARE``.
 REFUSE_SHARE = 0.93
 ACCEPT_SHARE = 0.90
-#: What Python frees it mostly keeps for itself, so a process that has room again may look as
-#: full as before. Below this share one job is therefore taken each ``TRIAL_US`` all the same.
+#: Python keeps most of the memory that it frees, so the memory use of a process may stay high
+#: although the process has room again. While jobs are refused, but the memory use is below
+#: ``TRIAL_SHARE``, one trial job is therefore accepted per ``TRIAL_INTERVAL_US``.
 TRIAL_SHARE = 0.96
-TRIAL_US = 2 * SECOND_US
-#: Who is refused is asked to come back after so many seconds.
-COME_BACK_S = 5
-#: The leader keeps every job, whoever accepts it: above that share the others refuse as well.
-#: What it said of its own memory counts so long.
-LEADER_WORD_US = 3 * SECOND_US
+TRIAL_INTERVAL_US = 2 * SECOND_US
+#: Retry delay in seconds that is returned with a refusal.
+MEMORY_RETRY_AFTER_S = 5
+#: The leader keeps every job in memory, whichever controller accepts it. So the other controllers
+#: refuse jobs too while the leader's memory use is above ``TRIAL_SHARE``. A statement of the
+#: leader about its memory is valid for this long.
+LEADER_STATEMENT_VALIDITY_US = 3 * SECOND_US
 
 
 class MemoryTransition(enum.Enum):
-    """What a reading has changed."""
+    """How a reading of the memory use changes whether new jobs are refused."""
 
-    NONE = 0
-    FULL = 1
-    ROOM = 2
+    UNCHANGED = 0
+    REFUSING = 1
+    ACCEPTING = 2
 
 
 class MemoryGate:
-    """One process's decision; ``limit`` 0: there is none, and all is taken."""
+    """Admits or refuses new jobs in one process; with ``limit`` 0 its memory is unlimited."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.used = 0
-        #: New work is refused for this process's own memory.
-        self.full = False
-        self._trial_us = 0
-        self._leader_full_us: int | None = None
+        #: New jobs are refused because of this process's own memory use.
+        self.is_refusing = False
+        self._last_trial_us = 0
+        self._leader_exhausted_us: int | None = None
 
-    def read(self, used: int) -> MemoryTransition:
-        """Take a reading of what the process holds now."""
+    def update(self, used: int) -> MemoryTransition:
+        """Process a reading of the process's current memory use."""
         self.used = used
-        share = self.limit * (ACCEPT_SHARE if self.full else REFUSE_SHARE)
-        full = self.limit > 0 and used >= share
-        if full is self.full:
-            return MemoryTransition.NONE
-        self.full = full
-        return MemoryTransition.FULL if full else MemoryTransition.ROOM
+        threshold = self.limit * (ACCEPT_SHARE if self.is_refusing else REFUSE_SHARE)
+        is_refusing = self.limit > 0 and used >= threshold
+        if is_refusing is self.is_refusing:
+            return MemoryTransition.UNCHANGED
+        self.is_refusing = is_refusing
+        return MemoryTransition.REFUSING if is_refusing else MemoryTransition.ACCEPTING
 
     @property
-    def exhausted(self) -> bool:
-        """Whether not even a trial is taken."""
-        return self.full and self.used >= self.limit * TRIAL_SHARE
+    def is_exhausted(self) -> bool:
+        """Whether the memory use is so high that not even trial jobs are accepted."""
+        return self.is_refusing and self.used >= self.limit * TRIAL_SHARE
 
-    def observe_leader(self, at_us: int, *, full: bool) -> None:
-        """The leader says whether it takes nothing at all for its memory."""
-        self._leader_full_us = at_us if full else None
+    def observe_leader(self, at_us: int, *, exhausted: bool) -> None:
+        """Record the leader's statement whether its memory is exhausted."""
+        self._leader_exhausted_us = at_us if exhausted else None
 
-    def admits(self, at_us: int) -> bool:
-        """Whether a new job may be taken now; a trial is used up by asking."""
-        if self._leader_full_us is not None and at_us - self._leader_full_us < LEADER_WORD_US:
+    def try_admit(self, at_us: int) -> bool:
+        """Return whether a new job may be accepted now; a trial job counts as accepted."""
+        if (
+            self._leader_exhausted_us is not None
+            and at_us - self._leader_exhausted_us < LEADER_STATEMENT_VALIDITY_US
+        ):
             return False
-        if not self.full:
+        if not self.is_refusing:
             return True
-        if self.exhausted or at_us - self._trial_us < TRIAL_US:
+        if self.is_exhausted or at_us - self._last_trial_us < TRIAL_INTERVAL_US:
             return False
-        self._trial_us = at_us
+        self._last_trial_us = at_us
         return True
--- a/weldhead/cluster_state/cluster.py
+++ b/weldhead/cluster_state/cluster.py
@@ -12,8 +12,8 @@
 from weldhead.cluster_state.machines import EPSILON, Machine
 from weldhead.cluster_state.states import StopRequest, TaskState
 from weldhead.protocol.settings import Team
-from weldhead.quota.amounts import NOTHING, Amount
-from weldhead.quota.teams import ResourceUsage, within_limit
+from weldhead.quota.amounts import ZERO_AMOUNT, Amount
+from weldhead.quota.teams import ResourceUsage, count_within_limit
 
 
 @dataclass(frozen=True)
@@ -175,14 +175,14 @@
         if attempt.job.active.get(attempt.index) is attempt:
             self.unconfirmed[attempt.task, attempt.number] = attempt
 
-    def tasks_within_limit(self, job: Job, reserved: Amount = NOTHING) -> int:
+    def tasks_within_limit(self, job: Job, reserved: Amount = ZERO_AMOUNT) -> int:
         """How many more tasks of the job its team's limit allows beside what is reserved."""
         team = self.teams.get(job.team)
         if team is None:
             return 0
         cpus, cards = self.usage[job.team].units
         used = cpus + reserved[0], cards + reserved[1]
-        return within_limit(team, used, job.spec, job.spec.tasks)
+        return count_within_limit(team, used, job.spec, job.spec.tasks)
 
     def waiting_jobs(self) -> list[Job]:
         """Return the jobs with waiting tasks."""
--- a/weldhead/controller/memory_monitor.py
+++ b/weldhead/controller/memory_monitor.py
@@ -30,16 +30,16 @@
     def is_exhausted(self, at_us: int) -> bool:
         """Return whether this process accepts no new job at all, because of its own memory use."""
         self._update_gate(at_us)
-        return self._gate.exhausted
+        return self._gate.is_exhausted
 
     def admits(self, at_us: int) -> bool:
         """Return whether this process may accept a new job now."""
         self._update_gate(at_us)
-        return self._gate.admits(at_us)
+        return self._gate.try_admit(at_us)
 
     def observe_leader(self, at_us: int, *, full: bool) -> None:
         """Record the leader's statement whether it accepts no new job at all."""
-        self._gate.observe_leader(at_us, full=full)
+        self._gate.observe_leader(at_us, exhausted=full)
 
     def _update_gate(self, at_us: int) -> None:
         gate = self._gate
@@ -52,16 +52,16 @@
         used_bytes = self._read_used_bytes()
         if used_bytes is None:
             return
-        match gate.read(used_bytes):
-            case MemoryTransition.FULL:
+        match gate.update(used_bytes):
+            case MemoryTransition.REFUSING:
                 log.warning(
                     "memory: %.0f of %.0f MB used; new jobs are refused until use is below %.0f MB",
                     used_bytes / MIB, gate.limit / MIB, gate.limit * ACCEPT_SHARE / MIB,
                 )  # fmt: skip
-            case MemoryTransition.ROOM:
+            case MemoryTransition.ACCEPTING:
                 log.warning(
                     "memory: %.0f of %.0f MB used; new jobs are accepted again",
                     used_bytes / MIB, gate.limit / MIB,
                 )  # fmt: skip
-            case MemoryTransition.NONE:
+            case MemoryTransition.UNCHANGED:
                 pass
--- a/weldhead/controller/requests/job_status_reader.py
+++ b/weldhead/controller/requests/job_status_reader.py
@@ -169,7 +169,7 @@
             raise CallError(f"dependencies of job {job_id} not read: rate limit reached")
         # The job has had its turn: a chain that is too long to be read must not be the first
         # again and again.
-        self._dependency_limiter.answered(job_id)
+        self._dependency_limiter.record_answer(job_id)
         while names:
             batch, names = names[:MAX_CONCURRENT_READS], names[MAX_CONCURRENT_READS:]
             found: set[str] = set()
--- a/weldhead/controller/requests/poll_handler.py
+++ b/weldhead/controller/requests/poll_handler.py
@@ -59,7 +59,7 @@
             return refusal(http_status.NOT_FOUND, "no such job")
         status = self._reader.status_in_memory(job_id)
         if status is not None:
-            self.limiter.answered(job_id)
+            self.limiter.record_answer(job_id)
             return Response(http_status.OK, _encode(status))
         if self._controller.isolated:
             return isolated_response(self._reader.describe_deadline(job_id))
@@ -94,7 +94,9 @@
                 return self._refuse(job_id, TOO_MANY_POLLS)
             at_us = now_us()
         reason = TOO_MANY_POLLS
-        if admitted or self.limiter.take(job_id, REQUESTS_PER_POLL, at_us, lost=owner_unreachable):
+        if admitted or self.limiter.take(
+            job_id, REQUESTS_PER_POLL, at_us, owner_unreachable=owner_unreachable
+        ):
             try:
                 return await self._read(job_id, urgent=urgent)
             except CallError as error:
@@ -104,7 +106,7 @@
             answer = await self._controller.ask_served_peer("poll", job_id, b"")
             if (definite := self._accept_definite(job_id, answer)) is not None:
                 return definite
-        self.limiter.failed(job_id, now_us())
+        self.limiter.record_failure(job_id, now_us())
         if not for_user and reason == TOO_MANY_POLLS:
             return refusal(RATE_LIMITED_STATUS, reason)
         return self._refuse(job_id, reason)
@@ -116,13 +118,13 @@
         """
         if answer is None or answer.status not in (http_status.OK, http_status.NOT_FOUND):
             return None
-        self.limiter.answered(job_id)
+        self.limiter.record_answer(job_id)
         return answer
 
     async def _read(self, job_id: str, *, urgent: bool) -> Response:
         """Answer a poll from the state service; CallError if the status cannot be read."""
         stored = await self._reader.read_status(job_id, urgent=urgent)
-        self.limiter.answered(job_id)
+        self.limiter.record_answer(job_id)
         if stored is None:
             return refusal(http_status.NOT_FOUND, "no such job")
         if stored.state == "pending":
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from weldhead.admission.feasibility import check_feasible
-from weldhead.admission.memory_gate import COME_BACK_S
+from weldhead.admission.memory_gate import MEMORY_RETRY_AFTER_S
 from weldhead.admission.team_rate_limiter import TeamRateLimiter
 from weldhead.clock import MILLISECOND_US, now_us, wall_us
 from weldhead.cluster_state.records import (
@@ -86,7 +86,9 @@
         if not self._controller.catalog:
             return unavailable("machine types not known yet")
         if not self._memory.admits(now_us()):
-            return await self._ask_to_retry(spec.id, COME_BACK_S, forwarded, "no memory is left")
+            return await self._ask_to_retry(
+                spec.id, MEMORY_RETRY_AFTER_S, forwarded, "no memory is left"
+            )
         # Team names that are not in the settings share one quota; otherwise many such names
         # together would use the whole rate.
         team = spec.team if spec.team in self._teams else ""
--- a/weldhead/controller/workers/machine_monitor.py
+++ b/weldhead/controller/workers/machine_monitor.py
@@ -323,15 +323,15 @@
         """Attribute failures: drain faulty machines, and hold back broken jobs."""
         cluster = self._term.cluster
         review = self.failures.review(cluster)
-        for machine in review.faulty:
+        for machine in review.faulty_machines:
             machine.draining = True
             machine.notify_changed()
             log.info(
                 "machine %s quarantined: tasks that failed on it succeed elsewhere", machine.name
             )
-        for job, health in review.changed:
-            job.broken = health is JobHealth.BROKEN
-            job.on_probation = health is not JobHealth.SOUND
+        for job, health in review.changed_jobs:
+            job.broken = health is JobHealth.FAULTY
+            job.on_probation = health is not JobHealth.HEALTHY
             job.notify_changed()
             log.info("job %s is %s: failed %d times, on %d machines", job.id, health.value,
                 job.failures, len(job.failed_machines))  # fmt: skip
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -294,7 +294,7 @@
 
     def _see_blame(self, leader: Leader) -> None:
         """No healthy machine is called faulty, whatever is submitted."""
-        for name in leader.machine_monitor.failures.faulty - self._blamed:
+        for name in leader.machine_monitor.failures.faulty_machines - self._blamed:
             self._blamed.add(name)
             self.checker.counts["called faulty"] += 1
             machine = self.cloud.machines.get(name)
--- a/weldhead/emulator/injected_bugs.py
+++ b/weldhead/emulator/injected_bugs.py
@@ -136,13 +136,13 @@
     def accuses(evidence: list[FailureEvidence], **_: bool) -> bool:
         return sum(a.count for a in evidence) >= 2
 
-    yield patch.object(failure_tracker, "is_faulty", accuses)
+    yield patch.object(failure_tracker, "is_machine_faulty", accuses)
 
 
 def _below_a_guarantee() -> Iterator[Any]:
     """Whatever a team runs counts as borrowed."""
     yield patch.object(preemption_pass, "is_over_guarantee", lambda *_: True)
-    yield patch.object(QuotaAccount, "may_lose_gpus", lambda *_: True)
+    yield patch.object(QuotaAccount, "can_lose_gpus", lambda *_: True)
 
 
 def _deaf_as_healthy() -> Iterator[Any]:
--- a/weldhead/failure_attribution/__init__.py
+++ b/weldhead/failure_attribution/__init__.py
@@ -1,1 +1,1 @@
-"""Whose fault it is when a task fails: its machine's, or its job's."""
+"""Attribution of task failures: to a faulty machine, or to a faulty job."""
--- a/weldhead/failure_attribution/failure_tracker.py
+++ b/weldhead/failure_attribution/failure_tracker.py
@@ -1,7 +1,7 @@
-"""What is kept of failures, and the look that judges by it. No I/O.
+"""Tracks task failures and reviews which machines and jobs are faulty. No I/O.
 
-``FailureTracker`` belongs to a leader's term; a new leader begins with none, and learns from the
-next failures.
+``FailureTracker`` belongs to a leader's term: a new leader starts without any failures, and
+learns from the next ones.
 """
 
 from dataclasses import dataclass, field
@@ -14,20 +14,21 @@
 from weldhead.failure_attribution.judgement import (
     FailureEvidence,
     JobHealth,
-    is_faulty,
-    job_health,
-    survived_us,
+    assess_job,
+    is_machine_faulty,
+    required_survival_us,
 )
 
-#: When an attempt began is known by reports only: what is to have begun after a failure must
-#: have been seen to begin so much later.
-ORDER_US = SECOND_US
-#: Until a job that has failed has surely been looked at.
-REVIEW_US = 300 * MILLISECOND_US
-#: Pauses between the tries of a broken job: from one second, doubled each time, up to this.
-MOST_PAUSE_US = 60 * SECOND_US
-#: A broken job that no machine is left to be tried on has one rented so rarely.
-RENT_PAUSE_US = 300 * SECOND_US
+#: The start of an attempt is known from heartbeats only. An attempt counts as started after a
+#: failure if its start was reported at least this much later.
+START_TIME_UNCERTAINTY_US = SECOND_US
+#: A job whose task has failed is reviewed within this time.
+REVIEW_DELAY_US = 300 * MILLISECOND_US
+#: Retry delays of a faulty job grow from one second, doubled each time, to this maximum.
+MAX_RETRY_DELAY_US = 60 * SECOND_US
+#: The time after a faulty job's last failure after which a machine may be rented for it if it can
+#: be tried on none.
+MIN_RENTAL_DELAY_US = 300 * SECOND_US
 
 
 @dataclass
@@ -41,113 +42,127 @@
 
 @dataclass
 class _FailingJob:
-    """A job of which tasks have failed."""
+    """A job whose tasks have failed."""
 
     job: Job
-    standing: JobHealth = JobHealth.SOUND
-    tries: int = 0
+    health: JobHealth = JobHealth.HEALTHY
+    #: Number of failures since the job was found faulty.
+    retries: int = 0
     last_us: int = 0
     longest_us: int = 0
-    #: Machines on which others have succeeded since it failed there.
-    on_proven: set[str] = field(default_factory=set)
+    #: Machines on which a task has succeeded after this job failed there.
+    proven_machines: set[str] = field(default_factory=set)
 
 
 @dataclass
 class FailureReview:
-    """What a look came to."""
+    """The changes that a review found."""
 
-    #: Machines that are faulty, and were not called so before.
-    faulty: list[Machine] = field(default_factory=list)
-    #: Jobs whose standing has changed.
-    changed: list[tuple[Job, JobHealth]] = field(default_factory=list)
+    #: Machines that this review found faulty.
+    faulty_machines: list[Machine] = field(default_factory=list)
+    #: Jobs whose health has changed.
+    changed_jobs: list[tuple[Job, JobHealth]] = field(default_factory=list)
 
 
 class FailureTracker:
-    """Who has failed where."""
+    """Task failures by machine and job, and the machines and jobs found faulty."""
 
     def __init__(self) -> None:
-        self._machines: dict[str, dict[str, _FailureCount]] = {}
-        self._suspects: dict[str, _FailingJob] = {}
-        self._faulty: set[str] = set()
+        self._failures_by_machine: dict[str, dict[str, _FailureCount]] = {}
+        self._failing_jobs: dict[str, _FailingJob] = {}
+        self._faulty_machines: set[str] = set()
 
     @property
-    def faulty(self) -> frozenset[str]:
-        """The machines that have been called faulty."""
-        return frozenset(self._faulty)
+    def faulty_machines(self) -> frozenset[str]:
+        """The names of the machines that have been found faulty."""
+        return frozenset(self._faulty_machines)
 
     def __bool__(self) -> bool:
-        return bool(self._machines or self._suspects)
+        return bool(self._failures_by_machine or self._failing_jobs)
 
     def record_failure(self, attempt: Attempt, at_us: int) -> None:
-        """Note that a task failed by itself, and put its job's next try off if need be."""
+        """Record that a task failed by itself, and delay the job's next start."""
         job = attempt.job
         ran_us = at_us - attempt.running_since_us if attempt.running_since_us else 0
         job.failures += 1
         job.failed_machines |= {attempt.machine}
-        against = self._machines.setdefault(attempt.machine, {}).setdefault(job.id, _FailureCount())
-        suspect = self._suspects.setdefault(job.id, _FailingJob(job))
-        against.count += 1
-        against.last_us = suspect.last_us = at_us
-        against.longest_us = max(against.longest_us, ran_us)
-        suspect.longest_us = max(suspect.longest_us, ran_us)
-        if suspect.standing is JobHealth.BROKEN:
-            pause_us = min(MOST_PAUSE_US, SECOND_US << min(6, suspect.tries))
-            suspect.tries += 1
-            job.not_before_us = max(job.not_before_us, at_us + pause_us)
+        failures = self._failures_by_machine.setdefault(attempt.machine, {}).setdefault(
+            job.id, _FailureCount()
+        )
+        failing_job = self._failing_jobs.setdefault(job.id, _FailingJob(job))
+        failures.count += 1
+        failures.last_us = failing_job.last_us = at_us
+        failures.longest_us = max(failures.longest_us, ran_us)
+        failing_job.longest_us = max(failing_job.longest_us, ran_us)
+        if failing_job.health is JobHealth.FAULTY:
+            delay_us = min(MAX_RETRY_DELAY_US, SECOND_US << min(6, failing_job.retries))
+            failing_job.retries += 1
+            job.not_before_us = max(job.not_before_us, at_us + delay_us)
         elif not job.done:
-            # Judged in a moment, not started as often as can be until then.
-            job.not_before_us = max(job.not_before_us, at_us + REVIEW_US)
+            # Without a delay, the job's tasks would be restarted many times before the review.
+            job.not_before_us = max(job.not_before_us, at_us + REVIEW_DELAY_US)
 
     def record_success(self, machine: Machine, began_us: int) -> None:
-        """A task that began there at that time has completed, or has long not failed."""
-        against = self._machines.get(machine.name)
-        if not against:
+        """Record that a task on a machine succeeded: it completed, or ran long without failing.
+
+        ``began_us`` is when the task started. Earlier failures on the machine are removed.
+        """
+        failures_by_job = self._failures_by_machine.get(machine.name)
+        if not failures_by_job:
             return
-        for job_id, failures in list(against.items()):
-            if failures.last_us + ORDER_US <= began_us:
-                del against[job_id]
-                if job_id in self._suspects:
-                    self._suspects[job_id].on_proven.add(machine.name)
-        if not against:
-            del self._machines[machine.name]
+        for job_id, failures in list(failures_by_job.items()):
+            if failures.last_us + START_TIME_UNCERTAINTY_US <= began_us:
+                del failures_by_job[job_id]
+                if job_id in self._failing_jobs:
+                    self._failing_jobs[job_id].proven_machines.add(machine.name)
+        if not failures_by_job:
+            del self._failures_by_machine[machine.name]
 
     def review(self, cluster: Cluster) -> FailureReview:
-        """Judge everybody of whom something is kept, by what is there now."""
-        found = FailureReview()
-        for name in list(self._machines):
+        """Review all machines and jobs with recorded failures, and return what has changed."""
+        review = FailureReview()
+        for name in list(self._failures_by_machine):
             machine = cluster.machines.get(name)
             if machine is None:
-                del self._machines[name]
+                del self._failures_by_machine[name]
             else:
-                self._see_survivors(machine)
-        self._review_machines(cluster, found)
-        for job_id, suspect in list(self._suspects.items()):
-            if cluster.jobs.get(job_id) is not suspect.job:
-                del self._suspects[job_id]
+                self._record_long_running(machine)
+        self._review_machines(cluster, review)
+        for job_id, failing_job in list(self._failing_jobs.items()):
+            if cluster.jobs.get(job_id) is not failing_job.job:
+                del self._failing_jobs[job_id]
                 continue
-            standing = job_health(
-                succeeds=_succeeds(cluster, suspect),
-                failed_on=len(suspect.job.failed_machines - self._faulty),
-                on_proven=len(suspect.on_proven - self._faulty),
+            health = assess_job(
+                succeeds=_succeeds(cluster, failing_job),
+                failed_machines=len(failing_job.job.failed_machines - self._faulty_machines),
+                proven_machines=len(failing_job.proven_machines - self._faulty_machines),
             )
-            if standing is not suspect.standing:
-                suspect.standing = standing
-                found.changed.append((suspect.job, standing))
-        return found
+            if health is not failing_job.health:
+                failing_job.health = health
+                review.changed_jobs.append((failing_job.job, health))
+        return review
 
     def is_stranded(self, job: Job, cluster: Cluster, at_us: int) -> bool:
-        """Whether a job that is tried finds no machine to be tried on, and one may be rented.
+        """Return whether no machine is left to try a failing job on, and one may be rented.
 
-        Rented for at once where nobody can tell yet; rarely where it has failed everywhere.
+        For an undetermined job a machine may be rented at once; for a faulty job only
+        ``MIN_RENTAL_DELAY_US`` after its last failure.
         """
-        suspect = self._suspects.get(job.id)
-        if suspect is None or suspect.standing is JobHealth.SOUND:
+        failing_job = self._failing_jobs.get(job.id)
+        if failing_job is None or failing_job.health is JobHealth.HEALTHY:
             return False
-        if suspect.standing is JobHealth.BROKEN and at_us < suspect.last_us + RENT_PAUSE_US:
+        if (
+            failing_job.health is JobHealth.FAULTY
+            and at_us < failing_job.last_us + MIN_RENTAL_DELAY_US
+        ):
             return False
-        tried = job.failed_machines if suspect.standing is JobHealth.OPEN else frozenset[str]()
+        tried_machines = (
+            job.failed_machines
+            if failing_job.health is JobHealth.UNDETERMINED
+            else frozenset[str]()
+        )
         return not any(
-            machine.name not in tried
+            machine.name not in tried_machines
             and not machine.draining
             and not machine.deleting
             and machine.allows(job)
@@ -155,52 +170,59 @@
             for machine in cluster.machines.values()
         )
 
-    def _see_survivors(self, machine: Machine) -> None:
-        longest_us = max(a.longest_us for a in self._machines[machine.name].values())
-        least_us = survived_us(longest_us)
+    def _record_long_running(self, machine: Machine) -> None:
+        """Record a success for each task that has run longer than those that failed there."""
+        longest_us = max(
+            failures.longest_us for failures in self._failures_by_machine[machine.name].values()
+        )
+        min_run_us = required_survival_us(longest_us)
         for attempt in machine.attempts.values():
-            # What a silent machine runs may have failed long ago.
+            # The run time ends with the last heartbeat: the tasks of a silent machine may have
+            # failed long ago.
             if (
                 attempt.phase is AttemptPhase.RUNNING
                 and not attempt.adopted
-                and machine.last_heartbeat_us - attempt.running_since_us >= least_us
+                and machine.last_heartbeat_us - attempt.running_since_us >= min_run_us
             ):
                 self.record_success(machine, attempt.running_since_us)
-                if machine.name not in self._machines:
+                if machine.name not in self._failures_by_machine:
                     return
 
-    def _review_machines(self, cluster: Cluster, found: FailureReview) -> None:
-        alone = sum(not machine.deleting for machine in cluster.machines.values()) == 1
-        for name, against in self._machines.items():
-            if name in self._faulty:
+    def _review_machines(self, cluster: Cluster, review: FailureReview) -> None:
+        is_only_machine = sum(not machine.deleting for machine in cluster.machines.values()) == 1
+        for name, failures_by_job in self._failures_by_machine.items():
+            if name in self._faulty_machines:
                 continue
             evidence = []
-            for job_id, failures in against.items():
-                suspect = self._suspects.get(job_id)
-                if suspect is None or cluster.jobs.get(job_id) is not suspect.job:
+            for job_id, failures in failures_by_job.items():
+                failing_job = self._failing_jobs.get(job_id)
+                if failing_job is None or cluster.jobs.get(job_id) is not failing_job.job:
                     continue
-                others = suspect.job.failed_machines - self._faulty - {name}
+                other_machines = failing_job.job.failed_machines - self._faulty_machines - {name}
                 evidence.append(
                     FailureEvidence(
                         failures.count,
-                        _succeeds(cluster, suspect, but_on=name),
-                        bool(others) or suspect.standing is JobHealth.BROKEN,
+                        _succeeds(cluster, failing_job, except_on=name),
+                        bool(other_machines) or failing_job.health is JobHealth.FAULTY,
                     )
                 )
-            if is_faulty(evidence, alone=alone):
-                self._faulty.add(name)
-                found.faulty.append(cluster.machines[name])
+            if is_machine_faulty(evidence, is_only_machine=is_only_machine):
+                self._faulty_machines.add(name)
+                review.faulty_machines.append(cluster.machines[name])
+
 
+def _succeeds(cluster: Cluster, failing_job: _FailingJob, except_on: str = "") -> bool:
+    """Return whether a task of a job has completed, or runs long without failing.
 
-def _succeeds(cluster: Cluster, suspect: _FailingJob, but_on: str = "") -> bool:
-    """Whether a task of a job has completed, or has run elsewhere for long without failing."""
-    if suspect.job.done:
+    Running tasks on the machine ``except_on`` do not count.
+    """
+    if failing_job.job.done:
         return True
-    least_us = survived_us(suspect.longest_us)
+    min_run_us = required_survival_us(failing_job.longest_us)
     return any(
         attempt.phase in (AttemptPhase.RUNNING, AttemptPhase.SAVING)
-        and attempt.machine != but_on
+        and attempt.machine != except_on
         and cluster.machines[attempt.machine].last_heartbeat_us - attempt.running_since_us
-        >= least_us
-        for attempt in suspect.job.active.values()
+        >= min_run_us
+        for attempt in failing_job.job.active.values()
     )
--- a/weldhead/failure_attribution/judgement.py
+++ b/weldhead/failure_attribution/judgement.py
@@ -1,9 +1,9 @@
-"""Judging machines and jobs by who fails where, and who succeeds there. No I/O.
+"""Rules that attribute task failures to machines or to jobs. No I/O.
 
-A task that ends with an error was on a faulty machine, mostly; but a job that was submitted
-with a mistake fails on every machine. Neither can be told from a single failure, so both are
-judged by evidence: a machine by whether others succeed there, a job by whether it succeeds
-elsewhere. Times are microseconds of the steady clock.
+Most tasks that end with an error ran on a faulty machine; but a job that was submitted with a
+mistake fails on every machine. A single failure does not show which of them is at fault. So a
+machine is judged by whether other tasks succeed on it, and a job by whether its tasks succeed on
+other machines. Times are microseconds of the monotonic clock.
 """
 
 import enum
@@ -12,65 +12,73 @@
 
 from weldhead.clock import SECOND_US
 
-#: So many failures of jobs that succeed elsewhere show that a machine is faulty.
-SURE_FAILURES = 2
-#: So many jobs that fail on the only machine there is do so as well.
-OPEN_JOBS = 3
-#: On so many machines that are not faulty a job must have failed to be called broken.
-MACHINES_FAILED = 2
-#: A task that has run for so long, and for three times as long as those that failed, has
-#: not failed as they did.
-SURVIVED_US = 5 * SECOND_US
+#: A machine is faulty after this many failures of jobs that succeed elsewhere.
+MIN_FAILURES_OF_HEALTHY_JOBS = 2
+#: The only machine of a cluster is also faulty after the failures of this many jobs that have
+#: neither succeeded nor failed elsewhere.
+MIN_UNDETERMINED_JOBS = 3
+#: A job is faulty after it has failed on this many machines that are not faulty.
+MIN_FAILED_MACHINES = 2
+#: A task differs from the failed tasks once it has run for this long, and three times as long as
+#: they did.
+MIN_SURVIVAL_US = 5 * SECOND_US
 
 
 class JobHealth(enum.Enum):
-    """What is thought of a job of which tasks have failed."""
+    """Assessment of a job whose tasks have failed. The values appear in the log."""
 
-    #: It succeeds somewhere: its failures are its machines'.
-    SOUND = "sound"
-    #: Nobody can tell yet: it is tried elsewhere, one task at a time.
-    OPEN = "open"
-    #: It fails wherever it runs: tried again more and more rarely.
-    BROKEN = "broken"
+    #: Its tasks succeed on some machine: its failures are attributed to the machines.
+    HEALTHY = "sound"
+    #: The evidence does not suffice yet: it is tried on other machines, one task at a time.
+    UNDETERMINED = "open"
+    #: Its tasks fail on all machines: it is retried at increasing intervals.
+    FAULTY = "broken"
 
 
 @dataclass(frozen=True)
 class FailureEvidence:
-    """Failures of one job on a machine that has shown no success since."""
+    """Failures of one job on a machine on which no task has succeeded since."""
 
     count: int
     #: The job succeeds on another machine.
-    succeeds: bool
-    #: The job has failed on another machine that is not faulty, or is called broken.
-    elsewhere: bool
+    succeeds_elsewhere: bool
+    #: The job has failed on another machine that is not faulty, or the job itself is faulty.
+    fails_elsewhere: bool
 
 
-def is_faulty(evidence: Collection[FailureEvidence], *, alone: bool) -> bool:
-    """Whether a machine is at fault, by the failures there since its last success.
+def is_machine_faulty(evidence: Collection[FailureEvidence], *, is_only_machine: bool) -> bool:
+    """Return whether a machine is faulty, given the failures on it since its last success.
 
-    Jobs that fail elsewhere as well say nothing of it, however many they are. Nor do those
-    that have been tried nowhere else: they are about to be, and then it is known. (Three
-    such jobs, of one task each, had healthy machines set aside: found in the emulator.) Only
-    where there is no other machine (``alone``) many of them have to do.
+    Jobs that fail elsewhere as well are no evidence against the machine, however many they are.
+    Nor are jobs that have not been tried elsewhere: they are about to be, which decides. (In the
+    emulator, three such jobs of one task each caused healthy machines to be drained.) Only if
+    there is no other machine do many such jobs suffice.
     """
-    if sum(a.count for a in evidence if a.succeeds) >= SURE_FAILURES:
+    if sum(e.count for e in evidence if e.succeeds_elsewhere) >= MIN_FAILURES_OF_HEALTHY_JOBS:
         return True
-    return alone and sum(not a.succeeds and not a.elsewhere for a in evidence) >= OPEN_JOBS
+    return (
+        is_only_machine
+        and sum(not e.succeeds_elsewhere and not e.fails_elsewhere for e in evidence)
+        >= MIN_UNDETERMINED_JOBS
+    )
 
 
-def job_health(*, succeeds: bool, failed_on: int, on_proven: int) -> JobHealth:
-    """Judge a job that has failed.
+def assess_job(*, succeeds: bool, failed_machines: int, proven_machines: int) -> JobHealth:
+    """Assess a job whose tasks have failed.
 
-    ``failed_on`` counts the machines on which it failed that are not faulty; ``on_proven``
-    those of them on which others have succeeded since.
+    ``failed_machines`` is the number of machines on which the job failed and that are not faulty;
+    ``proven_machines`` is the number of those on which tasks of other jobs have succeeded since.
     """
     if succeeds:
-        return JobHealth.SOUND
-    if on_proven or failed_on >= MACHINES_FAILED:
-        return JobHealth.BROKEN
-    return JobHealth.OPEN
+        return JobHealth.HEALTHY
+    if proven_machines or failed_machines >= MIN_FAILED_MACHINES:
+        return JobHealth.FAULTY
+    return JobHealth.UNDETERMINED
 
 
-def survived_us(longest_failed_us: int) -> int:
-    """Return for how long a task must run to show that it does not fail as others did."""
-    return max(SURVIVED_US, 3 * longest_failed_us)
+def required_survival_us(longest_failed_us: int) -> int:
+    """Return how long a task must run to show that it does not fail like the failed tasks.
+
+    ``longest_failed_us`` is the longest run time of the failed tasks.
+    """
+    return max(MIN_SURVIVAL_US, 3 * longest_failed_us)
--- a/weldhead/provisioning/__init__.py
+++ b/weldhead/provisioning/__init__.py
@@ -1,1 +1,1 @@
-"""When machines that boot can be counted on, and when they are given up."""
+"""Expectations of booting machines: when they become ready, and when they are given up."""
--- a/weldhead/provisioning/boot_times.py
+++ b/weldhead/provisioning/boot_times.py
@@ -1,14 +1,16 @@
-"""What is expected of machines that boot, by how those hired beside them came up. No I/O.
-
-A machine's boot takes 0.6 to 1.5 times what its type states, some take several times as long,
-and a few never come up. By that alone a machine is late after twice the stated time. But at
-times all are late, or many never come. Whoever counts late machines as lost then rents the
-whole fleet a second time; whoever waits for those that never come leaves room that the cloud
-would give to others. So a machine is compared with those hired in its zone at about the same
-time or later: if most of them wait as well, all are late and none is lost; if many have come,
-one that takes clearly longer than they did is not coming.
-
-Times are microseconds of the steady clock; boots are counted in times of what the type states.
+"""Expected boot times of machines, derived from the machines rented at about the same time. No I/O.
+
+A boot takes 0.6 to 1.5 times the boot time that the machine's type states; some boots take
+several times as long, and a few never finish. By that alone a machine is late after twice the
+stated time. But sometimes all machines are late, or many never come up. A scheduler that treats
+late machines as lost then rents the whole fleet a second time; one that waits for machines that
+never come up occupies capacity that the cloud could give to others. So a machine is compared
+with the machines rented in its zone at about the same time or later. If most of these are still
+booting too, all are late and none is treated as lost. If many have come up, a machine that takes
+clearly longer than they did is not expected to come up.
+
+Times are microseconds of the monotonic clock. Boot times and ages of booting machines are ratios
+to the boot time that the machine's type states.
 """
 
 from bisect import insort
@@ -19,113 +21,123 @@
 from weldhead.clock import SECOND_US, seconds_us
 from weldhead.cluster_state.machines import Machine
 
-#: Machines hired within such a span are taken to be hired together.
-SPAN_US = 10 * SECOND_US
-#: Boots are remembered for so long.
-MEMORY_US = 300 * SECOND_US
-#: From so many machines on, those beside one tell more of it than what its type states.
-LEAST = 6
+#: Machines rented within this time of each other count as rented together.
+COHORT_SPAN_US = 10 * SECOND_US
+#: A boot is forgotten once its machine's rental is older than this.
+BOOT_HISTORY_US = 300 * SECOND_US
+#: The minimum number of machines, up or overdue, for an estimate from the cohort. With fewer, the
+#: boot time that the type states is the better estimate.
+MIN_COHORT_SIZE = 6
 #: The longest usual boot.
-LONGEST_USUAL = 1.5
-#: How much longer than those that came is clearly longer.
-CLEARLY = 1.2
-#: Where others came, a machine that is not counted on any more is returned a little later.
-BESIDE_OTHERS = 1.1
-#: Timers and reports: how much longer than a limit a machine may take.
-SLACK_US = 5 * SECOND_US
+MAX_USUAL_RATIO = 1.5
+#: A machine is late if it takes this many times as long as nearly all that came up.
+LATE_MARGIN = 1.2
+#: Where other machines came up, a late machine is returned after this many times the time after
+#: which it is late.
+GIVE_UP_MARGIN = 1.1
+#: Extra time before a limit counts as exceeded, for delays of timers and heartbeats.
+REPORT_SLACK_US = 5 * SECOND_US
 
 
 @dataclass(frozen=True)
 class BootExpectation:
-    """What is expected of a machine, in times of its type's stated boot."""
+    """Expected boot of a machine, as ratios to the boot time that its type states."""
 
-    #: It is counted on from then on.
+    #: The machine is expected to be ready after this time.
     ready: float
-    #: It is not counted on any more, and what replaces it may be rented.
+    #: After this time the machine is late: its capacity no longer counts as expected, and a
+    #: replacement may be rented.
     late: float
-    #: It is returned.
+    #: The machine is returned after this time.
     give_up: float
 
 
 @dataclass(frozen=True)
-class _Boot:
-    hired_us: int
+class _CompletedBoot:
+    rented_us: int
     ratio: float
 
 
-def expected_of(came: list[float], waiting: list[float], usual: BootExpectation) -> BootExpectation:
-    """Judge machines hired together by those hired with them or later.
+def estimate_boot(
+    boot_ratios: list[float], waiting_ratios: list[float], usual: BootExpectation
+) -> BootExpectation:
+    """Estimate the boots of machines rented together from those rented with them or later.
 
-    ``came`` are the boots of those that came up, in order; ``waiting`` the ages of the others.
+    ``boot_ratios`` are the sorted boot times of the machines that came up, ``waiting_ratios`` the
+    ages of the machines that are still booting.
     """
-    overdue = sum(ratio > LONGEST_USUAL for ratio in waiting)
-    if len(came) + overdue < LEAST:
+    overdue = sum(ratio > MAX_USUAL_RATIO for ratio in waiting_ratios)
+    if len(boot_ratios) + overdue < MIN_COHORT_SIZE:
         return usual
-    if overdue > 2 * len(came):
-        # Whatever holds them up holds up what would replace them: none is given up on
-        # before it has waited twice as long as usual.
-        slowest = max(waiting)
-        return BootExpectation(max(usual.ready, slowest), 2 * usual.late, 2 * usual.give_up)
-    # A new one would come sooner than one that takes clearly longer than nearly all others.
-    # Waited for in proportion to slow boots, those that never come kept their places for so
-    # long that a day of both got worse (0.55 -> 0.50): never longer than usual.
-    most = came[min(len(came) - 1, len(came) * 19 // 20)]
-    late = min(usual.give_up, max(usual.late, CLEARLY * most))
-    give_up = min(usual.give_up, BESIDE_OTHERS * late)
-    return BootExpectation(max(usual.ready, came[len(came) // 2]), late, give_up)
+    if overdue > 2 * len(boot_ratios):
+        # The cause that delays these machines would delay their replacements too: none is given
+        # up before it has waited twice as long as usual.
+        oldest = max(waiting_ratios)
+        return BootExpectation(max(usual.ready, oldest), 2 * usual.late, 2 * usual.give_up)
+    # A replacement would be ready sooner than a machine that takes clearly longer than nearly all
+    # others. The result never exceeds the usual limits: when the limits grew with slow boots,
+    # machines that never came up were kept for so long that the result of a day with both slow and
+    # failed boots got worse (from 0.55 to 0.50).
+    slow_boot = boot_ratios[min(len(boot_ratios) - 1, len(boot_ratios) * 19 // 20)]
+    late = min(usual.give_up, max(usual.late, LATE_MARGIN * slow_boot))
+    give_up = min(usual.give_up, GIVE_UP_MARGIN * late)
+    return BootExpectation(max(usual.ready, boot_ratios[len(boot_ratios) // 2]), late, give_up)
 
 
 class BootExpectations:
-    """What is expected of each machine that boots, as of one look."""
+    """The expected boot of each machine that was booting at one point in time."""
 
     def __init__(
         self,
         usual: BootExpectation,
         minimum_charge_us: int,
-        found: dict[str, BootExpectation] | None = None,
+        by_machine: dict[str, BootExpectation] | None = None,
     ) -> None:
         self._usual = usual
         self._minimum_charge_us = minimum_charge_us
-        self._found = found or {}
+        self._by_machine = by_machine or {}
 
-    def of(self, machine: Machine) -> BootExpectation:
-        """Return what is expected of a machine."""
-        return self._found.get(machine.name, self._usual)
+    def expectation_of(self, machine: Machine) -> BootExpectation:
+        """Return the expected boot of a machine; the usual one if nothing else is known."""
+        return self._by_machine.get(machine.name, self._usual)
 
     def ready_us(self, machine: Machine, at_us: int) -> int:
-        """Return when a machine that boots is expected to be up: not in the past."""
+        """Return when a booting machine is expected to be ready, but no time in the past."""
         boot_us = seconds_us(machine.type.boot_s)
-        return max(at_us, machine.rented_us + round(boot_us * self.of(machine).ready))
+        return max(at_us, machine.rented_us + round(boot_us * self.expectation_of(machine).ready))
 
     def is_late(self, machine: Machine, at_us: int) -> bool:
-        """Whether a machine is not to be counted on any more."""
-        return machine.booting and self._over(machine, self.of(machine).late, at_us)
+        """Return whether a booting machine is late, so that its capacity no longer counts."""
+        return machine.booting and self._exceeds(machine, self.expectation_of(machine).late, at_us)
 
     def is_given_up(self, machine: Machine, at_us: int) -> bool:
-        """Whether a machine is to be returned; what it costs anyhow it may stay for."""
+        """Return whether a booting machine is to be returned.
+
+        A machine is kept for the minimum time that is charged in any case.
+        """
         return (
             machine.booting
-            and self._over(machine, self.of(machine).give_up, at_us)
+            and self._exceeds(machine, self.expectation_of(machine).give_up, at_us)
             and at_us - machine.rented_us >= self._minimum_charge_us
         )
 
     @staticmethod
-    def _over(machine: Machine, ratio: float, at_us: int) -> bool:
-        limit_us = seconds_us(machine.type.boot_s * ratio) + SLACK_US
+    def _exceeds(machine: Machine, ratio: float, at_us: int) -> bool:
+        limit_us = seconds_us(machine.type.boot_s * ratio) + REPORT_SLACK_US
         return at_us - machine.rented_us > limit_us
 
 
 class BootHistory:
-    """The boots of late, by zone."""
+    """The recently completed boots, by zone."""
 
     def __init__(self) -> None:
-        self._boots: dict[str, deque[_Boot]] = defaultdict(deque)
+        self._boots: dict[str, deque[_CompletedBoot]] = defaultdict(deque)
 
     def record_boot(self, machine: Machine, at_us: int) -> None:
-        """A machine that this leader saw boot has reported for the first time."""
+        """Record the boot of a machine that has just sent its first heartbeat to this leader."""
         if machine.type.boot_s > 0:
             ratio = (at_us - machine.rented_us) / seconds_us(machine.type.boot_s)
-            self._boots[machine.zone].append(_Boot(machine.rented_us, ratio))
+            self._boots[machine.zone].append(_CompletedBoot(machine.rented_us, ratio))
 
     def expectations(
         self,
@@ -134,47 +146,48 @@
         usual: BootExpectation,
         minimum_charge_us: int,
     ) -> BootExpectations:
-        """Return what is expected of the machines that boot now."""
-        waiting: dict[str, list[Machine]] = defaultdict(list)
+        """Return the expected boots of those of the machines that are booting now."""
+        booting_by_zone: dict[str, list[Machine]] = defaultdict(list)
         for machine in machines:
             if machine.booting and not machine.deleting and machine.type.boot_s > 0:
-                waiting[machine.zone].append(machine)
-        found: dict[str, BootExpectation] = {}
-        for zone, booting in waiting.items():
-            self._forget(zone, at_us)
-            found.update(_judge(booting, self._boots[zone], at_us, usual))
-        return BootExpectations(usual, minimum_charge_us, found)
+                booting_by_zone[machine.zone].append(machine)
+        by_machine: dict[str, BootExpectation] = {}
+        for zone, booting in booting_by_zone.items():
+            self._remove_expired(zone, at_us)
+            by_machine.update(_estimate_zone(booting, self._boots[zone], at_us, usual))
+        return BootExpectations(usual, minimum_charge_us, by_machine)
 
-    def _forget(self, zone: str, at_us: int) -> None:
-        came = self._boots[zone]
-        while came and at_us - came[0].hired_us > MEMORY_US:
-            came.popleft()
+    def _remove_expired(self, zone: str, at_us: int) -> None:
+        boots = self._boots[zone]
+        while boots and at_us - boots[0].rented_us > BOOT_HISTORY_US:
+            boots.popleft()
 
 
-def _judge(
-    booting: list[Machine], came: Iterable[_Boot], at_us: int, usual: BootExpectation
+def _estimate_zone(
+    booting: list[Machine], completed: Iterable[_CompletedBoot], at_us: int, usual: BootExpectation
 ) -> dict[str, BootExpectation]:
-    """Judge a zone's machines, the latest rentals first."""
-    boots = sorted(came, key=lambda boot: -boot.hired_us)
+    """Return the expected boots of a zone's booting machines, by machine name."""
+    # The latest rentals come first, so each cohort extends the lists of the one before it.
+    boots = sorted(completed, key=lambda boot: -boot.rented_us)
     booting = sorted(booting, key=lambda machine: -machine.rented_us)
-    found: dict[str, BootExpectation] = {}
-    ratios: list[float] = []
-    waiting: list[float] = []
+    by_machine: dict[str, BootExpectation] = {}
+    boot_ratios: list[float] = []
+    waiting_ratios: list[float] = []
     next_boot = next_waiting = 0
-    for first, machine in enumerate(booting):
-        if first < next_waiting:
+    for index, machine in enumerate(booting):
+        if index < next_waiting:
             continue
-        # All hired within a span of this one, or later.
-        from_us = machine.rented_us - SPAN_US
-        while next_boot < len(boots) and boots[next_boot].hired_us >= from_us:
-            insort(ratios, boots[next_boot].ratio)
+        # Add all machines that were rented within the cohort's span before this one.
+        from_us = machine.rented_us - COHORT_SPAN_US
+        while next_boot < len(boots) and boots[next_boot].rented_us >= from_us:
+            insort(boot_ratios, boots[next_boot].ratio)
             next_boot += 1
-        together = []
+        cohort = []
         while next_waiting < len(booting) and booting[next_waiting].rented_us >= from_us:
-            other = booting[next_waiting]
-            waiting.append((at_us - other.rented_us) / seconds_us(other.type.boot_s))
-            together.append(other)
+            member = booting[next_waiting]
+            waiting_ratios.append((at_us - member.rented_us) / seconds_us(member.type.boot_s))
+            cohort.append(member)
             next_waiting += 1
-        expected = expected_of(ratios, waiting, usual)
-        found.update((other.name, expected) for other in together)
-    return found
+        expectation = estimate_boot(boot_ratios, waiting_ratios, usual)
+        by_machine.update((member.name, expectation) for member in cohort)
+    return by_machine
--- a/weldhead/quota/__init__.py
+++ b/weldhead/quota/__init__.py
@@ -1,1 +1,1 @@
-"""What teams are guaranteed, may take and take, by resource; pure functions of a snapshot."""
+"""Quotas of teams, by resource: guarantees, limits and current usage."""
--- a/weldhead/quota/amounts.py
+++ b/weldhead/quota/amounts.py
@@ -1,7 +1,7 @@
-"""Exact amounts: whole millionths of a CPU or of a card. No I/O.
+"""Exact amounts of CPUs and GPUs, as integers in millionths. No I/O.
 
-Amounts are decimals on the wire. Sums of floats drift, and a team that looks a billionth over
-its guarantee has borrowed nothing; so whatever is added up is added up in whole numbers.
+Amounts are decimals on the wire. Sums of floats accumulate rounding errors, and a team whose sum
+is a billionth above its guarantee has not borrowed anything; so amounts are summed as integers.
 """
 
 import enum
@@ -10,64 +10,64 @@
 
 from weldhead.protocol.wire import JobSpec
 
-#: Units in one CPU, or one card.
+#: Units in one CPU or one GPU.
 UNITS = 1_000_000
 
 #: No limit; larger than any sum of amounts.
 UNBOUNDED = 1 << 62
 
-#: How far from a whole unit a product of floats may be and still be that unit.
-_NOISE = 1e-3
+#: Maximum distance, in units, between a product of floats and the integer that it stands for.
+_MAX_ROUNDING_ERROR = 1e-3
 
 
 class Resource(enum.IntEnum):
-    """What is accounted for; the number is its place in an amount."""
+    """A resource with a quota; the value is its index in an ``Amount``."""
 
     CPUS = 0
-    CARDS = 1
+    GPUS = 1
 
 
-#: Units of CPUs and of cards.
+#: Units of CPUs and units of GPUs.
 Amount = tuple[int, int]
-NOTHING: Amount = (0, 0)
+ZERO_AMOUNT: Amount = (0, 0)
 
 
 @lru_cache(maxsize=4096)
 def required_units(amount: float) -> int:
-    """Return what a task takes, in units; what is finer than a unit counts as one."""
+    """Convert the amount that a task requires to units; a fraction of a unit is rounded up."""
     if math.isinf(amount):
         return UNBOUNDED
     units = round(amount * UNITS)
-    return units + 1 if amount * UNITS - units > _NOISE else units
+    return units + 1 if amount * UNITS - units > _MAX_ROUNDING_ERROR else units
 
 
 @lru_cache(maxsize=4096)
 def allowed_units(amount: float) -> int:
-    """Return a guarantee or a limit in units; what is finer than a unit is left out."""
+    """Convert a guarantee or a limit to units; a fraction of a unit is rounded down."""
     if math.isinf(amount):
         return UNBOUNDED
     units = round(amount * UNITS)
-    return units - 1 if units - amount * UNITS > _NOISE else units
+    return units - 1 if units - amount * UNITS > _MAX_ROUNDING_ERROR else units
 
 
 def required_amounts(spec: JobSpec) -> Amount:
-    """Return what one task of a job takes."""
+    """Return the amount that one task of a job requires."""
     return required_units(spec.cpus), required_units(spec.gpus)
 
 
 def claimed_resource(spec: JobSpec) -> Resource:
-    """Return the resource by which a task is judged: cards where it takes any.
+    """Return the resource whose guarantee applies to a task: GPUS if it requires any GPU.
 
-    The CPUs of a machine with cards come with its cards: a team that is guaranteed cards and
-    no CPUs could otherwise use none of them by right.
+    The CPUs of a GPU machine are used along with its GPUs. If both guarantees applied, a team
+    with a guarantee of GPUs and none of CPUs could use none of its GPUs within its guarantee.
     """
-    return Resource.CARDS if spec.gpus > 0 else Resource.CPUS
+    return Resource.GPUS if spec.gpus > 0 else Resource.CPUS
 
 
-def times_in(have: Amount, each: Amount, most: int) -> int:
-    """How many times an amount is contained in another, at most ``most`` and at least 0."""
-    if each[0] > 0:
-        most = min(most, have[0] // each[0])
-    if each[1] > 0:
-        most = min(most, have[1] // each[1])
-    return max(0, most)
+def count_fitting_tasks(available: Amount, per_task: Amount, max_tasks: int) -> int:
+    """Return how many tasks fit into an available amount, from 0 to ``max_tasks``."""
+    if per_task[0] > 0:
+        max_tasks = min(max_tasks, available[0] // per_task[0])
+    if per_task[1] > 0:
+        max_tasks = min(max_tasks, available[1] // per_task[1])
+    return max(0, max_tasks)
--- a/weldhead/quota/teams.py
+++ b/weldhead/quota/teams.py
@@ -1,17 +1,18 @@
-"""The account of the teams: guarantee, limit, use, and what a pass claims and frees. No I/O.
+"""Quota accounting for teams: guarantee, limit, usage, and the changes of one pass. No I/O.
 
-One account for all who judge by guarantees and limits. By resource, of each team:
+All code that decides by guarantees and limits uses this account. It holds for each team, by
+resource:
 
-* ``guarantee`` and ``limit`` as the platform states them (no limit: ``UNBOUNDED``);
-* ``used``: what attempts take by evidence, from the decision to start one until it is surely
-  gone;
-* ``claimed``: room that is being made for its waiting tasks;
-* ``freed``: what its tasks take that were asked to stop, and are not gone yet;
-* ``lent``: what it is guaranteed and does not use, so that others may borrow it.
+* ``guarantee`` and ``limit`` from the platform's settings (no limit: ``UNBOUNDED``);
+* ``used``: the amount held by the team's attempts, each from the decision to start it until it
+  is certain that it has ended;
+* ``claimed``: the amount that preemption is freeing for the team's waiting tasks;
+* ``stopping``: the part of ``used`` that belongs to tasks with a stop request;
+* ``unused_guarantee``: the guaranteed amount that the team does not use, and others may borrow.
 
-Borrowing is judged in the resource that is claimed. A team that uses more CPUs than it is
-guaranteed had counted as borrowing its cards too, and several stops in one pass, counted in
-CPUs alone, could take a team below its guarantee in cards.
+Whether a team borrows is decided by the claimed resource alone. Otherwise a team that
+used more CPUs than its guarantee would count as borrowing its GPUs too, and several stops in one
+pass, counted in CPUs alone, could take the team below its GPU guarantee.
 """
 
 from collections.abc import Mapping
@@ -21,30 +22,30 @@
 from weldhead.protocol.settings import Team
 from weldhead.protocol.wire import JobSpec
 from weldhead.quota.amounts import (
-    NOTHING,
     UNBOUNDED,
     UNITS,
+    ZERO_AMOUNT,
     Amount,
     Resource,
     allowed_units,
     claimed_resource,
+    count_fitting_tasks,
     required_amounts,
     required_units,
-    times_in,
 )
 
 
 class ResourceUsage:
-    """What a team's attempts take, by evidence."""
+    """The resources that a team's attempts hold."""
 
     __slots__ = ("units",)
 
     def __init__(self) -> None:
-        #: CPUs and cards, in units.
+        #: CPUs and GPUs, in units.
         self.units: list[int] = [0, 0]
 
     def add(self, spec: JobSpec, sign: int = 1) -> None:
-        """Count one task of a job; ``sign`` -1: no longer."""
+        """Add the resources of one task of a job; ``sign`` -1 subtracts them."""
         self.units[0] += sign * required_units(spec.cpus)
         self.units[1] += sign * required_units(spec.gpus)
 
@@ -59,7 +60,7 @@
 
     @property
     def gpus(self) -> float:
-        """Cards, as a decimal."""
+        """GPUs, as a decimal."""
         return self.units[1] / UNITS
 
     @gpus.setter
@@ -68,122 +69,125 @@
 
 
 class QuotaBounds(NamedTuple):
-    """What a team is guaranteed and may take at most."""
+    """A team's guarantee and its limit, in units."""
 
     guarantee: Amount
     limit: Amount
 
 
 @lru_cache(maxsize=4096)
-def bounds_of(team: Team) -> QuotaBounds:
-    """Return a team's bounds in units."""
+def quota_bounds(team: Team) -> QuotaBounds:
+    """Convert a team's guarantee and limit to units."""
     return QuotaBounds(
         (allowed_units(team.cpus), allowed_units(team.gpus)),
         (allowed_units(team.cpus_max), allowed_units(team.gpus_max)),
     )
 
 
-class QuotaPosition(NamedTuple):
-    """Where a team stands in one resource, in units."""
+class QuotaStatus(NamedTuple):
+    """A team's quota and usage of one resource, in units."""
 
     guarantee: int
     limit: int
     used: int
     claimed: int
-    freed: int
+    stopping: int
 
     @property
-    def lent(self) -> int:
-        """What it is guaranteed and does not use."""
+    def unused_guarantee(self) -> int:
+        """The guaranteed amount that the team does not use."""
         return max(0, self.guarantee - self.used)
 
     @property
     def borrowed(self) -> int:
-        """What it will use beyond its guarantee once all that was asked to stop is gone."""
-        return max(0, self.used - self.freed - self.guarantee)
+        """The usage beyond the guarantee, not counting tasks with a stop request."""
+        return max(0, self.used - self.stopping - self.guarantee)
 
 
-def left(limit: int, *taken: int) -> int:
-    """Return what is left of a limit; of none, all is left whatever was taken."""
-    return limit if limit == UNBOUNDED else limit - sum(taken)
+def remaining_units(limit: int, *used: int) -> int:
+    """Return a limit less the used amounts; an ``UNBOUNDED`` limit stays ``UNBOUNDED``."""
+    return limit if limit == UNBOUNDED else limit - sum(used)
 
 
-def within_limit(team: Team, used: Amount, spec: JobSpec, most: int) -> int:
-    """How many tasks of a job, at most ``most``, a team's limit allows beside what it uses."""
-    limit = bounds_of(team).limit
-    rest = left(limit[0], used[0]), left(limit[1], used[1])
-    return times_in(rest, required_amounts(spec), most)
+def count_within_limit(team: Team, used: Amount, spec: JobSpec, max_tasks: int) -> int:
+    """Return how many more tasks of a job a team's limit allows, at most ``max_tasks``."""
+    limit = quota_bounds(team).limit
+    remaining = remaining_units(limit[0], used[0]), remaining_units(limit[1], used[1])
+    return count_fitting_tasks(remaining, required_amounts(spec), max_tasks)
 
 
-def within_guarantee(team: Team, used: Amount, spec: JobSpec, most: int) -> int:
-    """How many tasks of a job, at most ``most``, are inside a team's guarantee.
+def count_within_guarantee(team: Team, used: Amount, spec: JobSpec, max_tasks: int) -> int:
+    """Return how many more tasks of a job fit a team's guarantee, at most ``max_tasks``.
 
-    Judged in the resource that the tasks claim.
+    Only the resource that the tasks claim counts (see ``claimed_resource``).
     """
     resource = claimed_resource(spec)
-    each = required_units(spec.gpus if resource is Resource.CARDS else spec.cpus)
-    if each == 0:
-        return most
-    rest = bounds_of(team).guarantee[resource] - used[resource]
-    return max(0, min(most, rest // each))
+    units_per_task = required_units(spec.gpus if resource is Resource.GPUS else spec.cpus)
+    if units_per_task == 0:
+        return max_tasks
+    remaining = quota_bounds(team).guarantee[resource] - used[resource]
+    return max(0, min(max_tasks, remaining // units_per_task))
 
 
 class QuotaAccount:
-    """The teams' account while a pass decides: what is used, and what the pass adds to it.
+    """The quotas of all teams during a pass: current usage, and the stops and claims of the pass.
 
-    ``used`` is followed, not copied: it may change between two questions.
+    ``used`` is not copied: changes during the pass take effect at the next call.
     """
 
     def __init__(self, teams: Mapping[str, Team], used: Mapping[str, ResourceUsage]) -> None:
         self._teams = teams
         self._used = used
-        self._freed: dict[str, list[int]] = {}
+        self._stopping: dict[str, list[int]] = {}
         self._claimed: dict[str, list[int]] = {}
 
-    def record_freed(self, team: str, spec: JobSpec) -> None:
-        """Note that a task of a team stops."""
-        _add(self._freed, team, spec)
+    def record_stop(self, team: str, spec: JobSpec) -> None:
+        """Record a stop request for one of a team's tasks."""
+        _add_task(self._stopping, team, spec)
 
     def record_claim(self, team: str, spec: JobSpec) -> None:
-        """Note that room is made for a task of a team."""
-        _add(self._claimed, team, spec)
+        """Record that resources are being freed for one of a team's waiting tasks."""
+        _add_task(self._claimed, team, spec)
 
-    def position(self, team: str, resource: Resource) -> QuotaPosition | None:
-        """Return where a team stands; None: there is no such team."""
-        known = self._teams.get(team)
-        if known is None:
+    def quota_status(self, team: str, resource: Resource) -> QuotaStatus | None:
+        """Return a team's quota and usage of a resource; None if the team does not exist."""
+        settings = self._teams.get(team)
+        if settings is None:
             return None
-        bounds = bounds_of(known)
-        use = self._used.get(team)
-        return QuotaPosition(
+        bounds = quota_bounds(settings)
+        usage = self._used.get(team)
+        return QuotaStatus(
             bounds.guarantee[resource],
             bounds.limit[resource],
-            use.units[resource] if use is not None else 0,
-            self._claimed.get(team, NOTHING)[resource],
-            self._freed.get(team, NOTHING)[resource],
+            usage.units[resource] if usage is not None else 0,
+            self._claimed.get(team, ZERO_AMOUNT)[resource],
+            self._stopping.get(team, ZERO_AMOUNT)[resource],
         )
 
-    def borrows(self, team: str, resource: Resource) -> bool:
-        """Whether a team uses more of a resource than it is guaranteed."""
-        position = self.position(team, resource)
-        return position is None or position.borrowed > 0
+    def is_borrowing(self, team: str, resource: Resource) -> bool:
+        """Return whether a team uses more of a resource than its guarantee.
 
-    def may_lose_gpus(self, team: str, units: int) -> bool:
-        """Whether a team keeps its guarantee in cards without so many units of them."""
-        position = self.position(team, Resource.CARDS)
-        return position is None or units == 0 or position.borrowed >= units
+        Tasks with a stop request do not count. A team that does not exist always borrows.
+        """
+        status = self.quota_status(team, resource)
+        return status is None or status.borrowed > 0
 
-    def within_guarantee(self, team: str, spec: JobSpec) -> bool:
-        """Whether one more task is inside its team's guarantee, with what is claimed already."""
+    def can_lose_gpus(self, team: str, units: int) -> bool:
+        """Return whether a team that loses this many units of GPUs still has its GPU guarantee."""
+        status = self.quota_status(team, Resource.GPUS)
+        return status is None or units == 0 or status.borrowed >= units
+
+    def is_within_guarantee(self, team: str, spec: JobSpec) -> bool:
+        """Return whether one more task fits the guarantee, next to all that is used and claimed."""
         resource = claimed_resource(spec)
-        position = self.position(team, resource)
-        if position is None:
+        status = self.quota_status(team, resource)
+        if status is None:
             return False
-        each = required_amounts(spec)[resource]
-        return position.used + position.claimed + each <= position.guarantee
+        units_per_task = required_amounts(spec)[resource]
+        return status.used + status.claimed + units_per_task <= status.guarantee
 
 
-def _add(to: dict[str, list[int]], team: str, spec: JobSpec) -> None:
-    held = to.setdefault(team, [0, 0])
-    held[0] += required_units(spec.cpus)
-    held[1] += required_units(spec.gpus)
+def _add_task(units_by_team: dict[str, list[int]], team: str, spec: JobSpec) -> None:
+    units = units_by_team.setdefault(team, [0, 0])
+    units[0] += required_units(spec.cpus)
+    units[1] += required_units(spec.gpus)
--- a/weldhead/scheduling/autoscaling/unmet_demand.py
+++ b/weldhead/scheduling/autoscaling/unmet_demand.py
@@ -9,7 +9,7 @@
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import tasks_that_fit
-from weldhead.quota.teams import within_guarantee
+from weldhead.quota.teams import count_within_guarantee
 from weldhead.scheduling.autoscaling.capacity_forecast import CapacityForecast
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
@@ -179,7 +179,7 @@
         is_guaranteed = tasks_that_fit(job.spec, unused_cpus, team.gpus) >= count
         if job.spec.gpus > 0:
             cpus, gpus = cluster.usage[job.team].units
-            is_guaranteed = within_guarantee(team, (cpus, gpus), job.spec, count) >= count
+            is_guaranteed = count_within_guarantee(team, (cpus, gpus), job.spec, count) >= count
         self._used_cpus[job.team] += job.spec.cpus * count
         return is_guaranteed
 
--- a/weldhead/scheduling/preemption/gpu_claims.py
+++ b/weldhead/scheduling/preemption/gpu_claims.py
@@ -204,7 +204,7 @@
         """
         team = attempt.job.team
         units = lost_units_by_team.get(team, 0) + required_units(attempt.job.spec.gpus)
-        if team != claimant.team and not self._rules.quota_account.may_lose_gpus(team, units):
+        if team != claimant.team and not self._rules.quota_account.can_lose_gpus(team, units):
             return False
         lost_units_by_team[team] = units
         return True
--- a/weldhead/scheduling/preemption/preemption_pass.py
+++ b/weldhead/scheduling/preemption/preemption_pass.py
@@ -90,7 +90,7 @@
         self._preemption_history = lists.preemption_history
         for attempt in cluster.stopping.values():
             self._add_capacity_delta(attempt.machine, attempt.job, 1)
-            self.quota_account.record_freed(attempt.job.team, attempt.job.spec)
+            self.quota_account.record_stop(attempt.job.team, attempt.job.spec)
         for entry in lists.entries():
             job = cluster.jobs.get(entry.job_id)
             if job is None:
@@ -189,7 +189,7 @@
 
     def is_within_guarantee(self, claimant: Job) -> bool:
         """Return whether one more task of the claimant stays inside its team's guarantee."""
-        return self.quota_account.within_guarantee(claimant.team, claimant.spec)
+        return self.quota_account.is_within_guarantee(claimant.team, claimant.spec)
 
     def is_borrowing(self, team: str, resource: Resource) -> bool:
         """Return whether a team uses more of a resource than its quota guarantees."""
@@ -245,7 +245,7 @@
             return True
         units = required_units(spec.gpus)
         units += sum(required_units(a.job.spec.gpus) for a in other_victims if a.job.team == team)
-        return self.quota_account.may_lose_gpus(team, units)
+        return self.quota_account.can_lose_gpus(team, units)
 
     def victim_sort_key(self, attempt: Attempt) -> tuple[int, ...]:
         """Return the sort key that orders the tasks of a job, first victim first."""
@@ -450,7 +450,7 @@
         for victim in victims:
             self.victim_ids.add(id(victim))
             self._add_task_resources(capacity, victim.job, 1)
-            self.quota_account.record_freed(victim.job.team, victim.job.spec)
+            self.quota_account.record_stop(victim.job.team, victim.job.spec)
         self._add_task_resources(capacity, claimant, -1)
         self.quota_account.record_claim(claimant.team, claimant.spec)
         if victims and capacity[0] > EPSILON:
--- a/weldhead/scheduling/preemption/victim_rules.py
+++ b/weldhead/scheduling/preemption/victim_rules.py
@@ -36,7 +36,7 @@
 
 def is_over_guarantee(account: QuotaAccount, team: str, resource: Resource) -> bool:
     """Return whether a team uses more of a resource than its quota guarantees."""
-    return account.borrows(team, resource)
+    return account.is_borrowing(team, resource)
 
 
 def victim_sort_key(attempt: Attempt, estimates: RunTimeEstimates, at_us: int) -> tuple[int, ...]:
