--- a/weldhead/provisioning/boot_times.py
+++ b/weldhead/provisioning/boot_times.py
@@ -108,7 +108,9 @@
 
     def is_late(self, machine: Machine, at_us: int) -> bool:
         """Return whether a booting machine is late, so that its capacity no longer counts."""
-        return machine.is_booting and self._exceeds(machine, self.expectation_of(machine).late, at_us)
+        return machine.is_booting and self._exceeds(
+            machine, self.expectation_of(machine).late, at_us
+        )
 
     def is_given_up(self, machine: Machine, at_us: int) -> bool:
         """Return whether a booting machine is to be returned.
