--- a/tests/controller/requests/test_job_dependencies.py
+++ b/tests/controller/requests/test_job_dependencies.py
@@ -601,7 +601,7 @@
         return plan_preemptions(view, lists, plan, RunTimeEstimates(), 2 * S, preemptor, objectives)
 
     assert [entry.victims for entry in planned_reclaims()] == [[attempt]]
-    upstream.effective_level = upstream.spec.level
+    upstream.effective_level = upstream.spec.priority_level
     assert planned_reclaims() == []
 
 
--- a/tests/controller/workers/test_attempt_life_cycle.py
+++ b/tests/controller/workers/test_attempt_life_cycle.py
@@ -20,7 +20,7 @@
 from weldhead.controller.workers.pending_commands import pending_commands
 from weldhead.controller.workers.stop_requests import request_stop
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import Command, Heartbeat, split_task
+from weldhead.protocol.wire import Command, Heartbeat, split_task_name
 from weldhead.reconciliation.buffered_heartbeats import MessageSource
 from weldhead.reconciliation.command_queue import CommandPriority, _attempt_position, queue_position
 from weldhead.scheduling.forecast.run_times import RunTimeEstimates
@@ -75,7 +75,7 @@
             machine.lease_from_us = self.now
 
     def _is_committed(self, task: str) -> bool:
-        job_id, index = split_task(task)
+        job_id, index = split_task_name(task)
         return self.cluster.jobs[job_id].states[index] != TaskState.COMPLETED
 
     def _commands(self, machine: Machine, sequence: int | None) -> list[Command]:
@@ -195,7 +195,7 @@
     @invariant()
     def team_limit_is_respected(self) -> None:
         used = sum(
-            self.cluster.jobs[split_task(task)[0]].spec.cpus
+            self.cluster.jobs[split_task_name(task)[0]].spec.cpus
             for worker in self.workers.values()
             for task in worker.live()
         )
--- a/tests/protocol/test_golden_bytes.py
+++ b/tests/protocol/test_golden_bytes.py
@@ -1,8 +1,8 @@
-"""Every stored record and every message, byte for byte as format 5 first wrote them.
+"""The encoding of every record and message is still the one that format 5 first wrote.
 
-``golden_bytes.json`` holds one literal of each kind with every field set: JSON as it stands in
-the store, in files and on HTTP; frames between controllers as hexadecimal digits. A field that
-is renamed in the code and not mapped back to its name on the wire fails here.
+``golden_bytes.json`` has one literal of each type with every field set. Records, files and HTTP
+bodies are JSON; frames between controllers are hexadecimal digits. These tests fail if a field is
+renamed in the code without a mapping to its encoded name.
 """
 
 import json
@@ -12,13 +12,17 @@
 import msgspec
 import pytest
 
-from weldhead.calendars import binding as calendars
+from weldhead.calendars import binding as calendar_binding
 from weldhead.calendars import calendar_document, calendar_state
 from weldhead.client import answers, decisions, policy
 from weldhead.cluster_state import preemption_history, records
-from weldhead.controller.configuration import document_file as source
-from weldhead.controller.configuration import gate_binder, late_notifications, run_time_history
-from weldhead.controller.scheduling_loop import preemption_recorder as lending
+from weldhead.controller.configuration import (
+    document_file,
+    gate_binder,
+    late_notifications,
+    run_time_history,
+)
+from weldhead.controller.scheduling_loop import preemption_recorder
 from weldhead.documents import records as document_records
 from weldhead.gates import gate_document, gate_state
 from weldhead.protocol import peer, settings, wire
@@ -39,10 +43,10 @@
     "client: Answer": answers.Answer,
     "client: Run": decisions.Run,
     "client: Policy": policy.Policy,
-    "record: PreemptedRecord": lending.PreemptedRecord,
+    "record: PreemptedRecord": preemption_recorder.PreemptedRecord,
     "record: HeadRecord": document_records.HeadRecord,
     "record: DocumentSet": document_records.DocumentSet,
-    "documents file: Source": source.Source,
+    "documents file: Source": document_file.Source,
     "document: Gate": gate_document.Gate,
     "record: GateState": gate_state.GateState,
     "peer: Hello": peer.Hello,
@@ -99,7 +103,7 @@
     "record: class history": run_time_history.Record,
     "record: progress": str,
 }
-#: Written only: nobody reads one back.
+#: Messages that are encoded but never decoded by this code.
 WRITTEN_ONLY = {
     "wire: Transaction": wire.Transaction(
         [wire.Condition("leader", 41)],
@@ -113,27 +117,27 @@
 
 
 @pytest.mark.parametrize("kind", [k for k in TYPES if not k.startswith("peer: ")])
-def test_json_is_read_and_written_as_before(kind: str) -> None:
+def test_json_decodes_and_encodes_to_the_same_bytes(kind: str) -> None:
     literal = GOLDEN[kind].encode()
     value = msgspec.json.decode(literal, type=TYPES[kind])
     assert msgspec.json.encode(value) == literal
 
 
 @pytest.mark.parametrize("kind", [k for k in TYPES if k.startswith("peer: ")])
-def test_frames_are_read_and_written_as_before(kind: str) -> None:
+def test_frames_decode_and_encode_to_the_same_bytes(kind: str) -> None:
     frame = bytes.fromhex(GOLDEN[kind])
-    assert peer.frame_length(frame[:4]) == len(frame) - 4
+    assert peer.decode_frame_length(frame[:4]) == len(frame) - 4
     message = peer.decode_message(frame[4:])
     assert type(message) is TYPES[kind]
     assert peer.encode_frame(message) == frame
 
 
 @pytest.mark.parametrize("kind", WRITTEN_ONLY)
-def test_requests_are_written_as_before(kind: str) -> None:
+def test_written_only_messages_encode_to_the_same_bytes(kind: str) -> None:
     assert msgspec.json.encode(WRITTEN_ONLY[kind]).decode() == GOLDEN[kind]
 
 
-def test_keys_of_the_store_are_as_before() -> None:
+def test_keys_of_records_are_unchanged() -> None:
     keys = [
         records.LEADER_KEY,
         records.UNSETTLED_KEY,
@@ -144,7 +148,7 @@
         preemption_history.preempted_key(preemption_history.shard_of("run-1")),
         document_records.HEAD_KEY,
         document_records.document_key(7, "gate/g"),
-        document_records.state_key(calendars.KIND, "c"),
+        document_records.state_key(calendar_binding.KIND, "c"),
         document_records.state_key(gate_binder.KIND, "g"),
         document_records.state_key(late_notifications.KIND, "0"),
         run_time_history.KEY,
--- a/tests/protocol/test_validation.py
+++ b/tests/protocol/test_validation.py
@@ -1,4 +1,4 @@
-"""Submissions: what is accepted, malformed, impossible."""
+"""Which submissions are accepted, and which are refused as malformed or as impossible to run."""
 
 from typing import Any
 
@@ -16,9 +16,9 @@
 NULLABLE = {"frames", "yard", "due_s"}
 
 
-def test_a_good_submission() -> None:
+def test_valid_submission_with_an_unknown_field_is_accepted() -> None:
     spec = parse_submission(msgspec.json.encode(GOOD | {"something_new": [1, 2]}))
-    assert (spec.id, spec.tasks, spec.level, spec.estimate_us) == (
+    assert (spec.id, spec.tasks, spec.priority_level, spec.estimate_us) == (
         "run-000412",
         16,
         2,
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("field", sorted(GOOD))
-def test_missing_fields(field: str) -> None:
+def test_missing_field_is_refused_unless_nullable(field: str) -> None:
     body = msgspec.json.encode({k: v for k, v in GOOD.items() if k != field})
     if field in NULLABLE:
         assert parse_submission(body).id == "run-000412"
@@ -37,7 +37,7 @@
     assert (refused.value.status, refused.value.field) == (400, field)
 
 
-WRONG: dict[str, list[Any]] = {
+INVALID_VALUES: dict[str, list[Any]] = {
     "uid": ["", "job-1", "run-", "run-1/2", "run-1 ", 7, None],
     "jobclass": ["", 3, "x" * 1000],
     "owner": ["", None],
@@ -57,9 +57,10 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value"), [(field, value) for field, values in WRONG.items() for value in values]
+    ("field", "value"),
+    [(field, value) for field, values in INVALID_VALUES.items() for value in values],
 )
-def test_wrong_values_are_400_and_name_the_field(field: str, value: object) -> None:
+def test_invalid_value_is_400_and_names_the_field(field: str, value: object) -> None:
     with pytest.raises(SubmissionRefusedError) as refused:
         parse_submission(msgspec.json.encode(GOOD | {field: value}))
     assert (refused.value.status, refused.value.field) == (400, field)
@@ -81,7 +82,7 @@
 
 @given(st.dictionaries(st.sampled_from(sorted(GOOD)), JSON, max_size=4))
 def test_any_mutation_is_accepted_or_refused_cleanly(changes: dict[str, Any]) -> None:
-    """Whatever comes, it is a valid job or a refusal: nothing else is ever raised."""
+    """A submission is either a valid job or refused with 400; no other error is raised."""
     try:
         body = msgspec.json.encode(GOOD | changes)
         spec = parse_submission(body)
@@ -109,7 +110,7 @@
         ({"kind": "standing", "tasks": 3, "gpus": 1.0, "cpus": 1.0}, "cards"),
     ],
 )
-def test_impossible_jobs_are_422(changes: dict[str, Any], field: str) -> None:
+def test_job_that_can_never_run_is_422(changes: dict[str, Any], field: str) -> None:
     with pytest.raises(SubmissionRefusedError) as refused:
         check_feasible(job_spec(**changes), TEAMS, CATALOG)
     assert (refused.value.status, refused.value.field) == (422, field)
@@ -118,21 +119,21 @@
 @pytest.mark.parametrize(
     "changes", [{"tasks": 100_000}, {"kind": "standing", "tasks": 8}, {"gpus": 1.0, "zone": "b"}]
 )
-def test_possible_jobs_pass(changes: dict[str, Any]) -> None:
+def test_job_that_can_run_is_accepted(changes: dict[str, Any]) -> None:
     check_feasible(job_spec(**changes), TEAMS, CATALOG)
 
 
 @pytest.mark.parametrize(
     "needs", ["run-000001", 7, {}, [7], [None], ["run-1", "x"], ["run-"], [""], ["run-1/0"]]
 )
-def test_a_list_of_needed_jobs_that_is_none_is_malformed(needs: object) -> None:
+def test_invalid_list_of_needed_jobs_is_400(needs: object) -> None:
     with pytest.raises(SubmissionRefusedError) as refusal:
         parse_submission(msgspec.json.encode(GOOD | {"waits_on": needs}))
     assert (refusal.value.status, refusal.value.field) == (400, "waits_on")
 
 
 @pytest.mark.parametrize(
-    ("needs", "read"),
+    ("needs", "expected"),
     [
         (None, None),
         ([], None),
@@ -140,7 +141,7 @@
         (["run-2", "run-1", "run-2"], ("run-2", "run-1")),
     ],
 )
-def test_needed_jobs_are_read_once_each(needs: object, read: object) -> None:
+def test_repeated_needed_jobs_count_once(needs: object, expected: object) -> None:
     spec = parse_submission(msgspec.json.encode(GOOD | {"waits_on": needs}))
-    assert spec.needs == read
+    assert spec.needs == expected
     assert parse_submission(msgspec.json.encode(GOOD)).needs is None
--- a/tests/protocol/test_versions.py
+++ b/tests/protocol/test_versions.py
@@ -1,7 +1,7 @@
-"""Old and new side by side: what either version writes, the other reads and acts on.
+"""Versions that run side by side read each other's records and messages.
 
-The literals are what format 1 (weldhead 0.2) wrote, byte for byte; the Old structs restate
-how it reads.
+The literals are byte for byte what format 1 (weldhead 0.2) wrote. The classes named ``Old...``
+decode records and messages as format 1 does.
 """
 
 import asyncio
@@ -38,11 +38,11 @@
 from weldhead.protocol import peer
 from weldhead.protocol.settings import parse_settings
 from weldhead.protocol.validation import is_job_id
-from weldhead.protocol.versions import CHAINS_FORMAT, FORMAT
+from weldhead.protocol.versions import CURRENT_FORMAT, JOB_DEPENDENCIES_FORMAT
 from weldhead.protocol.wire import JobSpec
 from weldhead.tunables.defaults import Tunables
 
-JOB = (
+JOB_RECORD = (
     b'{"spec":{"uid":"run-000412","jobclass":"train","owner":"red","shape":"batch",'
     b'"urgency":"normal","pieces":4,"cores":2.0,"cards":0.0,"ram_gb":2.0,"build":"img",'
     b'"pull_gb":1.0,"same_place":false,"apart":false,"loaners":true,"expected_s":60.0,'
@@ -51,7 +51,7 @@
 )
 
 
-CANCELLED = (
+CANCELLED_RECORD = (
     b'{"spec":{"uid":"run-000413","jobclass":"train","owner":"red","shape":"batch",'
     b'"urgency":"normal","pieces":4,"cores":2.0,"cards":0.0,"ram_gb":2.0,"build":"img",'
     b'"pull_gb":1.0,"same_place":false,"apart":false,"loaners":true,"expected_s":60.0,'
@@ -59,19 +59,19 @@
 )
 
 
-FINAL = b'{"status":"done","done":4}'
+FINAL_RECORD = b'{"status":"done","done":4}'
 
 
-HIRE = (
+RENTAL = (
     b'{"type":"m4","zone":"a","spot":true,"count":2,"hired_us":1760000000000000,'
     b'"settled":true,"machines":{"vm-000231":"10.1.0.232:9000","vm-000232":null}}'
 )
 
 
-OPEN_HIRE = b'{"type":"m4","zone":"a","spot":false,"count":3,"hired_us":1760000000000000}'
+OPEN_RENTAL = b'{"type":"m4","zone":"a","spot":false,"count":3,"hired_us":1760000000000000}'
 
 
-LEADER = b'{"name":"welder-0","nonce":"0123456789abcdef","ttl_us":3000000}'
+LEADER_RECORD = b'{"name":"welder-0","nonce":"0123456789abcdef","ttl_us":3000000}'
 
 
 PROGRESS = b'"GQI="'
@@ -91,35 +91,40 @@
 }
 
 
-def read(body: bytes, kind: Any) -> Any:
+def decode(body: bytes, kind: Any) -> Any:
     return msgspec.json.decode(body, type=kind)
 
 
-def test_records_of_format_1_are_read_and_what_they_lack_means_the_defaults() -> None:
-    job = read(JOB, JobRecord)
+def test_records_of_format_1_are_read_with_default_values() -> None:
+    job = decode(JOB_RECORD, JobRecord)
     expected = job_spec(412, zone="a", types=("m4",), deadline_s=900.0)
     assert job == JobRecord(expected, 1_760_000_000_000_000)
     assert job.spec.needs is None
-    assert read(CANCELLED, JobRecord).cancelled
-    assert read(FINAL, FinalRecord) == FinalRecord("done", 4, 0, False)
-    rental = read(HIRE, RentalRecord)
+    assert decode(CANCELLED_RECORD, JobRecord).cancelled
+    assert decode(FINAL_RECORD, FinalRecord) == FinalRecord("done", 4, 0, False)
+    rental = decode(RENTAL, RentalRecord)
     assert rental.machines == {"vm-000231": "10.1.0.232:9000", "vm-000232": None}
-    assert (read(OPEN_HIRE, RentalRecord).settled, read(OPEN_HIRE, RentalRecord).machines) == (
+    assert (
+        decode(OPEN_RENTAL, RentalRecord).settled,
+        decode(OPEN_RENTAL, RentalRecord).machines,
+    ) == (
         False,
         {},
     )
-    assert read(LEADER, LeaderRecord) == LeaderRecord("welder-0", "0123456789abcdef", 3_000_000)
-    assert decode_progress(read(PROGRESS, str), 10) == [0, 3, 4, 9]
+    assert decode(LEADER_RECORD, LeaderRecord) == LeaderRecord(
+        "welder-0", "0123456789abcdef", 3_000_000
+    )
+    assert decode_progress(decode(PROGRESS, str), 10) == [0, 3, 4, 9]
 
 
 @pytest.mark.parametrize("frame", FRAMES)
 def test_frames_of_format_1_are_read(frame: str) -> None:
     body = bytes.fromhex(frame)
-    assert peer.frame_length(body[:4]) == len(body) - 4
+    assert peer.decode_frame_length(body[:4]) == len(body) - 4
     assert peer.decode_message(body[4:]) == FRAMES[frame]
 
 
-class OldHire(msgspec.Struct):
+class OldRental(msgspec.Struct):
     type: str
     zone: str
     spot: bool
@@ -141,7 +146,7 @@
     state_ok: bool
 
 
-class OldAsk(msgspec.Struct, array_like=True, tag="ask"):
+class OldForwardedRequest(msgspec.Struct, array_like=True, tag="ask"):
     id: int
     kind: str
     job_id: str
@@ -163,46 +168,52 @@
 def test_format_1_reads_the_jobs_that_are_written_now(
     spec: JobSpec, at_us: int, cancelled: bool
 ) -> None:
-    old = read(msgspec.json.encode(JobRecord(spec, at_us, cancelled)), OldJob)
+    old = decode(msgspec.json.encode(JobRecord(spec, at_us, cancelled)), OldJob)
     assert (old.submitted_us, old.cancelled) == (at_us, cancelled)
     assert (old.spec.uid, old.spec.pieces, old.spec.yard) == (spec.id, spec.tasks, spec.zone)
-    # It rewrites a job only to cancel it: what it drops is not asked for any more.
-    again = read(msgspec.json.encode(OldJob(old.spec, at_us, True)), JobRecord)
+    # Format 1 rewrites a job only to cancel it, and then the needed jobs that it drops are unused.
+    again = decode(msgspec.json.encode(OldJob(old.spec, at_us, True)), JobRecord)
     assert again == JobRecord(msgspec.structs.replace(spec, needs=None), at_us, True)
 
 
-def test_format_1_reads_ends_rentals_and_shortened_cancellations() -> None:
+def test_format_1_reads_ends_rentals_and_cut_cancellations() -> None:
     end = msgspec.json.encode(FinalRecord("withdrawn", 2, 2**50, True))
-    assert read(end, OldFinal) == OldFinal("withdrawn", 2)
+    assert decode(end, OldFinal) == OldFinal("withdrawn", 2)
     rental = RentalRecord("m4", "a", True, 2, 5, True, {"vm-1": None, "vm-2": "10.0.0.1:1"})
-    old = read(msgspec.json.encode(rental), OldHire)
+    old = decode(msgspec.json.encode(rental), OldRental)
     assert (old.settled, old.machines) == (True, rental.machines)
     long = job_spec(7, types=tuple(f"{n:0200}" for n in range(30)), image="i" * 200)
     short = cancelled_record(long, 5, 2048)
     body = msgspec.json.encode(short)
     assert len(body) <= 2048 < len(msgspec.json.encode(JobRecord(long, 5)))
-    stored = read(body, OldJob)
-    # What usage counts, and how many tasks there are, stays.
+    stored = decode(body, OldJob)
+    # The fields for quota accounting and the number of tasks are kept.
     assert (stored.cancelled, stored.spec.owner, stored.spec.cores) == (True, "red", 2.0)
     assert stored.spec.pieces == 4
-    # What fits stays whole.
+    # A record that fits the limit is not shortened.
     assert cancelled_record(job_spec(7), 5, 2048).spec == job_spec(7)
 
 
-def test_format_1_reads_the_messages_that_are_sent_now() -> None:
-    decoder = msgspec.msgpack.Decoder(OldPing | OldPong | OldAsk)
+def test_format_1_reads_current_peer_messages() -> None:
+    decoder = msgspec.msgpack.Decoder(OldPing | OldPong | OldForwardedRequest)
     for message, old in (
         (peer.Ping(7, 41, True, ("vm-1",)), OldPing(7, 41, True, ("vm-1",))),
-        (peer.Pong(7, True, FORMAT), OldPong(7, True)),
-        (peer.ForwardedRequest(8, "poll", "run-1", b""), OldAsk(8, "poll", "run-1", b"")),
+        (peer.Pong(7, True, CURRENT_FORMAT), OldPong(7, True)),
+        (
+            peer.ForwardedRequest(8, "poll", "run-1", b""),
+            OldForwardedRequest(8, "poll", "run-1", b""),
+        ),
     ):
         assert decoder.decode(peer.encode_frame(message)[4:]) == old
 
 
-def test_nothing_of_chains_goes_to_a_peer_that_has_not_said_that_it_knows_them(
+def test_dependent_job_is_not_sent_to_peer_of_format_1(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A node of format 1 would accept the job without what it waits for, and start it."""
+    """A job that needs other jobs is sent only to peers that have stated a format that has this.
+
+    A controller of format 1 would accept the job without its needed jobs and start it at once.
+    """
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
     link = node._links["n-1"]
     link._writer = cast(Any, object())
@@ -219,88 +230,91 @@
         asyncio.run(node.peers.ask_served_peer("submit", "run-1", b"", chained=chained))
         return list(sent)
 
-    assert (link.format, node.peers.peers_support(CHAINS_FORMAT)) == (0, True)
+    assert (link.format, node.peers.peers_support(JOB_DEPENDENCIES_FORMAT)) == (0, True)
     assert (ask(chained=True), ask(chained=False)) == ([], ["submit"])
     link.format = 1
-    assert not node.peers.peers_support(CHAINS_FORMAT)
+    assert not node.peers.peers_support(JOB_DEPENDENCIES_FORMAT)
     assert (ask(chained=True), ask(chained=False)) == ([], ["submit"])
     link.format = 2
-    assert node.peers.peers_support(CHAINS_FORMAT)
-    link.format = FORMAT
-    assert node.peers.peers_support(CHAINS_FORMAT)
+    assert node.peers.peers_support(JOB_DEPENDENCIES_FORMAT)
+    link.format = CURRENT_FORMAT
+    assert node.peers.peers_support(JOB_DEPENDENCIES_FORMAT)
     assert (ask(chained=True), ask(chained=False)) == (["submit"], ["submit"])
 
 
-def old_fleet(state: StandInState, machines: int) -> None:
-    """A rental as format 1 wrote it under the larger limit."""
-    names: dict[str, str | None] = {f"vm-{n:012}": f"10.1.0.{n}:9000" for n in range(machines)}
-    state.put("h/welder-0-7-1", OldHire("m4", "a", True, machines, START, True, names))
+def put_old_rental(state: StandInState, machine_count: int) -> None:
+    """Store a rental record as format 1 wrote it when the value limit was larger."""
+    names: dict[str, str | None] = {f"vm-{n:012}": f"10.1.0.{n}:9000" for n in range(machine_count)}
+    state.put("h/welder-0-7-1", OldRental("m4", "a", True, machine_count, START, True, names))
 
 
-def recorded(state: StandInState) -> dict[str, str | None]:
-    """What a leader of format 1 would find."""
+def recorded_machines(state: StandInState) -> dict[str, str | None]:
+    """Return the machines, with addresses, that a leader of format 1 would read."""
     found: dict[str, str | None] = {}
     for key, (value, _) in sorted(state.keys.items()):
         if key.startswith("h/"):
-            found |= msgspec.convert(value, OldHire).machines
+            found |= msgspec.convert(value, OldRental).machines
     return found
 
 
-@pytest.mark.parametrize("ends_after", [0, 1, 2, 3, None])
-def test_a_rental_over_the_limit_is_divided_in_steps_that_lose_no_machine(
+@pytest.mark.parametrize("failure_after", [0, 1, 2, 3, None])
+def test_dividing_an_oversized_rental_record_loses_no_machine(
     clock: Clock,
-    ends_after: int | None,
+    failure_after: int | None,
 ) -> None:
     state = StandInState()
-    old_fleet(state, 50)
-    everything = recorded(state)
+    put_old_rental(state, 50)
+    all_machines = recorded_machines(state)
     state.value_bytes, state.max_writes = 1024, 4
     leader = new_leader(state, clock())
 
-    async def divide(leader: Any, ends_after: int | None) -> None:
+    async def divide(leader: Any, failure_after: int | None) -> None:
         background_task = asyncio.create_task(leader.state_writer.run())
-        if ends_after is not None:
-            state.fates = ["ok"] * ends_after + ["lost"] * 100
+        if failure_after is not None:
+            state.fates = ["ok"] * failure_after + ["lost"] * 100
         leader.rental_manager.start()
         for _ in range(200):
             await asyncio.sleep(0)
-            # At each moment any leader finds all of them.
-            assert recorded(state) == everything
+            # A new leader would find all machines at any time.
+            assert recorded_machines(state) == all_machines
         await leader.close()
         background_task.cancel()
         await asyncio.gather(background_task, return_exceptions=True)
 
-    asyncio.run(divide(leader, ends_after))
-    if ends_after is not None:
+    asyncio.run(divide(leader, failure_after))
+    if failure_after is not None:
         state.fates.clear()
         leader = new_leader(state, clock())
-        assert sorted(leader.cluster.machines) == sorted(everything)
+        assert sorted(leader.cluster.machines) == sorted(all_machines)
         assert all(machine.enrolled for machine in leader.cluster.machines.values())
         asyncio.run(divide(leader, None))
     values = [v for k, (v, _) in state.keys.items() if k.startswith("h/")]
     assert len(values) > 1
     assert all(len(msgspec.json.encode(value)) <= 1024 for value in values)
-    # Each machine is in one record now, and its machine knows which.
+    # Each machine is in exactly one record, and its ``rental_name`` names that record.
     assert sum(len(value["machines"]) for value in values) == 50
     for machine in leader.cluster.machines.values():
         assert machine.name in state.keys[f"h/{machine.rental_name}"][0]["machines"]
 
 
-def test_a_record_that_fits_is_left_alone(clock: Clock) -> None:
+def test_rental_record_within_the_limit_is_not_divided(clock: Clock) -> None:
     state = StandInState()
-    old_fleet(state, 50)
+    put_old_rental(state, 50)
     leader = new_leader(state, clock())
     assert len(leader.rental_manager._divide_machines("welder-0-7-1")) == 1
 
 
-def test_a_pong_says_the_format_and_a_link_remembers_it_while_it_is_up(
+def test_peer_format_is_known_from_pong_until_disconnect(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A peer that comes back may be another version: nothing is assumed of a new connection."""
+    """A peer that reconnects may run another version.
+
+    So the format of a peer is unknown on a new connection until its first pong.
+    """
     node = ControllerProcess(parse_settings(msgspec.json.encode(SETTINGS)), Tunables())
     node._state = cast(Any, SimpleNamespace(available=True))
     pong = asyncio.run(node._handle_peer_message("n-1", peer.Ping(7, 0, True)))
-    assert pong == peer.Pong(7, True, FORMAT, False)
+    assert pong == peer.Pong(7, True, CURRENT_FORMAT, False)
 
     class Writer:
         transport = SimpleNamespace(abort=lambda: None)
@@ -326,16 +340,20 @@
 
     with caplog.at_level(logging.INFO):
         asyncio.run(connect())
-    said = [record.getMessage() for record in caplog.records]
-    assert [line for line in said if "format" in line] == [
+    messages = [record.getMessage() for record in caplog.records]
+    assert [line for line in messages if "format" in line] == [
         "peer n-1 has format 1",
-        f"peer n-1 has format {FORMAT}",
+        f"peer n-1 has format {CURRENT_FORMAT}",
     ]
     assert node._links["n-1"].format == 0
 
 
-def test_an_older_pong_does_not_say_that_its_sender_is_in_no_term() -> None:
-    """Beside an older version a node that has just started keeps its former promises."""
+def test_pong_without_leads_field_counts_as_from_a_leader() -> None:
+    """A controller that has just started may have promised not to lead in its previous process.
+
+    It may lead once its peers state that they are in no term. A pong of format 2 does not state
+    that, so the earlier promise is kept.
+    """
     node = ControllerProcess(
         parse_settings(msgspec.json.encode(SETTINGS)), Tunables(), started_us=now_us()
     )
@@ -345,18 +363,18 @@
     assert not node.election.candidacy.can_lead(now_us())
     for name in node._links:
         assert not node.election.candidacy.can_lead(now_us())
-        node.election.observe_pong(name, peer.Pong(7, True, FORMAT, False), now_us())
+        node.election.observe_pong(name, peer.Pong(7, True, CURRENT_FORMAT, False), now_us())
     assert node.election.candidacy.can_lead(now_us())
 
 
-class ChainsSpec(OldSpec, frozen=True):
+class Format2Spec(OldSpec, frozen=True):
     waits_on: tuple[str, ...] | None = None
 
 
-class ChainsJob(msgspec.Struct):
-    """How formats 2 and 3 read a job."""
+class Format2Job(msgspec.Struct):
+    """A job record as formats 2 and 3 decode it."""
 
-    spec: ChainsSpec
+    spec: Format2Spec
     submitted_us: int
     cancelled: bool = False
 
@@ -368,29 +386,30 @@
         AdmissionBinding(gate_action=GateAction("book", "approval", 3)),
     ],
 )
-def test_a_leader_that_knows_chains_and_no_gates_never_starts_what_a_gate_concerns(
+def test_leader_without_gates_never_starts_a_gated_job(
     binding: AdmissionBinding,
 ) -> None:
-    # Such a version may come back and lead while held jobs exist: their records name a need
-    # that no job can have, so nobody ever commits its end.
+    # After a downgrade, a version with dependencies but without gates may lead while gates hold
+    # jobs. The records of these jobs need a job with an id that no job can have, so its end is
+    # never recorded.
     spec = job_spec(1, needs=("run-000009",))
     record = admitted_record(spec, START, binding)
-    old = msgspec.json.decode(msgspec.json.encode(record), type=ChainsJob)
+    old = msgspec.json.decode(msgspec.json.encode(record), type=Format2Job)
     assert old.spec.waits_on == ("run-000009", "gate/book")
     assert not is_job_id("gate/book") and without_gate(record.spec) == spec
-    # What it does with a list of needs.
-    of = cluster()
-    chains = DependencyGraph(of.jobs)
-    job = add_job(of, spec)
-    chains.add(job, old.spec.waits_on)
-    chains.mark_done("run-000009", START)
-    assert job.waiting == 0 and chains.unresolved == {"gate/book"}
-    # A cancellation that it writes is one for this version, and the other way round.
+    # The older version starts the job only when all needed jobs are done.
+    state = cluster()
+    graph = DependencyGraph(state.jobs)
+    job = add_job(state, spec)
+    graph.add(job, old.spec.waits_on)
+    graph.mark_done("run-000009", START)
+    assert job.waiting == 0 and graph.unresolved == {"gate/book"}
+    # Each of the two versions reads a cancellation that the other one writes.
     cancelled = cancelled_record(record.spec, START, 8_192)
-    assert msgspec.json.decode(msgspec.json.encode(cancelled), type=ChainsJob).cancelled
+    assert msgspec.json.decode(msgspec.json.encode(cancelled), type=Format2Job).cancelled
 
 
-def test_a_job_that_concerns_no_gate_is_recorded_as_ever() -> None:
+def test_record_of_a_job_without_gate_is_unchanged() -> None:
     spec = job_spec(412, zone="a", types=("m4",), deadline_s=900.0)
     record = admitted_record(spec, 1_760_000_000_000_000, AdmissionBinding())
-    assert msgspec.json.encode(record) == JOB
+    assert msgspec.json.encode(record) == JOB_RECORD
--- a/tests/protocol/test_wire.py
+++ b/tests/protocol/test_wire.py
@@ -1,4 +1,4 @@
-"""Formats: the wire's names, records, peer frames."""
+"""Encoding and decoding: JSON messages, progress records, peer frames and the settings file."""
 
 import math
 from typing import cast
@@ -23,31 +23,31 @@
     JobSpec,
     PutKey,
     Transaction,
-    split_task,
+    split_task_name,
     task_name,
 )
 from weldhead.transport.http_client import HttpClient
 from weldhead.transport.state_client import StateClient
 
-REPORT = b"""{"welder":"vm-000231","endpoint":"10.1.0.232:9000","frame":"g8","yard":"a",
+HEARTBEAT = b"""{"welder":"vm-000231","endpoint":"10.1.0.232:9000","frame":"g8","yard":"a",
  "loaners":true,"shift":1,"stamp":88,"torch":41,"recall_s":null,"novel":{"x":[1]},
  "pieces":[{"piece":"run-000412/3","pass":2,"status":"running"},
            {"piece":"run-000398/0","pass":1,"status":"ended","cause":"done"}]}"""
 
 
-def test_report_has_the_wires_names_and_ignores_unknown_fields() -> None:
-    report = msgspec.json.decode(REPORT, type=Heartbeat)
-    assert (report.machine, report.session, report.sequence, report.token) == (
+def test_heartbeat_is_decoded_and_unknown_fields_are_ignored() -> None:
+    heartbeat = msgspec.json.decode(HEARTBEAT, type=Heartbeat)
+    assert (heartbeat.machine, heartbeat.session, heartbeat.sequence, heartbeat.token) == (
         "vm-000231",
         1,
         88,
         41,
     )
-    assert report.tasks[1].why == "done"
-    assert report.notice_s is None
+    assert heartbeat.tasks[1].why == "done"
+    assert heartbeat.notice_s is None
 
 
-def test_answers_and_transactions_have_the_wires_names() -> None:
+def test_answers_and_transactions_use_the_encoded_names() -> None:
     answer = HeartbeatAnswer(
         41, [Command("kill", "run-1/1", 1, 10.0), Command("run", "run-1/2", 2)]
     )
@@ -86,19 +86,19 @@
     assert decode_progress(encode_progress(flags), len(flags)) == expected
 
 
-def test_progress_of_a_full_chunk_fits_any_value_limit() -> None:
+def test_progress_of_a_full_chunk_takes_under_2_kib() -> None:
     assert len(encode_progress(bytes([1]) * 8192)) < 2048
 
 
 @given(st.integers(0, 99_999))
 def test_task_names(index: int) -> None:
-    assert split_task(task_name("run-000412", index)) == ("run-000412", index)
+    assert split_task_name(task_name("run-000412", index)) == ("run-000412", index)
 
 
 @pytest.mark.parametrize("name", ["", "run-1", "run-1/", "/1", "run-1/x", "run-1/-1"])
-def test_malformed_task_names(name: str) -> None:
+def test_malformed_task_name_is_refused(name: str) -> None:
     with pytest.raises(ValueError):
-        split_task(name)
+        split_task_name(name)
 
 
 MESSAGES = st.one_of(
@@ -126,7 +126,7 @@
 @given(MESSAGES)
 def test_peer_frames_round_trip(message: peer.Message) -> None:
     frame = peer.encode_frame(message)
-    assert peer.frame_length(frame[:4]) == len(frame) - 4
+    assert peer.decode_frame_length(frame[:4]) == len(frame) - 4
     assert peer.decode_message(frame[4:]) == message
 
 
@@ -139,20 +139,23 @@
     assert peer.decode_message(peer.encode_frame(message)[4:]) == message
 
 
-def test_oversized_frames_are_refused() -> None:
+def test_oversized_frame_is_refused() -> None:
     with pytest.raises(peer.PeerProtocolError):
-        peer.frame_length((peer.FRAME_LIMIT + 1).to_bytes(4, "big"))
+        peer.decode_frame_length((peer.MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
 
 
-def test_settings_are_read() -> None:
+def test_settings_are_decoded() -> None:
     settings = parse_settings(msgspec.json.encode(SETTINGS))
     assert settings.peers[0].name == "n-1"
     assert settings.facts.limits.cpu_share == 0.5
     assert settings.facts.objectives[0].job_class == "x"
 
 
-def test_a_limit_of_0_is_none_and_survives_being_written_again() -> None:
-    """Guests have neither guarantee nor limit: their work was refused with 422."""
+def test_team_limit_of_0_means_no_limit_also_when_reencoded() -> None:
+    """A guest team has neither a guarantee nor a limit, and both are 0 in the settings.
+
+    When 0 was taken for a limit, all jobs of such a team were refused with 422.
+    """
     document = msgspec.json.decode(msgspec.json.encode(SETTINGS))
     document["facts"]["teams"] = [{"name": "guest", "cpus": 0.0, "cpus_max": 0.0}]
     settings = parse_settings(msgspec.json.encode(document))
@@ -162,8 +165,11 @@
         check_feasible(job_spec(team="guest", tasks=50), {"guest": guest}, [machine_type()])
 
 
-def test_the_tighter_of_present_and_coming_limits_is_kept_to() -> None:
-    """The change comes without notice: there is no moment to learn of it in time."""
+def test_tightest_limits_are_valid_before_and_after_a_change() -> None:
+    """Limits of the state service change without notice, so both sets have to be respected.
+
+    A client that waited for the change would exceed the new limits.
+    """
     document = msgspec.json.decode(msgspec.json.encode(SETTINGS))
     state = document["facts"]["state"]
     now = parse_settings(msgspec.json.encode(document)).facts.state
@@ -174,13 +180,13 @@
     assert limits.tightest().value_bytes == 2048
     client = StateClient(cast(HttpClient, None), "10.0.0.1:1", limits)
     assert (client.max_writes, client.limits.value_kb) == (4, 2.0)
-    # A wider limit to come is no reason to wait for it.
+    # A limit that will be larger after the change does not raise the present limit.
     state["next"] = {"value_kb": 64.0}
     assert parse_settings(msgspec.json.encode(document)).facts.state.tightest().value_kb == 8.0
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "field"),
     [
         (("serve_on",), "nowhere", "serve_on"),
         (("external", "state"), "10.0.0.1:99999", "external.state"),
@@ -195,11 +201,13 @@
         (("label",), 7, "label"),
     ],
 )
-def test_bad_settings_name_the_field(path: tuple[str, ...], value: object, named: str) -> None:
+def test_error_in_settings_names_the_field(
+    path: tuple[str, ...], value: object, field: str
+) -> None:
     document = msgspec.json.decode(msgspec.json.encode(SETTINGS))
-    holder = document
+    parent = document
     for part in path[:-1]:
-        holder = holder[part]
-    holder[path[-1]] = value
-    with pytest.raises(SettingsError, match=named):
+        parent = parent[part]
+    parent[path[-1]] = value
+    with pytest.raises(SettingsError, match=field):
         parse_settings(msgspec.json.encode(document))
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -633,9 +633,9 @@
     # Tasks above the lowest priority or with a deadline are not restarted elsewhere.
     for urgent in ({"priority": "normal"}, {"deadline_s": 900.0}):
         job.spec = msgspec.structs.replace(spec, **urgent)
-        job.effective_level = job.spec.level
+        job.effective_level = job.spec.priority_level
         assert chosen(40 * S) == []
-    job.spec, job.effective_level = spec, spec.level
+    job.spec, job.effective_level = spec, spec.priority_level
     assert move.time_saved_us == 111 * S
     # A restart takes 150 s plus a tolerance for rough estimates, which misses a limit of 240 s
     # but meets one of 300 s.
--- a/tests/support/handing_back.py
+++ b/tests/support/handing_back.py
@@ -19,10 +19,10 @@
 )
 from weldhead.protocol.settings import (
     CloudLimits,
-    Facts,
+    DeploymentFacts,
     MachineLimits,
     PeerSettings,
-    Services,
+    ServiceAddresses,
     Settings,
     StateLimits,
     Team,
@@ -81,7 +81,7 @@
         kinds = {machine_type(): 0}
         self.cloud = SimulatedCloud(loop, self.network, kinds, 10.0, _none, random.Random(seed))
         peers = [PeerSettings(f"n-{n}", "ab"[n % 2], f"10.0.0.{n}:81") for n in range(count)]
-        facts = Facts(
+        facts = DeploymentFacts(
             ["a", "b"], [Team("red", 8, 100)], WorkerLimits(3.0, 14.0, 44.0), LIMITS,
             CloudLimits(10.0, 2.0), [], MachineLimits(1.0, 0.0, 1024),
         )  # fmt: skip
@@ -90,7 +90,7 @@
             own = Settings(
                 peer.name, peer.zone, f"10.0.0.{n}:80", peer.address,
                 [other for other in peers if other is not peer],
-                Services(CLOUD_ADDRESS, STATE_ADDRESS), facts,
+                ServiceAddresses(CLOUD_ADDRESS, STATE_ADDRESS), facts,
             )  # fmt: skip
             clock = (1.0 + 0.0002 * n, 0)
             self.controllers.append(
--- a/tests/support/held_network.py
+++ b/tests/support/held_network.py
@@ -19,7 +19,7 @@
 from weldhead.cluster_state.states import StopRequest, TaskState
 from weldhead.controller.leadership.leader import Leader
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import Command, DirectCommands, Heartbeat, split_task
+from weldhead.protocol.wire import Command, DirectCommands, Heartbeat, split_task_name
 from weldhead.site.worker import Action, Fetch, Place, Signal, SlotPhase, StartSlot, Work, Worker
 from weldhead.transport.http_client import CallError, HttpClient, NotConnectedError
 
@@ -333,5 +333,5 @@
         if self.forgotten:
             text, _ = self.state.keys[progress_key(JOB, 0)]
             kept = set(decode_progress(text, TASKS))
-            lost = {split_task(task)[1] for task in self.forgotten} - kept
+            lost = {split_task_name(task)[1] for task in self.forgotten} - kept
             assert not lost, "forgotten before it was committed"
--- a/tests/tunables/test_language.py
+++ b/tests/tunables/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' settings language."""
+"""Parsing, checking and evaluating files in the operators' settings language."""
 
 import pytest
 from hypothesis import given
@@ -6,18 +6,18 @@
 
 from weldhead.tunables.defaults import Tunables
 from weldhead.tunables.language import (
-    FACTS,
+    FACT_TYPES,
     LanguageError,
-    check,
-    evaluate,
+    evaluate_tunables,
+    parse_and_check,
     tunable_types,
 )
 
-VALUES = {name: 2e6 if kind == "duration" else 3.0 for name, kind in FACTS.items()}
+FACT_VALUES = {name: 2e6 if kind == "duration" else 3.0 for name, kind in FACT_TYPES.items()}
 
 
-def test_a_file() -> None:
-    tunables = evaluate(
+def test_expressions_of_all_types_are_evaluated() -> None:
+    tunables = evaluate_tunables(
         """
         # keep machines a little longer
         let base = 2 * report + 500ms
@@ -27,7 +27,7 @@
         fetch_weight = 1 / 4
         fleet.most_per_look = 2 * 3
         """,
-        VALUES,
+        FACT_VALUES,
     )
     assert tunables.fleet.keep_idle_us == 4_500_000
     assert tunables.preemptor.period_us == 250_000
@@ -54,17 +54,17 @@
         ("fleet.keep_idle = floor(1s)", 1, 19),
     ],
 )
-def test_errors_have_line_and_column(text: str, line: int, column: int) -> None:
-    with pytest.raises(LanguageError) as caught:
-        check(text)
-    problem = caught.value.problems[0]
+def test_error_has_line_and_column(text: str, line: int, column: int) -> None:
+    with pytest.raises(LanguageError) as raised:
+        parse_and_check(text)
+    problem = raised.value.problems[0]
     assert (problem.line, problem.column) == (line, column)
 
 
-def test_every_error_is_listed() -> None:
-    with pytest.raises(LanguageError) as caught:
-        check("a.b = 1\npreemptor.period = true\nlet x = y")
-    assert [problem.line for problem in caught.value.problems] == [1, 2, 3]
+def test_all_errors_of_a_file_are_listed() -> None:
+    with pytest.raises(LanguageError) as raised:
+        parse_and_check("a.b = 1\npreemptor.period = true\nlet x = y")
+    assert [problem.line for problem in raised.value.problems] == [1, 2, 3]
 
 
 @pytest.mark.parametrize(
@@ -76,10 +76,10 @@
         "fleet.most_per_look = 1.5",
     ],
 )
-def test_values_are_checked_when_they_are_known(text: str) -> None:
-    check(text)
+def test_value_that_is_not_allowed_fails_the_evaluation(text: str) -> None:
+    parse_and_check(text)
     with pytest.raises(LanguageError):
-        evaluate(text, VALUES)
+        evaluate_tunables(text, FACT_VALUES)
 
 
 ARITHMETIC = st.recursive(
@@ -95,13 +95,13 @@
 def test_arithmetic_agrees_with_python(expression: str) -> None:
     expected = eval(expression)
     text = f"fetch_weight = max({expression}, -({expression}))"
-    assert evaluate(text, VALUES).fetch_weight == abs(expected)
+    assert evaluate_tunables(text, FACT_VALUES).fetch_weight == abs(expected)
 
 
 @given(st.text(max_size=60))
 def test_any_text_is_a_file_or_an_error_with_a_place(text: str) -> None:
     try:
-        check(text)
+        parse_and_check(text)
     except LanguageError as error:
         assert all(p.line >= 1 and p.column >= 1 for p in error.problems)
 
@@ -109,4 +109,4 @@
 @pytest.mark.parametrize("name", sorted(tunable_types()))
 def test_every_tunable_can_be_set(name: str) -> None:
     value = {"duration": "5s", "number": "3", "truth value": "false"}[tunable_types()[name]]
-    assert evaluate(f"{name} = {value}", VALUES) != Tunables()
+    assert evaluate_tunables(f"{name} = {value}", FACT_VALUES) != Tunables()
--- a/weldhead/cli/tunables.py
+++ b/weldhead/cli/tunables.py
@@ -21,11 +21,10 @@
     if file.suffix == ".toml":
         _check_documents(file)
         return
-    from weldhead.tunables.language import LanguageError
-    from weldhead.tunables.language import check as check_text
+    from weldhead.tunables.language import LanguageError, parse_and_check
 
     try:
-        tree = check_text(read_text(file))
+        tree = parse_and_check(read_text(file))
     except LanguageError as error:
         for problem in error.problems:
             click.echo(f"{file}: {problem}", err=True)
--- a/weldhead/cluster_state/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -160,7 +160,7 @@
         self.unmet_dependencies: frozenset[str] = frozenset()
         #: Its priority, or that of a job that needs it; and by when it has to be done for
         #: the jobs that need it to be in time, the nearest bound first (``urgency.py``).
-        self._level = spec.level
+        self._level = spec.priority_level
         self._chain_due_us: tuple[int, ...] = ()
         #: That is committed; and that its user has asked for it, so it may be committed.
         self._cancelled = False
--- a/weldhead/controller/leadership/peer_directory.py
+++ b/weldhead/controller/leadership/peer_directory.py
@@ -13,7 +13,7 @@
 from weldhead.membership.isolation import IsolationDetector, LastContact
 from weldhead.protocol import http_status
 from weldhead.protocol.peer import ForwardedAnswer, ForwardedRequest
-from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
+from weldhead.protocol.versions import DOCUMENTS_FORMAT, JOB_DEPENDENCIES_FORMAT
 from weldhead.protocol.wire import MachineType
 from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response, unavailable
@@ -132,7 +132,7 @@
 
         Returns None if there is no such peer, or if the peer does not answer.
         """
-        min_format = CHAINS_FORMAT if chained else 0
+        min_format = JOB_DEPENDENCIES_FORMAT if chained else 0
         if self.documents is not None and kind == "submit":
             # A peer of an earlier version would accept a job without its calendars and gates.
             min_format = DOCUMENTS_FORMAT
--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -18,7 +18,7 @@
     judge_peer,
 )
 from weldhead.protocol.peer import IndirectProbe, IndirectProbeAnswer, Ping, Pong
-from weldhead.protocol.versions import LOOK_FORMAT
+from weldhead.protocol.versions import INDIRECT_PROBE_FORMAT
 from weldhead.transport.background_tasks import BackgroundTasks
 from weldhead.transport.http_client import CallError
 from weldhead.transport.peer_links import PeerLink
@@ -121,7 +121,7 @@
         at_us = now_us()
         probing_links = [
             link for link in self._links.values()
-            if link.name != name and link.alive(at_us) and link.format >= LOOK_FORMAT
+            if link.name != name and link.alive(at_us) and link.format >= INDIRECT_PROBE_FORMAT
         ]  # fmt: skip
         requests = [
             link.request(
--- a/weldhead/controller/leadership/term_recovery.py
+++ b/weldhead/controller/leadership/term_recovery.py
@@ -41,7 +41,7 @@
 from weldhead.controller.term import Term, batches
 from weldhead.controller.workers.command_dispatcher import CommandDispatcher
 from weldhead.controller.workers.machine_monitor import MachineMonitor
-from weldhead.protocol.wire import Heartbeat, KeyValue, split_task
+from weldhead.protocol.wire import Heartbeat, KeyValue, split_task_name
 from weldhead.reachability.silence import are_likely_lost
 from weldhead.reconciliation.buffered_heartbeats import (
     BufferedHeartbeat,
@@ -106,7 +106,7 @@
         #: term is loaded.
         self._live_jobs: set[str] = set()
         sockets = term.settings.facts.limits.sockets
-        self.status_probes = StatusProbes(term.tunables.recovery.asking(sockets))
+        self.status_probes = StatusProbes(term.tunables.recovery.probe_settings(sockets))
         #: The recorded machines that have neither been reconciled nor removed, by name.
         self._unknown_machines: dict[str, Machine] = {}
         self._logged_unanswered = False
@@ -264,7 +264,7 @@
         """Return whether all tasks of a machine belong to loaded jobs that are not cancelled."""
         try:
             return all(
-                split_task(task.task)[0] in self._live_jobs
+                split_task_name(task.task)[0] in self._live_jobs
                 for task in heartbeat.tasks
                 if task.state != "ended"
             )
--- a/weldhead/controller/process.py
+++ b/weldhead/controller/process.py
@@ -29,7 +29,7 @@
     PromiseRequest,
 )
 from weldhead.protocol.settings import Settings
-from weldhead.protocol.versions import FORMAT
+from weldhead.protocol.versions import CURRENT_FORMAT
 from weldhead.protocol.wire import Heartbeat, LeaderRedirect, MachineType
 from weldhead.reconciliation.answer_window import describe_unmet_guarantee
 from weldhead.transport.background_tasks import BackgroundTasks
@@ -223,7 +223,9 @@
                     self.memory.observe_leader(at_us, full=message.full)
                     self._forwarding.record_silent_machines(message.silent, at_us)
                 is_leader, highest_token = self.leader is not None, self.election.highest_token
-                return Pong(message.id, self._state.available, FORMAT, is_leader, highest_token)
+                return Pong(
+                    message.id, self._state.available, CURRENT_FORMAT, is_leader, highest_token
+                )
             case ForwardedRequest():
                 answer = await self._answer_peer(message)
                 return ForwardedAnswer(message.id, answer.status, answer.body)
--- a/weldhead/controller/requests/completions.py
+++ b/weldhead/controller/requests/completions.py
@@ -23,7 +23,7 @@
 from weldhead.cluster_state.state_writer import LeadershipLostError
 from weldhead.cluster_state.states import TaskState
 from weldhead.controller.term import Term
-from weldhead.protocol.wire import split_task
+from weldhead.protocol.wire import split_task_name
 from weldhead.transport.state_client import TransactionRejectedError
 
 log = logging.getLogger(__name__)
@@ -114,7 +114,7 @@
         This includes tasks of unknown jobs and tasks that have not completed.
         """
         try:
-            job_id, index = split_task(task)
+            job_id, index = split_task_name(task)
         except ValueError:
             return True
         job = self._term.cluster.jobs.get(job_id)
--- a/weldhead/controller/requests/submission_handler.py
+++ b/weldhead/controller/requests/submission_handler.py
@@ -26,11 +26,11 @@
 from weldhead.protocol.settings import Team
 from weldhead.protocol.validation import (
     SubmissionRefusedError,
-    check_size,
+    check_record_size,
+    make_dependency_refusal,
     parse_submission,
-    refuse_need,
 )
-from weldhead.protocol.versions import CHAINS_FORMAT, DOCUMENTS_FORMAT
+from weldhead.protocol.versions import DOCUMENTS_FORMAT, JOB_DEPENDENCIES_FORMAT
 from weldhead.protocol.wire import Condition, JobSpec, JobStatus, PutKey
 from weldhead.transport.http_client import CallError
 from weldhead.transport.http_server import Response, refusal, unavailable
@@ -145,7 +145,7 @@
             record, binding = self._bind_to_documents(spec, wall_us())
             check_feasible(spec, self._teams, self._controller.catalog)
             size_bytes = len(_encode(record))
-            check_size(spec, size_bytes, self._state.limits.value_bytes)
+            check_record_size(spec, size_bytes, self._state.limits.value_bytes)
             await self._check_dependencies(spec)
         except (SubmissionRefusedError, CallError) as error:
             problem = error
@@ -191,17 +191,17 @@
         if not spec.needs:
             return
         if spec.id in spec.needs:
-            raise refuse_need(spec.id, "cannot wait for itself")
-        if not self._controller.peers_support(CHAINS_FORMAT):
+            raise make_dependency_refusal(spec.id, "cannot wait for itself")
+        if not self._controller.peers_support(JOB_DEPENDENCIES_FORMAT):
             raise CallError("a peer runs a version that does not support dependencies between jobs")
         service_flags = await asyncio.gather(
             *(self._reader.is_service(name) for name in spec.needs)
         )
         for name, is_service in zip(spec.needs, service_flags, strict=True):
             if is_service is None:
-                raise refuse_need(name, "was never accepted")
+                raise make_dependency_refusal(name, "was never accepted")
             if is_service:
-                raise refuse_need(name, "is a service, which is never done")
+                raise make_dependency_refusal(name, "is a service, which is never done")
 
     async def _create(
         self, record: JobRecord, size_bytes: int, binding_conditions: tuple[Condition, ...]
--- a/weldhead/controller/scheduling_loop/scheduling_loop.py
+++ b/weldhead/controller/scheduling_loop/scheduling_loop.py
@@ -48,7 +48,7 @@
         self.loop_budget = loop_budget
         self.reclaims = ReclaimLists(term.preemption_history)
         self.preemption_recorder = PreemptionRecorder(term)
-        self._rate_limit = PreemptionRateLimit(term.tunables.recovery.pace())
+        self._rate_limit = PreemptionRateLimit(term.tunables.recovery.preemption_rate_settings())
         self.last_plan = PlacementPlan()
         #: The sorted backlog, the capacity index and the reservations, shared by placement and
         #: the autoscaler; created when first needed, and again after a failure.
--- a/weldhead/emulator/checker.py
+++ b/weldhead/emulator/checker.py
@@ -16,7 +16,7 @@
 from weldhead.cluster_state.records import FinalRecord, JobRecord, final_key, job_key
 from weldhead.emulator.job_timelines import JobTimeline, unserved
 from weldhead.protocol.settings import Team
-from weldhead.protocol.wire import JobSpec, JobStatus, MachineType, split_task
+from weldhead.protocol.wire import JobSpec, JobStatus, MachineType, split_task_name
 from weldhead.site.store.model import Store
 from weldhead.transport.state_client import decode
 
@@ -135,7 +135,7 @@
         if (task, attempt) in self._begun:
             self.breaks("attempt_reused", f"{task} attempt {attempt} starts again")
         self._begun.add((task, attempt))
-        job_id, index = split_task(task)
+        job_id, index = split_task_name(task)
         told = self.jobs.get(job_id)
         if told is None:
             self.breaks("invented", f"{task} starts, and nobody submitted it")
@@ -167,7 +167,7 @@
         if self.on[task].pop(machine, None) is None:
             return
         self.counts[why] += 1
-        job_id, index = split_task(task)
+        job_id, index = split_task_name(task)
         self._count_room(job_id, self._since.pop((task, machine)))
         if why == "stopped":
             self.stops.append(self.now_us())
@@ -253,7 +253,7 @@
     def _check_quota(self, name: str) -> None:
         cpus = cards = 0.0
         for task, here in self.on.items():
-            told = self.jobs.get(split_task(task)[0])
+            told = self.jobs.get(split_task_name(task)[0])
             if told is not None and told.spec.team == name:
                 present = sum(site.present() for site in here.values())
                 cpus += told.spec.cpus * present
--- a/weldhead/emulator/experiment.py
+++ b/weldhead/emulator/experiment.py
@@ -37,16 +37,16 @@
 from weldhead.emulator.waiting_rules import Healthy, WaitingRules
 from weldhead.protocol.settings import (
     CloudLimits,
-    Facts,
+    DeploymentFacts,
     MachineLimits,
-    Services,
+    ServiceAddresses,
     Settings,
     StateLimits,
     Team,
     WorkerLimits,
 )
 from weldhead.protocol.settings import PeerSettings as Peer
-from weldhead.protocol.wire import JobSpec, MachineType, split_task
+from weldhead.protocol.wire import JobSpec, MachineType, split_task_name
 from weldhead.reconciliation.attempt_verdicts import AttemptVerdict, ReconciliationCounts
 from weldhead.site.pool import PooledMachine as PoolMachine
 from weldhead.tunables.defaults import Tunables
@@ -174,7 +174,7 @@
             Peer(f"n-{number}", scenario.zones[number % len(scenario.zones)], f"10.0.0.{number}:81")
             for number in range(scenario.controllers)
         ]
-        facts = Facts(
+        facts = DeploymentFacts(
             list(scenario.zones), teams,
             WorkerLimits(scenario.report_s, scenario.lease_s, scenario.cancel_s), limits,
             CloudLimits(scenario.cloud_rps, 2.0), [], MachineLimits(1.0, 0.0, 1024),
@@ -183,7 +183,7 @@
             settings = Settings(
                 peer.name, peer.zone, f"10.0.0.{number}:80", peer.address,
                 [other for other in peers if other is not peer],
-                Services(CLOUD_ADDRESS, STATE_ADDRESS), facts,
+                ServiceAddresses(CLOUD_ADDRESS, STATE_ADDRESS), facts,
             )  # fmt: skip
             rate = 1 + self.rng.uniform(0, scenario.drift)
             clock = rate, self.rng.randint(-500_000, 500_000)
@@ -247,7 +247,7 @@
 
     def _holdings(self) -> Iterator[GpuHolding]:
         for machine in self.cloud.up():
-            tasks = {task: self.jobs[split_task(task)[0]] for task in machine.tasks()}
+            tasks = {task: self.jobs[split_task_name(task)[0]] for task in machine.tasks()}
             yield GpuHolding(machine.name, machine.kind, tasks)
 
     async def _look_at_cards(self) -> None:
@@ -258,7 +258,7 @@
     def _healthy(self) -> Iterator[Healthy]:
         for machine in self.cloud.up():
             if machine.present and not machine.was_sick:
-                tasks = {task: self.jobs[split_task(task)[0]] for task in machine.tasks()}
+                tasks = {task: self.jobs[split_task_name(task)[0]] for task in machine.tasks()}
                 holding = GpuHolding(machine.name, machine.kind, tasks)
                 yield Healthy(holding, machine.zone, machine.spot)
 
--- a/weldhead/emulator/failover_observer.py
+++ b/weldhead/emulator/failover_observer.py
@@ -19,7 +19,7 @@
 from weldhead.emulator.experiment import Experiment
 from weldhead.emulator.loop import BEGIN_S, ProcessInstance, simulated
 from weldhead.emulator.scenario import Scenario
-from weldhead.protocol.wire import split_task
+from weldhead.protocol.wire import split_task_name
 from weldhead.site.store.model import Batch
 from weldhead.tunables.defaults import Tunables
 
@@ -136,7 +136,7 @@
         experiment = self.experiment
         names = [controller.name for controller in experiment.controllers]
         for task, here in experiment.checker.on.items():
-            if not experiment.checker.jobs[split_task(task)[0]].cancel_asked:
+            if not experiment.checker.jobs[split_task_name(task)[0]].cancel_asked:
                 continue
             for name, site in here.items():
                 machine = experiment.cloud.machines[name]
@@ -146,7 +146,7 @@
 
     def _lost(self, task: str, machine: str) -> None:
         on = self.experiment.checker.on
-        job_id, _ = split_task(task)
+        job_id, _ = split_task_name(task)
         spec = self.experiment.jobs[job_id]
         if machine in on[task]:
             self.lost[spec.job_class] += 1
--- a/weldhead/emulator/gate_actors.py
+++ b/weldhead/emulator/gate_actors.py
@@ -15,7 +15,7 @@
 from weldhead.emulator.users import Users
 from weldhead.gates.gate_document import Gate
 from weldhead.gates.gate_state import GateState
-from weldhead.protocol.wire import split_task
+from weldhead.protocol.wire import split_task_name
 from weldhead.transport.state_client import decode
 
 #: So long the keeper waits for a rebuild before it goes on all the same.
@@ -91,7 +91,7 @@
         return self._checker.jobs[job_id].begun_us > 0
 
     def _started(self, task: str, machine: str) -> None:
-        job_id = split_task(task)[0]
+        job_id = split_task_name(task)[0]
         spec = self._checker.jobs[job_id].spec
         for edition in self._editions:
             edition.told = edition.told or edition.rebuild == job_id
--- a/weldhead/emulator/gpu_rules.py
+++ b/weldhead/emulator/gpu_rules.py
@@ -14,7 +14,7 @@
 
 from weldhead.clock import SECOND_US
 from weldhead.emulator.checker import Checker
-from weldhead.protocol.wire import JobSpec, MachineType, split_task
+from weldhead.protocol.wire import JobSpec, MachineType, split_task_name
 
 #: So soon after a stop whoever it was for starts.
 FOLLOWS_US = 30 * SECOND_US
@@ -69,14 +69,14 @@
         return held
 
     def _told_to_stop(self, task: str, machine: str) -> None:
-        told = self._checker.jobs[split_task(task)[0]]
+        told = self._checker.jobs[split_task_name(task)[0]]
         if told.spec.gpus and not told.cancel_asked and (task, machine) not in self._stopped:
             team = told.spec.team
             held = max(self._by_team()[team], *self._held[team], 0.0)
             self._stopped[task, machine] = StoppedGpuTask(told.spec, self._checker.now_us(), held)
 
     def _started(self, task: str, machine: str) -> None:
-        spec, at_us = self._checker.jobs[split_task(task)[0]].spec, self._checker.now_us()
+        spec, at_us = self._checker.jobs[split_task_name(task)[0]].spec, self._checker.now_us()
         for key, stopped in list(self._stopped.items()):
             if key[0] == task:
                 del self._stopped[key]
--- a/weldhead/emulator/malformed_requests.py
+++ b/weldhead/emulator/malformed_requests.py
@@ -11,7 +11,7 @@
 from weldhead.emulator.scenario import Scenario
 from weldhead.emulator.services import SimulatedCloud
 from weldhead.emulator.users import Users
-from weldhead.protocol.wire import JobSpec, split_task
+from weldhead.protocol.wire import JobSpec, split_task_name
 
 #: Within what time all controllers are asked, so many times each, and jobs are cancelled.
 LOOKS_S = 0.01
@@ -83,7 +83,9 @@
         return [machine for machine in self._cloud.up() if machine.name in names]
 
     def _running(self) -> list[JobSpec]:
-        running = {split_task(task)[0]: None for task, sites in self._checker.on.items() if sites}
+        running = {
+            split_task_name(task)[0]: None for task, sites in self._checker.on.items() if sites
+        }
         told = [self._checker.jobs[job_id] for job_id in running if job_id in self._checker.jobs]
         return [t.spec for t in told if t.accepted and not t.final and not t.cancel_asked]
 
--- a/weldhead/emulator/starts.py
+++ b/weldhead/emulator/starts.py
@@ -11,7 +11,7 @@
 from weldhead.cluster_state.records import LEADER_KEY
 from weldhead.emulator.checker import Checker
 from weldhead.emulator.network import Network
-from weldhead.protocol.wire import Command, DirectCommands, HeartbeatAnswer, split_task
+from weldhead.protocol.wire import Command, DirectCommands, HeartbeatAnswer, split_task_name
 from weldhead.site.store.model import Store
 from weldhead.transport.http_server import Response
 
@@ -41,7 +41,7 @@
 
     def _see(self, controller: str, token: int, commands: list[Command]) -> None:
         for command in commands:
-            told = self._checker.jobs.get(split_task(command.task)[0])
+            told = self._checker.jobs.get(split_task_name(command.task)[0])
             key = command.task, command.attempt
             if command.op != "run" or told is None or not told.cancelled_us or key in self._seen:
                 continue
--- a/weldhead/protocol/__init__.py
+++ b/weldhead/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages: what passes between users, workers, cloud, state service and nodes."""
+"""The messages between clients, workers, the cloud, the state service and controllers."""
--- a/weldhead/protocol/http_status.py
+++ b/weldhead/protocol/http_status.py
@@ -1,4 +1,4 @@
-"""HTTP status codes of the protocol, as plain integers."""
+"""The HTTP status codes that the protocol uses, as plain integers."""
 
 OK = 200
 CREATED = 201
--- a/weldhead/protocol/peer.py
+++ b/weldhead/protocol/peer.py
@@ -1,31 +1,33 @@
-"""Messages between controllers: length-framed msgpack tagged tuples.
+"""Messages between controllers: msgpack arrays in length-prefixed frames.
 
-Each frame is a 4-byte big-endian length and one message; a message is the tuple
-``(tag, field, ...)``. Requests carry an id that their answer repeats. Trailing fields
-that a newer version adds are ignored by an older one.
+A frame is a 4-byte big-endian length followed by one message. A message is the array
+``[tag, field, ...]``. A request carries an id that its answer repeats. A newer version may
+append fields to a message; older versions ignore them.
 """
 
 import msgspec
 
 from weldhead.protocol.versions import FIRST_FORMAT
 
-FRAME_LIMIT = 256 * 1024
+MAX_FRAME_BYTES = 256 * 1024
 
 
 class Hello(msgspec.Struct, array_like=True, tag="hello"):
-    """The first message of a connection: who is calling."""
+    """The first message of a connection: the name of the controller that opened it."""
 
     name: str
 
 
 class Ping(msgspec.Struct, array_like=True, tag="ping"):
-    """A sign of life.
-
-    ``token`` is that of the caller's leadership, or 0. ``state_ok`` says whether the state
-    service has served the caller of late; ``silent`` names machines that a leader misses
-    and wants relayed. ``full``: the caller takes no new work for its memory. ``known_token`` is
-    the highest token of any leader that the caller has heard of; a version that does not say so
-    leaves it 0.
+    """A heartbeat between controllers; the receiver answers with a ``Pong``.
+
+    - ``token``: the sender's leader token, or 0 if the sender is not the leader.
+    - ``state_ok``: whether the state service has recently served the sender.
+    - ``silent``: the machines from which the leader receives no heartbeats. Other controllers
+      relay the heartbeats of these machines to it.
+    - ``full``: whether the sender accepts no new jobs because of its memory use.
+    - ``known_token``: the highest leader token that the sender has heard of, or 0 if the sender's
+      version does not send this field.
     """
 
     id: int
@@ -37,10 +39,15 @@
 
 
 class Pong(msgspec.Struct, array_like=True, tag="pong"):
-    """The answer to a ping, with the answerer's own view and format (``versions.py``).
-
-    ``leads``: it is in a term, whether or not it may command at this moment. A version that
-    does not say so may be. ``known_token``: the highest token that the answerer has heard of, or 0.
+    """The answer to a ping.
+
+    - ``state_ok``: whether the state service has recently served the answering controller.
+    - ``format``: the protocol format of the answering controller, see
+      ``weldhead/protocol/versions.py``.
+    - ``leads``: whether the answering controller is in a term as leader, even if its lease does
+      not allow it to send commands at the moment. The default is true because a controller whose
+      version does not send this field may be in a term.
+    - ``known_token``: the highest leader token that the answering controller has heard of, or 0.
     """
 
     id: int
@@ -51,9 +58,10 @@
 
 
 class ForwardedRequest(msgspec.Struct, array_like=True, tag="ask"):
-    """A user's or worker's request that another node shall answer.
+    """A request of a client, a worker or a controller that another controller is to answer.
 
-    ``kind`` is ``submit``, ``poll``, ``cancel`` or ``report``.
+    ``kind`` is ``submit``, ``poll``, ``cancel`` or ``report``, and from format 4 on also
+    ``documents``, ``read`` or ``known``.
     """
 
     id: int
@@ -63,7 +71,7 @@
 
 
 class ForwardedAnswer(msgspec.Struct, array_like=True, tag="answer"):
-    """The answer to an ask: an HTTP status and body."""
+    """The answer to a ``ForwardedRequest``: an HTTP status and body."""
 
     id: int
     status: int
@@ -71,9 +79,10 @@
 
 
 class PromiseRequest(msgspec.Struct, array_like=True, tag="hold"):
-    """A leader that the state service refuses asks for a promise.
+    """A leader's request for a promise, sent when the state service does not serve the leader.
 
-    Whoever promises does not become leader for ``duration_us`` from receiving this.
+    A controller that promises does not become leader for ``duration_us`` after it received this
+    request. ``token`` is the requesting leader's token.
     """
 
     id: int
@@ -82,11 +91,15 @@
 
 
 class PromiseAnswer(msgspec.Struct, array_like=True, tag="held"):
-    """The answer to a hold; false: the state service serves this node, hand over.
-
-    ``known_token``: the highest token that the answerer has heard of, or 0; above the asker's own,
-    it was replaced. ``running_us``: for how long the answerer's process has run by its own clock;
-    0 if it does not say. What it promises says nothing of what a former process of it did.
+    """The answer to a ``PromiseRequest``.
+
+    - ``promised``: whether the promise is given. If it is denied, the state service serves the
+      answering controller, or a later leader exists, and the requesting leader is to hand over.
+    - ``known_token``: the highest leader token that the answering controller has heard of, or 0.
+      If it is higher than the requesting leader's token, that leader has been replaced.
+    - ``running_us``: how long the answering process has been running by its own clock, or 0 if
+      its version does not send this field. A promise binds only the process that gave it and
+      implies nothing about what a previous process of the same controller did.
     """
 
     id: int
@@ -96,21 +109,25 @@
 
 
 class IndirectProbe(msgspec.Struct, array_like=True, tag="look"):
-    """Whether the answerer reaches another controller; it asks it before it answers."""
+    """A request to contact the controller ``name`` and to answer whether it could be reached."""
 
     id: int
     name: str
 
 
 class IndirectProbeAnswer(msgspec.Struct, array_like=True, tag="seen"):
-    """The answer to a look: ``heard``, ``connected``, ``refused`` or ``lost``."""
+    """The answer to an ``IndirectProbe``.
+
+    ``observation`` is ``heard``, ``connected``, ``refused`` or ``lost``, see
+    ``weldhead.membership.peer_verdict.IndirectProbeResult``.
+    """
 
     id: int
     observation: str
 
 
 class LeaderResigned(msgspec.Struct, array_like=True, tag="resigned"):
-    """The leader has stopped commanding; whoever gets this may take over at once."""
+    """The leader has stopped sending commands; a controller that receives this may replace it."""
 
     id: int
     token: int
@@ -134,27 +151,29 @@
 
 
 class PeerProtocolError(Exception):
-    """A peer sent something that is no message."""
+    """A message or frame is malformed or too large."""
 
 
 def encode_frame(message: Message) -> bytes:
-    """Encode a message with its length in front."""
+    """Encode a message as a frame: its length, then its body."""
     body = _encoder.encode(message)
-    if len(body) > FRAME_LIMIT:
-        raise PeerProtocolError(f"message of {len(body)} bytes")
+    if len(body) > MAX_FRAME_BYTES:
+        raise PeerProtocolError(
+            f"message has {len(body)} bytes, at most {MAX_FRAME_BYTES} are allowed"
+        )
     return len(body).to_bytes(4, "big") + body
 
 
-def frame_length(header: bytes) -> int:
-    """Return the length that a frame's header announces."""
+def decode_frame_length(header: bytes) -> int:
+    """Return the length of a frame's body, decoded from the frame's 4-byte header."""
     length = int.from_bytes(header, "big")
-    if not 0 < length <= FRAME_LIMIT:
-        raise PeerProtocolError(f"frame of {length} bytes")
+    if not 0 < length <= MAX_FRAME_BYTES:
+        raise PeerProtocolError(f"frame length is {length} bytes, must be 1 to {MAX_FRAME_BYTES}")
     return length
 
 
 def decode_message(body: bytes) -> Message:
-    """Decode a frame's body."""
+    """Decode the message in a frame's body."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/weldhead/protocol/settings.py
+++ b/weldhead/protocol/settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings file.
+"""The settings file that the platform writes for each controller.
 
-Unknown fields are ignored; a missing or invalid one is reported with its name.
+Unknown fields are ignored. The error for a missing or invalid field names that field.
 """
 
 import math
@@ -9,27 +9,28 @@
 import msgspec
 
 MAX_PORT = 65_535
-#: Finishing a job changes so many keys.
+#: The number of keys that are changed when a job is finished.
 MIN_TRANSACTION_OPS = 4
-#: A chunk of a job's progress takes so much.
+#: The value size that one chunk of a job's progress requires, see
+#: ``weldhead/cluster_state/records.py``.
 MIN_VALUE_KB = 2
 
 
 class SettingsError(Exception):
-    """The settings file cannot be used."""
+    """The settings file cannot be read, is malformed or has an invalid value."""
 
 
 class PeerSettings(
     msgspec.Struct, rename={"name": "label", "zone": "domain", "address": "endpoint"}
 ):
-    """Another controller."""
+    """The name, zone and peer address of another controller."""
 
     name: str
     zone: str
     address: str
 
 
-class Services(msgspec.Struct):
+class ServiceAddresses(msgspec.Struct):
     """Addresses of the cloud and the state service."""
 
     cloud: str
@@ -37,11 +38,11 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit, in CPUs and cards.
+    """A team's guaranteed quota and its limit, in CPUs and GPUs.
 
-    In the platform's file a 0 means none: no guarantee, and no limit. Taken for a limit of
-    nothing, it refused all of a guest team's work. Whoever
-    decides sees a limit that does not exist as infinite.
+    In the settings file, 0 means that there is no guarantee or no limit. When a limit of 0 was
+    applied literally, all jobs of a guest team were refused. Therefore ``cpus_max`` and
+    ``gpus_max`` return infinity for it; the ``stated_`` fields hold the value in the file.
     """
 
     name: str
@@ -52,17 +53,17 @@
 
     @property
     def cpus_max(self) -> float:
-        """The limit in CPUs."""
+        """The limit in CPUs; infinite if there is none."""
         return self.stated_cpus_max or math.inf
 
     @property
     def gpus_max(self) -> float:
-        """The limit in cards."""
+        """The limit in GPUs; infinite if there is none."""
         return self.stated_gpus_max or math.inf
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What users expect of a class of jobs."""
+    """A service level objective for the jobs of a class, see ``weldhead.scheduling.objectives``."""
 
     kind: str
     job_class: str | None = None
@@ -72,7 +73,12 @@
 
 
 class WorkerLimits(msgspec.Struct):
-    """How workers behave."""
+    """Time limits of workers.
+
+    - ``report_s``: the interval of a worker's heartbeats.
+    - ``lease_s``: how long a worker may run its tasks after an answer to a heartbeat.
+    - ``cancel_s``: how long a task of a job may still run after the job's confirmed cancellation.
+    """
 
     report_s: float
     lease_s: float
@@ -80,7 +86,7 @@
 
 
 class UpcomingStateLimits(msgspec.Struct):
-    """Limits that the state service will have from some moment on; None: unchanged."""
+    """Limits that the state service will have after a change; None means unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -89,40 +95,41 @@
 
 
 class StateLimits(msgspec.Struct):
-    """Limits of the state service."""
+    """Rate and size limits of the state service, as they are now."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    #: They come without notice, so whoever calls the service keeps to ``tightest``.
+    #: The limits after an announced change, or None if no change is announced. The new limits
+    #: take effect without notice, so clients always respect the result of ``tightest``.
     next: UpcomingStateLimits | None = None
 
     def tightest(self) -> "StateLimits":
-        """Return the limits that hold now and after the change alike."""
-        coming = self.next or UpcomingStateLimits()
+        """Return limits that are valid both before and after the change."""
+        upcoming = self.next or UpcomingStateLimits()
         return StateLimits(
-            rps=min(self.rps, coming.rps or self.rps),
-            write_rps=min(self.write_rps, coming.write_rps or self.write_rps),
-            value_kb=min(self.value_kb, coming.value_kb or self.value_kb),
-            txn_ops=min(self.txn_ops, coming.txn_ops or self.txn_ops),
+            rps=min(self.rps, upcoming.rps or self.rps),
+            write_rps=min(self.write_rps, upcoming.write_rps or self.write_rps),
+            value_kb=min(self.value_kb, upcoming.value_kb or self.value_kb),
+            txn_ops=min(self.txn_ops, upcoming.txn_ops or self.txn_ops),
         )
 
     @property
     def value_bytes(self) -> int:
-        """How long a value may be."""
+        """The maximum size of a value."""
         return int(self.value_kb * 1024)
 
 
 class CloudLimits(msgspec.Struct):
-    """Limits of the cloud."""
+    """The cloud's request rate limit, and how late its machine list may show a change."""
 
     rps: float
     list_lag_s: float
 
 
-class Facts(msgspec.Struct):
-    """What the platform tells of the deployment."""
+class DeploymentFacts(msgspec.Struct):
+    """The part of the settings that describes the deployment and its limits."""
 
     zones: list[str]
     teams: list[Team]
@@ -136,12 +143,15 @@
     clock_error_ms: float = 1000.0
 
 
-#: Less than this holds no controller: at rest it takes 27 MB of its own.
-LEAST_MEMORY_MB = 32.0
+#: A controller cannot run with less memory than this: without load it takes 27 MB.
+MIN_MEMORY_MB = 32.0
 
 
 class MachineLimits(msgspec.Struct, rename={"cpu_share": "cores", "memory_mb": "mem_mb"}):
-    """What this controller may use; ``memory_mb`` 0 or absent: no limit is stated."""
+    """The CPU share, memory and sockets that this controller may use.
+
+    If ``memory_mb`` is 0 or absent, the settings give no memory limit.
+    """
 
     cpu_share: float = 1.0
     memory_mb: float = 0.0
@@ -159,48 +169,48 @@
         "services": "external",
     },
 ):
-    """The whole file."""
+    """The contents of the settings file."""
 
     name: str
     zone: str
     listen: str
     peer_listen: str
     peers: list[PeerSettings]
-    services: Services
-    facts: Facts
+    services: ServiceAddresses
+    facts: DeploymentFacts
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``host:port``; ValueError if it is neither."""
+    """Split an address of the form ``host:port``; raise ValueError for any other text."""
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"not host:port: {address!r}")
     return host, int(port)
 
 
-def _positive(name: str, value: float) -> None:
+def _require_positive(name: str, value: float) -> None:
     if not value > 0:
         raise SettingsError(f"{name}: must be above 0, is {value}")
 
 
 def _check_team(team: Team) -> None:
-    """SettingsError if a team's amounts can be neither given nor kept to."""
+    """Raise SettingsError if an amount of the team is negative or not finite."""
     for field, amount in msgspec.structs.asdict(team).items():
         if field != "name" and not (math.isfinite(amount) and amount >= 0):
-            wire = field.removeprefix("stated_")
-            raise SettingsError(f"facts.teams: {team.name}: {wire}: {amount} is no amount")
+            wire_name = field.removeprefix("stated_")
+            raise SettingsError(f"facts.teams: {team.name}: {wire_name}: {amount} is no amount")
 
 
 def _check_memory(stated_mb: float) -> None:
-    """SettingsError if no controller can live within the limit."""
-    if stated_mb and not LEAST_MEMORY_MB <= stated_mb < math.inf:
+    """Raise SettingsError if a controller cannot run within the memory limit."""
+    if stated_mb and not MIN_MEMORY_MB <= stated_mb < math.inf:
         raise SettingsError(
-            f"facts.machine_limits.mem_mb: at least {LEAST_MEMORY_MB:g} are needed, is {stated_mb}"
+            f"facts.machine_limits.mem_mb: at least {MIN_MEMORY_MB:g} are needed, is {stated_mb}"
         )
 
 
 def parse_settings(body: bytes) -> Settings:
-    """Decode and check the settings; SettingsError names the field."""
+    """Decode and check the settings; raise SettingsError, which names the field, if invalid."""
     try:
         settings = msgspec.json.decode(body, type=Settings, strict=True)
     except msgspec.DecodeError as error:
@@ -217,15 +227,15 @@
         except ValueError as error:
             raise SettingsError(f"{name}: {error}") from error
     facts = settings.facts
-    _positive("facts.workers.report_s", facts.workers.report_s)
-    _positive("facts.workers.lease_s", facts.workers.lease_s)
-    _positive("facts.workers.cancel_s", facts.workers.cancel_s)
-    _positive("facts.state.rps", facts.state.rps)
-    _positive("facts.state.write_rps", facts.state.write_rps)
-    _positive("facts.cloud.rps", facts.cloud.rps)
+    _require_positive("facts.workers.report_s", facts.workers.report_s)
+    _require_positive("facts.workers.lease_s", facts.workers.lease_s)
+    _require_positive("facts.workers.cancel_s", facts.workers.cancel_s)
+    _require_positive("facts.state.rps", facts.state.rps)
+    _require_positive("facts.state.write_rps", facts.state.write_rps)
+    _require_positive("facts.cloud.rps", facts.cloud.rps)
     tightest = facts.state.tightest()
-    _positive("facts.state.next.rps", tightest.rps)
-    _positive("facts.state.next.write_rps", tightest.write_rps)
+    _require_positive("facts.state.next.rps", tightest.rps)
+    _require_positive("facts.state.next.write_rps", tightest.write_rps)
     if tightest.txn_ops < MIN_TRANSACTION_OPS:
         raise SettingsError("facts.state.txn_ops: at least 4 are needed to finish a job")
     if tightest.value_kb < MIN_VALUE_KB:
@@ -242,7 +252,7 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read the settings file."""
+    """Read and check the settings file; raise SettingsError if it cannot be used."""
     try:
         body = path.read_bytes()
     except OSError as error:
--- a/weldhead/protocol/versions.py
+++ b/weldhead/protocol/versions.py
@@ -1,59 +1,66 @@
-"""Which formats of records and messages exist, and what may be sent to whom.
+"""The formats of records and messages, and which messages a peer of a format may be sent.
 
-Controllers of neighbouring versions serve side by side during an upgrade, and either may
-lead at any moment. So every record and message of a format is read by the ones next to it:
+During an upgrade, controllers of two adjacent versions serve side by side, and a controller of
+either version may lead at any time. Therefore each version reads the records and messages of the
+adjacent formats. Names are given as they are encoded:
 
 ======  =============================================================================
-format  what it has
+format  contents
 ======  =============================================================================
-1       weldhead 0.2: records ``leader``, ``j/``, ``p/``, ``f/``, ``h/`` and peer messages
-        hello, ping, pong, ask, answer, hold, held, resigned, as their modules state them
-        without the fields below
-2       job chains. A submission, and so the ``spec`` of a ``j/`` record, may have the
-        list of needed jobs; an ``f/`` record may have ``ended_us`` and ``service``; a pong
-        ends with the answerer's format. Keys and messages are the same
-3       a pong ends with whether the answerer is in a term; messages look and seen
+1       weldhead 0.2: the records ``leader``, ``j/``, ``p/``, ``f/`` and ``h/``, and the peer
+        messages hello, ping, pong, ask, answer, hold, held and resigned, without the fields
+        of the later formats
+2       dependencies between jobs: a submission, and so the ``spec`` of a ``j/`` record, may
+        list the jobs it needs; an ``f/`` record may have ``ended_us`` and ``service``; a
+        pong ends with the sender's format; keys and message types are unchanged
+3       a pong ends with whether its sender is in a term; the messages look and seen
 4       documents: keys ``d/``; a ``j/`` record may have ``bound``, ``hold`` and ``deed``, and
-        in the last two cases a need ``gate/NAME``; an ask may be of the kinds ``documents``,
-        ``read`` and ``known``, which others refuse; the leader's record may have ``earlier_us``
-5       key ``unsettled``, written with the leader's record; a ping may end with whether its sender
-        refuses new work for its memory, which nobody relies on
+        with one of the last two also the needed job ``gate/NAME``; an ask may be of the kinds
+        ``documents``, ``read`` and ``known``, which older versions refuse; the ``leader``
+        record may have ``earlier_us``
+5       the key ``unsettled``, which is written together with the ``leader`` record; a ping may
+        end with whether its sender refuses new jobs because of its memory use, and no version
+        relies on that field
 ======  =============================================================================
 
-Rules that keep it so:
+Rules for compatibility:
 
-* A new field is optional, and its absence means what the older format meant. Both formats
+* A new field is optional, and its absence means what the older format meant. All versions
   ignore fields, and trailing elements of messages, that they do not know.
-* An older leader that rewrites a record drops the newer fields. It rewrites a ``j/`` record
-  only to cancel it, after which nobody asks what the job needed; it writes ``f/`` records
-  without ``ended_us`` (a job that needs that one was submitted later, and its times count
-  from its submission) and rewrites ``h/`` records, which are the same.
-* A peer's format is what its last pong said; format 1 says nothing. A link that knows no
-  such message drops the connection, so a message of a newer format goes only to peers that
-  have said that format.
-* A pong of format 1 or 2 does not say whether its sender is in a term: it counts as if it
-  were, so a controller that has just started waits for its former promises beside one.
-* Whoever does not know documents would start the tasks of a job that a gate holds, and an
-  older leader's rewriting loses what binds it. So a job that a gate holds, or that works on
-  one, is neither passed to such a peer nor accepted beside one. Should a version that knows
-  chains come back and lead all the same, the need ``gate/NAME`` keeps it from starting these
-  jobs: no job can have that name, and nobody ever writes how it ended. Whoever knows the
-  format ignores that need; if it is given no documents itself, it starts no job with a
-  ``hold`` or a ``deed``: closed when in doubt.
-* An older leader neither writes nor deletes ``unsettled``: what stands there since before makes
-  the next leader that reads it more careful for the moment in which it is not loaded, never
-  less. That older leader keeps leases without bound while it is not loaded, as it always did.
-* Whoever knows format 1 only would start the tasks of a job that waits. So a submission
-  that names needed jobs is neither passed to such a peer nor accepted beside one.
+* When an older leader rewrites a record, the fields of newer formats are lost. A leader of
+  format 1 rewrites a ``j/`` record only to cancel the job, and after that the jobs it needed
+  are never read. It writes ``f/`` records without ``ended_us``; a job that depends on such an
+  ended job was submitted later, so its times count from its submission. It also rewrites ``h/``
+  records, whose format has not changed.
+* The format of a peer is the one in its last pong; format 1 does not state it. A controller
+  closes a connection on which it receives a message type it does not know, so a message of a
+  newer format is sent only to peers that have stated that format.
+* A pong of format 1 or 2 does not state whether its sender is in a term, so the sender counts as
+  being in one. A controller that has just started keeps the promises of its previous process
+  while it has such a peer.
+* A version without documents would start the tasks of a job that a gate holds, and if its leader
+  rewrites the record, the job's ties to its gate and calendar are lost. So a job that a gate holds,
+  or that acts on a gate, is not passed to such a peer, and is not accepted while there is one. If
+  a version with dependencies but without documents leads nevertheless, the needed job
+  ``gate/NAME`` keeps it from starting these jobs: no job can have that id, so its end is never
+  recorded. A version with documents ignores that needed job. If it was given no documents, it
+  starts no job with a ``hold`` or a ``deed``: when in doubt, a job is not started.
+* A leader of an older format neither writes nor deletes ``unsettled``. A record that remains from
+  before can only make the next leader that reads it more careful until it has read all jobs.
+  The older leader itself keeps workers' leases alive without a time limit until it has read all
+  jobs, as it always did.
+* A version that knows only format 1 would start the tasks of a job that waits for other jobs. So
+  a submission that lists needed jobs is not passed to such a peer, and is not accepted while
+  there is one.
 """
 
-#: What a peer has that says nothing.
+#: The format of a peer that does not state its format.
 FIRST_FORMAT = 1
 #: The format of this version.
-FORMAT = 5
-#: The first that knows job chains.
-CHAINS_FORMAT = 2
-#: The first that can be asked whether it reaches a third controller.
-LOOK_FORMAT = 3
-#: The first that knows documents.
+CURRENT_FORMAT = 5
+#: The first format with jobs that depend on other jobs.
+JOB_DEPENDENCIES_FORMAT = 2
+#: The first format in which a controller can be asked to probe another controller.
+INDIRECT_PROBE_FORMAT = 3
+#: The first format with documents (calendars and gates).
 DOCUMENTS_FORMAT = 4
--- a/weldhead/protocol/wire.py
+++ b/weldhead/protocol/wire.py
@@ -1,7 +1,8 @@
-"""The wire's messages under the field's standard names.
+"""The JSON messages of the HTTP interfaces, with standard Python field names.
 
-The names used on the wire appear in this module (and in the settings file's) only, as
-``rename`` maps. Unknown fields are ignored by msgspec, as the protocol asks.
+The protocol uses other field names. They appear only in this module and in
+``weldhead/protocol/settings.py``, as ``rename`` maps. Unknown fields are ignored by msgspec, as
+the protocol requires.
 """
 
 from typing import Any, Literal
@@ -10,17 +11,17 @@
 
 from weldhead.clock import SECOND_US
 
-Shape = Literal["batch", "standing"]
-Urgency = Literal["production", "high", "normal", "idle"]
+JobKind = Literal["batch", "standing"]
+PriorityName = Literal["production", "high", "normal", "idle"]
 ReportedTaskState = Literal["pulling", "running", "saving", "ended"]
 
-#: Larger is more important.
+#: The level of each priority; jobs of a higher level are more important.
 PRIORITY_LEVELS: dict[str, int] = {"idle": 0, "normal": 1, "high": 2, "production": 3}
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_TASKS = 100_000
 
-_JOB_NAMES = {
+_ENCODED_JOB_FIELDS = {
     "id": "uid",
     "job_class": "jobclass",
     "team": "owner",
@@ -45,14 +46,14 @@
 }
 
 
-class JobSpec(msgspec.Struct, rename=_JOB_NAMES, omit_defaults=True, frozen=True):
-    """A submission."""
+class JobSpec(msgspec.Struct, rename=_ENCODED_JOB_FIELDS, omit_defaults=True, frozen=True):
+    """A submitted job: its tasks, their resources and the constraints on their placement."""
 
     id: str
     job_class: str
     team: str
-    kind: Shape
-    priority: Urgency
+    kind: JobKind
+    priority: PriorityName
     tasks: int
     cpus: float
     gpus: float
@@ -68,30 +69,34 @@
     types: tuple[str, ...] | None = None
     zone: str | None = None
     deadline_s: float | None = None
-    #: Jobs that have to be done before any task of this one starts.
+    #: The ids of the jobs that have to be done before any task of this job starts.
     needs: tuple[str, ...] | None = None
 
     @property
     def is_service(self) -> bool:
-        """Whether the job's tasks are replicas that run until it is cancelled."""
+        """Whether the job is a service: its tasks are replicas that run until it is cancelled."""
         return self.kind == "standing"
 
     @property
-    def level(self) -> int:
-        """The priority as a number, larger first."""
+    def priority_level(self) -> int:
+        """The priority as a number; a larger number means a higher priority."""
         return PRIORITY_LEVELS[self.priority]
 
     @property
     def estimate_us(self) -> int:
-        """The owner's estimate of one task's run time."""
+        """The run time of one task as estimated in the submission."""
         return round(self.estimate_s * SECOND_US)
 
 
 class JobStatus(msgspec.Struct, rename={"id": "uid", "state": "status"}, omit_defaults=True):
     """The answer to a submission, a poll or a cancellation.
 
-    The fields from ``forecast_s`` on are weldhead's own: a forecast, in seconds from the
-    submission; when it is due by a calendar (RFC 3339, UTC), and which gate holds it.
+    The fields from ``forecast_s`` on are an addition of weldhead to the protocol:
+
+    - ``forecast_s``: the forecast of the job's end, in seconds from the submission.
+    - ``late`` and ``late_by_s``: whether and by how much the forecast misses the job's due time.
+    - ``due_at``: the due time that a calendar sets (RFC 3339, UTC).
+    - ``held_by``: the gate that keeps the job from starting.
     """
 
     id: str
@@ -106,7 +111,7 @@
 
 
 class ErrorBody(msgspec.Struct, omit_defaults=True):
-    """The JSON body of a refusal."""
+    """The JSON body of an HTTP response that refuses a request."""
 
     error: str
     field: str | None = None
@@ -115,10 +120,14 @@
 class ReportedTask(
     msgspec.Struct,
     rename={"task": "piece", "attempt": "pass", "state": "status", "why": "cause", "saved": "kept"},
-    # Thousands come in a second and refer to nothing: the collector need not look at them.
+    # Thousands are decoded per second, and they refer to no other containers, so the garbage
+    # collector does not need to track them.
     gc=False,
 ):
-    """One task on a machine, as its worker sees it."""
+    """The state of one attempt of a task, as the worker of its machine reports it.
+
+    ``why`` is the cause of an attempt's end.
+    """
 
     task: str
     attempt: int
@@ -142,7 +151,7 @@
         "tasks": "pieces",
     },
 ):
-    """A worker's report."""
+    """A worker's periodic report of its machine and of the tasks there."""
 
     machine: str
     address: str
@@ -162,7 +171,7 @@
     omit_defaults=True,
     gc=False,
 ):
-    """One command to a worker: ``run``, ``kill`` or ``forget``."""
+    """A command to a worker: ``run``, ``kill`` or ``forget`` one attempt of a task."""
 
     op: Literal["run", "kill", "forget"]
     task: str
@@ -171,7 +180,7 @@
 
 
 class HeartbeatAnswer(msgspec.Struct, rename={"token": "torch", "commands": "orders"}):
-    """The answer to a report."""
+    """The leader's answer to a heartbeat: its token and commands for the worker."""
 
     token: int
     commands: list[Command]
@@ -180,7 +189,7 @@
 class DirectCommands(
     msgspec.Struct, rename={"token": "torch", "session": "shift", "commands": "orders"}
 ):
-    """A direct request to a worker."""
+    """Commands that the leader sends to a worker without waiting for its heartbeat."""
 
     token: int
     session: int
@@ -188,7 +197,7 @@
 
 
 class LeaderRedirect(msgspec.Struct, rename={"leader": "foreman"}, omit_defaults=True):
-    """The body of a 421."""
+    """The body of a 421 response to a heartbeat: the name of the leader, or None if unknown."""
 
     leader: str | None = None
 
@@ -206,7 +215,7 @@
         "zones": "yards",
     },
 ):
-    """A machine type of the catalog."""
+    """A machine type in the cloud's catalog: its resources, prices and zones."""
 
     name: str
     cpus: float
@@ -220,7 +229,7 @@
     zones: tuple[str, ...]
 
     def fits(self, spec: JobSpec) -> bool:
-        """Whether one task of the job fits an empty machine of this type."""
+        """Return whether one task of the job fits on an empty machine of this type."""
         return (
             (spec.types is None or self.name in spec.types)
             and (spec.zone is None or spec.zone in self.zones)
@@ -231,7 +240,7 @@
 
 
 class Catalog(msgspec.Struct, rename={"types": "frames"}):
-    """The cloud's machine types."""
+    """The machine types that the cloud offers."""
 
     types: list[MachineType]
 
@@ -246,7 +255,7 @@
         "count": "how_many",
     },
 ):
-    """A request for machines; its name is never used for anything else."""
+    """A request to rent machines; its name ``request`` is never reused for another rental."""
 
     request: str
     type: str
@@ -256,7 +265,7 @@
 
 
 class MachineNames(msgspec.Struct, rename={"machines": "welders"}):
-    """Machine names: what a rental answers and a deletion asks."""
+    """The names of machines: the answer to a rental, or the body of a request to delete them."""
 
     machines: list[str]
 
@@ -272,7 +281,7 @@
         "state": "status",
     },
 ):
-    """A machine as the cloud lists it."""
+    """A machine in the cloud's machine list."""
 
     id: str
     type: str
@@ -291,7 +300,7 @@
 
 
 class KeyValue(msgspec.Struct, rename={"version": "mark", "lease": "permit"}):
-    """A key of the state service."""
+    """A key of the state service, its value, its version and the lease it is attached to."""
 
     key: str
     value: msgspec.Raw
@@ -300,7 +309,7 @@
 
 
 class KeyValuePage(msgspec.Struct, rename={"more": "has_next", "revision": "ledger"}):
-    """One page of keys."""
+    """One page of a list of keys, as of a revision of the state service."""
 
     items: list[KeyValue]
     more: bool
@@ -308,14 +317,14 @@
 
 
 class Condition(msgspec.Struct, rename={"version": "mark"}):
-    """A key must have this version; 0: it must not exist."""
+    """The version that a key must have for a transaction; 0 means that it must not exist."""
 
     key: str
     version: int
 
 
 class PutKey(msgspec.Struct, rename={"key": "set", "lease": "permit"}, omit_defaults=True):
-    """Write a key."""
+    """A write of a key in a transaction."""
 
     key: str
     value: Any
@@ -323,7 +332,7 @@
 
 
 class DeleteKey(msgspec.Struct, rename={"key": "delete"}):
-    """Remove a key."""
+    """A deletion of a key in a transaction."""
 
     key: str
 
@@ -331,32 +340,32 @@
 class Transaction(
     msgspec.Struct, rename={"conditions": "if", "writes": "writes"}, omit_defaults=True
 ):
-    """Writes that happen together, if every condition holds."""
+    """Writes that are applied together if every condition holds, and otherwise not at all."""
 
     conditions: list[Condition]
     writes: list[PutKey | DeleteKey] = []
 
 
 class CommittedRevision(msgspec.Struct, rename={"revision": "ledger"}):
-    """A transaction's revision."""
+    """The answer to a committed transaction: its revision."""
 
     revision: int
 
 
 class GrantedLease(msgspec.Struct, rename={"lease": "permit"}):
-    """A lease of the state service."""
+    """The answer to a ``LeaseRequest``: the id of the lease that the state service granted."""
 
     lease: int
 
 
 class LeaseRequest(msgspec.Struct, rename={"ttl_ms": "life_ms"}):
-    """A request for a lease."""
+    """A request to the state service for a lease."""
 
     ttl_ms: int
 
 
 class KeyEvent(msgspec.Struct, rename={"put": "set", "version": "mark"}):
-    """A change; ``put`` or ``delete`` holds the key."""
+    """A change of a key; ``put`` or ``delete`` holds the key's name, depending on the change."""
 
     version: int
     put: str | None = None
@@ -365,19 +374,19 @@
 
 
 class KeyChanges(msgspec.Struct, rename={"revision": "ledger"}):
-    """The changes after a revision."""
+    """The changes of keys after a revision of the state service."""
 
     revision: int
     events: list[KeyEvent]
 
 
 def task_name(job_id: str, index: int) -> str:
-    """Name a task."""
+    """Return the name of a job's task with this index."""
     return f"{job_id}/{index}"
 
 
-def split_task(name: str) -> tuple[str, int]:
-    """Return a task's job and index; ValueError if the name is malformed."""
+def split_task_name(name: str) -> tuple[str, int]:
+    """Return the job id and index in a task's name; raise ValueError if the name is malformed."""
     job_id, slash, index = name.rpartition("/")
     if not slash or not job_id or not index.isdecimal():
         raise ValueError(f"not a task name: {name!r}")
--- a/weldhead/reconciliation/attempt_verdicts.py
+++ b/weldhead/reconciliation/attempt_verdicts.py
@@ -14,7 +14,7 @@
 from weldhead.cluster_state.jobs import Job
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import TaskState
-from weldhead.protocol.wire import ReportedTask, split_task
+from weldhead.protocol.wire import ReportedTask, split_task_name
 
 Kind = TypeVar("Kind", bound=enum.Enum)
 
@@ -66,7 +66,7 @@
 def find_job(cluster: Cluster, task: ReportedTask) -> tuple[Job | None, int]:
     """Return the recorded job of a reported attempt and the task's index; None if there is none."""
     try:
-        job_id, index = split_task(task.task)
+        job_id, index = split_task_name(task.task)
     except ValueError:
         return None, 0
     job = cluster.jobs.get(job_id)
--- a/weldhead/scheduling/autoscaling/scale_in.py
+++ b/weldhead/scheduling/autoscaling/scale_in.py
@@ -6,7 +6,7 @@
 from weldhead.cluster_state.cluster import Cluster
 from weldhead.cluster_state.machines import Machine
 from weldhead.cluster_state.states import TaskState
-from weldhead.protocol.wire import split_task
+from weldhead.protocol.wire import split_task_name
 from weldhead.provisioning.boot_times import BootExpectations
 from weldhead.scheduling.autoscaling.expected_demand import ExpectedDemand
 from weldhead.scheduling.autoscaling.fleet_settings import FleetSettings
@@ -90,7 +90,7 @@
     """Whether a machine reports a completion that is not in the store yet."""
     for task, _ in machine.unacknowledged:
         try:
-            job_id, index = split_task(task)
+            job_id, index = split_task_name(task)
         except ValueError:
             continue
         job = cluster.jobs.get(job_id)
--- a/weldhead/scheduling/inherited_priority.py
+++ b/weldhead/scheduling/inherited_priority.py
@@ -62,7 +62,7 @@
     paths_us: dict[str, int] = {}
     for job in dependency_graph.upstream(jobs):
         gate_level, gate_due_us = dependency_graph.gate_inheritance.get(job.id, (0, ()))
-        level = max(job.spec.level, gate_level)
+        level = max(job.spec.priority_level, gate_level)
         deadlines_us = set(gate_due_us)
         for dependent in dependency_graph.dependents(job.id):
             level = max(level, dependent.effective_level)
--- a/weldhead/serving.py
+++ b/weldhead/serving.py
@@ -74,10 +74,12 @@
     tunables = Tunables()
     if tunables_file is not None:
         # The language's parser costs memory and start time: only who uses it pays.
-        from weldhead.tunables.language import LanguageError, evaluate, facts_of
+        from weldhead.tunables.language import LanguageError, compute_fact_values, evaluate_tunables
 
         try:
-            tunables = evaluate(tunables_file.read_text(encoding="utf-8"), facts_of(settings))
+            tunables = evaluate_tunables(
+                tunables_file.read_text(encoding="utf-8"), compute_fact_values(settings)
+            )
         except LanguageError as error:
             raise StartError(f"{tunables_file}:\n{error}") from error
         except (OSError, UnicodeDecodeError) as error:
--- a/weldhead/site/description.py
+++ b/weldhead/site/description.py
@@ -7,11 +7,11 @@
 
 from weldhead.protocol.settings import (
     CloudLimits,
-    Facts,
+    DeploymentFacts,
     MachineLimits,
     Objective,
     PeerSettings,
-    Services,
+    ServiceAddresses,
     Settings,
     SettingsError,
     StateLimits,
@@ -157,7 +157,7 @@
             for part in self.machines
         ]
 
-    def facts(self) -> Facts:
+    def facts(self) -> DeploymentFacts:
         """Return the settings' facts."""
         total = self.total_cores
         teams = [
@@ -170,7 +170,7 @@
             )
             for part in self.teams
         ]
-        return Facts(
+        return DeploymentFacts(
             zones=self.zones,
             teams=teams,
             workers=WorkerLimits(
@@ -272,7 +272,7 @@
             listen=addresses[index],
             peer_listen=peer_addresses[index],
             peers=[node for node in nodes if node is not nodes[index]],
-            services=Services(cloud or "127.0.0.1:1", state or "127.0.0.1:1"),
+            services=ServiceAddresses(cloud or "127.0.0.1:1", state or "127.0.0.1:1"),
             facts=description.facts(),
         )
         for index in range(count)
--- a/weldhead/site/worker.py
+++ b/weldhead/site/worker.py
@@ -11,7 +11,13 @@
 import msgspec
 
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.protocol.wire import Command, Heartbeat, ReportedTask, ReportedTaskState, split_task
+from weldhead.protocol.wire import (
+    Command,
+    Heartbeat,
+    ReportedTask,
+    ReportedTaskState,
+    split_task_name,
+)
 
 #: Exit code by which a task that was told to stop says that it has saved its progress.
 SAVED_CODE = 75
@@ -295,7 +301,7 @@
         slot = self.slots.get((task, attempt))
         if slot is None or slot.phase is not SlotPhase.FETCHING:
             return []
-        index = split_task(task)[1]
+        index = split_task_name(task)[1]
         if work is None or index >= work.tasks:
             self._end(slot, "unknown")
         elif done:
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, seconds_us
-from weldhead.protocol.wire import DirectCommands, HeartbeatAnswer, LeaderRedirect, split_task
+from weldhead.protocol.wire import DirectCommands, HeartbeatAnswer, LeaderRedirect, split_task_name
 from weldhead.site import guard as guard_program
 from weldhead.site.http import Reply, SiteServer, error, reply
 from weldhead.site.layout import Layout, write_whole
@@ -250,7 +250,7 @@
 
     def _paths(self, task: str, attempt: int) -> tuple[Path, Path]:
         """Return an attempt's directory, and the file of its task's result."""
-        job, index = split_task(task)
+        job, index = split_task_name(task)
         folder = self._layout.task(job, index)
         return folder / str(attempt), self._layout.result(job, index)
 
@@ -300,7 +300,7 @@
         return f"{self._worker.session}:{task}:{attempt}"
 
     async def _fetch(self, task: str, attempt: int) -> None:
-        job, index = split_task(task)
+        job, index = split_task_name(task)
         pause_s = 0.1
         while True:
             slot = self._worker.slots.get((task, attempt))
@@ -338,7 +338,7 @@
         return work
 
     def _start(self, task: str, attempt: int, work: Work) -> None:
-        job, index = split_task(task)
+        job, index = split_task_name(task)
         place, result = self._paths(task, attempt)
         place.mkdir(parents=True, exist_ok=True)
         save = place.parent / "save"
--- a/weldhead/transport/peer_links.py
+++ b/weldhead/transport/peer_links.py
@@ -20,9 +20,9 @@
     Ping,
     Pong,
     PromiseAnswer,
+    decode_frame_length,
     decode_message,
     encode_frame,
-    frame_length,
 )
 from weldhead.protocol.settings import PeerSettings, split_address
 from weldhead.transport.background_tasks import BackgroundTasks
@@ -38,7 +38,7 @@
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
     """Read one frame."""
-    length = frame_length(await reader.readexactly(4))
+    length = decode_frame_length(await reader.readexactly(4))
     return decode_message(await reader.readexactly(length))
 
 
--- a/weldhead/tunables/__init__.py
+++ b/weldhead/tunables/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' own settings: defaults, and a small expression language to change them."""
+"""The operators' settings (tunables): their defaults, and a small language to change them."""
--- a/weldhead/tunables/language.py
+++ b/weldhead/tunables/language.py
@@ -1,8 +1,8 @@
-"""The operators' settings language: parsing, checking, evaluating.
+"""The operators' settings language: parser, type checker and evaluator.
 
-A file is a list of statements: ``let NAME = EXPRESSION`` names a value, ``PATH =
-EXPRESSION`` sets a tunable. There are three types: numbers, durations and truth values.
-Everything is checked before anything is evaluated, and each error has a line and column.
+A file is a list of statements: ``let NAME = EXPRESSION`` defines a variable, and ``PATH =
+EXPRESSION`` sets a tunable. There are three types: numbers, durations and truth values. The whole
+file is checked before any expression is evaluated, and each error has a line and a column.
 """
 
 import dataclasses
@@ -19,17 +19,17 @@
 from weldhead.protocol.settings import Settings
 from weldhead.tunables.defaults import Tunables
 
-NUMBER, DURATION, TRUTH = "number", "duration", "truth value"
+NUMBER, DURATION, BOOLEAN = "number", "duration", "truth value"
 
 _UNITS_US = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
-_COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
+_COMPARISON_OPERATORS: dict[str, Callable[[Any, Any], bool]] = {
     "<": operator.lt, "<=": operator.le, ">": operator.gt, ">=": operator.ge,
     "==": operator.eq, "!=": operator.ne,
 }  # fmt: skip
 _FUNCTIONS: dict[str, Callable[..., Any]] = {"min": min, "max": max}
 
-#: Names that every file may use, and their types.
-FACTS: Mapping[str, str] = {
+#: The types of the predefined variables, whose values come from the platform's settings file.
+FACT_TYPES: Mapping[str, str] = {
     "report": DURATION,
     "lease": DURATION,
     "cancel": DURATION,
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """An error in a file."""
+    """An error in a file, and its position."""
 
     line: int
     column: int
@@ -54,15 +54,15 @@
 
 
 class LanguageError(Exception):
-    """A file with errors."""
+    """A settings file is not valid; ``problems`` lists its errors."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(str(problem) for problem in problems))
         self.problems = problems
 
 
-def facts_of(settings: Settings) -> dict[str, float]:
-    """Return the facts' values; durations in microseconds."""
+def compute_fact_values(settings: Settings) -> dict[str, float]:
+    """Return the values of the predefined variables; durations are in microseconds."""
     facts = settings.facts
     return {
         "report": facts.workers.report_s * 1e6,
@@ -77,24 +77,28 @@
 
 
 def tunable_types() -> dict[str, str]:
-    """Return every tunable's name and type."""
-    return {name: kind for name, (kind, _, _) in _tunable_fields(Tunables()).items()}
+    """Return the type of each tunable by its name."""
+    return {name: type_name for name, (type_name, _, _) in _tunable_fields(Tunables()).items()}
 
 
 def _tunable_fields(tunables: Any, prefix: str = "") -> dict[str, tuple[str, Any, str]]:
-    """Map each tunable's name to its type, the object that holds it and its field."""
-    found: dict[str, tuple[str, Any, str]] = {}
-    for item in dataclasses.fields(tunables):
-        value = getattr(tunables, item.name)
+    """Map each tunable's name to its type, the object that has the value, and its field name."""
+    tunable_fields: dict[str, tuple[str, Any, str]] = {}
+    for tunable_field in dataclasses.fields(tunables):
+        value = getattr(tunables, tunable_field.name)
         if dataclasses.is_dataclass(value):
-            found.update(_tunable_fields(value, f"{prefix}{item.name}."))
+            tunable_fields.update(_tunable_fields(value, f"{prefix}{tunable_field.name}."))
         elif isinstance(value, bool):
-            found[prefix + item.name] = (TRUTH, tunables, item.name)
-        elif item.name.endswith("_us"):
-            found[prefix + item.name.removesuffix("_us")] = (DURATION, tunables, item.name)
+            tunable_fields[prefix + tunable_field.name] = (BOOLEAN, tunables, tunable_field.name)
+        elif tunable_field.name.endswith("_us"):
+            tunable_fields[prefix + tunable_field.name.removesuffix("_us")] = (
+                DURATION,
+                tunables,
+                tunable_field.name,
+            )
         else:
-            found[prefix + item.name] = (NUMBER, tunables, item.name)
-    return found
+            tunable_fields[prefix + tunable_field.name] = (NUMBER, tunables, tunable_field.name)
+    return tunable_fields
 
 
 @lru_cache(maxsize=1)
@@ -118,45 +122,48 @@
 
 
 class _Checker:
-    """Works out types, collecting problems."""
+    """Infers the types of expressions and collects the errors of a file.
+
+    A type is None or ``?`` if an error prevents inferring it; no further error is reported for it.
+    """
 
     def __init__(self) -> None:
-        self.names: dict[str, str] = dict(FACTS)
-        self.tunables = tunable_types()
-        self.assigned: set[str] = set()
+        self.variable_types: dict[str, str] = dict(FACT_TYPES)
+        self.tunable_types = tunable_types()
+        self.assigned_paths: set[str] = set()
         self.problems: list[Problem] = []
 
-    def problem(self, node: Tree[Token] | Token, text: str) -> None:
-        """Note a problem at a node."""
+    def add_problem(self, node: Tree[Token] | Token, text: str) -> None:
+        """Record an error at the position of a node."""
         position = node if isinstance(node, Token) else node.meta
         self.problems.append(
             Problem(getattr(position, "line", 1) or 1, getattr(position, "column", 1) or 1, text)
         )
 
-    def statement(self, node: Tree[Token]) -> None:
-        """Check a statement."""
+    def check_statement(self, node: Tree[Token]) -> None:
+        """Check a statement, and define its variable or mark its tunable as set."""
         target, expression = node.children
-        kind = self.type_of(expression)
+        type_name = self.infer_type(expression)
         if node.data == "let":
             assert isinstance(target, Token)
-            if target in self.names or target in _FUNCTIONS:
-                self.problem(target, f"{target} is defined already")
-            # Known all the same, so that one mistake is reported once.
-            self.names[str(target)] = kind or "?"
+            if target in self.variable_types or target in _FUNCTIONS:
+                self.add_problem(target, f"{target} is defined already")
+            # The variable is defined even after an error, so that its uses are not reported too.
+            self.variable_types[str(target)] = type_name or "?"
             return
         assert isinstance(target, Tree)
         path = ".".join(str(part) for part in target.children)
-        wanted = self.tunables.get(path)
-        if wanted is None:
-            self.problem(target, f"there is no setting {path}")
-        elif kind not in (wanted, None, "?"):
-            self.problem(expression, f"{path} is a {wanted}, not a {kind}")
-        if path in self.assigned:
-            self.problem(target, f"{path} is set twice")
-        self.assigned.add(path)
-
-    def type_of(self, node: Tree[Token] | Token) -> str | None:
-        """Return an expression's type; None if a problem was noted."""
+        expected_type = self.tunable_types.get(path)
+        if expected_type is None:
+            self.add_problem(target, f"there is no setting {path}")
+        elif type_name not in (expected_type, None, "?"):
+            self.add_problem(expression, f"{path} is a {expected_type}, not a {type_name}")
+        if path in self.assigned_paths:
+            self.add_problem(target, f"{path} is set twice")
+        self.assigned_paths.add(path)
+
+    def infer_type(self, node: Tree[Token] | Token) -> str | None:
+        """Return the type of an expression, or None if it has an error, which is recorded."""
         assert isinstance(node, Tree)
         match node.data:
             case "number":
@@ -164,64 +171,68 @@
             case "duration":
                 return DURATION
             case "true" | "false":
-                return TRUTH
+                return BOOLEAN
             case "variable":
                 name = str(node.children[0])
-                if name not in self.names:
-                    self.problem(node, f"{name} is not known here")
+                if name not in self.variable_types:
+                    self.add_problem(node, f"{name} is not known here")
                     return None
-                return self.names[name]
+                return self.variable_types[name]
             case "call":
                 name = str(node.children[0])
-                kinds = [self.type_of(child) for child in node.children[1:]]
+                types = [self.infer_type(child) for child in node.children[1:]]
                 if name not in _FUNCTIONS:
-                    self.problem(node, f"there is no function {name}")
+                    self.add_problem(node, f"there is no function {name}")
                     return None
-                return self._same(node, kinds, (NUMBER, DURATION))
+                return self._require_same_type(node, types, (NUMBER, DURATION))
             case "choice":
-                self._want(node.children[0], TRUTH)
-                return self._same(
-                    node, [self.type_of(c) for c in node.children[1:]], (NUMBER, DURATION, TRUTH)
+                self._require_type(node.children[0], BOOLEAN)
+                return self._require_same_type(
+                    node,
+                    [self.infer_type(c) for c in node.children[1:]],
+                    (NUMBER, DURATION, BOOLEAN),
                 )
             case "either" | "both" | "negate":
                 for child in node.children:
-                    self._want(child, TRUTH)
-                return TRUTH
+                    self._require_type(child, BOOLEAN)
+                return BOOLEAN
             case "compare":
-                kinds = [self.type_of(node.children[0]), self.type_of(node.children[2])]
-                self._same(node, kinds, (NUMBER, DURATION))
-                return TRUTH
+                types = [self.infer_type(node.children[0]), self.infer_type(node.children[2])]
+                self._require_same_type(node, types, (NUMBER, DURATION))
+                return BOOLEAN
             case "add" | "subtract":
-                return self._same(
-                    node, [self.type_of(child) for child in node.children], (NUMBER, DURATION)
+                return self._require_same_type(
+                    node, [self.infer_type(child) for child in node.children], (NUMBER, DURATION)
                 )
             case "minus":
-                return self._same(node, [self.type_of(node.children[0])], (NUMBER, DURATION))
+                return self._require_same_type(
+                    node, [self.infer_type(node.children[0])], (NUMBER, DURATION)
+                )
             case "multiply" | "divide":
-                return self._product(node)
+                return self._infer_product_type(node)
             case _:
                 raise AssertionError(node.data)
 
-    def _want(self, node: Tree[Token] | Token, wanted: str) -> None:
-        kind = self.type_of(node)
-        if kind not in (wanted, None, "?"):
-            self.problem(node, f"a {wanted} is needed here, not a {kind}")
+    def _require_type(self, node: Tree[Token] | Token, expected_type: str) -> None:
+        type_name = self.infer_type(node)
+        if type_name not in (expected_type, None, "?"):
+            self.add_problem(node, f"a {expected_type} is needed here, not a {type_name}")
 
-    def _same(
-        self, node: Tree[Token], kinds: list[str | None], allowed: tuple[str, ...]
+    def _require_same_type(
+        self, node: Tree[Token], types: list[str | None], allowed: tuple[str, ...]
     ) -> str | None:
-        known = [kind for kind in kinds if kind not in (None, "?")]
-        for kind in known:
-            if kind not in allowed or kind != known[0]:
-                text = f"a {kind} does not fit here"
-                if kind != known[0]:
-                    text = f"a {known[0]} and a {kind} do not go together"
-                self.problem(node, text)
+        known_types = [type_name for type_name in types if type_name not in (None, "?")]
+        for type_name in known_types:
+            if type_name not in allowed or type_name != known_types[0]:
+                text = f"a {type_name} does not fit here"
+                if type_name != known_types[0]:
+                    text = f"a {known_types[0]} and a {type_name} do not go together"
+                self.add_problem(node, text)
                 return None
-        return known[0] if known else None
+        return known_types[0] if known_types else None
 
-    def _product(self, node: Tree[Token]) -> str | None:
-        left, right = (self.type_of(child) for child in node.children)
+    def _infer_product_type(self, node: Tree[Token]) -> str | None:
+        left, right = (self.infer_type(child) for child in node.children)
         if left in (None, "?") or right in (None, "?"):
             return None
         if (left, right) == (NUMBER, NUMBER):
@@ -232,30 +243,33 @@
             return DURATION
         if node.data == "multiply" and (left, right) == (NUMBER, DURATION):
             return DURATION
-        self.problem(node, f"a {left} and a {right} do not go together")
+        self.add_problem(node, f"a {left} and a {right} do not go together")
         return None
 
 
-def check(text: str) -> Tree[Token]:
-    """Parse and check a file; LanguageError lists every problem."""
+def parse_and_check(text: str) -> Tree[Token]:
+    """Parse and check a file; raise LanguageError if it has errors.
+
+    A file that can be parsed is checked to its end, so that all its errors are reported together.
+    """
     tree = _parse(text)
     checker = _Checker()
     for statement in tree.children:
         assert isinstance(statement, Tree)
-        checker.statement(statement)
+        checker.check_statement(statement)
     if checker.problems:
         raise LanguageError(checker.problems)
     return tree
 
 
 class _Evaluator:
-    """Computes values of a checked file."""
+    """Computes the values of the expressions in a checked file."""
 
     def __init__(self, facts: Mapping[str, float]) -> None:
-        self.values: dict[str, Any] = dict(facts)
+        self.variables: dict[str, Any] = dict(facts)
 
-    def value(self, node: Tree[Token] | Token) -> Any:
-        """Return an expression's value; durations in microseconds."""
+    def evaluate(self, node: Tree[Token] | Token) -> Any:
+        """Return the value of an expression; durations are in microseconds."""
         assert isinstance(node, Tree)
         children = node.children
         match node.data:
@@ -268,65 +282,68 @@
             case "true" | "false":
                 return node.data == "true"
             case "variable":
-                return self.values[str(children[0])]
+                return self.variables[str(children[0])]
             case "call":
-                return _FUNCTIONS[str(children[0])](self.value(c) for c in children[1:])
+                return _FUNCTIONS[str(children[0])](self.evaluate(c) for c in children[1:])
             case "choice":
-                return self.value(children[1] if self.value(children[0]) else children[2])
+                return self.evaluate(children[1] if self.evaluate(children[0]) else children[2])
             case "either":
-                return self.value(children[0]) or self.value(children[1])
+                return self.evaluate(children[0]) or self.evaluate(children[1])
             case "both":
-                return self.value(children[0]) and self.value(children[1])
+                return self.evaluate(children[0]) and self.evaluate(children[1])
             case "negate":
-                return not self.value(children[0])
+                return not self.evaluate(children[0])
             case "compare":
-                compared = _COMPARISONS[str(children[1])]
-                return compared(self.value(children[0]), self.value(children[2]))
+                compare = _COMPARISON_OPERATORS[str(children[1])]
+                return compare(self.evaluate(children[0]), self.evaluate(children[2]))
             case "minus":
-                return -self.value(children[0])
+                return -self.evaluate(children[0])
             case "add":
-                return self.value(children[0]) + self.value(children[1])
+                return self.evaluate(children[0]) + self.evaluate(children[1])
             case "subtract":
-                return self.value(children[0]) - self.value(children[1])
+                return self.evaluate(children[0]) - self.evaluate(children[1])
             case "multiply":
-                return self.value(children[0]) * self.value(children[1])
+                return self.evaluate(children[0]) * self.evaluate(children[1])
             case "divide":
-                divisor = self.value(children[1])
+                divisor = self.evaluate(children[1])
                 if not divisor:
                     raise LanguageError(
                         [Problem(node.meta.line, node.meta.column, "division by zero")]
                     )
-                return self.value(children[0]) / divisor
+                return self.evaluate(children[0]) / divisor
             case _:
                 raise AssertionError(node.data)
 
 
-def evaluate(text: str, facts: Mapping[str, float]) -> Tunables:
-    """Return the defaults, changed as the file says."""
-    tree = check(text)
+def evaluate_tunables(text: str, facts: Mapping[str, float]) -> Tunables:
+    """Return the default tunables with the changes that the file makes.
+
+    Raise LanguageError if the file is not valid or a value is not allowed.
+    """
+    tree = parse_and_check(text)
     tunables = Tunables()
     fields = _tunable_fields(tunables)
     evaluator = _Evaluator(facts)
     for statement in tree.children:
         assert isinstance(statement, Tree)
         target, expression = statement.children
-        value = evaluator.value(expression)
+        value = evaluator.evaluate(expression)
         if statement.data == "let":
-            evaluator.values[str(target)] = value
+            evaluator.variables[str(target)] = value
             continue
         assert isinstance(target, Tree)
         path = ".".join(str(part) for part in target.children)
-        kind, holder, name = fields[path]
-        where = (target.meta.line, target.meta.column)
-        if kind is not TRUTH and value < 0:
-            raise LanguageError([Problem(*where, f"{path} must not be negative")])
-        if kind is DURATION:
+        type_name, owner, name = fields[path]
+        position = (target.meta.line, target.meta.column)
+        if type_name is not BOOLEAN and value < 0:
+            raise LanguageError([Problem(*position, f"{path} must not be negative")])
+        if type_name is DURATION:
             value = round(value)
             if value < 1_000:
-                raise LanguageError([Problem(*where, f"{path} must be 1ms or more")])
-        elif isinstance(getattr(holder, name), int) and kind is NUMBER:
+                raise LanguageError([Problem(*position, f"{path} must be 1ms or more")])
+        elif isinstance(getattr(owner, name), int) and type_name is NUMBER:
             if value != round(value) or value < 1:
-                raise LanguageError([Problem(*where, f"{path} must be a whole number above 0")])
+                raise LanguageError([Problem(*position, f"{path} must be a whole number above 0")])
             value = round(value)
-        setattr(holder, name, value)
+        setattr(owner, name, value)
     return tunables
