--- a/weldhead/cluster_state/jobs.py
+++ b/weldhead/cluster_state/jobs.py
@@ -165,7 +165,7 @@
         #: The highest priority among the job and the jobs that need it; and the due times at which
         #: the job has to be done so that those jobs are in time, the earliest first
         #: (``scheduling/inherited_priority.py``).
-        self._effective_level = spec.level
+        self._effective_level = spec.priority_level
         self._inherited_due_us: tuple[int, ...] = ()
         #: Whether the cancellation is committed; and whether the user has requested it, so that it
         #: may be committed already.
--- a/weldhead/serving.py
+++ b/weldhead/serving.py
@@ -76,10 +76,12 @@
     if tunables_file is not None:
         # The parser of the tunables' language costs memory and start time, so it is imported
         # only by a controller that has a tunables file.
-        from weldhead.tunables.language import LanguageError, evaluate, facts_of
+        from weldhead.tunables.language import LanguageError, compute_fact_values, evaluate_tunables
 
         try:
-            tunables = evaluate(tunables_file.read_text(encoding="utf-8"), facts_of(settings))
+            tunables = evaluate_tunables(
+                tunables_file.read_text(encoding="utf-8"), compute_fact_values(settings)
+            )
         except LanguageError as error:
             raise StartError(f"{tunables_file}:\n{error}") from error
         except (OSError, UnicodeDecodeError) as error:
--- a/weldhead/site/worker.py
+++ b/weldhead/site/worker.py
@@ -15,7 +15,13 @@
 import msgspec
 
 from weldhead.clock import SECOND_US, seconds_us
-from weldhead.protocol.wire import Command, Heartbeat, ReportedTask, ReportedTaskState, split_task
+from weldhead.protocol.wire import (
+    Command,
+    Heartbeat,
+    ReportedTask,
+    ReportedTaskState,
+    split_task_name,
+)
 
 #: A task that was told to stop exits with this code if it has saved its progress.
 PROGRESS_SAVED_EXIT_CODE = 75
@@ -316,7 +322,7 @@
         slot = self.slots.get((task, attempt))
         if slot is None or slot.phase is not SlotPhase.FETCHING:
             return []
-        index = split_task(task)[1]
+        index = split_task_name(task)[1]
         if description is None or index >= description.tasks:
             self._end_attempt(slot, "unknown")
         elif has_result:
--- a/weldhead/site/worker_process.py
+++ b/weldhead/site/worker_process.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 
 from weldhead.clock import MILLISECOND_US, SECOND_US, now_us, seconds_us
-from weldhead.protocol.wire import DirectCommands, HeartbeatAnswer, LeaderRedirect, split_task
+from weldhead.protocol.wire import DirectCommands, HeartbeatAnswer, LeaderRedirect, split_task_name
 from weldhead.site import guard as guard_program
 from weldhead.site.http import Reply, SiteServer, error, reply
 from weldhead.site.layout import Layout, write_atomically
@@ -262,7 +262,7 @@
 
     def _attempt_paths(self, task: str, attempt: int) -> tuple[Path, Path]:
         """Return the directory of an attempt and the result file of its task."""
-        job, index = split_task(task)
+        job, index = split_task_name(task)
         task_directory = self._layout.task(job, index)
         return task_directory / str(attempt), self._layout.result(job, index)
 
@@ -314,7 +314,7 @@
         return f"{self._worker.session}:{task}:{attempt}"
 
     async def _fetch_description(self, task: str, attempt: int) -> None:
-        job, index = split_task(task)
+        job, index = split_task_name(task)
         pause_s = 0.1
         while True:
             slot = self._worker.slots.get((task, attempt))
@@ -352,7 +352,7 @@
         return description
 
     def _start_task(self, task: str, attempt: int, description: JobDescription) -> None:
-        job, index = split_task(task)
+        job, index = split_task_name(task)
         directory, result = self._attempt_paths(task, attempt)
         directory.mkdir(parents=True, exist_ok=True)
         save = directory.parent / "save"
