--- a/weldhead/controller/leadership/peer_failure_detector.py
+++ b/weldhead/controller/leadership/peer_failure_detector.py
@@ -122,9 +122,12 @@
         """Have the other peers probe a controller; return the name and result of each."""
         at_us = now_us()
         probing_links = [
-            link for link in self._links.values()
-            if link.name != name and link.is_responsive(at_us) and link.format >= INDIRECT_PROBE_FORMAT
-        ]  # fmt: skip
+            link
+            for link in self._links.values()
+            if link.name != name
+            and link.is_responsive(at_us)
+            and link.format >= INDIRECT_PROBE_FORMAT
+        ]
         requests = [
             link.request(
                 IndirectProbe(link.next_id(), name), IndirectProbeAnswer, INDIRECT_PROBE_TIMEOUT_US
