--- a/weldhead/scheduling/placement/scoring.py
+++ b/weldhead/scheduling/placement/scoring.py
@@ -39,7 +39,7 @@
     """Estimate how long a machine needs to download the job's image.
 
     Parallel downloads share the bandwidth. An image that another task there uses or waits for is
-    estimated at half of its download time, because its download has already begun.
+    estimated at half of its download time.
     """
     spec = job.spec
     machine = capacity.machine
